--- a/src/shallotworks/node/_limits.py
+++ b/src/shallotworks/node/_limits.py
@@ -8,7 +8,7 @@
 from shallotworks.kv import PlatformLimits
 from shallotworks.peers import PeerTiming
 from shallotworks.plans import ConductorRules, DisruptionModel, MaintenanceWindow, PlannerWeights
-from shallotworks.requests import DispatchLimits, ExchangeLimits, OnceLimits, RetryLimits
+from shallotworks.requests import DispatchLimits, ExchangeLimits, IdempotencyLimits, RetryLimits
 from shallotworks.settings import Settings
 
 __all__ = [
@@ -17,7 +17,7 @@
     "disruption_model",
     "exchange_limits",
     "long_running_limit",
-    "once_limits",
+    "idempotency_limits",
     "peer_timing",
     "planner_weights",
     "platform_limits",
@@ -64,10 +64,10 @@
     return RetryLimits(budget_part=settings.requests.retry_part)
 
 
-def once_limits(settings: Settings) -> OnceLimits:
+def idempotency_limits(settings: Settings) -> IdempotencyLimits:
     """Return how long idempotency keys are kept."""
     window_s = settings.requests.once_window_s
-    return OnceLimits(window_s=window_s, lease_every_s=min(3_600.0, window_s))
+    return IdempotencyLimits(window_s=window_s, lease_every_s=min(3_600.0, window_s))
 
 
 def platform_limits(settings: Settings) -> PlatformLimits:
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -29,7 +29,7 @@
     HttpExchange,
     PoolDispatcher,
     Relay,
-    StoreOnceGuard,
+    StoreIdempotencyGuard,
 )
 from shallotworks.settings import Settings
 from shallotworks.timeline import EventKind, Subject, Timeline
@@ -109,7 +109,7 @@
         await self._start_peers()
         await self._load_configuration()
         self._spawn(self.config.run_watch(should_watch=self.peers.should_watch))
-        self._spawn(self._once_guard.run())
+        self._spawn(self._idempotency_guard.run())
         self._spawn(self._conductor.run())
         self._spawn(self._leaving.run())
         self._spawn(self._prune_proposals())
@@ -200,12 +200,12 @@
             timeline=self.timeline,
             rng=self._rng,
         )
-        self._once_guard = StoreOnceGuard(
+        self._idempotency_guard = StoreIdempotencyGuard(
             store=self._store,
             process=self._process,
             is_live=self._is_live,
             new_id=lambda: secrets.token_hex(12),
-            limits=_limits.once_limits(self._settings),
+            limits=_limits.idempotency_limits(self._settings),
             metrics=self.metrics,
         )
         self._exchange = HttpExchange(limits=_limits.exchange_limits(self._settings))
@@ -217,7 +217,7 @@
                 metrics=self.metrics,
                 rng=self._rng,
             ),
-            once_guard=self._once_guard,
+            idempotency_guard=self._idempotency_guard,
             exchange=self._exchange,
             metrics=self.metrics,
             timeline=self.timeline,
--- a/src/shallotworks/requests/__init__.py
+++ b/src/shallotworks/requests/__init__.py
@@ -1,17 +1,18 @@
 """The path of a request: dispatch to a target, attempts, retries, at most once, the whole answer.
 
-Every decision is taken on the event loop by a `Dispatcher`, a `RetryPolicy` and a `OnceGuard`; the
-exchange of bytes with a target is straight-line code in the thread that serves the caller. Nothing
-here reads the platform or peers except through the protocols it is given.
+Every decision is taken on the event loop by a `Dispatcher`, a `RetryPolicy` and an
+`IdempotencyGuard`; the exchange of bytes with a target is straight-line code in the thread that
+serves the caller. Nothing here reads the platform or peers except through the protocols it is
+given.
 """
 
 from ._choice import Choice, TwoChoices
 from ._dispatcher import PoolDispatcher
 from ._exchange import AttemptResult, Exchange, ExchangeLimits, HttpExchange
+from ._idempotency import IdempotencyLimits, StoreIdempotencyGuard
 from ._limits import DispatchLimits, RetryLimits
 from ._messages import AttemptOutcome, Claim, Grant, Request, RequestClass, Response, Target
-from ._once import OnceLimits, StoreOnceGuard
-from ._protocols import Dispatcher, OnceGuard, RetryPolicy
+from ._protocols import Dispatcher, IdempotencyGuard, RetryPolicy
 from ._relay import Relay
 from ._retry import BudgetedRetryPolicy
 
@@ -27,8 +28,8 @@
     "ExchangeLimits",
     "Grant",
     "HttpExchange",
-    "OnceGuard",
-    "OnceLimits",
+    "IdempotencyGuard",
+    "IdempotencyLimits",
     "PoolDispatcher",
     "Relay",
     "Request",
@@ -36,7 +37,7 @@
     "Response",
     "RetryLimits",
     "RetryPolicy",
-    "StoreOnceGuard",
+    "StoreIdempotencyGuard",
     "Target",
     "TwoChoices",
 ]
--- a/src/shallotworks/requests/_once_ledger.py
+++ b/src/shallotworks/requests/_claim_ledger.py
@@ -12,7 +12,7 @@
 from shallotworks.kv import KeyValueStore, Versioned
 from shallotworks.metrics import Metrics
 
-from ._once_record import OnceRecord
+from ._idempotency_record import IdempotencyRecord
 
 __all__ = ["ClaimLedger", "Ending", "HeldClaim"]
 
@@ -27,7 +27,7 @@
         deadline_s: Event loop time after which the request can't be running here.
     """
 
-    record: OnceRecord
+    record: IdempotencyRecord
     version: int
     deadline_s: float
 
@@ -42,7 +42,7 @@
     """
 
     claim_ids: frozenset[str]
-    record: OnceRecord | None
+    record: IdempotencyRecord | None
 
 
 class ClaimLedger:
@@ -84,7 +84,7 @@
         """Return the keys of claims whose requests can't be running any more."""
         return [key for key, held in self._held.items() if held.deadline_s <= now_s]
 
-    async def end(self, key: str, record: OnceRecord | None) -> None:
+    async def end(self, key: str, record: IdempotencyRecord | None) -> None:
         """End the claim held under a key: write its last record, or delete it."""
         held = self._held.pop(key)
         self._keep(key, Ending(claim_ids=frozenset({held.record.claim_id}), record=record))
@@ -154,7 +154,7 @@
 
 def _claim_id(present: Versioned) -> str:
     try:
-        return OnceRecord.decode(present.value).claim_id
+        return IdempotencyRecord.decode(present.value).claim_id
     except ValidationError:
         return ""
 
--- a/src/shallotworks/requests/_once.py
+++ b/src/shallotworks/requests/_idempotency.py
@@ -15,11 +15,17 @@
 from shallotworks.kv import KeyValueStore, Versioned
 from shallotworks.metrics import Metrics
 
+from ._claim_ledger import ClaimLedger, HeldClaim
+from ._idempotency_record import (
+    IdempotencyRecord,
+    IdempotencyState,
+    StoredAnswer,
+    digest_of,
+    key_of,
+)
 from ._messages import Claim, Request, Response
-from ._once_ledger import ClaimLedger, HeldClaim
-from ._once_record import KeptAnswer, OnceRecord, OnceState, digest_of, key_of
 
-__all__ = ["OnceLimits", "StoreOnceGuard"]
+__all__ = ["IdempotencyLimits", "StoreIdempotencyGuard"]
 
 CLAIM_TRIES = 3
 """Rounds of creating and reading before a claim is given up as not made."""
@@ -29,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class OnceLimits:
+class IdempotencyLimits:
     """How much is kept, and for how long.
 
     Args:
@@ -51,8 +57,8 @@
     overdue_s: float = 30.0
 
 
-class StoreOnceGuard:
-    """Implements `OnceGuard` with one record per key, created before the first byte is sent.
+class StoreIdempotencyGuard:
+    """Implements `IdempotencyGuard` with one record per key, created before the first byte is sent.
 
     Creating a key succeeds once, whoever asks and wherever, so that at most one claim exists
     within the window; only its holder sends. Two calls to the store per request: create, and swap
@@ -90,7 +96,7 @@
         process: str,
         is_live: Callable[[str], bool],
         new_id: Callable[[], str],
-        limits: OnceLimits,
+        limits: IdempotencyLimits,
         metrics: Metrics,
     ) -> None:
         self._store = store
@@ -107,15 +113,15 @@
         self._lease_until_s = 0.0
 
     async def claim(self, request: Request) -> Result[Claim, Failure]:
-        """Claim the key before the first byte is sent; see `OnceGuard.claim`.
+        """Claim the key before the first byte is sent; see `IdempotencyGuard.claim`.
 
         Returns:
             Besides what the protocol names, ``CONFLICT`` where the key was used for a different
             request, and ``STORE_REGRESSED`` where the store has gone back and may have forgotten
             that the key ran.
         """
-        record = OnceRecord(
-            state=OnceState.CLAIMED,
+        record = IdempotencyRecord(
+            state=IdempotencyState.CLAIMED,
             request_digest=digest_of(request),
             claim_id=self._new_id(),
             owner=self._process,
@@ -134,8 +140,8 @@
         fits = len(response.body) <= self._limits.answer_max_bytes
         done = replace(
             held.record,
-            state=OnceState.DONE,
-            answer=KeptAnswer.of(response) if fits else None,
+            state=IdempotencyState.DONE,
+            answer=StoredAnswer.of(response) if fits else None,
             answer_digest=hashlib.sha256(response.body).hexdigest(),
         )
         await self._ledger.end(claim.key, done)
@@ -144,7 +150,7 @@
         """Note that the request was sent under this claim and nobody knows how it ended."""
         held = self._held(claim)
         if held is not None:
-            await self._ledger.end(claim.key, replace(held.record, state=OnceState.UNKNOWN))
+            await self._ledger.end(claim.key, replace(held.record, state=IdempotencyState.UNKNOWN))
 
     async def abandon(self, claim: Claim) -> None:
         """Free the key: nothing ran under this claim, for certain."""
@@ -165,24 +171,30 @@
             held = self._ledger.held(key)
             if held is not None:
                 self._metrics.count("once.overdue")
-                await self._ledger.end(key, replace(held.record, state=OnceState.UNKNOWN))
+                await self._ledger.end(key, replace(held.record, state=IdempotencyState.UNKNOWN))
 
     def _held(self, claim: Claim) -> HeldClaim | None:
         held = self._ledger.held(claim.key)
         return held if held is not None and held.version == claim.version else None
 
     def _answer_not_yet_stored(
-        self, request: Request, mine: OnceRecord
+        self, request: Request, mine: IdempotencyRecord
     ) -> Result[Claim, Failure] | None:
         """Return the first run's answer, where it ran here and the store does not have it yet."""
         ending = self._ledger.ending(key_of(request))
-        if ending is None or ending.record is None or ending.record.state is not OnceState.DONE:
+        if (
+            ending is None
+            or ending.record is None
+            or ending.record.state is not IdempotencyState.DONE
+        ):
             return None
         if ending.record.request_digest != mine.request_digest:
             return _refuse(ErrorKind.CONFLICT, OTHER_REQUEST)
         return _stored(key_of(request), 0, ending.record)
 
-    async def _claim_in_time(self, request: Request, record: OnceRecord) -> Result[Claim, Failure]:
+    async def _claim_in_time(
+        self, request: Request, record: IdempotencyRecord
+    ) -> Result[Claim, Failure]:
         """Claim by the request's deadline.
 
         The failure: the store is slow, or the caller hangs up, while the create is under way; it
@@ -200,7 +212,9 @@
             self._ledger.end_unheld(key_of(request), record.claim_id)
             raise
 
-    async def _create_or_read(self, request: Request, record: OnceRecord) -> Result[Claim, Failure]:
+    async def _create_or_read(
+        self, request: Request, record: IdempotencyRecord
+    ) -> Result[Claim, Failure]:
         key = key_of(request)
         floor = self._highest_version
         for _ in range(CLAIM_TRIES):
@@ -228,11 +242,11 @@
         return _not_claimed(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason))
 
     async def _judge(
-        self, request: Request, mine: OnceRecord, present: Versioned, floor: int
+        self, request: Request, mine: IdempotencyRecord, present: Versioned, floor: int
     ) -> Result[Claim, Failure]:
         """Say what a record that stands there means for a request that wants its key."""
         try:
-            record = OnceRecord.decode(present.value)
+            record = IdempotencyRecord.decode(present.value)
         except ValidationError:
             return _refuse(ErrorKind.OUTCOME_UNKNOWN, "the record of this key can't be read")
         if record.claim_id == mine.claim_id:
@@ -240,9 +254,9 @@
             return self._claimed(request, mine, present.version, floor)
         if record.request_digest != mine.request_digest:
             return _refuse(ErrorKind.CONFLICT, OTHER_REQUEST)
-        if record.state is OnceState.DONE:
+        if record.state is IdempotencyState.DONE:
             return _stored(present.key, present.version, record)
-        if record.state is OnceState.UNKNOWN:
+        if record.state is IdempotencyState.UNKNOWN:
             return _refuse(ErrorKind.OUTCOME_UNKNOWN, END_UNKNOWN)
         if record.owner == self._process:
             return await self._judge_own(request, mine, present, record, floor)
@@ -253,9 +267,9 @@
     async def _judge_own(
         self,
         request: Request,
-        mine: OnceRecord,
+        mine: IdempotencyRecord,
         present: Versioned,
-        record: OnceRecord,
+        record: IdempotencyRecord,
         floor: int,
     ) -> Result[Claim, Failure]:
         """Judge a claim of this very process, which knows more of it than the store does."""
@@ -270,7 +284,7 @@
         return _refuse(ErrorKind.OUTCOME_UNKNOWN, END_UNKNOWN)
 
     async def _take_over(
-        self, request: Request, mine: OnceRecord, present: Versioned, floor: int
+        self, request: Request, mine: IdempotencyRecord, present: Versioned, floor: int
     ) -> Result[Claim, Failure]:
         """Claim a key whose record is only waiting to be deleted, since nothing ran under it.
 
@@ -288,7 +302,7 @@
         return _not_claimed(swapped.failure())
 
     def _claimed(
-        self, request: Request, record: OnceRecord, version: int, floor: int
+        self, request: Request, record: IdempotencyRecord, version: int, floor: int
     ) -> Result[Claim, Failure]:
         key = key_of(request)
         if version <= floor and not self._is_trusted_again(version):
@@ -334,7 +348,7 @@
             return Success(self._lease_id)
 
 
-def _stored(key: str, version: int, record: OnceRecord) -> Result[Claim, Failure]:
+def _stored(key: str, version: int, record: IdempotencyRecord) -> Result[Claim, Failure]:
     if record.answer is None:
         reason = "it ran, and its answer was too large to keep"
         return _refuse(ErrorKind.OUTCOME_UNKNOWN, reason)
--- a/src/shallotworks/requests/_once_record.py
+++ b/src/shallotworks/requests/_idempotency_record.py
@@ -11,14 +11,14 @@
 
 from ._messages import Request, Response
 
-__all__ = ["KeptAnswer", "OnceRecord", "OnceState", "digest_of", "key_of"]
+__all__ = ["StoredAnswer", "IdempotencyRecord", "IdempotencyState", "digest_of", "key_of"]
 
 PREFIX = "once"
 NO_TEAM = "-"
 
 
 @unique
-class OnceState(Enum):
+class IdempotencyState(Enum):
     """Where the one run of a key stands."""
 
     CLAIMED = "claimed"
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class KeptAnswer:
+class StoredAnswer:
     """A target's answer as JSON can hold it.
 
     Args:
@@ -44,7 +44,7 @@
     body: str
 
     @classmethod
-    def of(cls, response: Response) -> KeptAnswer:
+    def of(cls, response: Response) -> StoredAnswer:
         """Return what is kept of an answer."""
         body = base64.b64encode(response.body).decode("ascii")
         return cls(status=response.status, headers=response.headers, body=body)
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class OnceRecord:
+class IdempotencyRecord:
     """One key's record.
 
     Args:
@@ -68,11 +68,11 @@
         answer_digest: Digest of the answer's body, where it is done.
     """
 
-    state: OnceState
+    state: IdempotencyState
     request_digest: str
     claim_id: str
     owner: str
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
     answer_digest: str = ""
 
     def encode(self) -> bytes:
@@ -80,7 +80,7 @@
         return _RECORD.dump_json(self)
 
     @classmethod
-    def decode(cls, data: bytes) -> OnceRecord:
+    def decode(cls, data: bytes) -> IdempotencyRecord:
         """Read a record; raises ``pydantic.ValidationError`` where it is not one."""
         return _RECORD.validate_json(data)
 
@@ -100,4 +100,4 @@
     return digest.hexdigest()
 
 
-_RECORD = TypeAdapter(OnceRecord)
+_RECORD = TypeAdapter(IdempotencyRecord)
--- a/src/shallotworks/requests/_protocols.py
+++ b/src/shallotworks/requests/_protocols.py
@@ -10,7 +10,7 @@
 
 from ._messages import AttemptOutcome, Claim, Grant, Request, Response
 
-__all__ = ["Dispatcher", "OnceGuard", "RetryPolicy"]
+__all__ = ["Dispatcher", "IdempotencyGuard", "RetryPolicy"]
 
 
 class Dispatcher(Protocol):
@@ -71,7 +71,7 @@
         ...
 
 
-class OnceGuard(Protocol):
+class IdempotencyGuard(Protocol):
     """Keeps a non-idempotent request with a key from running twice, anywhere."""
 
     async def claim(self, request: Request) -> Result[Claim, Failure]:
--- a/src/shallotworks/requests/_relay.py
+++ b/src/shallotworks/requests/_relay.py
@@ -18,7 +18,7 @@
 from ._exchange import AttemptResult, Exchange
 from ._hop import HopTimeoutError, LoopHop
 from ._messages import AttemptOutcome, Grant, Request, RequestClass, Response
-from ._protocols import Dispatcher, OnceGuard, RetryPolicy
+from ._protocols import Dispatcher, IdempotencyGuard, RetryPolicy
 from ._steps import Attempt, EndedAttempt, NextStep, Past
 
 __all__ = ["Relay"]
@@ -39,7 +39,7 @@
         loop: The event loop that takes all decisions.
         dispatcher: Admission and choice of target.
         retry_policy: Whether a failed attempt is followed by another.
-        once_guard: Keeps a non-idempotent request with a key from running twice.
+        idempotency_guard: Keeps a non-idempotent request with a key from running twice.
         exchange: Sends one attempt.
         metrics: Counts and latencies.
         timeline: Events.
@@ -51,12 +51,12 @@
         "_dispatcher",
         "_exchange",
         "_hops",
+        "_idempotency_guard",
         "_in_flight",
         "_long_running",
         "_long_running_limit",
         "_loop",
         "_metrics",
-        "_once_guard",
         "_retry_policy",
         "_stopping",
         "_timeline",
@@ -68,7 +68,7 @@
         loop: asyncio.AbstractEventLoop,
         dispatcher: Dispatcher,
         retry_policy: RetryPolicy,
-        once_guard: OnceGuard,
+        idempotency_guard: IdempotencyGuard,
         exchange: Exchange,
         metrics: Metrics,
         timeline: Timeline,
@@ -80,7 +80,7 @@
         self._hops = LoopHop(loop=loop, expects_more=lambda: self._in_flight > 0)
         self._dispatcher = dispatcher
         self._retry_policy = retry_policy
-        self._once_guard = once_guard
+        self._idempotency_guard = idempotency_guard
         self._exchange = exchange
         self._metrics = metrics
         self._timeline = timeline
@@ -197,7 +197,7 @@
         if not _needs_claim(request):
             granted = await self._dispatcher.wait(request, tried=frozenset())
             return granted.map(partial(self._next_attempt, request, Past()))
-        claimed = await self._once_guard.claim(request)
+        claimed = await self._idempotency_guard.claim(request)
         if not isinstance(claimed, Success):
             return Err(claimed.failure())
         claim = claimed.unwrap()
@@ -226,7 +226,7 @@
             return Success(self._next_attempt(request, past, granted.unwrap()))
         failure = granted.failure()
         if past.claim is not None:
-            await self._once_guard.abandon(past.claim)
+            await self._idempotency_guard.abandon(past.claim)
         return _unknown(failure) if past.may_have_run else Err(failure)
 
     def _next_attempt(self, request: Request, past: Past, grant: Grant) -> Attempt:
@@ -266,21 +266,21 @@
         repeat find the answer; beyond it the record is written while the caller has its answer.
         """
         if past.claim is not None:
-            settling = self._in_background(self._once_guard.settle(past.claim, response))
+            settling = self._in_background(self._idempotency_guard.settle(past.claim, response))
             await asyncio.wait((settling,), timeout=SETTLE_WAIT_S)
         return Success(response)
 
     async def _give_up(self, past: Past, result: AttemptResult) -> NextStep:
         if not past.may_have_run:
             if past.claim is not None:
-                await self._once_guard.abandon(past.claim)
+                await self._idempotency_guard.abandon(past.claim)
             return _fail(ErrorKind.NO_TARGET, result.detail, retry_after_s=RETRY_AFTER_S)
         if result.outcome is AttemptOutcome.TARGET_ERROR and result.response is not None:
             # The target's own whole answer, even one that tells of a fault, is the caller's.
             return await self._settle(past, result.response)
         if past.claim is not None:
             # The caller need not wait for a note that leaves its answer as it is.
-            self._in_background(self._once_guard.mark_unknown(past.claim))
+            self._in_background(self._idempotency_guard.mark_unknown(past.claim))
         if result.outcome.surely_not_run:
             refusal = Failure(
                 kind=ErrorKind.NO_TARGET, reason=result.detail, retry_after_s=RETRY_AFTER_S
--- a/tests/entry.py
+++ b/tests/entry.py
@@ -16,11 +16,11 @@
     DispatchLimits,
     ExchangeLimits,
     HttpExchange,
-    OnceLimits,
+    IdempotencyLimits,
     PoolDispatcher,
     Relay,
     RetryLimits,
-    StoreOnceGuard,
+    StoreIdempotencyGuard,
 )
 from shallotworks.standins import WorkerStandIn
 from shallotworks.timeline import Timeline
@@ -95,12 +95,12 @@
             timeline=timeline,
             rng=random.Random(name),
         )
-        self._guard = StoreOnceGuard(
+        self._guard = StoreIdempotencyGuard(
             store=store,
             process=name,
             is_live=lambda process: process == name,
             new_id=lambda: f"{name}-{next(numbers)}",
-            limits=OnceLimits(repeat_every_s=TIDY_EVERY_S, overdue_s=OVERDUE_S),
+            limits=IdempotencyLimits(repeat_every_s=TIDY_EVERY_S, overdue_s=OVERDUE_S),
             metrics=self.metrics,
         )
         self._exchange = HttpExchange(limits=ExchangeLimits(attempt_timeout_s=attempt_timeout_s))
@@ -110,7 +110,7 @@
             retry_policy=BudgetedRetryPolicy(
                 limits=RetryLimits(burst=50.0), metrics=self.metrics, rng=random.Random(name)
             ),
-            once_guard=self._guard,
+            idempotency_guard=self._guard,
             exchange=self._exchange,
             metrics=self.metrics,
             timeline=timeline,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -95,7 +95,7 @@
         return 0.0 if safe and attempts < self.attempts else None
 
 
-class MemoryOnceGuard:
+class MemoryIdempotencyGuard:
     """Keeps claims in a dict.
 
     Attributes:
--- a/tests/test_once.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.requests.StoreOnceGuard`: one run per key, whatever fails."""
+"""Tests of `shallotworks.requests.StoreIdempotencyGuard`: one run per key, whatever fails."""
 
 import asyncio
 import itertools
@@ -10,7 +10,7 @@
 
 from shallotworks.errors import ErrorKind, Failure, Ran, answer_for
 from shallotworks.metrics import Metrics
-from shallotworks.requests import Claim, OnceLimits, Request, Response, StoreOnceGuard
+from shallotworks.requests import Claim, IdempotencyLimits, Request, Response, StoreIdempotencyGuard
 from shallotworks.standins import MemoryStore, StoreFaults
 from tests.dispatch_fakes import make_request, run_on_stopped_clock
 
@@ -26,14 +26,14 @@
     live: set[str] = field(default_factory=set)
     ids: itertools.count = field(default_factory=lambda: itertools.count(1))
 
-    def process(self, name: str) -> StoreOnceGuard:
+    def process(self, name: str) -> StoreIdempotencyGuard:
         self.live.add(name)
-        return StoreOnceGuard(
+        return StoreIdempotencyGuard(
             store=self.store,
             process=name,
             is_live=self.live.__contains__,
             new_id=lambda: f"id-{next(self.ids)}",
-            limits=OnceLimits(answer_max_bytes=100),
+            limits=IdempotencyLimits(answer_max_bytes=100),
             metrics=Metrics(),
         )
 
@@ -50,12 +50,14 @@
     )
 
 
-async def warm_up(guard: StoreOnceGuard) -> None:
+async def warm_up(guard: StoreIdempotencyGuard) -> None:
     """Claim another key, so that the process has its lease and the next claim is one write."""
     await guard.claim(make_request("r0", "parts", key="warm", idempotent=False))
 
 
-async def claim_while_store_goes_down(site: Site, guard: StoreOnceGuard) -> Result[Claim, Failure]:
+async def claim_while_store_goes_down(
+    site: Site, guard: StoreIdempotencyGuard
+) -> Result[Claim, Failure]:
     """Claim the key; the answer is lost and the store is down until the claim has ended."""
     site.store.set_faults(StoreFaults(delay_s=1.0, lost_answers=1))
     claiming = asyncio.create_task(guard.claim(order()))
@@ -74,7 +76,7 @@
     return outcome.failure().kind
 
 
-class OnceTests(unittest.TestCase):
+class IdempotencyTests(unittest.TestCase):
     def test_answered_key_gives_the_first_answer_anywhere(self) -> None:
         """The key of an answered request gives that answer, through whichever instance.
 
--- a/tests/test_once_history.py
+++ b/tests/test_idempotency_history.py
@@ -9,7 +9,7 @@
 from returns.result import Success
 
 from shallotworks.metrics import Metrics
-from shallotworks.requests import Claim, OnceLimits, Response, StoreOnceGuard
+from shallotworks.requests import Claim, IdempotencyLimits, Response, StoreIdempotencyGuard
 from shallotworks.standins import MemoryStore, StoreFaults
 from tests.dispatch_fakes import make_request, run_on_stopped_clock
 
@@ -49,21 +49,21 @@
         self.live: set[str] = set()
         self.names = [""] * PROCESSES
         self.guards = [self.process(which) for which in range(PROCESSES)]
-        self.claiming: list[tuple[StoreOnceGuard, asyncio.Task]] = []
-        self.holder: tuple[StoreOnceGuard, Claim] | None = None
+        self.claiming: list[tuple[StoreIdempotencyGuard, asyncio.Task]] = []
+        self.holder: tuple[StoreIdempotencyGuard, Claim] | None = None
         self.ran = False
         self.answer: Response | None = None
         self.background: list[asyncio.Task] = []
 
-    def process(self, which: int) -> StoreOnceGuard:
+    def process(self, which: int) -> StoreIdempotencyGuard:
         name = self.names[which] = f"e{next(self.numbers)}"
         self.live.add(name)
-        return StoreOnceGuard(
+        return StoreIdempotencyGuard(
             store=self.store,
             process=name,
             is_live=self.live.__contains__,
             new_id=lambda: f"id-{next(self.numbers)}",
-            limits=OnceLimits(),
+            limits=IdempotencyLimits(),
             metrics=Metrics(),
         )
 
@@ -136,7 +136,7 @@
             if not task.cancelled():
                 self.judge(guard, task)
 
-    def judge(self, guard: StoreOnceGuard, task: asyncio.Task) -> None:
+    def judge(self, guard: StoreIdempotencyGuard, task: asyncio.Task) -> None:
         outcome = task.result()
         if not isinstance(outcome, Success):
             return
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -16,7 +16,7 @@
 from shallotworks.requests import AttemptOutcome, ExchangeLimits, HttpExchange, Relay, Target
 from shallotworks.standins import WorkerFault, WorkerFaults, WorkerStandIn
 from shallotworks.timeline import Timeline
-from tests.fakes import FixedRetryPolicy, LoopThread, MemoryOnceGuard, RoundRobinDispatcher
+from tests.fakes import FixedRetryPolicy, LoopThread, MemoryIdempotencyGuard, RoundRobinDispatcher
 
 BODY_LIMIT_BYTES = 64 * 1024
 THREADS = 16
@@ -41,12 +41,12 @@
         self.exchange = HttpExchange(limits=ExchangeLimits(attempt_timeout_s=0.4))
         self.addCleanup(self.exchange.close)
         self.retry_policy = FixedRetryPolicy(attempts=3)
-        self.once_guard = MemoryOnceGuard()
+        self.idempotency_guard = MemoryIdempotencyGuard()
         self.relay = Relay(
             loop=self.loop_thread.loop,
             dispatcher=self.dispatcher,
             retry_policy=self.retry_policy,
-            once_guard=self.once_guard,
+            idempotency_guard=self.idempotency_guard,
             exchange=self.exchange,
             metrics=Metrics(),
             timeline=Timeline(process="entry-1", wall_clock_s=lambda: 0.0),
@@ -212,14 +212,14 @@
         unknown and asks again under its key; it is told that the order is in progress, though
         nothing is. The cause: the claim was left as held. The store may be slow to take the note.
         """
-        self.once_guard.write_s = 30.0
+        self.idempotency_guard.write_s = 30.0
         for worker in self.workers:
             worker.set_faults(WorkerFaults(fault=WorkerFault.PARTIAL))
         started_s = time.monotonic()
         answer = self.send("POST", body=b"two tubes", Idempotency_Key="order-1")
         self.assertLess(time.monotonic() - started_s, 3.0)
         self.assertEqual((answer.status, answer.json()["ran"]), (504, "unknown"))
-        self.assertEqual(self.once_guard.unknown, {"order-1"})
+        self.assertEqual(self.idempotency_guard.unknown, {"order-1"})
 
     def test_unsafe_request_moves_on_where_it_was_surely_not_run(self) -> None:
         """A refusal by the target is certain, so the request may go to the next."""
@@ -286,7 +286,7 @@
         for seconds. The caller would wait for a record that does not change its answer, and be told
         at its deadline that the outcome is unknown.
         """
-        self.once_guard.write_s = 3.0
+        self.idempotency_guard.write_s = 3.0
         started_s = time.monotonic()
         answer = self.send("POST", Idempotency_Key="order-1", Shallot_Deadline_Ms="1500")
         self.assertEqual(answer.status, 200)
@@ -298,11 +298,11 @@
         Story: an instance is replaced while the store is slow. It has answered an order whose
         record is still on its way; without it a repeat at the successor would not find the answer.
         """
-        self.once_guard.write_s = 1.0
+        self.idempotency_guard.write_s = 1.0
         self.send("POST", Idempotency_Key="order-1")
-        self.assertIsNone(self.once_guard.records["order-1"])
+        self.assertIsNone(self.idempotency_guard.records["order-1"])
         self.loop_thread.run(self.relay.finish_records(timeout_s=5.0))
-        self.assertIsNotNone(self.once_guard.records["order-1"])
+        self.assertIsNotNone(self.idempotency_guard.records["order-1"])
 
 
 class BadInputTests(RelayCase):
