--- a/src/shallotworks/requests/_idempotency.py
+++ b/src/shallotworks/requests/_idempotency.py
@@ -132,7 +132,7 @@
         self._metrics.count(f"once.{_name_of(outcome)}")
         return outcome
 
-    async def settle(self, claim: Claim, response: Response) -> None:
+    async def complete_claim(self, claim: Claim, response: Response) -> None:
         """Store the answer of the run; kept for later where the store can't be reached."""
         held = self._held(claim)
         if held is None:
@@ -146,13 +146,13 @@
         )
         await self._ledger.end(claim.key, done)
 
-    async def mark_unknown(self, claim: Claim) -> None:
+    async def mark_outcome_unknown(self, claim: Claim) -> None:
         """Note that the request was sent under this claim and nobody knows how it ended."""
         held = self._held(claim)
         if held is not None:
             await self._ledger.end(claim.key, replace(held.record, state=IdempotencyState.UNKNOWN))
 
-    async def abandon(self, claim: Claim) -> None:
+    async def release_claim(self, claim: Claim) -> None:
         """Free the key: nothing ran under this claim, for certain."""
         if self._held(claim) is not None:
             await self._ledger.end(claim.key, None)
@@ -161,9 +161,9 @@
         """Repeat writes that failed and end claims that nobody ended, until cancelled."""
         while True:
             await asyncio.sleep(self._limits.repeat_every_s)
-            await self.tidy()
+            await self.reconcile()
 
-    async def tidy(self) -> None:
+    async def reconcile(self) -> None:
         """Do one round of what `run` does."""
         await self._ledger.repeat()
         latest_s = asyncio.get_running_loop().time() - self._limits.overdue_s
--- a/src/shallotworks/requests/_protocols.py
+++ b/src/shallotworks/requests/_protocols.py
@@ -84,14 +84,14 @@
         """
         ...
 
-    async def settle(self, claim: Claim, response: Response) -> None:
+    async def complete_claim(self, claim: Claim, response: Response) -> None:
         """Store the answer of the run."""
         ...
 
-    async def mark_unknown(self, claim: Claim) -> None:
+    async def mark_outcome_unknown(self, claim: Claim) -> None:
         """Note that the request was sent under this claim and nobody knows how it ended."""
         ...
 
-    async def abandon(self, claim: Claim) -> None:
+    async def release_claim(self, claim: Claim) -> None:
         """Free the key: nothing ran under this claim, for certain."""
         ...
--- a/src/shallotworks/requests/_relay.py
+++ b/src/shallotworks/requests/_relay.py
@@ -226,7 +226,7 @@
             return Success(self._next_attempt(request, past, granted.unwrap()))
         failure = granted.failure()
         if past.claim is not None:
-            await self._idempotency_guard.abandon(past.claim)
+            await self._idempotency_guard.release_claim(past.claim)
         return _unknown(failure) if past.may_have_run else Err(failure)
 
     def _next_attempt(self, request: Request, past: Past, grant: Grant) -> Attempt:
@@ -266,21 +266,23 @@
         repeat find the answer; beyond it the record is written while the caller has its answer.
         """
         if past.claim is not None:
-            settling = self._in_background(self._idempotency_guard.settle(past.claim, response))
+            settling = self._in_background(
+                self._idempotency_guard.complete_claim(past.claim, response)
+            )
             await asyncio.wait((settling,), timeout=SETTLE_WAIT_S)
         return Success(response)
 
     async def _give_up(self, past: Past, result: AttemptResult) -> NextStep:
         if not past.may_have_run:
             if past.claim is not None:
-                await self._idempotency_guard.abandon(past.claim)
+                await self._idempotency_guard.release_claim(past.claim)
             return _fail(ErrorKind.NO_TARGET, result.detail, retry_after_s=RETRY_AFTER_S)
         if result.outcome is AttemptOutcome.TARGET_ERROR and result.response is not None:
             # The target's own whole answer, even one that tells of a fault, is the caller's.
             return await self._settle(past, result.response)
         if past.claim is not None:
             # The caller need not wait for a note that leaves its answer as it is.
-            self._in_background(self._idempotency_guard.mark_unknown(past.claim))
+            self._in_background(self._idempotency_guard.mark_outcome_unknown(past.claim))
         if result.outcome.surely_not_run:
             refusal = Failure(
                 kind=ErrorKind.NO_TARGET, reason=result.detail, retry_after_s=RETRY_AFTER_S
--- a/tests/entry.py
+++ b/tests/entry.py
@@ -31,7 +31,7 @@
 THREADS = 24
 DEADLINE_S = 1.5
 ATTEMPT_TIMEOUT_S = 0.3
-TIDY_EVERY_S = 0.2
+RECONCILE_EVERY_S = 0.2
 OVERDUE_S = 1.0
 
 
@@ -100,7 +100,7 @@
             process=name,
             is_live=lambda process: process == name,
             new_id=lambda: f"{name}-{next(numbers)}",
-            limits=IdempotencyLimits(repeat_every_s=TIDY_EVERY_S, overdue_s=OVERDUE_S),
+            limits=IdempotencyLimits(repeat_every_s=RECONCILE_EVERY_S, overdue_s=OVERDUE_S),
             metrics=self.metrics,
         )
         self._exchange = HttpExchange(limits=ExchangeLimits(attempt_timeout_s=attempt_timeout_s))
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -120,16 +120,16 @@
         self.records[key] = None
         return Success(Claim(key=key, version=1))
 
-    async def settle(self, claim: Claim, response: Response) -> None:
+    async def complete_claim(self, claim: Claim, response: Response) -> None:
         """Store the answer."""
         await asyncio.sleep(self.write_s)
         self.records[claim.key] = response
 
-    async def mark_unknown(self, claim: Claim) -> None:
+    async def mark_outcome_unknown(self, claim: Claim) -> None:
         """Note that the end is not known."""
         self.unknown.add(claim.key)
         await asyncio.sleep(self.write_s)
 
-    async def abandon(self, claim: Claim) -> None:
+    async def release_claim(self, claim: Claim) -> None:
         """Free the key."""
         del self.records[claim.key]
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -88,7 +88,7 @@
             site = Site()
             first, second = site.process("e1"), site.process("e2")
             claim = (await first.claim(order())).unwrap()
-            await first.settle(claim, ORDERED)
+            await first.complete_claim(claim, ORDERED)
             self.assertEqual(
                 site.store.calls, {"grant_lease": 1, "create": 1, "swap": 1}, "calls of one run"
             )
@@ -136,12 +136,12 @@
             site.store.set_faults(StoreFaults(lost_answers=1))
             claim = await guard.claim(order())
             self.assertTrue(is_claim_to_run(claim))
-            await guard.settle(claim.unwrap(), ORDERED)
+            await guard.complete_claim(claim.unwrap(), ORDERED)
             self.assertEqual((await guard.claim(order())).unwrap().stored, ORDERED)
 
         run_on_stopped_clock(story)
 
-    @parameterized.expand([("running", None), ("marked", "mark_unknown")])
+    @parameterized.expand([("running", None), ("marked", "mark_outcome_unknown")])
     def test_owner_died(self, _name: str, last_act: str | None) -> None:
         """The key answers "outcome unknown" for ever after, and never runs again.
 
@@ -192,7 +192,7 @@
             await warm_up(first)
             lost = await claim_while_store_goes_down(site, first)
             self.assertIs(kind_of(lost), ErrorKind.STORE_UNAVAILABLE)
-            await first.tidy()
+            await first.reconcile()
             outcomes = await asyncio.gather(first.claim(order()), second.claim(order()))
             self.assertEqual(sum(map(is_claim_to_run, outcomes)), 1)
 
@@ -211,7 +211,7 @@
             claim = (await first.claim(order())).unwrap()
             await warm_up(second)
             site.store.set_faults(StoreFaults(stale=True, lost_answers=1))
-            await first.abandon(claim)
+            await first.release_claim(claim)
             self.assertTrue(is_claim_to_run(await second.claim(order())))
             self.assertIs(kind_of(await first.claim(order())), ErrorKind.IN_PROGRESS)
 
@@ -266,7 +266,7 @@
             if how == "deadline":
                 self.assertIs(kind_of(await claiming), ErrorKind.STORE_UNAVAILABLE)
             site.store.set_faults(StoreFaults())
-            await first.tidy()
+            await first.reconcile()
             self.assertTrue(is_claim_to_run(await second.claim(order())))
 
         run_on_stopped_clock(story)
@@ -288,7 +288,7 @@
             self.assertIs(kind_of(lost), ErrorKind.STORE_UNAVAILABLE)
             site.store.come_back_at(before)
             self.assertTrue(is_claim_to_run(await second.claim(order())))
-            await first.tidy()
+            await first.reconcile()
             self.assertIs(kind_of(await third.claim(order())), ErrorKind.IN_PROGRESS)
 
         run_on_stopped_clock(story)
@@ -304,13 +304,13 @@
             first, second = site.process("e1"), site.process("e2")
             claim = (await first.claim(order())).unwrap()
             site.store.set_faults(StoreFaults(down=True))
-            await first.settle(claim, ORDERED)
+            await first.complete_claim(claim, ORDERED)
             self.assertEqual((await first.claim(order())).unwrap().stored, ORDERED)
             self.assertIs(kind_of(await first.claim(order(b"other"))), ErrorKind.CONFLICT)
             site.store.set_faults(StoreFaults())
             self.assertEqual((await first.claim(order())).unwrap().stored, ORDERED)
             self.assertIs(kind_of(await second.claim(order())), ErrorKind.IN_PROGRESS)
-            await first.tidy()
+            await first.reconcile()
             self.assertEqual((await second.claim(order())).unwrap().stored, ORDERED)
 
         run_on_stopped_clock(story)
@@ -327,10 +327,10 @@
             guard = site.process("e1")
             claim = (await guard.claim(order())).unwrap()
             site.store.set_faults(StoreFaults(down=True))
-            await guard.mark_unknown(claim)
+            await guard.mark_outcome_unknown(claim)
             site.store.set_faults(StoreFaults())
             self.assertIs(kind_of(await guard.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
-            await guard.tidy()
+            await guard.reconcile()
             self.assertIs(kind_of(await guard.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
 
         run_on_stopped_clock(story)
@@ -341,7 +341,7 @@
         async def story() -> None:
             site = Site()
             first, second = site.process("e1"), site.process("e2")
-            await first.abandon((await first.claim(order())).unwrap())
+            await first.release_claim((await first.claim(order())).unwrap())
             self.assertTrue(is_claim_to_run(await second.claim(order())))
 
         run_on_stopped_clock(story)
@@ -353,7 +353,7 @@
             site = Site()
             guard = site.process("e1")
             claim = (await guard.claim(order())).unwrap()
-            await guard.settle(claim, Response(status=200, headers=(), body=b"x" * 101))
+            await guard.complete_claim(claim, Response(status=200, headers=(), body=b"x" * 101))
             self.assertIs(kind_of(await guard.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
 
         run_on_stopped_clock(story)
@@ -364,7 +364,7 @@
         async def story() -> None:
             site = Site()
             guard = site.process("e1")
-            await guard.settle((await guard.claim(order())).unwrap(), ORDERED)
+            await guard.complete_claim((await guard.claim(order())).unwrap(), ORDERED)
             await asyncio.sleep(DAY_S)
             self.assertEqual((await guard.claim(order())).unwrap().stored, ORDERED)
             await asyncio.sleep(3_700)
@@ -382,7 +382,7 @@
         async def story() -> None:
             site = Site()
             guard = site.process("e1")
-            await guard.settle((await guard.claim(order())).unwrap(), ORDERED)
+            await guard.complete_claim((await guard.claim(order())).unwrap(), ORDERED)
             site.store.come_back_empty()
             self.assertIs(kind_of(await guard.claim(order())), ErrorKind.STORE_REGRESSED)
             await asyncio.sleep(DAY_S + 1)
@@ -398,7 +398,7 @@
             first, second = site.process("e1"), site.process("e2")
             await first.claim(order())
             await asyncio.sleep(60)
-            await first.tidy()
+            await first.reconcile()
             self.assertIs(kind_of(await second.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
 
         run_on_stopped_clock(story)
--- a/tests/test_idempotency_history.py
+++ b/tests/test_idempotency_history.py
@@ -28,8 +28,11 @@
     st.one_of(
         st.tuples(st.just("claim"), WHICH, st.sampled_from([False, False, False, True])),
         st.tuples(st.just("hang_up"), st.integers(0, 3)),
-        st.tuples(st.just("end"), st.sampled_from(["settle", "abandon", "mark_unknown"])),
-        st.tuples(st.just("tidy"), WHICH),
+        st.tuples(
+            st.just("end"),
+            st.sampled_from(["complete_claim", "release_claim", "mark_outcome_unknown"]),
+        ),
+        st.tuples(st.just("reconcile"), WHICH),
         st.tuples(st.just("replace"), WHICH),
         st.tuples(st.just("faults"), st.sampled_from(FAULTS)),
         st.tuples(st.just("wait"), st.sampled_from([0.0, 0.3, 2.0, 60.0])),
@@ -99,18 +102,18 @@
             return
         guard, claim = self.holder
         self.holder = None
-        if how == "settle":
+        if how == "complete_claim":
             self.ran = True
             self.answer = Response(status=200, headers=(), body=str(next(self.numbers)).encode())
-            self.later(guard.settle(claim, self.answer))
-        elif how == "abandon":
-            self.later(guard.abandon(claim))
+            self.later(guard.complete_claim(claim, self.answer))
+        elif how == "release_claim":
+            self.later(guard.release_claim(claim))
         else:
             self.ran = True
-            self.later(guard.mark_unknown(claim))
+            self.later(guard.mark_outcome_unknown(claim))
 
-    def tidy(self, which: int) -> None:
-        self.later(self.guards[which].tidy())
+    def reconcile(self, which: int) -> None:
+        self.later(self.guards[which].reconcile())
 
     def replace(self, which: int) -> None:
         """The process dies; what it was running may have run."""
