--- a/bench/plans.py
+++ b/bench/plans.py
@@ -33,7 +33,7 @@
     Instance,
     SetCondition,
     apply,
-    basis_of,
+    precondition_digest,
 )
 from shallotworks.kv import LeaseHolder
 from shallotworks.node._duty import LeaseDuty
@@ -191,7 +191,9 @@
     names = tuple(next(state.instances_of(pool)).name for pool in state.pools)
     cordon = SetCondition(names=names, condition=Condition.CORDONED)
     applied_s = timeit.repeat(lambda: apply(state, cordon).unwrap(), number=1, repeat=ROUNDS)
-    basis_s = timeit.repeat(lambda: basis_of(state, state.instances), number=1, repeat=ROUNDS)
+    basis_s = timeit.repeat(
+        lambda: precondition_digest(state, state.instances), number=1, repeat=ROUNDS
+    )
     print(
         f"target: a cordon over {len(names)} pools applied, ms"
         f" {statistics.median(applied_s) * 1e3:.1f};"
--- a/src/shallotworks/fleet/__init__.py
+++ b/src/shallotworks/fleet/__init__.py
@@ -6,7 +6,6 @@
 """
 
 from ._apply import apply
-from ._basis import basis_of
 from ._changes import (
     AdvancePlan,
     Change,
@@ -25,6 +24,7 @@
     SetCondition,
     SetHealth,
 )
+from ._preconditions import precondition_digest
 from ._records import (
     Condition,
     DataCentre,
@@ -64,5 +64,5 @@
     "SetHealth",
     "Team",
     "apply",
-    "basis_of",
+    "precondition_digest",
 ]
--- a/src/shallotworks/fleet/_apply.py
+++ b/src/shallotworks/fleet/_apply.py
@@ -12,7 +12,6 @@
 
 from shallotworks.errors import ErrorKind, Failure
 
-from ._basis import basis_of
 from ._changes import (
     AdvancePlan,
     Change,
@@ -31,6 +30,7 @@
     SetCondition,
     SetHealth,
 )
+from ._preconditions import precondition_digest
 from ._records import Condition, Instance, PlanRecord, PlanState
 from ._state import FleetState
 
@@ -236,7 +236,7 @@
     if holder is not None:
         both = sorted(set(holder.instances) & set(change.instances))
         return _refuse(ErrorKind.CONFLICT, _held(both[0], holder))
-    if change.basis and change.basis != basis_of(state, change.instances):
+    if change.basis and change.basis != precondition_digest(state, change.instances):
         return _refuse(ErrorKind.STALE_PLAN, f"what plan {_short(change.digest)} rests on changed")
     record = PlanRecord(
         digest=change.digest,
--- a/src/shallotworks/fleet/_changes.py
+++ b/src/shallotworks/fleet/_changes.py
@@ -176,8 +176,8 @@
         confirmed_at_s: Unix time.
         base_revision: The revision that the plan was computed from.
         instances: Names of all instances it will cordon or move.
-        basis: Digest of the facts it rests on, see `basis_of`; refused with ``STALE_PLAN`` where
-            they are others by now. Empty for no check.
+        basis: Digest of the facts it rests on, see `precondition_digest`; refused with
+            ``STALE_PLAN`` where they are others by now. Empty for no check.
     """
 
     digest: str
--- a/src/shallotworks/fleet/_basis.py
+++ b/src/shallotworks/fleet/_preconditions.py
@@ -8,10 +8,10 @@
 from ._records import Instance
 from ._state import FleetState
 
-__all__ = ["basis_of"]
+__all__ = ["precondition_digest"]
 
 
-def basis_of(state: FleetState, instances: Iterable[str]) -> str:
+def precondition_digest(state: FleetState, instances: Iterable[str]) -> str:
     """Return a digest of the facts that a plan over these instances rests on.
 
     It covers the instances themselves, and of each pool that they are in: its budget, its members
--- a/src/shallotworks/plans/_planner.py
+++ b/src/shallotworks/plans/_planner.py
@@ -9,7 +9,7 @@
 from returns.result import Result, Success
 
 from shallotworks.errors import ErrorKind, Failure
-from shallotworks.fleet import FleetState, Instance, basis_of
+from shallotworks.fleet import FleetState, Instance, precondition_digest
 
 from ._intents import Drain, Intent, Maintain, Move, Named, Return
 from ._measures import DisruptionModel, PlannerWeights, capacity_left, measure, weighted_cost
@@ -139,7 +139,7 @@
             intent=intent,
             author=author,
             base_revision=state.revision,
-            basis=basis_of(state, (entry.name for entry in targets.instances)),
+            basis=precondition_digest(state, (entry.name for entry in targets.instances)),
             waves=waves,
             capacity=(
                 capacity_left(chosen.waves, supply=supply, stays_out=Action.RETURN not in actions)
--- a/tests/test_fleet_plans.py
+++ b/tests/test_fleet_plans.py
@@ -23,7 +23,7 @@
     SetCondition,
     SetHealth,
     apply,
-    basis_of,
+    precondition_digest,
 )
 from tests.fakes_plans import fjellsending
 
@@ -135,7 +135,9 @@
     ) -> None:
         """A change within the plan's pools makes another basis, any other change does not."""
         state = fjellsending()
-        changed = basis_of(after(state, change), NAMES) != basis_of(state, NAMES)
+        changed = precondition_digest(after(state, change), NAMES) != precondition_digest(
+            state, NAMES
+        )
         self.assertEqual(changed, differs)
 
     def test_a_budget_is_part_of_the_basis(self) -> None:
@@ -143,5 +145,6 @@
         state = fjellsending()
         cut = replace(state.services["archive"], max_unavailable=1)
         self.assertNotEqual(
-            basis_of(after(state, PutService(service=cut)), NAMES), basis_of(state, NAMES)
+            precondition_digest(after(state, PutService(service=cut)), NAMES),
+            precondition_digest(state, NAMES),
         )
