--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -22,7 +22,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.operators import OperatorsServer
 from shallotworks.peers import MemberState, PeerNetwork, PeerSettings, rank_among
-from shallotworks.plans import Conductor, Planner, Proposals, Surroundings
+from shallotworks.plans import Conductor, ConductorDependencies, Planner, Proposals
 from shallotworks.protocol import MemberRecord, load_keys
 from shallotworks.requests import (
     BudgetedRetryPolicy,
@@ -265,7 +265,7 @@
             duties=self._duty,
             log=self.config,
             store=self._store,
-            around=Surroundings(
+            dependencies=ConductorDependencies(
                 view=self.config,
                 control=self._control,
                 acknowledgements=PeerAcknowledgements(replica=self.config, peers=self.peers),
--- a/src/shallotworks/plans/__init__.py
+++ b/src/shallotworks/plans/__init__.py
@@ -26,7 +26,7 @@
     not_maintained_for,
 )
 from ._measures import DisruptionModel, PlannerWeights
-from ._plan_run import Surroundings
+from ._plan_run import ConductorDependencies
 from ._planner import Planner
 from ._progress import Progress, progress_of
 from ._proposals import PLANS_PREFIX, ListedPlan, Proposals
@@ -83,7 +83,7 @@
     "Step",
     "StepEnd",
     "Strategy",
-    "Surroundings",
+    "ConductorDependencies",
     "TargetControl",
     "Wave",
     "decode_intent",
--- a/src/shallotworks/plans/_conductor.py
+++ b/src/shallotworks/plans/_conductor.py
@@ -14,7 +14,7 @@
 from shallotworks.kv import KeyValueStore
 from shallotworks.timeline import EventKind, Subject
 
-from ._plan_run import PlanRun, Surroundings
+from ._plan_run import ConductorDependencies, PlanRun
 from ._proposals import plan_key
 from ._protocols import Duty
 from ._records import Plan
@@ -34,10 +34,10 @@
         duties: Returns the duty of a plan by its digest.
         log: Where changes are proposed.
         store: Where plans are stored.
-        around: What to work with.
+        dependencies: What to work with.
     """
 
-    __slots__ = ("_around", "_duties", "_log", "_name", "_store", "_tasks")
+    __slots__ = ("_dependencies", "_duties", "_log", "_name", "_store", "_tasks")
 
     def __init__(
         self,
@@ -46,22 +46,22 @@
         duties: Callable[[str], Duty],
         log: ConfigLog,
         store: KeyValueStore,
-        around: Surroundings,
+        dependencies: ConductorDependencies,
     ) -> None:
         self._name = name
         self._duties = duties
         self._log = log
         self._store = store
-        self._around = around
+        self._dependencies = dependencies
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
         """Conduct every open plan until cancelled."""
         try:
             while True:
-                revision = self._around.view.state().revision
+                revision = self._dependencies.view.state().revision
                 self._start_new()
-                await self._around.view.wait_for(revision + 1)
+                await self._dependencies.view.wait_for(revision + 1)
         finally:
             for task in self._tasks.values():
                 task.cancel()
@@ -69,7 +69,7 @@
 
     def _start_new(self) -> None:
         self._tasks = {digest: task for digest, task in self._tasks.items() if not task.done()}
-        for digest, record in self._around.view.state().plans.items():
+        for digest, record in self._dependencies.view.state().plans.items():
             if record.state.is_open and digest not in self._tasks:
                 self._tasks[digest] = asyncio.ensure_future(self._conduct(digest))
 
@@ -92,13 +92,13 @@
         if not turn.cancelled() and turn.exception() is not None:
             # One plan's fault must not end the others; it shows in this counter, and the plan is
             # taken up again from the state.
-            self._around.metrics.count("plans.conductor_faults")
+            self._dependencies.metrics.count("plans.conductor_faults")
             logging.error("plan %s: conductor failed: %r", digest, turn.exception())
         if not ended.done():
             await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _until_ended(self, digest: str) -> None:
-        view = self._around.view
+        view = self._dependencies.view
         while True:
             state = view.state()
             record = state.plans.get(digest)
@@ -117,7 +117,7 @@
         except ShallotworksError as error:
             if error.failure.kind is not ErrorKind.LEASE_LOST:
                 raise
-            self._around.metrics.count("plans.duties_lost")
+            self._dependencies.metrics.count("plans.duties_lost")
             self._record(EventKind.LEASE_LOST, digest, error.failure.reason)
         finally:
             await duty.release()
@@ -128,11 +128,11 @@
             token=token,
             duty=duty,
             log=self._log,
-            view=self._around.view,
+            view=self._dependencies.view,
             author=self._name,
-            metrics=self._around.metrics,
+            metrics=self._dependencies.metrics,
         )
-        return PlanRun(plan=plan, writer=writer, around=self._around)
+        return PlanRun(plan=plan, writer=writer, dependencies=self._dependencies)
 
     async def _load(self, digest: str) -> Plan:
         """Read the plan, waiting out a store that is down."""
@@ -144,8 +144,8 @@
                     return Plan.decode(found.value)
                 except ValidationError:
                     logging.error("plan %s: the stored plan can't be read", digest)
-            self._around.metrics.count("plans.loads_repeated")
+            self._dependencies.metrics.count("plans.loads_repeated")
             await asyncio.sleep(RETRY_PAUSE_S)
 
     def _record(self, kind: EventKind, digest: str, detail: str) -> None:
-        self._around.timeline.record(kind, subject=Subject(plan=digest), detail=detail)
+        self._dependencies.timeline.record(kind, subject=Subject(plan=digest), detail=detail)
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -21,14 +21,14 @@
 from ._tasks import run_all, stop_all
 from ._writer import PlanWriter
 
-__all__ = ["PlanRun", "Surroundings"]
+__all__ = ["PlanRun", "ConductorDependencies"]
 
 LOOK_AGAIN_S = 5.0
 NAMES_SHOWN = 5
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Surroundings:
+class ConductorDependencies:
     """What a conductor works with.
 
     Args:
@@ -56,18 +56,20 @@
     Args:
         plan: The plan.
         writer: Its writer, under this conductor's token.
-        around: What to work with.
+        dependencies: What to work with.
     """
 
-    __slots__ = ("_around", "_ends", "_inherited", "_paused", "_plan", "_steps", "_writer")
+    __slots__ = ("_dependencies", "_ends", "_inherited", "_paused", "_plan", "_steps", "_writer")
 
-    def __init__(self, *, plan: Plan, writer: PlanWriter, around: Surroundings) -> None:
+    def __init__(
+        self, *, plan: Plan, writer: PlanWriter, dependencies: ConductorDependencies
+    ) -> None:
         self._plan = plan
         self._steps = {
             name: step for wave in plan.waves for step in wave.steps for name in step.instances
         }
         self._writer = writer
-        self._around = around
+        self._dependencies = dependencies
         self._ends: dict[str, StepEnd] = {}
         self._inherited: set[str] = set()
         self._paused = False
@@ -91,7 +93,7 @@
 
     def _inherit_failed(self) -> None:
         """Take over what an earlier conductor gave up, so that waves do not wait for it again."""
-        state = self._around.view.state()
+        state = self._dependencies.view.state()
         for name, step in self._steps.items():
             failed = self._holds(name) and not state.instances[name].healthy
             if failed and Action.RETURN in step.actions:
@@ -159,7 +161,7 @@
 
     async def _cordon(self, waiting: dict[str, Step]) -> tuple[str, ...]:
         """Take permits for what the budgets have room for; returns who may go on."""
-        state = self._around.view.state()
+        state = self._dependencies.view.state()
         ready = tuple(name for name, step in waiting.items() if self._needs_no_permit(step, name))
         if ready:
             return ready
@@ -169,7 +171,7 @@
         result = await self._writer.cordon(fitting)
         if isinstance(result, Success):
             return fitting
-        self._around.metrics.count(f"plans.cordons_refused.{result.failure().kind.value}")
+        self._dependencies.metrics.count(f"plans.cordons_refused.{result.failure().kind.value}")
         await self._next_state()
         return ()
 
@@ -178,8 +180,8 @@
 
     async def _run_steps(self, steps: dict[str, Step]) -> None:
         """Run one instance's step each, once the cordons are seen."""
-        await self._until_seen(self._around.view.state().revision)
-        limit_s = self._around.rules.return_limit_s
+        await self._until_seen(self._dependencies.view.state().revision)
+        limit_s = self._dependencies.rules.return_limit_s
         await run_all(self._run_instance(steps[name], name, limit_s) for name in steps)
 
     async def _run_instance(self, step: Step, name: str, return_limit_s: float) -> None:
@@ -187,14 +189,14 @@
 
     async def _until_seen(self, revision: int) -> None:
         """Wait until the entry instances have seen a revision, or the bound for one cut off."""
-        rules = self._around.rules
+        rules = self._dependencies.rules
         until_s = _now_s() + rules.seen_limit_s
-        while self._around.acknowledgements.held_by_all() < revision and _now_s() < until_s:
+        while self._dependencies.acknowledgements.held_by_all() < revision and _now_s() < until_s:
             await asyncio.sleep(min(rules.poll_s, rules.seen_limit_s))
 
     async def _stand_still_while_failing(self) -> None:
         """Start no further wave while too many instances have not come back."""
-        while len(self._failed()) >= self._around.rules.failed_limit:
+        while len(self._failed()) >= self._dependencies.rules.failed_limit:
             self._pause(f"{len(self._failed())} instances did not come back")
             await self._next_state()
             await self._try_leftovers()
@@ -202,17 +204,17 @@
 
     async def _until_window(self, wave: Wave) -> None:
         """Wait until the rest of the maintenance window is long enough for a wave."""
-        window = self._around.rules.window
+        window = self._dependencies.rules.window
         if window is None or not wave.spends:
             return
-        while window.left_s(self._around.wall_clock_s()) < wave.duration_s:
+        while window.left_s(self._dependencies.wall_clock_s()) < wave.duration_s:
             self._pause("outside the maintenance window")
             await self._next_state()
         self._resume()
 
     async def _try_leftovers(self) -> None:
         """Give instances that did not come back in time another chance."""
-        rules = self._around.rules
+        rules = self._dependencies.rules
         steps = self._steps
         works = []
         for name in self._failed():
@@ -237,7 +239,7 @@
         A target that is on its way through a reboot is waited for; one that does not come back
         stays cordoned.
         """
-        limit_s = self._around.rules.return_limit_s
+        limit_s = self._dependencies.rules.return_limit_s
         held = [name for name in self._steps if self._holds(name)]
         await run_all(self._roll_back_instance(name, limit_s) for name in held)
         left = sorted(name for name in self._steps if self._holds(name))
@@ -254,7 +256,9 @@
         await run.probe_and_return(return_limit_s=limit_s)
 
     async def _end(self, state: PlanState, outcome: str) -> None:
-        result = await self._writer.finish(state, outcome=outcome, at_s=self._around.wall_clock_s())
+        result = await self._writer.finish(
+            state, outcome=outcome, at_s=self._dependencies.wall_clock_s()
+        )
         if isinstance(result, Success):
             self._record_event(EventKind.PLAN_ENDED, f"{state.value}: {outcome}")
             return
@@ -265,21 +269,21 @@
 
     async def _next_state(self) -> None:
         """Wait for the next revision, and look at the duty now and then."""
-        revision = self._around.view.state().revision
+        revision = self._dependencies.view.state().revision
         try:
             async with asyncio.timeout(LOOK_AGAIN_S):
-                await self._around.view.wait_for(revision + 1)
+                await self._dependencies.view.wait_for(revision + 1)
         except TimeoutError:
             return
 
     def _is_through(self, step: Step, name: str) -> bool:
         """Whether nothing is left to do; a drain always asks its target again."""
         if Action.RETURN not in step.actions:
-            return name not in self._around.view.state().instances
-        return is_done(step, name, self._record(), self._around.view.state())
+            return name not in self._dependencies.view.state().instances
+        return is_done(step, name, self._record(), self._dependencies.view.state())
 
     def _is_done(self, name: str) -> bool:
-        return is_done(self._steps[name], name, self._record(), self._around.view.state())
+        return is_done(self._steps[name], name, self._record(), self._dependencies.view.state())
 
     def _end_of(self, name: str) -> StepEnd:
         return self._ends.get(name, StepEnd.NEVER_CAME_BACK)
@@ -293,7 +297,7 @@
         ]
 
     def _holds(self, name: str) -> bool:
-        entry = self._around.view.state().instances.get(name)
+        entry = self._dependencies.view.state().instances.get(name)
         return (
             entry is not None
             and entry.condition is Condition.CORDONED
@@ -301,26 +305,26 @@
         )
 
     def _record(self) -> PlanRecord:
-        return self._around.view.state().plans[self._plan.digest]
+        return self._dependencies.view.state().plans[self._plan.digest]
 
     def _instance_run(self, step: Step, name: str) -> InstanceRun:
         return InstanceRun(
             digest=self._plan.digest,
             step=step,
             name=name,
-            view=self._around.view,
-            control=self._around.control,
+            view=self._dependencies.view,
+            control=self._dependencies.control,
             writer=self._writer,
-            rules=self._around.rules,
-            wall_clock_s=self._around.wall_clock_s,
-            timeline=self._around.timeline,
-            metrics=self._around.metrics,
+            rules=self._dependencies.rules,
+            wall_clock_s=self._dependencies.wall_clock_s,
+            timeline=self._dependencies.timeline,
+            metrics=self._dependencies.metrics,
         )
 
     def _pause(self, why: str) -> None:
         if not self._paused:
             self._paused = True
-            self._around.metrics.count("plans.pauses")
+            self._dependencies.metrics.count("plans.pauses")
             self._record_event(EventKind.PLAN_PAUSED, why)
 
     def _resume(self) -> None:
@@ -330,7 +334,7 @@
 
     def _record_event(self, kind: EventKind, detail: str) -> None:
         subject = Subject(plan=self._plan.digest)
-        self._around.timeline.record(kind, subject=subject, detail=detail)
+        self._dependencies.timeline.record(kind, subject=subject, detail=detail)
 
 
 def _fitting(state: FleetState, names: dict[str, Step]) -> tuple[str, ...]:
--- a/tests/fakes_plans.py
+++ b/tests/fakes_plans.py
@@ -25,6 +25,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.plans import (
     Conductor,
+    ConductorDependencies,
     ConductorRules,
     DisruptionModel,
     Duty,
@@ -33,7 +34,6 @@
     PlannerWeights,
     ProbeReport,
     Proposals,
-    Surroundings,
 )
 from shallotworks.standins import MemoryStore
 from shallotworks.timeline import Timeline
@@ -228,7 +228,7 @@
             duties=lambda digest: self.duty_of(digest, name),
             log=self.config,
             store=self.store,
-            around=Surroundings(
+            dependencies=ConductorDependencies(
                 view=self.config,
                 control=self.targets,
                 acknowledgements=self,
