--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -18,10 +18,10 @@
 from shallotworks.requests import (
     AttemptOutcome,
     BudgetedRetryPolicy,
-    Choice,
     DispatchLimits,
     RequestClass,
     RetryLimits,
+    TargetSelector,
 )
 
 SEEDS = (1, 2, 3, 4, 5)
@@ -48,7 +48,7 @@
 
     name: str
     first_come: bool = False
-    choice: Callable[[random.Random], Choice] | None = None
+    selector: Callable[[random.Random], TargetSelector] | None = None
     limits: DispatchLimits = DispatchLimits()  # noqa: RUF009
     budget: bool = True
     entries: int = ENTRIES
@@ -57,8 +57,8 @@
 
 OURS = Setup(name="shallotworks")
 FIRST_COME = Setup(name="first come first served", first_come=True)
-RANDOM = Setup(name="random choice", choice=RandomChoice)
-LEAST = Setup(name="least in flight", choice=lambda _rng: LeastInFlight())
+RANDOM = Setup(name="random choice", selector=RandomChoice)
+LEAST = Setup(name="least in flight", selector=lambda _rng: LeastInFlight())
 NO_EJECTION_LIMITS = DispatchLimits(failures_to_eject=NEVER, refusals_to_eject=NEVER)
 NO_EJECTION = Setup(name="no ejection", limits=NO_EJECTION_LIMITS)
 NO_BUDGET = Setup(name="no retry budget", budget=False)
@@ -87,7 +87,7 @@
             fleet(members),
             limits=setup.limits,
             seed=seed * 100 + rank,
-            choice=setup.choice(rng) if setup.choice else None,
+            selector=setup.selector(rng) if setup.selector else None,
             entries=setup.divided_by or setup.entries,
             rank=rank,
         )
--- a/src/shallotworks/requests/__init__.py
+++ b/src/shallotworks/requests/__init__.py
@@ -6,7 +6,6 @@
 given.
 """
 
-from ._choice import Choice, TwoChoices
 from ._dispatcher import PoolDispatcher
 from ._exchange import AttemptResult, Exchange, ExchangeLimits, HttpExchange
 from ._idempotency import IdempotencyLimits, StoreIdempotencyGuard
@@ -15,12 +14,13 @@
 from ._protocols import Dispatcher, IdempotencyGuard, RetryPolicy
 from ._relay import Relay
 from ._retry import BudgetedRetryPolicy
+from ._target_selection import PowerOfTwoChoices, TargetSelector
 
 __all__ = [
     "AttemptOutcome",
     "AttemptResult",
     "BudgetedRetryPolicy",
-    "Choice",
+    "TargetSelector",
     "Claim",
     "DispatchLimits",
     "Dispatcher",
@@ -39,5 +39,5 @@
     "RetryPolicy",
     "StoreIdempotencyGuard",
     "Target",
-    "TwoChoices",
+    "PowerOfTwoChoices",
 ]
--- a/src/shallotworks/requests/_dispatcher.py
+++ b/src/shallotworks/requests/_dispatcher.py
@@ -16,7 +16,6 @@
 from shallotworks.timeline import EventKind, Subject, Timeline
 
 from ._admission import expected_wait_s, load_to_shed, longest_wait_s, waiting_limit
-from ._choice import Choice, TwoChoices
 from ._fleet_index import UNRANKED, FleetIndex
 from ._grants import GrantLedger, Held
 from ._limits import DispatchLimits
@@ -24,6 +23,7 @@
 from ._messages import AttemptOutcome, Grant, Request, RequestClass
 from ._pool import PoolState
 from ._queue import Waiter
+from ._target_selection import PowerOfTwoChoices, TargetSelector
 from ._waiting import WaitingRoom
 
 __all__ = ["PoolDispatcher"]
@@ -60,17 +60,17 @@
         metrics: Where decisions are counted.
         timeline: Where they are recorded.
         rng: Source of every random draw.
-        choice: How one of several free targets is chosen; two random choices by default.
+        selector: How one of several free targets is chosen; two random choices by default.
     """
 
     __slots__ = (
-        "_choice",
         "_grants",
         "_index",
         "_limits",
         "_metrics",
         "_rng",
         "_room",
+        "_selector",
         "_stopping",
         "_timeline",
     )
@@ -86,7 +86,7 @@
         metrics: Metrics,
         timeline: Timeline,
         rng: random.Random,
-        choice: Choice | None = None,
+        selector: TargetSelector | None = None,
     ) -> None:
         self._limits = limits
         self._metrics = metrics
@@ -100,7 +100,7 @@
             limits=limits,
             new_pool=self._new_pool,
         )
-        self._choice = choice or TwoChoices(rng=rng)
+        self._selector = selector or PowerOfTwoChoices(rng=rng)
         self._grants = GrantLedger()
         self._room = WaitingRoom(expire=self._expire)
         self._stopping = False
@@ -211,7 +211,7 @@
         return PoolState(
             name=name,
             limits=self._limits,
-            choice=self._choice,
+            selector=self._selector,
             metrics=self._metrics,
             timeline=self._timeline,
             rng=self._rng,
--- a/src/shallotworks/requests/_pool.py
+++ b/src/shallotworks/requests/_pool.py
@@ -9,12 +9,12 @@
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import Timeline
 
-from ._choice import Choice
 from ._estimate import DurationEstimate, MovingLevel
 from ._health import PoolHealth
 from ._limits import DispatchLimits
 from ._loads import ClassLoad, ServiceLoad
 from ._messages import AttemptOutcome, Request
+from ._target_selection import TargetSelector
 from ._targets import TargetGroup, TargetState
 
 __all__ = ["PoolState"]
@@ -43,10 +43,10 @@
     """
 
     __slots__ = (
-        "_choice",
         "_limits",
         "_moving",
         "_rng",
+        "_selector",
         "has_timer",
         "health",
         "interactive",
@@ -68,14 +68,14 @@
         *,
         name: str,
         limits: DispatchLimits,
-        choice: Choice,
+        selector: TargetSelector,
         metrics: Metrics,
         timeline: Timeline,
         rng: random.Random,
     ) -> None:
         self.name = name
         self._limits = limits
-        self._choice = choice
+        self._selector = selector
         self._rng = rng
         # Kept in order, so that the same events lead to the same choices on every run.
         self._moving: dict[TargetState, None] = {}
@@ -217,12 +217,12 @@
         if tried and self._all_tried(tried):
             tried = _NOTHING_TRIED
         if not load.interactive:
-            return self._choice.choose(self.serving.free_targets, tried=tried)
+            return self._selector.choose(self.serving.free_targets, tried=tried)
         target = None
         if self.local.free_targets:
-            target = self._choice.choose(self.local.free_targets, tried=tried)
+            target = self._selector.choose(self.local.free_targets, tried=tried)
         if target is None and self.remote.free_targets:
-            target = self._choice.choose(self.remote.free_targets, tried=tried)
+            target = self._selector.choose(self.remote.free_targets, tried=tried)
         return target
 
     def next_load(self, now_s: float) -> ClassLoad | None:
--- a/src/shallotworks/requests/_choice.py
+++ b/src/shallotworks/requests/_target_selection.py
@@ -8,13 +8,13 @@
 
 from ._targets import TargetState
 
-__all__ = ["Choice", "TwoChoices"]
+__all__ = ["TargetSelector", "PowerOfTwoChoices"]
 
 SAMPLES = 2
 TRIES = 4
 
 
-class Choice(Protocol):
+class TargetSelector(Protocol):
     """Chooses among targets with a free slot."""
 
     def choose(
@@ -24,7 +24,7 @@
         ...
 
 
-class TwoChoices:
+class PowerOfTwoChoices:
     """Takes the less filled of two targets drawn at random.
 
     The failure it is for: several processes that each see only their own load all pick the same
--- a/tests/dispatch_fakes.py
+++ b/tests/dispatch_fakes.py
@@ -14,12 +14,12 @@
 from shallotworks.metrics import Metrics
 from shallotworks.requests import (
     AttemptOutcome,
-    Choice,
     DispatchLimits,
     Grant,
     PoolDispatcher,
     Request,
     RequestClass,
+    TargetSelector,
 )
 from shallotworks.timeline import Timeline
 
@@ -196,7 +196,7 @@
     *,
     limits: DispatchLimits | None = None,
     seed: int = 1,
-    choice: Choice | None = None,
+    selector: TargetSelector | None = None,
     entries: int = 1,
     rank: int = 0,
 ) -> Bench:
@@ -214,7 +214,7 @@
         metrics=metrics,
         timeline=timeline,
         rng=random.Random(seed),
-        choice=choice,
+        selector=selector,
     )
     return Bench(
         config=config, dispatcher=dispatcher, metrics=metrics, timeline=timeline, entries=live
