--- a/src/shallotworks/node/_limits.py
+++ b/src/shallotworks/node/_limits.py
@@ -8,14 +8,14 @@
 from shallotworks.kv import PlatformLimits
 from shallotworks.peers import PeerTiming
 from shallotworks.plans import ConductorRules, DisruptionModel, MaintenanceWindow, PlannerWeights
-from shallotworks.requests import DispatchLimits, ExchangeLimits, IdempotencyLimits, RetryLimits
+from shallotworks.requests import DispatchLimits, IdempotencyLimits, RetryLimits, TargetClientLimits
 from shallotworks.settings import Settings
 
 __all__ = [
     "conductor_rules",
     "dispatch_limits",
     "disruption_model",
-    "exchange_limits",
+    "target_client_limits",
     "long_running_limit",
     "idempotency_limits",
     "peer_timing",
@@ -40,9 +40,9 @@
     return max(1, int(settings.callers.threads * settings.callers.long_running_part))
 
 
-def exchange_limits(settings: Settings) -> ExchangeLimits:
+def target_client_limits(settings: Settings) -> TargetClientLimits:
     """Return the bounds on one attempt."""
-    return ExchangeLimits(
+    return TargetClientLimits(
         connect_timeout_s=settings.requests.connect_timeout_s,
         attempt_timeout_s=settings.requests.attempt_timeout_s,
         idle_connection_age_s=settings.requests.idle_connection_age_s,
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -26,7 +26,7 @@
 from shallotworks.protocol import MemberRecord, load_keys
 from shallotworks.requests import (
     BudgetedRetryPolicy,
-    HttpExchange,
+    HttpTargetClient,
     PoolDispatcher,
     Relay,
     StoreIdempotencyGuard,
@@ -136,7 +136,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.peers.stop()
         await self.config.close()
-        self._exchange.close()
+        self._target_client.close()
         await asyncio.to_thread(self._control.close)
         self._store.close()
         self._instances.close()
@@ -208,7 +208,7 @@
             limits=_limits.idempotency_limits(self._settings),
             metrics=self.metrics,
         )
-        self._exchange = HttpExchange(limits=_limits.exchange_limits(self._settings))
+        self._target_client = HttpTargetClient(limits=_limits.target_client_limits(self._settings))
         self.relay = Relay(
             loop=self._loop,
             dispatcher=self._dispatcher,
@@ -218,7 +218,7 @@
                 rng=self._rng,
             ),
             idempotency_guard=self._idempotency_guard,
-            exchange=self._exchange,
+            target_client=self._target_client,
             metrics=self.metrics,
             timeline=self.timeline,
             long_running_limit=_limits.long_running_limit(self._settings),
--- a/src/shallotworks/requests/__init__.py
+++ b/src/shallotworks/requests/__init__.py
@@ -7,13 +7,13 @@
 """
 
 from ._dispatcher import PoolDispatcher
-from ._exchange import AttemptResult, Exchange, ExchangeLimits, HttpExchange
 from ._idempotency import IdempotencyLimits, StoreIdempotencyGuard
 from ._limits import DispatchLimits, RetryLimits
 from ._messages import AttemptOutcome, Claim, Grant, Request, RequestClass, Response, Target
 from ._protocols import Dispatcher, IdempotencyGuard, RetryPolicy
 from ._relay import Relay
 from ._retry import BudgetedRetryPolicy
+from ._target_client import AttemptResult, HttpTargetClient, TargetClient, TargetClientLimits
 from ._target_selection import PowerOfTwoChoices, TargetSelector
 
 __all__ = [
@@ -24,10 +24,10 @@
     "Claim",
     "DispatchLimits",
     "Dispatcher",
-    "Exchange",
-    "ExchangeLimits",
+    "TargetClient",
+    "TargetClientLimits",
     "Grant",
-    "HttpExchange",
+    "HttpTargetClient",
     "IdempotencyGuard",
     "IdempotencyLimits",
     "PoolDispatcher",
--- a/src/shallotworks/requests/_relay.py
+++ b/src/shallotworks/requests/_relay.py
@@ -15,11 +15,11 @@
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import EventKind, Subject, Timeline
 
-from ._exchange import AttemptResult, Exchange
 from ._hop import HopTimeoutError, LoopHop
 from ._messages import AttemptOutcome, Grant, Request, RequestClass, Response
 from ._protocols import Dispatcher, IdempotencyGuard, RetryPolicy
 from ._steps import Attempt, EndedAttempt, NextStep, Past
+from ._target_client import AttemptResult, TargetClient
 
 __all__ = ["Relay"]
 
@@ -40,7 +40,7 @@
         dispatcher: Admission and choice of target.
         retry_policy: Whether a failed attempt is followed by another.
         idempotency_guard: Keeps a non-idempotent request with a key from running twice.
-        exchange: Sends one attempt.
+        target_client: Sends one attempt.
         metrics: Counts and latencies.
         timeline: Events.
         long_running_limit: Long-running requests that may be here at once, waiting ones included.
@@ -49,7 +49,6 @@
     __slots__ = (
         "_background",
         "_dispatcher",
-        "_exchange",
         "_hops",
         "_idempotency_guard",
         "_in_flight",
@@ -59,6 +58,7 @@
         "_metrics",
         "_retry_policy",
         "_stopping",
+        "_target_client",
         "_timeline",
     )
 
@@ -69,7 +69,7 @@
         dispatcher: Dispatcher,
         retry_policy: RetryPolicy,
         idempotency_guard: IdempotencyGuard,
-        exchange: Exchange,
+        target_client: TargetClient,
         metrics: Metrics,
         timeline: Timeline,
         long_running_limit: int,
@@ -81,7 +81,7 @@
         self._dispatcher = dispatcher
         self._retry_policy = retry_policy
         self._idempotency_guard = idempotency_guard
-        self._exchange = exchange
+        self._target_client = target_client
         self._metrics = metrics
         self._timeline = timeline
         self._in_flight = 0
@@ -144,7 +144,7 @@
     def _attempt(self, attempt: Attempt, request: Request) -> EndedAttempt:
         started_s = time.monotonic()
         left_s = request.deadline_s - self._loop.time()
-        result = self._exchange.send(
+        result = self._target_client.send(
             attempt.grant.target, request, attempt=attempt.past.attempts + 1, timeout_s=left_s
         )
         return EndedAttempt(attempt=attempt, result=result, duration_s=time.monotonic() - started_s)
--- a/src/shallotworks/requests/_steps.py
+++ b/src/shallotworks/requests/_steps.py
@@ -8,8 +8,8 @@
 
 from shallotworks.errors import Failure
 
-from ._exchange import AttemptResult
 from ._messages import Claim, Grant, Response
+from ._target_client import AttemptResult
 
 __all__ = ["Attempt", "EndedAttempt", "NextStep", "Past"]
 
--- a/src/shallotworks/requests/_exchange.py
+++ b/src/shallotworks/requests/_target_client.py
@@ -17,7 +17,7 @@
 from ._messages import AttemptOutcome, Request, Response, Target
 from .headers import ATTEMPT, HOP_BY_HOP, RAN, REQUEST_ID
 
-__all__ = ["AttemptResult", "Exchange", "ExchangeLimits", "HttpExchange"]
+__all__ = ["AttemptResult", "TargetClient", "TargetClientLimits", "HttpTargetClient"]
 
 READ_CHUNK_BYTES = 64 * 1024
 SERVER_ERROR = 500
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ExchangeLimits:
+class TargetClientLimits:
     """Bounds on one attempt.
 
     Args:
@@ -75,7 +75,7 @@
     detail: str = ""
 
 
-class Exchange(Protocol):
+class TargetClient(Protocol):
     """Sends an attempt to a target; called in the thread that serves the caller."""
 
     def send(
@@ -128,7 +128,7 @@
             entry.connection.close()
 
 
-class HttpExchange:
+class HttpTargetClient:
     """Attempts over HTTP/1.1 connections that are kept and reused for each target.
 
     Args:
@@ -137,7 +137,7 @@
 
     __slots__ = ("_limits", "_paths")
 
-    def __init__(self, *, limits: ExchangeLimits) -> None:
+    def __init__(self, *, limits: TargetClientLimits) -> None:
         self._limits = limits
         self._paths: dict[str, _Path] = {}
 
--- a/tests/entry.py
+++ b/tests/entry.py
@@ -14,13 +14,13 @@
 from shallotworks.requests import (
     BudgetedRetryPolicy,
     DispatchLimits,
-    ExchangeLimits,
-    HttpExchange,
+    HttpTargetClient,
     IdempotencyLimits,
     PoolDispatcher,
     Relay,
     RetryLimits,
     StoreIdempotencyGuard,
+    TargetClientLimits,
 )
 from shallotworks.standins import WorkerStandIn
 from shallotworks.timeline import Timeline
@@ -103,7 +103,9 @@
             limits=IdempotencyLimits(repeat_every_s=RECONCILE_EVERY_S, overdue_s=OVERDUE_S),
             metrics=self.metrics,
         )
-        self._exchange = HttpExchange(limits=ExchangeLimits(attempt_timeout_s=attempt_timeout_s))
+        self._target_client = HttpTargetClient(
+            limits=TargetClientLimits(attempt_timeout_s=attempt_timeout_s)
+        )
         relay = Relay(
             loop=loop_thread.loop,
             dispatcher=self.dispatcher,
@@ -111,7 +113,7 @@
                 limits=RetryLimits(burst=50.0), metrics=self.metrics, rng=random.Random(name)
             ),
             idempotency_guard=self._guard,
-            exchange=self._exchange,
+            target_client=self._target_client,
             metrics=self.metrics,
             timeline=timeline,
             long_running_limit=THREADS // 2,
@@ -143,7 +145,7 @@
         """Close the port and all connections; the loop is stopped by its owner."""
         self._listener.stop()
         self._loop_thread.run(self._stop_tidying())
-        self._exchange.close()
+        self._target_client.close()
 
     def _start_tidying(self) -> None:
         self._task = self._loop_thread.loop.create_task(self._guard.run())
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,7 +13,13 @@
 from shallotworks.callers import CallersApplication, ReadingLimits
 from shallotworks.listener import Listener
 from shallotworks.metrics import Metrics
-from shallotworks.requests import AttemptOutcome, ExchangeLimits, HttpExchange, Relay, Target
+from shallotworks.requests import (
+    AttemptOutcome,
+    HttpTargetClient,
+    Relay,
+    Target,
+    TargetClientLimits,
+)
 from shallotworks.standins import WorkerFault, WorkerFaults, WorkerStandIn
 from shallotworks.timeline import Timeline
 from tests.fakes import FixedRetryPolicy, LoopThread, MemoryIdempotencyGuard, RoundRobinDispatcher
@@ -38,8 +44,8 @@
                 for worker in self.workers
             ]
         )
-        self.exchange = HttpExchange(limits=ExchangeLimits(attempt_timeout_s=0.4))
-        self.addCleanup(self.exchange.close)
+        self.target_client = HttpTargetClient(limits=TargetClientLimits(attempt_timeout_s=0.4))
+        self.addCleanup(self.target_client.close)
         self.retry_policy = FixedRetryPolicy(attempts=3)
         self.idempotency_guard = MemoryIdempotencyGuard()
         self.relay = Relay(
@@ -47,7 +53,7 @@
             dispatcher=self.dispatcher,
             retry_policy=self.retry_policy,
             idempotency_guard=self.idempotency_guard,
-            exchange=self.exchange,
+            target_client=self.target_client,
             metrics=Metrics(),
             timeline=Timeline(process="entry-1", wall_clock_s=lambda: 0.0),
             long_running_limit=THREADS // 2,
--- a/tests/test_exchange.py
+++ b/tests/test_target_client.py
@@ -11,11 +11,11 @@
 
 from shallotworks.requests import (
     AttemptOutcome,
-    ExchangeLimits,
-    HttpExchange,
+    HttpTargetClient,
     Request,
     RequestClass,
     Target,
+    TargetClientLimits,
 )
 
 ECHO = "Shallot-Request-Id: r1\r\nShallot-Attempt: 1\r\n"
@@ -108,10 +108,12 @@
         """Only a whole answer that echoes this request and attempt is handed on."""
         target = ByteTarget(answer.encode())
         self.addCleanup(target.stop)
-        limits = ExchangeLimits(attempt_timeout_s=TIMEOUT_S, answer_limit_bytes=ANSWER_LIMIT_BYTES)
-        exchange = HttpExchange(limits=limits)
-        self.addCleanup(exchange.close)
-        result = exchange.send(
+        limits = TargetClientLimits(
+            attempt_timeout_s=TIMEOUT_S, answer_limit_bytes=ANSWER_LIMIT_BYTES
+        )
+        target_client = HttpTargetClient(limits=limits)
+        self.addCleanup(target_client.close)
+        result = target_client.send(
             Target(instance="w1", address=target.address, data_centre="here"),
             _request(),
             attempt=1,
