--- a/bench/plans.py
+++ b/bench/plans.py
@@ -103,7 +103,7 @@
         self._ttl_s = ttl_s
         self._rng = random.Random(seed)
 
-    def duty_of(self, digest: str, name: str) -> LeaseDuty:
+    def plan_lease_of(self, digest: str, name: str) -> LeaseDuty:
         """Return one process's duty of a plan, over its own way to the store."""
         self.stores[name] = ProcessStore(self.store)
         self.holders[name] = LeaseHolder(
--- a/src/shallotworks/node/_duty.py
+++ b/src/shallotworks/node/_duty.py
@@ -12,7 +12,7 @@
 
 
 class LeaseDuty:
-    """Implements `shallotworks.plans.Duty` with a `LeaseHolder`.
+    """Implements `shallotworks.plans.PlanLease` with a `LeaseHolder`.
 
     Args:
         holder: The candidate for the duty.
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -262,7 +262,7 @@
         )
         self._conductor = Conductor(
             name=self._process,
-            duties=self._duty,
+            plan_leases=self._duty,
             log=self.config,
             store=self._store,
             dependencies=ConductorDependencies(
--- a/src/shallotworks/plans/__init__.py
+++ b/src/shallotworks/plans/__init__.py
@@ -30,7 +30,7 @@
 from ._planner import Planner
 from ._progress import Progress, progress_of
 from ._proposals import PLANS_PREFIX, ListedPlan, Proposals
-from ._protocols import Acknowledgements, Duty, Offload, ProbeReport, TargetControl
+from ._protocols import Acknowledgements, Offload, PlanLease, ProbeReport, TargetControl
 from ._records import (
     Action,
     Alternative,
@@ -57,7 +57,7 @@
     "DataCentreCapacity",
     "DisruptionModel",
     "Drain",
-    "Duty",
+    "PlanLease",
     "InDataCentre",
     "InPool",
     "InRack",
--- a/src/shallotworks/plans/_conductor.py
+++ b/src/shallotworks/plans/_conductor.py
@@ -1,4 +1,4 @@
-"""The conductor: one task for each open plan, which acts while it holds the plan's duty."""
+"""The conductor: one task for each open plan, which acts while it holds the plan's lease."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from ._plan_run import ConductorDependencies, PlanRun
 from ._proposals import plan_key
-from ._protocols import Duty
+from ._protocols import PlanLease
 from ._records import Plan
 from ._tasks import stop_all
 from ._writer import PlanWriter
@@ -31,25 +31,25 @@
 
     Args:
         name: Name of this process, for the history.
-        duties: Returns the duty of a plan by its digest.
+        plan_leases: Returns the lease of a plan by its digest.
         log: Where changes are proposed.
         store: Where plans are stored.
         dependencies: What to work with.
     """
 
-    __slots__ = ("_dependencies", "_duties", "_log", "_name", "_store", "_tasks")
+    __slots__ = ("_dependencies", "_log", "_name", "_plan_leases", "_store", "_tasks")
 
     def __init__(
         self,
         *,
         name: str,
-        duties: Callable[[str], Duty],
+        plan_leases: Callable[[str], PlanLease],
         log: ConfigLog,
         store: KeyValueStore,
         dependencies: ConductorDependencies,
     ) -> None:
         self._name = name
-        self._duties = duties
+        self._plan_leases = plan_leases
         self._log = log
         self._store = store
         self._dependencies = dependencies
@@ -107,26 +107,26 @@
             await view.wait_for(state.revision + 1)
 
     async def _take_turn(self, digest: str) -> None:
-        """Wait for the duty, then conduct until the plan ends or the duty is lost."""
-        duty = self._duties(digest)
+        """Wait for the lease, then conduct until the plan ends or the lease is lost."""
+        lease = self._plan_leases(digest)
         try:
-            token = await duty.acquire()
+            token = await lease.acquire()
             self._record(EventKind.LEASE_TAKEN, digest, f"token {token}")
             plan = await self._load(digest)
-            await self._plan_run(plan, duty=duty, token=token).run()
+            await self._plan_run(plan, lease=lease, token=token).run()
         except ShallotworksError as error:
             if error.failure.kind is not ErrorKind.LEASE_LOST:
                 raise
             self._dependencies.metrics.count("plans.duties_lost")
             self._record(EventKind.LEASE_LOST, digest, error.failure.reason)
         finally:
-            await duty.release()
+            await lease.release()
 
-    def _plan_run(self, plan: Plan, *, duty: Duty, token: int) -> PlanRun:
+    def _plan_run(self, plan: Plan, *, lease: PlanLease, token: int) -> PlanRun:
         writer = PlanWriter(
             digest=plan.digest,
             token=token,
-            duty=duty,
+            lease=lease,
             log=self._log,
             view=self._dependencies.view,
             author=self._name,
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -124,7 +124,7 @@
             await stop_all((task, guard))
 
     async def _guard(self) -> None:
-        """Raise once the plan is cancelled or the duty is lost; return once the plan has ended."""
+        """Raise once the plan is cancelled or the lease is lost; return once the plan has ended."""
         while self._record().state is PlanState.RUNNING:
             self._writer.check_held()
             await self._next_state()
@@ -268,7 +268,7 @@
             )
 
     async def _next_state(self) -> None:
-        """Wait for the next revision, and look at the duty now and then."""
+        """Wait for the next revision, and look at the lease now and then."""
         revision = self._dependencies.view.state().revision
         try:
             async with asyncio.timeout(LOOK_AGAIN_S):
--- a/src/shallotworks/plans/_protocols.py
+++ b/src/shallotworks/plans/_protocols.py
@@ -11,7 +11,7 @@
 from shallotworks.errors import Failure
 from shallotworks.fleet import Instance
 
-__all__ = ["Acknowledgements", "Duty", "Offload", "ProbeReport", "TargetControl"]
+__all__ = ["Acknowledgements", "PlanLease", "Offload", "ProbeReport", "TargetControl"]
 
 _Value = TypeVar("_Value")
 
@@ -29,7 +29,7 @@
     reboot_id: str = ""
 
 
-class Duty(Protocol):
+class PlanLease(Protocol):
     """The right to conduct one plan, held by one process at a time."""
 
     async def acquire(self) -> int:
--- a/src/shallotworks/plans/_writer.py
+++ b/src/shallotworks/plans/_writer.py
@@ -23,7 +23,7 @@
 )
 from shallotworks.metrics import Metrics
 
-from ._protocols import Duty
+from ._protocols import PlanLease
 
 __all__ = ["PlanWriter"]
 
@@ -47,29 +47,29 @@
 
 
 class PlanWriter:
-    """Writes one plan's changes while its duty is held; nothing is written after.
+    """Writes one plan's changes while its lease is held; nothing is written after.
 
     Every change is idempotent: one whose answer was lost is written again, and leads to the same
     state if it had taken effect.
 
     Args:
         digest: Digest of the plan.
-        token: Fencing token of the duty.
-        duty: The duty.
+        token: Fencing token of the lease.
+        lease: The lease.
         log: Where changes are proposed.
         view: The state.
         author: Name of this process, for the history.
         metrics: Counters.
     """
 
-    __slots__ = ("_author", "_batches", "_digest", "_duty", "_log", "_metrics", "_token", "_view")
+    __slots__ = ("_author", "_batches", "_digest", "_lease", "_log", "_metrics", "_token", "_view")
 
     def __init__(
         self,
         *,
         digest: str,
         token: int,
-        duty: Duty,
+        lease: PlanLease,
         log: ConfigLog,
         view: ConfigView,
         author: str,
@@ -77,7 +77,7 @@
     ) -> None:
         self._digest = digest
         self._token = token
-        self._duty = duty
+        self._lease = lease
         self._log = log
         self._view = view
         self._author = author
@@ -90,13 +90,13 @@
         return self._token
 
     def check_held(self) -> None:
-        """Raise ``LEASE_LOST`` where the duty is not held any more.
+        """Raise ``LEASE_LOST`` where the lease is not held any more.
 
         The failure: this process was paused past its lease, another conducts the plan by now; it
         shows as two conductors acting. Asked before each act outside the log; acts inside the log
         are refused by their token as well.
         """
-        if not self._duty.still_held():
+        if not self._lease.still_held():
             raise ShallotworksError(
                 Failure(kind=ErrorKind.LEASE_LOST, reason=f"the duty of plan {self._digest} lapsed")
             )
--- a/tests/fakes_plans.py
+++ b/tests/fakes_plans.py
@@ -28,8 +28,8 @@
     ConductorDependencies,
     ConductorRules,
     DisruptionModel,
-    Duty,
     Intent,
+    PlanLease,
     Planner,
     PlannerWeights,
     ProbeReport,
@@ -143,12 +143,12 @@
     def __init__(self, *, ttl_s: float = 4.0) -> None:
         self.ttl_s = ttl_s
         self.token = 0
-        self.holder: FakeDuty | None = None
+        self.holder: FakePlanLease | None = None
         self.lapses_at_s = 0.0
 
 
-class FakeDuty:
-    """`Duty` on a `FakeLease`, renewed for ever unless its process is paused or dead."""
+class FakePlanLease:
+    """`PlanLease` on a `FakeLease`, renewed for ever unless its process is paused or dead."""
 
     def __init__(self, lease: FakeLease, owner: str) -> None:
         self._lease = lease
@@ -225,7 +225,7 @@
         name = f"entry-{len(self.tasks)}"
         conductor = Conductor(
             name=name,
-            duties=lambda digest: self.duty_of(digest, name),
+            plan_leases=lambda digest: self.plan_lease_of(digest, name),
             log=self.config,
             store=self.store,
             dependencies=ConductorDependencies(
@@ -242,9 +242,9 @@
         self.tasks.append(task)
         return task
 
-    def duty_of(self, digest: str, name: str) -> Duty:
+    def plan_lease_of(self, digest: str, name: str) -> PlanLease:
         """Return one process's duty of a plan."""
-        return FakeDuty(self.leases.setdefault(digest, FakeLease()), name)
+        return FakePlanLease(self.leases.setdefault(digest, FakeLease()), name)
 
     @property
     def lease(self) -> FakeLease:
