--- a/bench/plans.py
+++ b/bench/plans.py
@@ -358,6 +358,6 @@
 
 
 async def _confirmed(world: World, intent: Intent) -> Plan:
-    plan = (await world.proposals.propose(intent, author="bench")).unwrap()
-    (await world.proposals.confirm(plan.digest, operator="bench")).unwrap()
+    plan = (await world.plan_registry.propose(intent, author="bench")).unwrap()
+    (await world.plan_registry.confirm(plan.digest, operator="bench")).unwrap()
     return plan
--- a/src/shallotworks/node/_backend.py
+++ b/src/shallotworks/node/_backend.py
@@ -17,7 +17,7 @@
 from shallotworks.metrics import FrozenMetrics, Metrics
 from shallotworks.operators import PeerState, PeerView, PlanView, StatusView, plan_view
 from shallotworks.peers import Member, MemberState, PeerNetwork
-from shallotworks.plans import Intent, Plan, Proposals
+from shallotworks.plans import Intent, Plan, PlanRegistry
 from shallotworks.requests import PoolDispatcher
 from shallotworks.settings import Settings
 
@@ -38,7 +38,7 @@
         settings: Checked settings.
         config: The configuration held here, and the way to change it.
         peers: The entry instances heard.
-        proposals: Plans, confirmed or not.
+        plan_registry: Plans, confirmed or not.
         dispatcher: Requests that wait and that are in flight.
         metrics: All metrics.
         is_store_up: Returns whether the platform's store answered when it was last asked.
@@ -50,7 +50,7 @@
     settings: Settings
     config: ConfigStore
     peers: PeerNetwork
-    proposals: Proposals
+    plan_registry: PlanRegistry
     dispatcher: PoolDispatcher
     metrics: Metrics
     is_store_up: Callable[[], bool]
@@ -119,27 +119,27 @@
 
     async def propose_plan(self, intent: Intent, *, operator: str) -> Result[PlanView, Failure]:
         """Work out a plan for an intent and store it; nothing acts on it."""
-        planned = await self._parts.proposals.propose(intent, author=operator)
+        planned = await self._parts.plan_registry.propose(intent, author=operator)
         return planned.map(self._view)
 
     async def plans(self) -> Result[tuple[PlanView, ...], Failure]:
         """Return proposals and confirmed plans, by base revision."""
-        listed = await self._parts.proposals.list()
+        listed = await self._parts.plan_registry.list()
         return listed.map(lambda plans: tuple(self._view(entry.plan) for entry in plans))
 
     async def plan(self, digest: str) -> Result[PlanView, Failure]:
         """Return one plan by its digest or the unambiguous beginning of it."""
-        found = await self._parts.proposals.show(digest)
+        found = await self._parts.plan_registry.show(digest)
         return found.map(self._view)
 
     async def confirm_plan(self, digest: str, *, operator: str) -> Result[PlanView, Failure]:
         """Confirm a proposal."""
-        confirmed = await self._parts.proposals.confirm(digest, operator=operator)
+        confirmed = await self._parts.plan_registry.confirm(digest, operator=operator)
         return await self._view_of(confirmed)
 
     async def cancel_plan(self, digest: str, *, operator: str) -> Result[PlanView, Failure]:
         """Cancel a confirmed plan."""
-        cancelled = await self._parts.proposals.cancel(digest, operator=operator)
+        cancelled = await self._parts.plan_registry.cancel(digest, operator=operator)
         return await self._view_of(cancelled)
 
     async def metrics(self) -> FrozenMetrics:
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -22,7 +22,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.operators import OperatorsServer
 from shallotworks.peers import MemberState, PeerNetwork, PeerSettings, rank_among
-from shallotworks.plans import Conductor, ConductorDependencies, Planner, Proposals
+from shallotworks.plans import Conductor, ConductorDependencies, Planner, PlanRegistry
 from shallotworks.protocol import MemberRecord, load_keys
 from shallotworks.requests import (
     BudgetedRetryPolicy,
@@ -248,7 +248,7 @@
 
     def _build_plans(self) -> None:
         self._control = HttpTargetControl()
-        self._proposals = Proposals(
+        self._plan_registry = PlanRegistry(
             view=self.config,
             log=self.config,
             store=self._store,
@@ -281,7 +281,7 @@
             settings=self._settings,
             config=self.config,
             peers=self.peers,
-            proposals=self._proposals,
+            plan_registry=self._plan_registry,
             dispatcher=self._dispatcher,
             metrics=self.metrics,
             is_store_up=lambda: self._store.is_up,
@@ -324,7 +324,7 @@
         while True:
             await asyncio.sleep(PRUNE_EVERY_S * self._rng.uniform(0.5, 1.0))
             if self.peers.should_watch():
-                await self._proposals.prune()
+                await self._plan_registry.prune()
 
     def _duty(self, digest: str) -> LeaseDuty:
         holder = LeaseHolder(
--- a/src/shallotworks/plans/__init__.py
+++ b/src/shallotworks/plans/__init__.py
@@ -1,6 +1,6 @@
 """Intents, plans, proposals and the conductor that carries confirmed plans out.
 
-An operator's `Intent` becomes a `Plan` by the `Planner`, is kept by `Proposals` and, once it is
+An operator's `Intent` becomes a `Plan` by the `Planner`, is kept by `PlanRegistry` and, once it is
 confirmed, carried out by a `Conductor`. Nothing here acts on a plan that is not confirmed, changes
 the fleet other than through the configuration log, or reboots a target with work in flight.
 """
@@ -29,7 +29,6 @@
 from ._plan_run import ConductorDependencies
 from ._planner import Planner
 from ._progress import Progress, progress_of
-from ._proposals import PLANS_PREFIX, ListedPlan, Proposals
 from ._protocols import Acknowledgements, Offload, PlanLease, ProbeReport, TargetControl
 from ._records import (
     Action,
@@ -43,6 +42,7 @@
     Strategy,
     Wave,
 )
+from ._registry import PLANS_PREFIX, ListedPlan, PlanRegistry
 from ._render import render_diff, render_duration, render_plan, render_progress
 from ._window import MaintenanceWindow
 
@@ -76,7 +76,7 @@
     "PlannerWeights",
     "ProbeReport",
     "Progress",
-    "Proposals",
+    "PlanRegistry",
     "Return",
     "Selection",
     "Skipped",
--- a/src/shallotworks/plans/_conductor.py
+++ b/src/shallotworks/plans/_conductor.py
@@ -15,9 +15,9 @@
 from shallotworks.timeline import EventKind, Subject
 
 from ._plan_run import ConductorDependencies, PlanRun
-from ._proposals import plan_key
 from ._protocols import PlanLease
 from ._records import Plan
+from ._registry import plan_key
 from ._tasks import stop_all
 from ._writer import PlanWriter
 
--- a/src/shallotworks/plans/_proposals.py
+++ b/src/shallotworks/plans/_registry.py
@@ -1,4 +1,4 @@
-"""Proposals: plans computed and stored, confirmed by exactly their digest, or cancelled."""
+"""Registry of plans: computed and stored, confirmed by exactly their digest, or cancelled."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from ._render import render_duration
 from ._targets import resolve
 
-__all__ = ["PLANS_PREFIX", "ListedPlan", "Proposals", "plan_key"]
+__all__ = ["PLANS_PREFIX", "ListedPlan", "PlanRegistry", "plan_key"]
 
 PLANS_PREFIX = "plans/"
 SHORTEST_PREFIX = 4
@@ -49,7 +49,7 @@
     record: PlanRecord | None
 
 
-class Proposals:
+class PlanRegistry:
     """Where operators propose, confirm and cancel; proposing never acts.
 
     Args:
--- a/tests/fakes_plans.py
+++ b/tests/fakes_plans.py
@@ -32,8 +32,8 @@
     PlanLease,
     Planner,
     PlannerWeights,
+    PlanRegistry,
     ProbeReport,
-    Proposals,
 )
 from shallotworks.standins import MemoryStore
 from shallotworks.timeline import Timeline
@@ -203,7 +203,7 @@
         self.timeline = Timeline(process="test", wall_clock_s=self.wall_clock_s)
         self.rules = rules or ConductorRules(drain_limit_s=120.0, return_limit_s=120.0)
         self.tasks: list[asyncio.Task[None]] = []
-        self.proposals = Proposals(
+        self.plan_registry = PlanRegistry(
             view=self.config,
             log=self.config,
             store=self.store,
@@ -294,8 +294,8 @@
 
 async def confirmed(world: World, intent: Intent, operator: str = "kari") -> str:
     """Propose and confirm one intent; returns the plan's digest."""
-    plan = (await world.proposals.propose(intent, author=operator)).unwrap()
-    (await world.proposals.confirm(plan.digest, operator=operator)).unwrap()
+    plan = (await world.plan_registry.propose(intent, author=operator)).unwrap()
+    (await world.plan_registry.confirm(plan.digest, operator=operator)).unwrap()
     return plan.digest
 
 
--- a/tests/test_conductor.py
+++ b/tests/test_conductor.py
@@ -17,11 +17,13 @@
             world = World(fjellsending())
             world.start_conductor()
             rack = InRack(data_centre="bergen", rack="r0")
-            plan = (await world.proposals.propose(Drain(selection=rack), author="kari")).unwrap()
+            plan = (
+                await world.plan_registry.propose(Drain(selection=rack), author="kari")
+            ).unwrap()
             await asyncio.sleep(60)
             self.assertEqual(world.config.history, [])
             world.targets.work["fault-trace-0"] = 3
-            (await world.proposals.confirm(plan.digest, operator="kari")).unwrap()
+            (await world.plan_registry.confirm(plan.digest, operator="kari")).unwrap()
             await asyncio.sleep(30)
             self.assertTrue(world.config.state().plans[plan.digest].state.is_open)
             world.targets.work.clear()
@@ -75,15 +77,15 @@
             world = World(fjellsending())
             kept = await confirmed(world, Drain(selection=Named(names=("archive-0",))))
             intent = Drain(selection=Named(names=("coverage-0",)))
-            old = (await world.proposals.propose(intent, author="kari")).unwrap().digest
+            old = (await world.plan_registry.propose(intent, author="kari")).unwrap().digest
             for healthy in (False, True):
                 change = SetHealth(names=("coverage-5",), healthy=healthy)
                 await world.config.propose(change, author="peer")
-            self.assertEqual((await world.proposals.prune(kept_revisions=5)).unwrap(), 0)
-            self.assertEqual((await world.proposals.prune(kept_revisions=1)).unwrap(), 1)
-            listed = (await world.proposals.list()).unwrap()
+            self.assertEqual((await world.plan_registry.prune(kept_revisions=5)).unwrap(), 0)
+            self.assertEqual((await world.plan_registry.prune(kept_revisions=1)).unwrap(), 1)
+            listed = (await world.plan_registry.list()).unwrap()
             self.assertEqual([entry.plan.digest for entry in listed], [kept])
-            refused = (await world.proposals.show(old)).failure()
+            refused = (await world.plan_registry.show(old)).failure()
             self.assertIs(refused.kind, ErrorKind.NOT_FOUND)
 
         run(scenario)
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -301,7 +301,7 @@
             world.targets.work["archive-1"] = 1
             digest = await confirmed(world, ARCHIVE)
             await asyncio.sleep(at_s)
-            (await world.proposals.cancel(digest[:8], operator="ola")).unwrap()
+            (await world.plan_registry.cancel(digest[:8], operator="ola")).unwrap()
             state = await world.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.CANCELLED)
             self.assertTrue(all(entry.available for entry in state.instances.values()))
@@ -325,7 +325,7 @@
             while world.config.state().instances["archive-0"].pool != "coverage":
                 world.targets.dead.update(names if world.targets.work else ())
                 await asyncio.sleep(0.01)
-            (await world.proposals.cancel(digest, operator="kari")).unwrap()
+            (await world.plan_registry.cancel(digest, operator="kari")).unwrap()
             state = await world.until_ended(digest)
             self.assertEqual({state.instances[name].pool for name in names}, {"archive"})
             self.assertTrue(all(state.instances[name].available for name in names))
@@ -391,10 +391,14 @@
         async def scenario() -> None:
             world = World(fjellsending())
             rack = InRack(data_centre="bergen", rack="r0")
-            drain = (await world.proposals.propose(Drain(selection=rack), author="kari")).unwrap()
-            boot = (await world.proposals.propose(Maintain(selection=rack), author="ola")).unwrap()
-            (await world.proposals.confirm(drain.digest, operator="kari")).unwrap()
-            refused = (await world.proposals.confirm(boot.digest, operator="ola")).failure()
+            drain = (
+                await world.plan_registry.propose(Drain(selection=rack), author="kari")
+            ).unwrap()
+            boot = (
+                await world.plan_registry.propose(Maintain(selection=rack), author="ola")
+            ).unwrap()
+            (await world.plan_registry.confirm(drain.digest, operator="kari")).unwrap()
+            refused = (await world.plan_registry.confirm(boot.digest, operator="ola")).failure()
             self.assertIs(refused.kind, ErrorKind.CONFLICT)
             for part in (drain.short_digest, "confirmed by kari at 2027-01-15", "to end in 1 min"):
                 self.assertIn(part, refused.reason)
@@ -410,16 +414,18 @@
 
         async def scenario() -> None:
             world = World(fjellsending())
-            plan = (await world.proposals.propose(ARCHIVE, author="kari")).unwrap()
+            plan = (await world.plan_registry.propose(ARCHIVE, author="kari")).unwrap()
             unrelated = SetHealth(names=("coverage-0",), healthy=False)
             await world.config.propose(unrelated, author="peer")
             service = world.config.state().services["archive"]
             cut = PutService(service=replace(service, max_unavailable=1))
             await world.config.propose(cut, author="ola")
-            refused = (await world.proposals.confirm(plan.digest, operator="kari")).failure()
+            refused = (await world.plan_registry.confirm(plan.digest, operator="kari")).failure()
             self.assertIs(refused.kind, ErrorKind.STALE_PLAN)
             fresh = refused.reason.rsplit("plan ", 1)[1]
-            self.assertIsInstance(await world.proposals.confirm(fresh, operator="kari"), Success)
+            self.assertIsInstance(
+                await world.plan_registry.confirm(fresh, operator="kari"), Success
+            )
 
         run(scenario)
 
@@ -428,12 +434,12 @@
 
         async def scenario() -> None:
             world = World(fjellsending())
-            plan = (await world.proposals.propose(ARCHIVE, author="kari")).unwrap()
+            plan = (await world.plan_registry.propose(ARCHIVE, author="kari")).unwrap()
             unrelated = SetHealth(names=("coverage-0",), healthy=False)
             await world.config.propose(unrelated, author="peer")
-            confirmed_plan = await world.proposals.confirm(plan.digest, operator="kari")
+            confirmed_plan = await world.plan_registry.confirm(plan.digest, operator="kari")
             self.assertIsInstance(confirmed_plan, Success)
-            again = await world.proposals.confirm(plan.digest, operator="kari")
+            again = await world.plan_registry.confirm(plan.digest, operator="kari")
             self.assertEqual(again, confirmed_plan)
 
         run(scenario)
--- a/tests/test_plan_sessions.py
+++ b/tests/test_plan_sessions.py
@@ -32,28 +32,28 @@
         self.text = ""
 
     async def propose(self, intent: Intent, operator: str) -> str:
-        result = await self.world.proposals.propose(intent, author=operator)
+        result = await self.world.plan_registry.propose(intent, author=operator)
         shown = render_plan(result.unwrap()) if isinstance(result, Success) else ""
         self.tell(f"{operator}: plan propose", shown or f"{result.failure()}\n")
         return result.unwrap().digest if shown else ""
 
     async def confirm(self, digest: str, operator: str) -> None:
-        result = await self.world.proposals.confirm(digest, operator=operator)
+        result = await self.world.plan_registry.confirm(digest, operator=operator)
         told = f"confirmed: {result.unwrap().intent}" if isinstance(result, Success) else ""
         self.tell(f"{operator}: plan confirm {digest[:12]}", f"{told or result.failure()}\n")
 
     async def cancel(self, digest: str, operator: str) -> None:
-        record = (await self.world.proposals.cancel(digest, operator=operator)).unwrap()
+        record = (await self.world.plan_registry.cancel(digest, operator=operator)).unwrap()
         self.tell(f"{operator}: plan cancel {digest[:12]}", f"{record.state.value}\n")
 
     async def diff(self, first: str, second: str) -> None:
-        result = await self.world.proposals.diff(first, second)
+        result = await self.world.plan_registry.diff(first, second)
         self.tell(f"plan diff {first[:12]} {second[:12]}", render_diff(result.unwrap()))
 
     async def progress(self, digest: str, after_s: float) -> None:
         await asyncio.sleep(after_s)
         state = self.world.config.state()
-        plan = (await self.world.proposals.show(digest)).unwrap()
+        plan = (await self.world.plan_registry.show(digest)).unwrap()
         progress = progress_of(plan, state.plans[digest], state)
         self.tell(f"plan status, {after_s:.0f} s later", render_progress(plan, progress))
 
@@ -99,7 +99,7 @@
             failed = SetHealth(names=("booking-3",), healthy=False)
             await world.config.propose(failed, author="peer")
             await session.confirm(first, "lupe")
-            fresh = (await world.proposals.list()).unwrap()[-1].plan.digest
+            fresh = (await world.plan_registry.list()).unwrap()[-1].plan.digest
             await session.diff(first, fresh)
             await session.confirm(fresh, "lupe")
             await session.progress(fresh, 240.0)
--- a/tests/test_plans_machine.py
+++ b/tests/test_plans_machine.py
@@ -94,7 +94,7 @@
 
     @rule(intent=INTENTS, operator=OPERATORS)
     def propose(self, intent: Intent, operator: str) -> None:
-        result = self.wait(self.world.proposals.propose(intent, author=operator))
+        result = self.wait(self.world.plan_registry.propose(intent, author=operator))
         if isinstance(result, Success):
             self.proposed.append(result.unwrap().digest)
 
@@ -102,13 +102,13 @@
     def confirm(self, pick: int, operator: str) -> None:
         if self.proposed:
             digest = self.proposed[-1 - pick % len(self.proposed)]
-            self.wait(self.world.proposals.confirm(digest, operator=operator))
+            self.wait(self.world.plan_registry.confirm(digest, operator=operator))
 
     @rule(pick=st.integers(0, 9), operator=OPERATORS)
     def cancel(self, pick: int, operator: str) -> None:
         if self.proposed:
             digest = self.proposed[-1 - pick % len(self.proposed)]
-            self.wait(self.world.proposals.cancel(digest, operator=operator))
+            self.wait(self.world.plan_registry.cancel(digest, operator=operator))
 
     @rule(intent=INTENTS, operator=OPERATORS)
     def propose_and_confirm(self, intent: Intent, operator: str) -> None:
@@ -215,7 +215,7 @@
             pools = {state.instances[name].pool for name in state.plans[digest].instances}
             full = [p for p in pools if state.unavailable_in(p) >= state.budget_of(p)]
             assert full, f"plan {digest} stands still with budget left"
-            self.wait(self.world.proposals.cancel(digest, operator="kari"))
+            self.wait(self.world.plan_registry.cancel(digest, operator="kari"))
             self.wait(self.world.until_ended(digest, limit_s=LIMIT_S))
 
     def check_end(self, digest: str) -> None:
