--- a/bench/plans.py
+++ b/bench/plans.py
@@ -39,7 +39,7 @@
 from shallotworks.node._duty import LeaseDuty
 from shallotworks.plans import (
     Alternative,
-    ConductorRules,
+    ConductorPolicy,
     DisruptionModel,
     InPool,
     Intent,
@@ -301,7 +301,7 @@
 
 
 async def _store_calls(name: str, state: FleetState, weights: PlannerWeights) -> None:
-    world = LeasedWorld(state, weights=weights, rules=ConductorRules(), reboot_s=300.0)
+    world = LeasedWorld(state, weights=weights, policy=ConductorPolicy(), reboot_s=300.0)
     world.start_conductor()
     plan = await _confirmed(world, EVERYTHING)
     calls_before = sum(world.store.calls.values())
@@ -337,7 +337,7 @@
 
 
 async def _takeover(kill: int, ttl_s: float, pauses_s: list[float]) -> None:
-    world = LeasedWorld(fjellsending(), rules=ConductorRules(), ttl_s=ttl_s, seed=kill)
+    world = LeasedWorld(fjellsending(), policy=ConductorPolicy(), ttl_s=ttl_s, seed=kill)
     tasks = [world.start_conductor() for _ in range(3)]
     plan = await _confirmed(world, Maintain(selection=InPool(pool="archive")))
     await asyncio.sleep(20.0 + kill * 1.7)
--- a/src/shallotworks/node/_limits.py
+++ b/src/shallotworks/node/_limits.py
@@ -7,12 +7,12 @@
 from shallotworks.callers import ReadingLimits
 from shallotworks.kv import PlatformLimits
 from shallotworks.peers import PeerTiming
-from shallotworks.plans import ConductorRules, DisruptionModel, MaintenanceWindow, PlannerWeights
+from shallotworks.plans import ConductorPolicy, DisruptionModel, MaintenanceWindow, PlannerWeights
 from shallotworks.requests import DispatchLimits, IdempotencyLimits, RetryLimits, TargetClientLimits
 from shallotworks.settings import Settings
 
 __all__ = [
-    "conductor_rules",
+    "conductor_policy",
     "dispatch_limits",
     "disruption_model",
     "target_client_limits",
@@ -108,11 +108,11 @@
     return DisruptionModel(return_s=settings.plans.settle_s)
 
 
-def conductor_rules(settings: Settings) -> ConductorRules:
+def conductor_policy(settings: Settings) -> ConductorPolicy:
     """Return when a conductor goes on, waits or gives up."""
-    return ConductorRules(
-        drain_limit_s=settings.plans.drain_timeout_s,
-        return_limit_s=settings.plans.reboot_timeout_s,
+    return ConductorPolicy(
+        drain_timeout_s=settings.plans.drain_timeout_s,
+        return_timeout_s=settings.plans.reboot_timeout_s,
         settle_s=settings.plans.settle_s,
         window=_window(settings),
     )
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -269,7 +269,7 @@
                 view=self.config,
                 control=self._control,
                 acknowledgements=PeerAcknowledgements(replica=self.config, peers=self.peers),
-                rules=_limits.conductor_rules(self._settings),
+                policy=_limits.conductor_policy(self._settings),
                 wall_clock_s=time.time,
                 timeline=self.timeline,
                 metrics=self.metrics,
--- a/src/shallotworks/plans/__init__.py
+++ b/src/shallotworks/plans/__init__.py
@@ -7,7 +7,7 @@
 
 from ._conductor import Conductor
 from ._diff import PlanDiff, diff_plans
-from ._instance_run import ConductorRules, StepEnd
+from ._instance_run import ConductorPolicy, StepEnd
 from ._intents import (
     Drain,
     InDataCentre,
@@ -53,7 +53,7 @@
     "Alternative",
     "BudgetUse",
     "Conductor",
-    "ConductorRules",
+    "ConductorPolicy",
     "DataCentreCapacity",
     "DisruptionModel",
     "Drain",
--- a/src/shallotworks/plans/_instance_run.py
+++ b/src/shallotworks/plans/_instance_run.py
@@ -20,30 +20,30 @@
 from ._window import MaintenanceWindow
 from ._writer import PlanWriter
 
-__all__ = ["ConductorRules", "InstanceRun", "StepEnd"]
+__all__ = ["ConductorPolicy", "InstanceRun", "StepEnd"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ConductorRules:
+class ConductorPolicy:
     """When the conductor goes on, waits or gives up.
 
     Args:
-        seen_limit_s: Longest wait for entry instances to see a cordon; one that is cut off can't
-            be asked, and its requests are waited for at the target.
-        drain_limit_s: Longest wait for a target to empty; after it the instance is given back.
-        return_limit_s: Longest wait for a rebooted target; after it the instance stays cordoned.
-        last_chance_s: Wait for those at the end of the plan.
-        failed_limit: Instances that did not come back at which the plan stands still.
+        acknowledgement_timeout_s: Longest wait for entry instances to see a cordon; one that is cut
+            off can't be asked, and its requests are waited for at the target.
+        drain_timeout_s: Longest wait for a target to empty; after it the instance is given back.
+        return_timeout_s: Longest wait for a rebooted target; after it the instance stays cordoned.
+        final_return_timeout_s: Wait for those at the end of the plan.
+        max_failed_instances: Instances that did not come back at which the plan stands still.
         settle_s: Time that a returned instance gets to take up its load before the next wave.
         poll_s: Pause between two questions to a target.
         window: Daily time outside of which no wave starts that cordons; ``None`` for any time.
     """
 
-    seen_limit_s: float = 3.0
-    drain_limit_s: float = 900.0
-    return_limit_s: float = 900.0
-    last_chance_s: float = 30.0
-    failed_limit: int = 2
+    acknowledgement_timeout_s: float = 3.0
+    drain_timeout_s: float = 900.0
+    return_timeout_s: float = 900.0
+    final_return_timeout_s: float = 30.0
+    max_failed_instances: int = 2
     settle_s: float = 5.0
     poll_s: float = 0.5
     window: MaintenanceWindow | None = None
@@ -74,7 +74,7 @@
         view: The state.
         control: The target.
         writer: The plan's writer.
-        rules: When to give up.
+        policy: When to give up.
         wall_clock_s: Returns the Unix time.
         timeline: Where events go.
         metrics: Counters.
@@ -85,7 +85,7 @@
         "_digest",
         "_metrics",
         "_name",
-        "_rules",
+        "_policy",
         "_step",
         "_timeline",
         "_view",
@@ -102,7 +102,7 @@
         view: ConfigView,
         control: TargetControl,
         writer: PlanWriter,
-        rules: ConductorRules,
+        policy: ConductorPolicy,
         wall_clock_s: Callable[[], float],
         timeline: Timeline,
         metrics: Metrics,
@@ -113,48 +113,48 @@
         self._view = view
         self._control = control
         self._writer = writer
-        self._rules = rules
+        self._policy = policy
         self._wall_clock_s = wall_clock_s
         self._timeline = timeline
         self._metrics = metrics
 
-    async def run(self, *, return_limit_s: float) -> StepEnd:
+    async def run(self, *, return_timeout_s: float) -> StepEnd:
         """Carry out every action after the cordon.
 
         Args:
-            return_limit_s: Longest wait for the target to answer its probe.
+            return_timeout_s: Longest wait for the target to answer its probe.
 
         Raises:
             ShallotworksError: ``LEASE_LOST``; nothing was done after it.
         """
         end = StepEnd.DONE
         for action in self._step.actions:
-            end = await self._act(action, return_limit_s=return_limit_s)
+            end = await self._act(action, return_timeout_s=return_timeout_s)
             if end is not StepEnd.DONE:
                 break
         self._metrics.count(f"plans.steps.{end.name.lower()}")
         self._record(EventKind.PLAN_STEP, end.value)
         return end
 
-    async def probe_and_return(self, *, return_limit_s: float) -> StepEnd:
+    async def probe_and_return(self, *, return_timeout_s: float) -> StepEnd:
         """Return the instance as it is, for a plan that is rolled back."""
-        end = await self._probe(reboot_id="", limit_s=return_limit_s)
+        end = await self._probe(reboot_id="", limit_s=return_timeout_s)
         return await self._return(maintained=False) if end is StepEnd.DONE else end
 
-    async def _act(self, action: Action, *, return_limit_s: float) -> StepEnd:
+    async def _act(self, action: Action, *, return_timeout_s: float) -> StepEnd:
         match action:
             case Action.CORDON:
                 return StepEnd.DONE
             case Action.DRAIN:
                 return await self._drain()
             case Action.REBOOT:
-                return await self._reboot(limit_s=return_limit_s)
+                return await self._reboot(limit_s=return_timeout_s)
             case Action.MOVE:
                 return await self._move()
             case Action.PROBE:
                 rebooted = Action.REBOOT in self._step.actions
                 reboot_id = self._digest if rebooted else ""
-                return await self._probe(reboot_id=reboot_id, limit_s=return_limit_s)
+                return await self._probe(reboot_id=reboot_id, limit_s=return_timeout_s)
             case Action.RETURN:
                 return await self._return(maintained=Action.REBOOT in self._step.actions)
 
@@ -167,12 +167,12 @@
         told = False
         while not await self._is_empty():
             waited_s = _now_s() - waited_since_s
-            if waited_s >= self._rules.drain_limit_s and not told:
+            if waited_s >= self._policy.drain_timeout_s and not told:
                 told = True
                 self._record(EventKind.PLAN_PAUSED, f"not empty after {waited_s:.0f} s")
                 if Action.RETURN in self._step.actions:
                     return await self._give_back()
-            await asyncio.sleep(self._rules.poll_s)
+            await asyncio.sleep(self._policy.poll_s)
         return StepEnd.DONE
 
     async def _is_empty(self) -> bool:
@@ -209,7 +209,7 @@
                     return end
             elif _now_s() >= until_s:
                 return await self._stays_cordoned(StepEnd.NEVER_CAME_BACK)
-            await asyncio.sleep(self._rules.poll_s)
+            await asyncio.sleep(self._policy.poll_s)
         return StepEnd.DONE
 
     async def _has_rebooted(self) -> bool:
@@ -232,7 +232,7 @@
                 break
             if _now_s() >= until_s:
                 return await self._stays_cordoned(StepEnd.NEVER_CAME_BACK)
-            await asyncio.sleep(self._rules.poll_s)
+            await asyncio.sleep(self._policy.poll_s)
         known = self._instance().incarnation
         if known and report.unwrap().incarnation != known:
             # The failure: the platform replaced the machine under the same name while it was out;
@@ -257,7 +257,7 @@
         if not isinstance(result, Success):
             return StepEnd.REFUSED
         if maintained:
-            await asyncio.sleep(self._rules.settle_s)
+            await asyncio.sleep(self._policy.settle_s)
         return StepEnd.DONE
 
     def _instance(self) -> Instance:
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -14,7 +14,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import EventKind, Subject, Timeline
 
-from ._instance_run import ConductorRules, InstanceRun, StepEnd
+from ._instance_run import ConductorPolicy, InstanceRun, StepEnd
 from ._progress import is_done
 from ._protocols import Acknowledgements, TargetControl
 from ._records import Action, Plan, Step, Wave
@@ -35,7 +35,7 @@
         view: The state.
         control: The targets.
         acknowledgements: What entry instances have seen.
-        rules: When to go on, wait or give up.
+        policy: When to go on, wait or give up.
         wall_clock_s: Returns the Unix time.
         timeline: Where events go.
         metrics: Counters.
@@ -44,7 +44,7 @@
     view: ConfigView
     control: TargetControl
     acknowledgements: Acknowledgements
-    rules: ConductorRules
+    policy: ConductorPolicy
     wall_clock_s: Callable[[], float]
     timeline: Timeline
     metrics: Metrics
@@ -181,22 +181,24 @@
     async def _run_steps(self, steps: dict[str, Step]) -> None:
         """Run one instance's step each, once the cordons are seen."""
         await self._until_seen(self._dependencies.view.state().revision)
-        limit_s = self._dependencies.rules.return_limit_s
+        limit_s = self._dependencies.policy.return_timeout_s
         await run_all(self._run_instance(steps[name], name, limit_s) for name in steps)
 
-    async def _run_instance(self, step: Step, name: str, return_limit_s: float) -> None:
-        self._ends[name] = await self._instance_run(step, name).run(return_limit_s=return_limit_s)
+    async def _run_instance(self, step: Step, name: str, return_timeout_s: float) -> None:
+        self._ends[name] = await self._instance_run(step, name).run(
+            return_timeout_s=return_timeout_s
+        )
 
     async def _until_seen(self, revision: int) -> None:
         """Wait until the entry instances have seen a revision, or the bound for one cut off."""
-        rules = self._dependencies.rules
-        until_s = _now_s() + rules.seen_limit_s
+        policy = self._dependencies.policy
+        until_s = _now_s() + policy.acknowledgement_timeout_s
         while self._dependencies.acknowledgements.held_by_all() < revision and _now_s() < until_s:
-            await asyncio.sleep(min(rules.poll_s, rules.seen_limit_s))
+            await asyncio.sleep(min(policy.poll_s, policy.acknowledgement_timeout_s))
 
     async def _stand_still_while_failing(self) -> None:
         """Start no further wave while too many instances have not come back."""
-        while len(self._failed()) >= self._dependencies.rules.failed_limit:
+        while len(self._failed()) >= self._dependencies.policy.max_failed_instances:
             self._pause(f"{len(self._failed())} instances did not come back")
             await self._next_state()
             await self._try_leftovers()
@@ -204,7 +206,7 @@
 
     async def _until_window(self, wave: Wave) -> None:
         """Wait until the rest of the maintenance window is long enough for a wave."""
-        window = self._dependencies.rules.window
+        window = self._dependencies.policy.window
         if window is None or not wave.spends:
             return
         while window.left_s(self._dependencies.wall_clock_s()) < wave.duration_s:
@@ -214,11 +216,15 @@
 
     async def _try_leftovers(self) -> None:
         """Give instances that did not come back in time another chance."""
-        rules = self._dependencies.rules
+        policy = self._dependencies.policy
         steps = self._steps
         works = []
         for name in self._failed():
-            limit_s = rules.return_limit_s if name in self._inherited else rules.last_chance_s
+            limit_s = (
+                policy.return_timeout_s
+                if name in self._inherited
+                else policy.final_return_timeout_s
+            )
             self._inherited.discard(name)
             works.append(self._run_instance(steps[name], name, limit_s))
         await run_all(works)
@@ -239,7 +245,7 @@
         A target that is on its way through a reboot is waited for; one that does not come back
         stays cordoned.
         """
-        limit_s = self._dependencies.rules.return_limit_s
+        limit_s = self._dependencies.policy.return_timeout_s
         held = [name for name in self._steps if self._holds(name)]
         await run_all(self._roll_back_instance(name, limit_s) for name in held)
         left = sorted(name for name in self._steps if self._holds(name))
@@ -253,7 +259,7 @@
         if step.to_pool:
             await self._writer.move(name, from_pool=step.to_pool, to_pool=step.pool)
         run = self._instance_run(step, name)
-        await run.probe_and_return(return_limit_s=limit_s)
+        await run.probe_and_return(return_timeout_s=limit_s)
 
     async def _end(self, state: PlanState, outcome: str) -> None:
         result = await self._writer.finish(
@@ -315,7 +321,7 @@
             view=self._dependencies.view,
             control=self._dependencies.control,
             writer=self._writer,
-            rules=self._dependencies.rules,
+            policy=self._dependencies.policy,
             wall_clock_s=self._dependencies.wall_clock_s,
             timeline=self._dependencies.timeline,
             metrics=self._dependencies.metrics,
--- a/tests/fakes_plans.py
+++ b/tests/fakes_plans.py
@@ -26,7 +26,7 @@
 from shallotworks.plans import (
     Conductor,
     ConductorDependencies,
-    ConductorRules,
+    ConductorPolicy,
     DisruptionModel,
     Intent,
     PlanLease,
@@ -192,7 +192,7 @@
         state: FleetState,
         *,
         weights: PlannerWeights | None = None,
-        rules: ConductorRules | None = None,
+        policy: ConductorPolicy | None = None,
         reboot_s: float = 20.0,
     ) -> None:
         self.config = FakeConfig(state)
@@ -201,7 +201,7 @@
         self.leases: dict[str, FakeLease] = {}
         self.metrics = Metrics()
         self.timeline = Timeline(process="test", wall_clock_s=self.wall_clock_s)
-        self.rules = rules or ConductorRules(drain_limit_s=120.0, return_limit_s=120.0)
+        self.policy = policy or ConductorPolicy(drain_timeout_s=120.0, return_timeout_s=120.0)
         self.tasks: list[asyncio.Task[None]] = []
         self.plan_registry = PlanRegistry(
             view=self.config,
@@ -232,7 +232,7 @@
                 view=self.config,
                 control=self.targets,
                 acknowledgements=self,
-                rules=self.rules,
+                policy=self.policy,
                 wall_clock_s=self.wall_clock_s,
                 timeline=self.timeline,
                 metrics=self.metrics,
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -10,7 +10,7 @@
 from shallotworks.errors import ErrorKind
 from shallotworks.fleet import Condition, FleetState, PlanState, PutService, SetCondition, SetHealth
 from shallotworks.plans import (
-    ConductorRules,
+    ConductorPolicy,
     Drain,
     InPool,
     InRack,
@@ -360,7 +360,7 @@
 
         async def scenario() -> None:
             window = MaintenanceWindow(opens_s=20 * 3600, closes_s=6 * 3600)
-            world = World(tijera(), rules=ConductorRules(window=window))
+            world = World(tijera(), policy=ConductorPolicy(window=window))
             world.start_conductor()
             digest = await confirmed(world, Drain(selection=Named(names=("booking-0",))))
             cordon = world.config.checks
--- a/tests/test_plans_machine.py
+++ b/tests/test_plans_machine.py
@@ -23,7 +23,7 @@
     SetHealth,
 )
 from shallotworks.plans import (
-    ConductorRules,
+    ConductorPolicy,
     Drain,
     InPool,
     InRack,
@@ -58,8 +58,12 @@
 LIMIT_S = 600.0
 LAPSE_S = 5.5
 """Time in which a paused conductor's lease lapses and is taken by another."""
-RULES = ConductorRules(
-    drain_limit_s=30.0, return_limit_s=30.0, last_chance_s=5.0, settle_s=2.0, poll_s=0.5
+POLICY = ConductorPolicy(
+    drain_timeout_s=30.0,
+    return_timeout_s=30.0,
+    final_return_timeout_s=5.0,
+    settle_s=2.0,
+    poll_s=0.5,
 )
 
 
@@ -71,7 +75,7 @@
         self.loop = looptime.new_event_loop()
         self.world = World(
             fleet(centres=("x", "y"), pools=dict.fromkeys(POOLS, 4), budget=2),
-            rules=RULES,
+            policy=POLICY,
             reboot_s=8.0,
         )
         self.proposed: list[str] = []
