--- a/src/shallotworks/plans/__init__.py
+++ b/src/shallotworks/plans/__init__.py
@@ -29,7 +29,7 @@
 from ._plan_run import ConductorDependencies
 from ._planner import Planner
 from ._progress import Progress, progress_of
-from ._protocols import Acknowledgements, Offload, PlanLease, ProbeReport, TargetControl
+from ._protocols import Acknowledgements, OffLoopRunner, PlanLease, ProbeReport, TargetControl
 from ._records import (
     Action,
     Alternative,
@@ -69,7 +69,7 @@
     "Move",
     "Named",
     "NotMaintainedSince",
-    "Offload",
+    "OffLoopRunner",
     "Plan",
     "PlanDiff",
     "Planner",
--- a/src/shallotworks/plans/_protocols.py
+++ b/src/shallotworks/plans/_protocols.py
@@ -11,7 +11,7 @@
 from shallotworks.errors import Failure
 from shallotworks.fleet import Instance
 
-__all__ = ["Acknowledgements", "PlanLease", "Offload", "ProbeReport", "TargetControl"]
+__all__ = ["Acknowledgements", "PlanLease", "OffLoopRunner", "ProbeReport", "TargetControl"]
 
 _Value = TypeVar("_Value")
 
@@ -80,7 +80,7 @@
         ...
 
 
-class Offload(Protocol):
+class OffLoopRunner(Protocol):
     """Runs work off the event loop, as ``asyncio.to_thread`` does."""
 
     def __call__(self, work: Callable[[], _Value], /) -> Awaitable[_Value]:
--- a/src/shallotworks/plans/_registry.py
+++ b/src/shallotworks/plans/_registry.py
@@ -21,7 +21,7 @@
 from ._intents import Intent, describe_intent
 from ._planner import Planner
 from ._progress import progress_of
-from ._protocols import Offload
+from ._protocols import OffLoopRunner
 from ._records import SHORT_DIGEST_LENGTH, Plan
 from ._render import render_duration
 from ._targets import resolve
@@ -60,14 +60,14 @@
         wall_clock_s: Returns the Unix time.
         timeline: Where events go.
         metrics: Counters.
-        offload: Runs the planner, which may take seconds, off the event loop.
+        run_off_loop: Runs the planner, which may take seconds, off the event loop.
     """
 
     __slots__ = (
         "_log",
         "_metrics",
-        "_offload",
         "_planner",
+        "_run_off_loop",
         "_store",
         "_timeline",
         "_view",
@@ -84,7 +84,7 @@
         wall_clock_s: Callable[[], float],
         timeline: Timeline,
         metrics: Metrics,
-        offload: Offload = asyncio.to_thread,
+        run_off_loop: OffLoopRunner = asyncio.to_thread,
     ) -> None:
         self._view = view
         self._log = log
@@ -93,7 +93,7 @@
         self._wall_clock_s = wall_clock_s
         self._timeline = timeline
         self._metrics = metrics
-        self._offload = offload
+        self._run_off_loop = run_off_loop
 
     async def propose(self, intent: Intent, *, author: str) -> Result[Plan, Failure]:
         """Compute a plan from the newest state held and store it under its digest.
@@ -107,7 +107,7 @@
             be; or ``STORE_UNAVAILABLE``.
         """
         state = self._view.state()
-        planned = await self._offload(lambda: self._planner.plan(state, intent, author=author))
+        planned = await self._run_off_loop(lambda: self._planner.plan(state, intent, author=author))
         if isinstance(planned, Success):
             return await self._keep(planned.unwrap())
         failure = planned.failure()
@@ -263,7 +263,9 @@
     async def _with_nearest(
         self, state: FleetState, intent: Intent, failure: Failure, *, author: str
     ) -> Failure:
-        nearest = await self._offload(lambda: self._planner.nearest(state, intent, author=author))
+        nearest = await self._run_off_loop(
+            lambda: self._planner.nearest(state, intent, author=author)
+        )
         if nearest is None:
             return failure
         kept = await self._keep(nearest)
--- a/tests/fakes_plans.py
+++ b/tests/fakes_plans.py
@@ -211,7 +211,7 @@
             wall_clock_s=self.wall_clock_s,
             timeline=self.timeline,
             metrics=self.metrics,
-            offload=in_place,
+            run_off_loop=in_place,
         )
 
     def wall_clock_s(self) -> float:
