--- a/bench/config.py
+++ b/bench/config.py
@@ -209,7 +209,7 @@
 
 
 async def _publish(author: ConfigStore, store: HttpKeyValueStore) -> None:
-    author.adopt(Snapshot(state=fleet_of(TARGET_INSTANCES), last_change_id="0" * 24))
+    author.install_snapshot(Snapshot(state=fleet_of(TARGET_INSTANCES), last_change_id="0" * 24))
     compactor = Compactor(store=store, metrics=Metrics())
     started_s = time.perf_counter()
     (await compactor.compact(author.snapshot())).unwrap()
--- a/src/shallotworks/config/_log_reader.py
+++ b/src/shallotworks/config/_log_reader.py
@@ -185,7 +185,7 @@
         """
         outcome = await read_snapshot(self._store, pointer)
         if isinstance(outcome, Success):
-            self._replica.adopt(outcome.unwrap())
+            self._replica.install_snapshot(outcome.unwrap())
             return Success(_Start.MOVED)
         if outcome.failure().kind is not ErrorKind.CONFLICT:
             return Err(outcome.failure())
--- a/src/shallotworks/config/_protocols.py
+++ b/src/shallotworks/config/_protocols.py
@@ -78,7 +78,7 @@
         """Return the whole state, for a peer whose gap is too large."""
         ...
 
-    def offer(self, entries: tuple[Entry, ...]) -> int:
+    def append_entries(self, entries: tuple[Entry, ...]) -> int:
         """Take those entries that directly follow what is held; returns the revision held then.
 
         An entry that contradicts one held (same revision, other change id) is reported, never
@@ -86,7 +86,7 @@
         """
         ...
 
-    def adopt(self, snapshot: Snapshot) -> int:
+    def install_snapshot(self, snapshot: Snapshot) -> int:
         """Take a snapshot that is newer than what is held; returns the revision held then."""
         ...
 
--- a/src/shallotworks/config/_replica.py
+++ b/src/shallotworks/config/_replica.py
@@ -108,7 +108,7 @@
         """Call a listener with each entry taken from now on, on the event loop."""
         self._listeners.append(listener)
 
-    def offer(self, entries: tuple[Entry, ...]) -> int:
+    def append_entries(self, entries: tuple[Entry, ...]) -> int:
         """Take those entries that directly follow what is held; returns the revision held then.
 
         An entry that contradicts one held (same revision, other change id) is reported, never
@@ -119,7 +119,7 @@
                 break
         return self.revision()
 
-    def adopt(self, snapshot: Snapshot) -> int:
+    def install_snapshot(self, snapshot: Snapshot) -> int:
         """Take a snapshot that is newer than what is held; returns the revision held then."""
         revision = snapshot.state.revision
         if revision == self.revision() and snapshot.last_change_id != self._last_change_id:
--- a/src/shallotworks/config/_store.py
+++ b/src/shallotworks/config/_store.py
@@ -94,8 +94,8 @@
     async def load(self) -> Result[int, Failure]:
         """Bring the state to the store's newest revision.
 
-        At a start call `adopt` with what peers hold first: a store that has come back older is only
-        recognised by a process that knows of a newer revision.
+        At a start call `install_snapshot` with what peers hold first: a store that has come back
+        older is only recognised by a process that knows of a newer revision.
 
         Returns:
             The revision held; why the store can't be read; ``STORE_REGRESSED``.
--- a/src/shallotworks/peers/_distribution.py
+++ b/src/shallotworks/peers/_distribution.py
@@ -223,7 +223,7 @@
     def _offer(self, link: Link, entries: tuple[Entry, ...]) -> int:
         self._source = link
         try:
-            return self._replica.offer(entries)
+            return self._replica.append_entries(entries)
         finally:
             self._source = None
 
@@ -235,7 +235,7 @@
             return
         before = self._replica.revision()
         link.revision = max(link.revision, snapshot.state.revision)
-        held = self._replica.adopt(snapshot)
+        held = self._replica.install_snapshot(snapshot)
         self._asked_until_s = float("-inf")
         link.beat_soon()
         if held > before:
--- a/tests/peer_fakes.py
+++ b/tests/peer_fakes.py
@@ -44,8 +44,8 @@
         self.held: list[int] = []
         self.subscribe(lambda entry: self.held.append(entry.revision))
 
-    def adopt(self, snapshot: Snapshot) -> int:
-        self.held.append(super().adopt(snapshot))
+    def install_snapshot(self, snapshot: Snapshot) -> int:
+        self.held.append(super().install_snapshot(snapshot))
         return self.held[-1]
 
 
@@ -292,7 +292,7 @@
         """Accept a change, which one process has from the store."""
         node = self.nodes[name]
         self.log.accept()
-        node.replica.offer(tuple(self.log.entries[node.replica.revision() :]))
+        node.replica.append_entries(tuple(self.log.entries[node.replica.revision() :]))
         node.replica.confirm_newest(node.replica.revision())
         return self.log.entries[-1]
 
--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -149,19 +149,19 @@
     def _pass_on(self, source: ConfigStore, to: ConfigStore, whole: bool) -> None:
         entries = None if whole else source.entries_after(to.revision(), limit=5)
         if entries is None:
-            self._on_loop(lambda: to.adopt(source.snapshot()))
+            self._on_loop(lambda: to.install_snapshot(source.snapshot()))
         else:
-            self._on_loop(lambda: to.offer(entries))
+            self._on_loop(lambda: to.append_entries(entries))
 
     async def _restart(self, index: int, after_load: bool) -> None:
         old = self.processes[index]
         await self._cancel(self.proposed_by[index])
         for config in self.processes:
-            config.adopt(old.snapshot())
+            config.install_snapshot(old.snapshot())
         await self._cancel([self.watches[index]])
         await old.close()
         fresh = self._new_process()
-        fresh.adopt(self._newest().snapshot())
+        fresh.install_snapshot(self._newest().snapshot())
         self.processes[index] = fresh
         self.watches[index] = self._watch(fresh)
         self.seen[index] = 0
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -228,7 +228,7 @@
             await link.cut_after_write()
             await other.load()
             await put_all(other, "b", "c")
-            config.adopt(other.snapshot())
+            config.install_snapshot(other.snapshot())
             link.is_cut = False
             self.assertEqual((await proposing).unwrap().revision, 1)
             self.assertEqual((await other.load()).unwrap(), 3)
@@ -251,7 +251,7 @@
             await other.load()
             await put_all(other, *(f"p{number}" for number in range(30)))
             await asyncio.sleep(0.1)
-            config.adopt(other.snapshot())
+            config.install_snapshot(other.snapshot())
             link.is_cut = False
             self.assertEqual(kind_of(await proposing), ErrorKind.OUTCOME_UNKNOWN)
             self.assertEqual((await other.load()).unwrap(), 31)
@@ -345,11 +345,11 @@
             author, peer = process(store, "e1"), process(store, "e2")
             await put_all(author, "a", "b", "c")
             entries = author.entries_after(0, limit=9)
-            self.assertEqual(peer.offer(entries[1:]), 0)
-            self.assertEqual(peer.offer(entries[:2]), 2)
-            self.assertEqual(peer.adopt(author.snapshot()), 3)
+            self.assertEqual(peer.append_entries(entries[1:]), 0)
+            self.assertEqual(peer.append_entries(entries[:2]), 2)
+            self.assertEqual(peer.install_snapshot(author.snapshot()), 3)
             self.assertIsNone(peer.entries_after(1, limit=9))
-            self.assertEqual(peer.adopt(process(store, "e3").snapshot()), 3)
+            self.assertEqual(peer.install_snapshot(process(store, "e3").snapshot()), 3)
 
         run(main)
 
@@ -485,7 +485,7 @@
             other = process(MemoryStore(), "e2")
             await put_all(config, "a", "b")
             await put_all(other, "x", "y", "z")
-            self.assertEqual(config.offer(other.entries_after(0, limit=9)), 2)
+            self.assertEqual(config.append_entries(other.entries_after(0, limit=9)), 2)
             self.assertEqual(set(config.state().pools), {"a", "b"})
             self.assertEqual(config._metrics.counters()["config.contradictions"], 1)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -270,7 +270,7 @@
             instances=names,
         )
         state = FleetState(revision=7, plans={"d": plan})
-        fleet.nodes["a0"].replica.adopt(Snapshot(state=state, last_change_id="c7"))
+        fleet.nodes["a0"].replica.install_snapshot(Snapshot(state=state, last_change_id="c7"))
         fleet.nodes["a5"] = fleet.make("a5")
         await fleet.nodes["a5"].peers.start()
         await fleet.time_until(lambda: fleet.revisions() == {7}, within_s=IN_FORCE_S)
@@ -290,7 +290,7 @@
                 fleet.accept_at("a1")
             await asyncio.sleep(5)
             replica = HeldReplica()
-            replica.offer(tuple(fleet.log.entries[:10]))
+            replica.append_entries(tuple(fleet.log.entries[:10]))
             late = fleet.nodes["a7"] = fleet.make("a7", replica=replica)
             await late.peers.start()
             reached = lambda: replica.state() == fleet.nodes["a1"].replica.state()  # noqa: E731
@@ -360,7 +360,7 @@
         await asyncio.sleep(1)
         entry = fleet.log.accept()
         newer = NewerEntry(**{name: getattr(entry, name) for name in Entry.__slots__})
-        fleet.nodes["a0"].replica.offer((newer,))
+        fleet.nodes["a0"].replica.append_entries((newer,))
         await asyncio.sleep(60)
         older = fleet.nodes["a1"]
         self.assertEqual(older.replica.revision(), 1)
