--- a/src/shallotworks/node/_acknowledgements.py
+++ b/src/shallotworks/node/_acknowledgements.py
@@ -25,7 +25,7 @@
         self._replica = replica
         self._peers = peers
 
-    def held_by_all(self) -> int:
+    def lowest_acknowledged_revision(self) -> int:
         """Return the newest revision that all entry instances within reach hold."""
         heard = self._peers.linked_revisions()
         return min((self._replica.revision(), *heard.values()))
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -193,7 +193,10 @@
         """Wait until the entry instances have seen a revision, or the bound for one cut off."""
         policy = self._dependencies.policy
         until_s = _now_s() + policy.acknowledgement_timeout_s
-        while self._dependencies.acknowledgements.held_by_all() < revision and _now_s() < until_s:
+        while (
+            self._dependencies.acknowledgements.lowest_acknowledged_revision() < revision
+            and _now_s() < until_s
+        ):
             await asyncio.sleep(min(policy.poll_s, policy.acknowledgement_timeout_s))
 
     async def _stand_still_while_failing(self) -> None:
--- a/src/shallotworks/plans/_protocols.py
+++ b/src/shallotworks/plans/_protocols.py
@@ -48,7 +48,7 @@
 class Acknowledgements(Protocol):
     """How far the entry instances have come with the configuration."""
 
-    def held_by_all(self) -> int:
+    def lowest_acknowledged_revision(self) -> int:
         """Return the newest revision that all entry instances within reach hold."""
         ...
 
--- a/tests/fakes_plans.py
+++ b/tests/fakes_plans.py
@@ -217,7 +217,7 @@
     def wall_clock_s(self) -> float:
         return START_S + asyncio.get_running_loop().time()
 
-    def held_by_all(self) -> int:
+    def lowest_acknowledged_revision(self) -> int:
         return self.config.state().revision
 
     def start_conductor(self) -> asyncio.Task[None]:
