--- a/src/shallotworks/config/_store.py
+++ b/src/shallotworks/config/_store.py
@@ -166,7 +166,7 @@
             return Success(self.state())
         return await state_at(self._store, revision)
 
-    async def change_back(self, revision: int, *, author: str) -> Result[Accepted, Failure]:
+    async def revert_revision(self, revision: int, *, author: str) -> Result[Accepted, Failure]:
         """Take the change of a revision back, as a new revision.
 
         Returns:
--- a/tests/test_config_history_reading.py
+++ b/tests/test_config_history_reading.py
@@ -62,7 +62,7 @@
             before = config.state()
             made = (await config.propose(change, author="ola")).unwrap()
             self.assertEqual(len(diff(before, config.state())), 1)
-            back = (await config.change_back(made.revision, author="kari")).unwrap()
+            back = (await config.revert_revision(made.revision, author="kari")).unwrap()
             self.assertEqual(back.revision, made.revision + 1)
             self.assertEqual(diff(before, config.state()), ())
 
@@ -85,7 +85,7 @@
                 if base is not None:
                     (await config.propose(base, author="kari")).unwrap()
             held = config.revision()
-            refused = await config.change_back(revision, author="ola")
+            refused = await config.revert_revision(revision, author="ola")
             self.assertIs(kind_of(refused), ErrorKind[kind or "INVALID_REQUEST"])
             self.assertEqual(config.revision(), held)
 
