--- a/src/shallotworks/requests/_dispatcher.py
+++ b/src/shallotworks/requests/_dispatcher.py
@@ -107,12 +107,12 @@
 
     async def acquire(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
         """Wait for a slot at a target that may take this request; see `Dispatcher.acquire`."""
-        at_once = self.acquire_now(request, tried=tried)
+        at_once = self.try_acquire(request, tried=tried)
         if at_once is not None:
             return at_once
         return await self.wait(request, tried=tried)
 
-    def acquire_now(
+    def try_acquire(
         self, request: Request, *, tried: frozenset[str]
     ) -> Result[Grant, Failure] | None:
         """Return what `acquire` would without waiting; ``None`` where it would have to wait."""
@@ -132,7 +132,7 @@
         return None
 
     async def wait(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
-        """Wait for a slot, after `acquire_now` has returned ``None``."""
+        """Wait for a slot, after `try_acquire` has returned ``None``."""
         now_s = self._refresh()
         found = self._find(request)
         if not isinstance(found, Success):
--- a/src/shallotworks/requests/_protocols.py
+++ b/src/shallotworks/requests/_protocols.py
@@ -30,7 +30,7 @@
         """
         ...
 
-    def acquire_now(
+    def try_acquire(
         self, request: Request, *, tried: frozenset[str]
     ) -> Result[Grant, Failure] | None:
         """Return what `acquire` would without waiting; ``None`` where it would have to wait.
@@ -40,7 +40,7 @@
         ...
 
     async def wait(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
-        """Wait for a slot, after `acquire_now` has returned ``None``; returns as `acquire`."""
+        """Wait for a slot, after `try_acquire` has returned ``None``; returns as `acquire`."""
         ...
 
     def release(self, grant: Grant, outcome: AttemptOutcome, *, duration_s: float) -> None:
--- a/src/shallotworks/requests/_relay.py
+++ b/src/shallotworks/requests/_relay.py
@@ -187,7 +187,7 @@
         if _needs_claim(request):
             return None
         self._retry_policy.first_attempt(request)
-        granted = self._dispatcher.acquire_now(request, tried=frozenset())
+        granted = self._dispatcher.try_acquire(request, tried=frozenset())
         if granted is None:
             return None
         return granted.map(partial(self._next_attempt, request, Past()))
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -52,13 +52,13 @@
 
     async def acquire(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
         """Return a grant."""
-        return self.acquire_now(request, tried=tried)
+        return self.try_acquire(request, tried=tried)
 
     async def wait(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
         """Nothing ever waits here."""
         raise AssertionError
 
-    def acquire_now(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
+    def try_acquire(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
         """Return a grant."""
         if len(tried) >= self.grants_per_request:
             return Result.from_failure(Failure(kind=ErrorKind.NO_TARGET, reason="all were tried"))
