--- a/src/shallotworks/plans/__init__.py
+++ b/src/shallotworks/plans/__init__.py
@@ -7,7 +7,7 @@
 
 from ._conductor import Conductor
 from ._diff import PlanDiff, diff_plans
-from ._instance_run import ConductorPolicy, StepEnd
+from ._instance_run import ConductorPolicy, StepOutcome
 from ._intents import (
     Drain,
     InDataCentre,
@@ -81,7 +81,7 @@
     "Selection",
     "Skipped",
     "Step",
-    "StepEnd",
+    "StepOutcome",
     "Strategy",
     "ConductorDependencies",
     "TargetControl",
--- a/src/shallotworks/plans/_instance_run.py
+++ b/src/shallotworks/plans/_instance_run.py
@@ -20,7 +20,7 @@
 from ._window import MaintenanceWindow
 from ._writer import PlanWriter
 
-__all__ = ["ConductorPolicy", "InstanceRun", "StepEnd"]
+__all__ = ["ConductorPolicy", "InstanceRun", "StepOutcome"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -50,7 +50,7 @@
 
 
 @unique
-class StepEnd(Enum):
+class StepOutcome(Enum):
     """How one instance's step ended."""
 
     DONE = "done"
@@ -118,7 +118,7 @@
         self._timeline = timeline
         self._metrics = metrics
 
-    async def run(self, *, return_timeout_s: float) -> StepEnd:
+    async def run(self, *, return_timeout_s: float) -> StepOutcome:
         """Carry out every action after the cordon.
 
         Args:
@@ -127,24 +127,24 @@
         Raises:
             ShallotworksError: ``LEASE_LOST``; nothing was done after it.
         """
-        end = StepEnd.DONE
+        end = StepOutcome.DONE
         for action in self._step.actions:
             end = await self._act(action, return_timeout_s=return_timeout_s)
-            if end is not StepEnd.DONE:
+            if end is not StepOutcome.DONE:
                 break
         self._metrics.count(f"plans.steps.{end.name.lower()}")
         self._record(EventKind.PLAN_STEP, end.value)
         return end
 
-    async def probe_and_return(self, *, return_timeout_s: float) -> StepEnd:
+    async def probe_and_return(self, *, return_timeout_s: float) -> StepOutcome:
         """Return the instance as it is, for a plan that is rolled back."""
         end = await self._probe(reboot_id="", limit_s=return_timeout_s)
-        return await self._return(maintained=False) if end is StepEnd.DONE else end
+        return await self._return(maintained=False) if end is StepOutcome.DONE else end
 
-    async def _act(self, action: Action, *, return_timeout_s: float) -> StepEnd:
+    async def _act(self, action: Action, *, return_timeout_s: float) -> StepOutcome:
         match action:
             case Action.CORDON:
-                return StepEnd.DONE
+                return StepOutcome.DONE
             case Action.DRAIN:
                 return await self._drain()
             case Action.REBOOT:
@@ -158,10 +158,10 @@
             case Action.RETURN:
                 return await self._return(maintained=Action.REBOOT in self._step.actions)
 
-    async def _drain(self) -> StepEnd:
+    async def _drain(self) -> StepOutcome:
         """Wait until nothing is in flight; a target is never rebooted before."""
         if await self._has_rebooted():
-            return StepEnd.DONE
+            return StepOutcome.DONE
         await self._control.checkpoint_jobs(self._instance())
         waited_since_s = _now_s()
         told = False
@@ -173,7 +173,7 @@
                 if Action.RETURN in self._step.actions:
                     return await self._give_back()
             await asyncio.sleep(self._policy.poll_s)
-        return StepEnd.DONE
+        return StepOutcome.DONE
 
     async def _is_empty(self) -> bool:
         in_flight = await self._control.in_flight(self._instance())
@@ -182,7 +182,7 @@
         # A target that was reported as failed and does not answer has nothing left to cut off.
         return not self._instance().healthy and in_flight.failure().kind is ErrorKind.UNREACHABLE
 
-    async def _give_back(self) -> StepEnd:
+    async def _give_back(self) -> StepOutcome:
         """Return a target that never emptied: its work goes on, its permit is free again.
 
         One that does not answer may be cut off from this process alone, hence is given back too.
@@ -190,10 +190,14 @@
         in_flight = await self._control.in_flight(self._instance())
         result = await self._writer.activate(self._name, probed=False)
         if not isinstance(result, Success):
-            return StepEnd.REFUSED
-        return StepEnd.NEVER_EMPTIED if isinstance(in_flight, Success) else StepEnd.NEVER_ANSWERED
+            return StepOutcome.REFUSED
+        return (
+            StepOutcome.NEVER_EMPTIED
+            if isinstance(in_flight, Success)
+            else StepOutcome.NEVER_ANSWERED
+        )
 
-    async def _reboot(self, *, limit_s: float) -> StepEnd:
+    async def _reboot(self, *, limit_s: float) -> StepOutcome:
         until_s = _now_s() + limit_s
         while not await self._has_rebooted():
             self._writer.check_held()
@@ -201,16 +205,16 @@
                 self._instance(), reboot_id=self._digest, fencing_token=self._writer.token
             )
             if isinstance(result, Success):
-                return StepEnd.DONE
+                return StepOutcome.DONE
             if result.failure().kind is ErrorKind.CONFLICT:
                 # An entry instance that is cut off sent it work after it was seen empty.
                 end = await self._drain()
-                if end is not StepEnd.DONE:
+                if end is not StepOutcome.DONE:
                     return end
             elif _now_s() >= until_s:
-                return await self._stays_cordoned(StepEnd.NEVER_CAME_BACK)
+                return await self._stays_cordoned(StepOutcome.NEVER_CAME_BACK)
             await asyncio.sleep(self._policy.poll_s)
-        return StepEnd.DONE
+        return StepOutcome.DONE
 
     async def _has_rebooted(self) -> bool:
         if Action.REBOOT not in self._step.actions:
@@ -218,27 +222,27 @@
         report = await self._control.probe(self._instance())
         return isinstance(report, Success) and report.unwrap().reboot_id == self._digest
 
-    async def _move(self) -> StepEnd:
+    async def _move(self) -> StepOutcome:
         result = await self._writer.move(
             self._name, from_pool=self._step.pool, to_pool=self._step.to_pool
         )
-        return StepEnd.DONE if isinstance(result, Success) else StepEnd.REFUSED
+        return StepOutcome.DONE if isinstance(result, Success) else StepOutcome.REFUSED
 
-    async def _probe(self, *, reboot_id: str, limit_s: float) -> StepEnd:
+    async def _probe(self, *, reboot_id: str, limit_s: float) -> StepOutcome:
         until_s = _now_s() + limit_s
         while True:
             report = await self._control.probe(self._instance())
             if self._is_back(report, reboot_id=reboot_id):
                 break
             if _now_s() >= until_s:
-                return await self._stays_cordoned(StepEnd.NEVER_CAME_BACK)
+                return await self._stays_cordoned(StepOutcome.NEVER_CAME_BACK)
             await asyncio.sleep(self._policy.poll_s)
         known = self._instance().incarnation
         if known and report.unwrap().incarnation != known:
             # The failure: the platform replaced the machine under the same name while it was out;
             # its size and contents are not the ones planned with, so it takes no work unseen.
-            return await self._stays_cordoned(StepEnd.REPLACED)
-        return StepEnd.DONE
+            return await self._stays_cordoned(StepOutcome.REPLACED)
+        return StepOutcome.DONE
 
     def _is_back(self, report: Result[ProbeReport, Failure], *, reboot_id: str) -> bool:
         """Tell an answer after the reboot from one that was given before it."""
@@ -246,19 +250,19 @@
             return False
         return not reboot_id or report.unwrap().reboot_id == reboot_id
 
-    async def _stays_cordoned(self, end: StepEnd) -> StepEnd:
+    async def _stays_cordoned(self, end: StepOutcome) -> StepOutcome:
         if self._instance().healthy:
             await self._writer.report_failed(self._name)
         return end
 
-    async def _return(self, *, maintained: bool) -> StepEnd:
+    async def _return(self, *, maintained: bool) -> StepOutcome:
         maintained_at_s = self._wall_clock_s() if maintained else 0.0
         result = await self._writer.activate(self._name, maintained_at_s=maintained_at_s)
         if not isinstance(result, Success):
-            return StepEnd.REFUSED
+            return StepOutcome.REFUSED
         if maintained:
             await asyncio.sleep(self._policy.settle_s)
-        return StepEnd.DONE
+        return StepOutcome.DONE
 
     def _instance(self) -> Instance:
         return self._view.state().instances[self._name]
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -14,7 +14,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import EventKind, Subject, Timeline
 
-from ._instance_run import ConductorPolicy, InstanceRun, StepEnd
+from ._instance_run import ConductorPolicy, InstanceRun, StepOutcome
 from ._progress import is_done
 from ._protocols import Acknowledgements, TargetControl
 from ._records import Action, Plan, Step, Wave
@@ -70,7 +70,7 @@
         }
         self._writer = writer
         self._dependencies = dependencies
-        self._ends: dict[str, StepEnd] = {}
+        self._ends: dict[str, StepOutcome] = {}
         self._inherited: set[str] = set()
         self._paused = False
 
@@ -97,7 +97,7 @@
         for name, step in self._steps.items():
             failed = self._holds(name) and not state.instances[name].healthy
             if failed and Action.RETURN in step.actions:
-                self._ends[name] = StepEnd.NEVER_CAME_BACK
+                self._ends[name] = StepOutcome.NEVER_CAME_BACK
                 self._inherited.add(name)
 
     async def _waves(self) -> None:
@@ -294,15 +294,15 @@
     def _is_done(self, name: str) -> bool:
         return is_done(self._steps[name], name, self._record(), self._dependencies.view.state())
 
-    def _end_of(self, name: str) -> StepEnd:
-        return self._ends.get(name, StepEnd.NEVER_CAME_BACK)
+    def _end_of(self, name: str) -> StepOutcome:
+        return self._ends.get(name, StepOutcome.NEVER_CAME_BACK)
 
     def _failed(self) -> list[str]:
         """Instances that the plan holds and that were reported as failed after their turn."""
         return [
             name
             for name, end in self._ends.items()
-            if end in (StepEnd.NEVER_CAME_BACK, StepEnd.REPLACED) and self._holds(name)
+            if end in (StepOutcome.NEVER_CAME_BACK, StepOutcome.REPLACED) and self._holds(name)
         ]
 
     def _holds(self, name: str) -> bool:
