--- a/bench/_dispatch_baselines.py
+++ b/bench/_dispatch_baselines.py
@@ -40,7 +40,7 @@
 class EveryRetry:
     """Retries every failed attempt at once, up to a number of attempts."""
 
-    def first_attempt(self, request: Request) -> None:
+    def count_first_attempt(self, request: Request) -> None:
         pass
 
     def next_delay_s(
--- a/bench/_dispatch_load.py
+++ b/bench/_dispatch_load.py
@@ -162,7 +162,7 @@
     loop = asyncio.get_running_loop()
     started_s = loop.time()
     tally.offered += 1
-    entry.retry.first_attempt(request)
+    entry.retry.count_first_attempt(request)
     attempts = 0
     tried: frozenset[str] = frozenset()
     while True:
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -129,7 +129,7 @@
         await asyncio.sleep(STOP_NOTICE_S)
         await self._wait_until_idle()
         await asyncio.to_thread(self._callers.stop)
-        await self.relay.finish_records(timeout_s=RECORDS_S)
+        await self.relay.flush_records(timeout_s=RECORDS_S)
         await asyncio.to_thread(self._operators.stop)
         for task in self._tasks:
             task.cancel()
--- a/src/shallotworks/requests/_messages.py
+++ b/src/shallotworks/requests/_messages.py
@@ -44,7 +44,7 @@
     """The caller cancelled; says nothing about the target."""
 
     @property
-    def surely_not_run(self) -> bool:
+    def known_not_run(self) -> bool:
         """Whether the attempt is known not to have run the request."""
         return self in (AttemptOutcome.REFUSED, AttemptOutcome.NOT_SENT)
 
--- a/src/shallotworks/requests/_protocols.py
+++ b/src/shallotworks/requests/_protocols.py
@@ -60,7 +60,7 @@
 class RetryPolicy(Protocol):
     """Whether and when a failed attempt is followed by another."""
 
-    def first_attempt(self, request: Request) -> None:
+    def count_first_attempt(self, request: Request) -> None:
         """Count a request's first attempt, a part of which retries may add."""
         ...
 
--- a/src/shallotworks/requests/_relay.py
+++ b/src/shallotworks/requests/_relay.py
@@ -115,7 +115,7 @@
         """Refuse every request from now on, as not run; those under way go on."""
         self._stopping = True
 
-    async def finish_records(self, *, timeout_s: float) -> None:
+    async def flush_records(self, *, timeout_s: float) -> None:
         """Wait for records that are still being written, for a stop.
 
         The failure: an instance that stops has given its caller an answer whose record waits for a
@@ -186,7 +186,7 @@
             return refusal
         if _needs_claim(request):
             return None
-        self._retry_policy.first_attempt(request)
+        self._retry_policy.count_first_attempt(request)
         granted = self._dispatcher.try_acquire(request, tried=frozenset())
         if granted is None:
             return None
@@ -203,7 +203,7 @@
         claim = claimed.unwrap()
         if claim.stored is not None:
             return Success(claim.stored)
-        self._retry_policy.first_attempt(request)
+        self._retry_policy.count_first_attempt(request)
         return await self._acquire(request, Past(claim=claim))
 
     def _refusal(self, request: Request) -> NextStep | None:
@@ -283,7 +283,7 @@
         if past.claim is not None:
             # The caller need not wait for a note that leaves its answer as it is.
             self._in_background(self._idempotency_guard.mark_outcome_unknown(past.claim))
-        if result.outcome.surely_not_run:
+        if result.outcome.known_not_run:
             refusal = Failure(
                 kind=ErrorKind.NO_TARGET, reason=result.detail, retry_after_s=RETRY_AFTER_S
             )
--- a/src/shallotworks/requests/_retry.py
+++ b/src/shallotworks/requests/_retry.py
@@ -37,7 +37,7 @@
         self._rng = rng
         self._budgets: dict[str, _Budget] = {}
 
-    def first_attempt(self, request: Request) -> None:
+    def count_first_attempt(self, request: Request) -> None:
         """Count a request's first attempt, a part of which retries may add."""
         self._budget(request.service).earn(self._limits.budget_part)
 
@@ -53,7 +53,7 @@
         """
         if outcome in _FINAL or attempts >= self._limits.max_attempts:
             return None
-        if not (request.idempotent or outcome.surely_not_run):
+        if not (request.idempotent or outcome.known_not_run):
             # A target may have run it: another attempt could run it twice.
             return None
         delay_s = self._delay_s(attempts)
--- a/src/shallotworks/requests/_steps.py
+++ b/src/shallotworks/requests/_steps.py
@@ -62,12 +62,12 @@
     def past(self) -> Past:
         """What came of the request up to now."""
         before = self.attempt.past
-        surely_not_run = self.result.outcome.surely_not_run
+        known_not_run = self.result.outcome.known_not_run
         return Past(
             claim=before.claim,
             tried=before.tried | {self.attempt.grant.target.instance},
             attempts=before.attempts + 1,
-            may_have_run=before.may_have_run or not surely_not_run,
+            may_have_run=before.may_have_run or not known_not_run,
         )
 
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -84,14 +84,14 @@
     def __init__(self, *, attempts: int) -> None:
         self.attempts = attempts
 
-    def first_attempt(self, request: Request) -> None:
+    def count_first_attempt(self, request: Request) -> None:
         """Count nothing."""
 
     def next_delay_s(
         self, request: Request, *, attempts: int, outcome: AttemptOutcome
     ) -> float | None:
         """Return no delay while attempts are left and another one is safe."""
-        safe = request.idempotent or outcome.surely_not_run
+        safe = request.idempotent or outcome.known_not_run
         return 0.0 if safe and attempts < self.attempts else None
 
 
--- a/tests/test_dispatch_history.py
+++ b/tests/test_dispatch_history.py
@@ -93,7 +93,7 @@
         grant = self.held.pop(sorted(self.held)[number % len(self.held)])
         self.bench.dispatcher.release(grant, outcome, duration_s=0.3)
         request = self.requests[grant.request_id]
-        if retry and (request.idempotent or outcome.surely_not_run):
+        if retry and (request.idempotent or outcome.known_not_run):
             self.answers[request.request_id] -= 1
             self.begin(request, frozenset({grant.target.instance}))
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -307,7 +307,7 @@
         self.idempotency_guard.write_s = 1.0
         self.send("POST", Idempotency_Key="order-1")
         self.assertIsNone(self.idempotency_guard.records["order-1"])
-        self.loop_thread.run(self.relay.finish_records(timeout_s=5.0))
+        self.loop_thread.run(self.relay.flush_records(timeout_s=5.0))
         self.assertIsNotNone(self.idempotency_guard.records["order-1"])
 
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -56,7 +56,7 @@
             allowed = 0
             for number in range(1_000):
                 request = make_request(f"r{number}", "trace", deadline_s=1e9)
-                retries.first_attempt(request)
+                retries.count_first_attempt(request)
                 for attempts in (1, 2):
                     delay_s = retries.next_delay_s(
                         request, attempts=attempts, outcome=AttemptOutcome.TARGET_ERROR
