--- a/src/shallotworks/node/_limits.py
+++ b/src/shallotworks/node/_limits.py
@@ -61,7 +61,7 @@
 
 def retry_limits(settings: Settings) -> RetryLimits:
     """Return what retries may add."""
-    return RetryLimits(budget_part=settings.requests.retry_part)
+    return RetryLimits(retry_ratio=settings.requests.retry_part)
 
 
 def idempotency_limits(settings: Settings) -> IdempotencyLimits:
--- a/src/shallotworks/requests/_limits.py
+++ b/src/shallotworks/requests/_limits.py
@@ -61,16 +61,16 @@
 
     Args:
         max_attempts: Attempts of one request, the first included.
-        budget_part: Retries as a part of first attempts.
-        floor_per_s: Retries per second that a service has, however little it is asked.
+        retry_ratio: Retries as a part of first attempts.
+        min_retries_per_s: Retries per second that a service has, however little it is asked.
         burst: Retries that can be saved up.
         backoff_base_s: Longest wait before the second attempt; doubles with each further one.
         backoff_max_s: Longest wait before any attempt.
     """
 
     max_attempts: int = 4
-    budget_part: float = 0.1
-    floor_per_s: float = 0.2
+    retry_ratio: float = 0.1
+    min_retries_per_s: float = 0.2
     burst: float = 5.0
     backoff_base_s: float = 0.025
     backoff_max_s: float = 1.0
--- a/src/shallotworks/requests/_retry.py
+++ b/src/shallotworks/requests/_retry.py
@@ -39,7 +39,7 @@
 
     def count_first_attempt(self, request: Request) -> None:
         """Count a request's first attempt, a part of which retries may add."""
-        self._budget(request.service).earn(self._limits.budget_part)
+        self._budget(request.service).earn(self._limits.retry_ratio)
 
     def next_delay_s(
         self, request: Request, *, attempts: int, outcome: AttemptOutcome
@@ -81,11 +81,11 @@
 class _Budget:
     """The retries that one service has left."""
 
-    __slots__ = ("_at_s", "_burst", "_floor_per_s", "_left")
+    __slots__ = ("_at_s", "_burst", "_left", "_min_retries_per_s")
 
     def __init__(self, *, limits: RetryLimits) -> None:
         self._burst = limits.burst
-        self._floor_per_s = limits.floor_per_s
+        self._min_retries_per_s = limits.min_retries_per_s
         self._left = limits.burst
         self._at_s = asyncio.get_running_loop().time()
 
@@ -96,7 +96,7 @@
     def spend(self) -> bool:
         """Take one retry, if one is left."""
         now_s = asyncio.get_running_loop().time()
-        self.earn((now_s - self._at_s) * self._floor_per_s)
+        self.earn((now_s - self._at_s) * self._min_retries_per_s)
         self._at_s = now_s
         if self._left < 1.0:
             return False
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -10,7 +10,7 @@
 from shallotworks.requests import AttemptOutcome, BudgetedRetryPolicy, RetryLimits
 from tests.dispatch_fakes import make_request, run_on_stopped_clock
 
-LIMITS = RetryLimits(max_attempts=3, budget_part=0.1, floor_per_s=0.5, burst=4.0)
+LIMITS = RetryLimits(max_attempts=3, retry_ratio=0.1, min_retries_per_s=0.5, burst=4.0)
 
 
 def policy() -> BudgetedRetryPolicy:
@@ -62,8 +62,8 @@
                         request, attempts=attempts, outcome=AttemptOutcome.TARGET_ERROR
                     )
                     allowed += delay_s is not None
-            self.assertLessEqual(allowed, 1_000 * LIMITS.budget_part + LIMITS.burst)
-            self.assertGreaterEqual(allowed, 1_000 * LIMITS.budget_part)
+            self.assertLessEqual(allowed, 1_000 * LIMITS.retry_ratio + LIMITS.burst)
+            self.assertGreaterEqual(allowed, 1_000 * LIMITS.retry_ratio)
 
         run_on_stopped_clock(story)
 
@@ -79,7 +79,7 @@
                 return retries.next_delay_s(request, attempts=attempts, outcome=broken)
 
             self.assertEqual(sum(ask() is not None for _ in range(9)), LIMITS.burst)
-            await asyncio.sleep(2.0 / LIMITS.floor_per_s)
+            await asyncio.sleep(2.0 / LIMITS.min_retries_per_s)
             self.assertEqual(sum(ask() is not None for _ in range(9)), 2)
             await asyncio.sleep(100.0)
             self.assertIsNone(ask(LIMITS.max_attempts))
