--- a/src/shallotworks/plans/_planner.py
+++ b/src/shallotworks/plans/_planner.py
@@ -81,7 +81,9 @@
             lambda found: self._choose(state, intent, found, supply=supply, author=author)
         )
 
-    def nearest(self, state: FleetState, intent: Intent, *, author: str) -> Plan | None:
+    def plan_satisfiable_part(
+        self, state: FleetState, intent: Intent, *, author: str
+    ) -> Plan | None:
         """Return the plan for the largest part of an intent that can be satisfied, if any.
 
         Args:
--- a/src/shallotworks/plans/_registry.py
+++ b/src/shallotworks/plans/_registry.py
@@ -264,7 +264,7 @@
         self, state: FleetState, intent: Intent, failure: Failure, *, author: str
     ) -> Failure:
         nearest = await self._run_off_loop(
-            lambda: self._planner.nearest(state, intent, author=author)
+            lambda: self._planner.plan_satisfiable_part(state, intent, author=author)
         )
         if nearest is None:
             return failure
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -105,7 +105,7 @@
         failure = PLANNER.plan(state, intent, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.UNSATISFIABLE)
         self.assertIn(told, failure.reason)
-        plan = PLANNER.nearest(state, intent, author="kari")
+        plan = PLANNER.plan_satisfiable_part(state, intent, author="kari")
         assert plan is not None
         self.assertEqual(f"{plan.intent.kind} {len(plan.instances)}", nearest)
 
@@ -146,7 +146,7 @@
         planner = Planner(weights=weights, model=DisruptionModel())
         failure = planner.plan(tijera(), EVERYTHING, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.UNSATISFIABLE)
-        nearest = planner.nearest(tijera(), EVERYTHING, author="kari")
+        nearest = planner.plan_satisfiable_part(tijera(), EVERYTHING, author="kari")
         assert nearest is not None
         self.assertEqual(len(nearest.instances), 10)
         self.assertLessEqual(nearest.measures.roll_out_s, 700.0)
