--- a/src/shallotworks/platform/_machines.py
+++ b/src/shallotworks/platform/_machines.py
@@ -9,7 +9,7 @@
 from returns.result import Result, Success
 
 from shallotworks.errors import ErrorKind, Failure
-from shallotworks.scheduling import DutyEnding, Machine, MachineState, Permits
+from shallotworks.scheduling import Machine, MachineOrderStatus, MachineState, Permits
 
 from ._fields import UNREADABLE, number, rows, text
 from ._http import HttpAnswer, HttpClient, HttpLost
@@ -23,15 +23,15 @@
 DEFAULT_VALID_MS = 1000
 
 _ENDINGS = {
-    200: DutyEnding.OBEYED,
-    400: DutyEnding.MISFIT,
-    429: DutyEnding.REFUSED,
-    503: DutyEnding.REFUSED,
+    200: MachineOrderStatus.OBEYED,
+    400: MachineOrderStatus.MISFIT,
+    429: MachineOrderStatus.REFUSED,
+    503: MachineOrderStatus.REFUSED,
 }
 _REASONS = {
-    "fence": DutyEnding.FENCED,
-    "busy": DutyEnding.BUSY,
-    "wave": DutyEnding.NOT_IN_WAVE,
+    "fence": MachineOrderStatus.FENCED,
+    "busy": MachineOrderStatus.BUSY,
+    "wave": MachineOrderStatus.NOT_IN_WAVE,
 }
 
 
@@ -67,25 +67,25 @@
                 return Success(tuple(machines))
             path = f"/v1/machines?{urlencode({'pageToken': token})}"
 
-    async def upkeep(self, machine: str, *, wave: int, token: int) -> DutyEnding:
+    async def upkeep(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
         """Take a machine down for its upkeep; all that runs there ends at once."""
         return await self._order("/v1/machine-upkeep", {"machine": machine, "wave": wave}, token)
 
-    async def move(self, machine: str, *, pool: str, token: int) -> DutyEnding:
+    async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
         """Move a machine into another service's pool; all that runs there ends at once."""
         return await self._order("/v1/machine-move", {"machine": machine, "pool": pool}, token)
 
-    async def _order(self, path: str, body: dict[str, Any], token: int) -> DutyEnding:
+    async def _order(self, path: str, body: dict[str, Any], token: int) -> MachineOrderStatus:
         headers = {
             "Shallotworks-Duty-Holder": self._instance,
             "Shallotworks-Fencing-Token": str(token),
         }
         answer = await self._client.call("POST", path, body=body, headers=headers, timeout_s=CALL_S)
         if isinstance(answer, HttpLost):
-            return DutyEnding.REFUSED if answer.is_unsent else DutyEnding.UNANSWERED
+            return MachineOrderStatus.REFUSED if answer.is_unsent else MachineOrderStatus.UNANSWERED
         if answer.status == 409:
-            return _REASONS.get(str(answer.body.get("reason", "")), DutyEnding.BUSY)
-        return _ENDINGS.get(answer.status, DutyEnding.UNANSWERED)
+            return _REASONS.get(str(answer.body.get("reason", "")), MachineOrderStatus.BUSY)
+        return _ENDINGS.get(answer.status, MachineOrderStatus.UNANSWERED)
 
 
 class PlatformAdvice:
--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -32,8 +32,8 @@
 from ._orders import OrderDesk, OrderTimes
 from ._protocols import (
     AdviceService,
-    DutyEnding,
     Machine,
+    MachineOrderStatus,
     Machines,
     MachineState,
     Permits,
@@ -54,7 +54,7 @@
     "AdviceService",
     "Bidder",
     "Decider",
-    "DutyEnding",
+    "MachineOrderStatus",
     "EndKind",
     "EndedTask",
     "KeeperParts",
--- a/src/shallotworks/scheduling/_machine_orders.py
+++ b/src/shallotworks/scheduling/_machine_orders.py
@@ -11,7 +11,7 @@
 from ._keeper_parts import KeeperParts
 from ._keeper_record import KeeperRecord
 from ._machine_book import PoolNeed, need_key
-from ._protocols import DutyEnding, Machine
+from ._protocols import Machine, MachineOrderStatus
 
 __all__ = ["MachineOrders"]
 
@@ -42,7 +42,7 @@
         """Whether what a service's scheduler says it lacks is no word from before an outage."""
         return self._record.is_heard(service)
 
-    async def upkeep(self, machine: Machine, wave: int, *, is_first: bool) -> DutyEnding:
+    async def upkeep(self, machine: Machine, wave: int, *, is_first: bool) -> MachineOrderStatus:
         """Take a machine down for its upkeep.
 
         Args:
@@ -53,22 +53,22 @@
                 tasks that were taken for ended would run twice.
         """
         if not self._holder.may_act:
-            return DutyEnding.REFUSED
-        ending = await self._parts.machines.upkeep(
+            return MachineOrderStatus.REFUSED
+        status = await self._parts.machines.upkeep(
             machine.name, wave=wave, token=self._holder.token
         )
-        self._note("upkeep", machine, ending, is_over=is_first, wave=wave)
-        return ending
+        self._note("upkeep", machine, status, is_over=is_first, wave=wave)
+        return status
 
-    async def move(self, machine: Machine, service: str) -> DutyEnding:
+    async def move(self, machine: Machine, service: str) -> MachineOrderStatus:
         """Move a machine into another service's pool."""
         if not self._holder.may_act:
-            return DutyEnding.REFUSED
-        ending = await self._parts.machines.move(
+            return MachineOrderStatus.REFUSED
+        status = await self._parts.machines.move(
             machine.name, pool=service, token=self._holder.token
         )
-        self._note("move", machine, ending, is_over=True, to=service)
-        return ending
+        self._note("move", machine, status, is_over=True, to=service)
+        return status
 
     def seems_free(self, machine: Machine) -> bool:
         """Whether the machine's scheduler had nothing on it that must stay, when last heard of."""
@@ -106,7 +106,13 @@
         return frozenset(PoolNeed.decode(item.value).free if item is not None else ())
 
     def _note(
-        self, order: str, machine: Machine, ending: DutyEnding, *, is_over: bool, **inputs: object
+        self,
+        order: str,
+        machine: Machine,
+        status: MachineOrderStatus,
+        *,
+        is_over: bool,
+        **inputs: object,
     ) -> None:
         self._parts.log.line(
             "machine-ordered",
@@ -115,10 +121,10 @@
             worker=machine.worker_id,
             pool=machine.pool,
             token=self._holder.token,
-            outcome=ending.value,
+            outcome=status.value,
             **inputs,
         )
-        if ending is DutyEnding.FENCED:
+        if status is MachineOrderStatus.FENCED:
             self._holder.lose(f"a later holder has given orders for {machine.name}")
-        if ending is DutyEnding.OBEYED and machine.worker_id and is_over:
+        if status is MachineOrderStatus.OBEYED and machine.worker_id and is_over:
             self._record.note_over(machine.worker_id)
--- a/src/shallotworks/scheduling/_moves.py
+++ b/src/shallotworks/scheduling/_moves.py
@@ -13,7 +13,7 @@
 
 from ._keeper_parts import KeeperParts
 from ._machine_orders import MachineOrders
-from ._protocols import DutyEnding, Machine, MachineState
+from ._protocols import Machine, MachineOrderStatus, MachineState
 
 __all__ = ["PoolMover"]
 
@@ -288,10 +288,10 @@
         return None
 
     async def _move(self, machine: Machine, service: str) -> None:
-        ending = await self._orders.move(machine, service)
-        if ending in (DutyEnding.OBEYED, DutyEnding.UNANSWERED):
+        status = await self._orders.move(machine, service)
+        if status in (MachineOrderStatus.OBEYED, MachineOrderStatus.UNANSWERED):
             self._moving[machine.name] = _Move(service=service, ordered_s=self._parts.clock())
-        if ending is DutyEnding.MISFIT:
+        if status is MachineOrderStatus.MISFIT:
             self._misfits.add((machine.name, service))
 
 
--- a/src/shallotworks/scheduling/_protocols.py
+++ b/src/shallotworks/scheduling/_protocols.py
@@ -14,7 +14,7 @@
 
 __all__ = [
     "AdviceService",
-    "DutyEnding",
+    "MachineOrderStatus",
     "Machine",
     "MachineState",
     "Machines",
@@ -135,7 +135,7 @@
 
 
 @unique
-class DutyEnding(Enum):
+class MachineOrderStatus(Enum):
     """What became of an order for a machine."""
 
     OBEYED = "obeyed"
@@ -157,11 +157,11 @@
         """Read all machines."""
         ...
 
-    async def upkeep(self, machine: str, *, wave: int, token: int) -> DutyEnding:
+    async def upkeep(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
         """Take a machine down for its upkeep; all that runs there ends at once."""
         ...
 
-    async def move(self, machine: str, *, pool: str, token: int) -> DutyEnding:
+    async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
         """Move a machine into another service's pool; all that runs there ends at once."""
         ...
 
--- a/src/shallotworks/scheduling/_waves.py
+++ b/src/shallotworks/scheduling/_waves.py
@@ -10,7 +10,7 @@
 
 from ._keeper_parts import KeeperParts
 from ._machine_orders import MachineOrders
-from ._protocols import DutyEnding, Machine, MachineState, Upkeep
+from ._protocols import Machine, MachineOrderStatus, MachineState, Upkeep
 from ._wave import WaveRecord, wave_key
 
 __all__ = ["WaveRunner"]
@@ -268,8 +268,8 @@
 
     async def _order(self, wave: Upkeep, machine: Machine, *, is_first: bool) -> None:
         self._ordered[machine.name] = self._parts.clock()
-        ending = await self._orders.upkeep(machine, wave.wave, is_first=is_first)
-        if ending is DutyEnding.OBEYED:
+        status = await self._orders.upkeep(machine, wave.wave, is_first=is_first)
+        if status is MachineOrderStatus.OBEYED:
             self._begun[machine.name] = self._parts.clock()
 
     async def _load(self, wave: Upkeep) -> tuple[WaveRecord, int] | None:
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -19,13 +19,13 @@
 from shallotworks.metrics import Metrics
 from shallotworks.scheduling import (
     MACHINES_PREFIX,
-    DutyEnding,
     EndedTask,
     EndKind,
     KeeperParts,
     Machine,
     MachineBook,
     MachineKeeper,
+    MachineOrderStatus,
     MachineState,
     OrderTimes,
     PoolNeed,
@@ -167,16 +167,18 @@
     async def list(self) -> Result[tuple[Machine, ...], Failure]:
         return Success(tuple(self.machines.values()))
 
-    async def upkeep(self, machine: str, *, wave: int, token: int) -> DutyEnding:
+    async def upkeep(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
         return await self._take(machine, MachineState.UPKEEP, self.machines[machine].pool, UPKEEP_S)
 
-    async def move(self, machine: str, *, pool: str, token: int) -> DutyEnding:
+    async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
         return await self._take(machine, MachineState.MOVING, pool, MOVE_S)
 
-    async def _take(self, machine: str, state: MachineState, pool: str, for_s: float) -> DutyEnding:
+    async def _take(
+        self, machine: str, state: MachineState, pool: str, for_s: float
+    ) -> MachineOrderStatus:
         await asyncio.sleep(self.order_s)
         if self.machines[machine].state is not MachineState.UP:
-            return DutyEnding.BUSY
+            return MachineOrderStatus.BUSY
         worker = self.fleet.workers[self.machines[machine].worker_id]
         ended = self.budget.at_work() & worker.names()
         self.taken += [f"{now_s():.3f} {state.value} ends {name[3]}" for name in sorted(ended)]
@@ -185,7 +187,7 @@
         self.machines[machine] = Machine(name=machine, pool=pool, state=state)
         life = f"{worker.view.worker_id}+"
         asyncio.get_running_loop().call_later(for_s, self._add, machine, life, pool)
-        return DutyEnding.OBEYED
+        return MachineOrderStatus.OBEYED
 
     def waves(self) -> tuple[Upkeep, ...]:
         return self.asked
--- a/tests/test_machine_keeper.py
+++ b/tests/test_machine_keeper.py
@@ -14,11 +14,11 @@
 from shallotworks.errors import Failure
 from shallotworks.scheduling import (
     MACHINES_PREFIX,
-    DutyEnding,
     KeeperParts,
     Machine,
     MachineBook,
     MachineKeeper,
+    MachineOrderStatus,
     MachineState,
     PoolNeed,
     Upkeep,
@@ -64,25 +64,25 @@
     async def list(self) -> Result[tuple[Machine, ...], Failure]:
         return Success(tuple(self.machines.values()))
 
-    async def upkeep(self, machine: str, *, wave: int, token: int) -> DutyEnding:
+    async def upkeep(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
         now_s = asyncio.get_running_loop().time()
         self.on_order(machine)
         if machine in self.busy:
-            return DutyEnding.BUSY
+            return MachineOrderStatus.BUSY
         known = ("upkeep", machine) in {order[:2] for order in self.orders}
         self.orders.append(("upkeep", machine, now_s))
         if not known:
             self.down += 1
             self.most_down = max(self.most_down, self.down)
             self._away(machine, self.machines[machine].pool, MachineState.UPKEEP, UPKEEP_S)
-        return DutyEnding.UNANSWERED if self.lose_answers else DutyEnding.OBEYED
+        return MachineOrderStatus.UNANSWERED if self.lose_answers else MachineOrderStatus.OBEYED
 
-    async def move(self, machine: str, *, pool: str, token: int) -> DutyEnding:
+    async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
         now_s = asyncio.get_running_loop().time()
         self.on_order(machine)
         self.orders.append((f"move {pool}", machine, now_s))
         self._away(machine, pool, MachineState.MOVING, MOVE_S)
-        return DutyEnding.OBEYED
+        return MachineOrderStatus.OBEYED
 
     def crash(self, name: str) -> None:
         """Let a machine's worker end; another one is on it at once."""
