--- a/bench/turn.py
+++ b/bench/turn.py
@@ -18,8 +18,8 @@
 from shallotworks.scheduling import (
     EndedTask,
     EndKind,
-    OrderEnding,
     OrderOutcome,
+    OrderStatus,
     PaceOrder,
     RunningTask,
     StartOrder,
@@ -85,15 +85,15 @@
         self.started += 1
         one.running[(order.run.name, order.run.run_id)] = (now_s, order)
         heapq.heappush(one.ends, (now_s + TASK_S, order.run.run_id, order))
-        return OrderOutcome(ending=OrderEnding.OBEYED, clock_ms=int(now_s * 1000))
+        return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=int(now_s * 1000))
 
     async def stop(self, worker: WorkerView, order: StopOrder, *, token: int) -> OrderOutcome:
         """Stop nothing."""
-        return OrderOutcome(ending=OrderEnding.OBEYED, clock_ms=1)
+        return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=1)
 
     async def pace(self, worker: WorkerView, order: PaceOrder, *, token: int) -> OrderOutcome:
         """Pace nothing."""
-        return OrderOutcome(ending=OrderEnding.OBEYED, clock_ms=1)
+        return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=1)
 
     async def look(
         self,
@@ -125,7 +125,7 @@
             for began_s, order in one.running.values()
         )
         report = WorkerReport(clock_ms=int(now_s * 1000), running=rows, ended=tuple(one.ended))
-        return OrderOutcome(ending=OrderEnding.OBEYED, clock_ms=report.clock_ms, report=report)
+        return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=report.clock_ms, report=report)
 
 
 def main() -> None:
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -11,8 +11,8 @@
 from shallotworks.scheduling import (
     EndedTask,
     EndKind,
-    OrderEnding,
     OrderOutcome,
+    OrderStatus,
     PaceOrder,
     RunningTask,
     StartOrder,
@@ -34,18 +34,18 @@
 """Time for an order's answer: workers answer in a few milliseconds when they are well."""
 
 _REFUSALS = {
-    "fence": OrderEnding.FENCED,
-    "old": OrderEnding.STALE_RUN,
-    "late": OrderEnding.TOO_LATE,
-    "room": OrderEnding.NO_ROOM,
-    "ticket": OrderEnding.NO_TICKET,
+    "fence": OrderStatus.FENCED,
+    "old": OrderStatus.STALE_RUN,
+    "late": OrderStatus.TOO_LATE,
+    "room": OrderStatus.NO_ROOM,
+    "ticket": OrderStatus.NO_TICKET,
 }
 _ENDINGS = {
-    200: OrderEnding.OBEYED,
-    400: OrderEnding.INVALID,
-    421: OrderEnding.GONE,
-    429: OrderEnding.UNHEALTHY,
-    503: OrderEnding.UNHEALTHY,
+    200: OrderStatus.OBEYED,
+    400: OrderStatus.INVALID,
+    421: OrderStatus.GONE,
+    429: OrderStatus.UNHEALTHY,
+    503: OrderStatus.UNHEALTHY,
 }
 
 
@@ -136,8 +136,8 @@
             headers={INCARNATION_HEADER: worker.worker_id},
         )
         if isinstance(answer, HttpLost):
-            ending = OrderEnding.UNSENT if answer.is_unsent else OrderEnding.UNANSWERED
-            return OrderOutcome(ending=ending, detail=answer.detail)
+            order_status = OrderStatus.UNSENT if answer.is_unsent else OrderStatus.UNANSWERED
+            return OrderOutcome(status=order_status, detail=answer.detail)
         return _outcome(answer, is_look)
 
 
@@ -145,17 +145,17 @@
     clock_ms = _clock_ms(answer.body)
     if answer.status == 409:
         reason = str(answer.body.get("reason", ""))
-        ending = _REFUSALS.get(reason, OrderEnding.INVALID)
-        return OrderOutcome(ending=ending, clock_ms=clock_ms, detail=reason)
-    ending = _ENDINGS.get(answer.status, OrderEnding.UNANSWERED)
+        order_status = _REFUSALS.get(reason, OrderStatus.INVALID)
+        return OrderOutcome(status=order_status, clock_ms=clock_ms, detail=reason)
+    order_status = _ENDINGS.get(answer.status, OrderStatus.UNANSWERED)
     detail = "" if answer.status == 200 else f"status {answer.status}"
-    if not is_look or ending is not OrderEnding.OBEYED:
-        return OrderOutcome(ending=ending, clock_ms=clock_ms, detail=detail)
+    if not is_look or order_status is not OrderStatus.OBEYED:
+        return OrderOutcome(status=order_status, clock_ms=clock_ms, detail=detail)
     try:
         report = _decode_report(answer.body)
     except UNREADABLE as error:
-        return OrderOutcome(ending=OrderEnding.INVALID, detail=repr(error))
-    return OrderOutcome(ending=ending, clock_ms=clock_ms, report=report)
+        return OrderOutcome(status=OrderStatus.INVALID, detail=repr(error))
+    return OrderOutcome(status=order_status, clock_ms=clock_ms, report=report)
 
 
 def _clock_ms(body: dict[str, Any]) -> int:
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -12,7 +12,7 @@
     "AdviceRequest",
     "EndKind",
     "EndedTask",
-    "OrderEnding",
+    "OrderStatus",
     "OrderOutcome",
     "PaceOrder",
     "Run",
@@ -125,7 +125,7 @@
 
 
 @unique
-class OrderEnding(Enum):
+class OrderStatus(Enum):
     """What became of an order to a worker."""
 
     OBEYED = "obeyed"
@@ -153,13 +153,13 @@
     """Outcome of one order.
 
     Args:
-        ending: What became of it.
+        status: What became of it.
         clock_ms: The worker's clock, where it answered; else 0.
         report: The answer to a look.
         detail: What the worker or the connection said.
     """
 
-    ending: OrderEnding
+    status: OrderStatus
     clock_ms: int = 0
     report: WorkerReport | None = None
     detail: str = ""
--- a/src/shallotworks/scheduling/_orders.py
+++ b/src/shallotworks/scheduling/_orders.py
@@ -13,8 +13,8 @@
 
 from ._board import ServiceBoard
 from ._model import (
-    OrderEnding,
     OrderOutcome,
+    OrderStatus,
     PaceOrder,
     Run,
     RunPhase,
@@ -81,7 +81,7 @@
 """The least that a look waits at a worker which has to outlive a start in isolation."""
 CLOSED_WITHIN_S = 0.5
 """A look that gets no answer this soon has not timed out: its connection was closed or refused."""
-_LOST = (OrderEnding.UNANSWERED, OrderEnding.UNSENT)
+_LOST = (OrderStatus.UNANSWERED, OrderStatus.UNSENT)
 SETTLE_WAIT_S = 0.3
 """A look is held back this long for ends whose record is being stored: the worker would answer it
 at once with the same ends."""
@@ -277,9 +277,9 @@
             wait_s=wait_s,
             timeout_s=wait_s + self._times.answer_s,
         )
-        self._metrics.count(f"scheduler.look.{outcome.ending.value}")
+        self._metrics.count(f"scheduler.look.{outcome.status.value}")
         if outcome.report is None:
-            if outcome.ending in _LOST and self._clock() - sent_s < wait_s + CLOSED_WITHIN_S:
+            if outcome.status in _LOST and self._clock() - sent_s < wait_s + CLOSED_WITHIN_S:
                 self._board.crashes.connection_closed(worker, self._clock(), self._wall_clock())
             self._look_failed(worker, outcome)
             await asyncio.sleep(SETTLE_WAIT_S)
@@ -327,7 +327,7 @@
             self._log.line(
                 "look-failed",
                 worker=worker.worker_id,
-                outcome=outcome.ending.value,
+                outcome=outcome.status.value,
                 detail=outcome.detail,
                 silent_s=round(self._clock() - worker.reported_s, 2),
                 lease_left_s=round(worker.lease_ends_s - self._clock(), 2),
@@ -357,10 +357,10 @@
 
     def _common_failure(self, worker: Worker, outcome: OrderOutcome) -> bool:
         """Handle what ends more than one order; return whether it was that."""
-        if outcome.ending is OrderEnding.FENCED:
+        if outcome.status is OrderStatus.FENCED:
             self._holder.lose(f"a later scheduler has fenced {worker.worker_id}")
             return True
-        if outcome.ending is OrderEnding.GONE:
+        if outcome.status is OrderStatus.GONE:
             self._board.replaced(worker.worker_id, self._clock(), self._wall_clock())
             return True
         return False
@@ -381,7 +381,7 @@
             worker.view, order, token=self._board.token, lease_until_ms=lease_ms
         )
         now_s = self._clock()
-        self._metrics.count(f"scheduler.start.{outcome.ending.value}")
+        self._metrics.count(f"scheduler.start.{outcome.status.value}")
         self._metrics.observe_s("scheduler.start", now_s - sent_s)
         self._log.line(
             "run-started",
@@ -389,7 +389,7 @@
             task=list(run.name[1:]),
             run=run.run_id,
             worker=worker.worker_id,
-            outcome=outcome.ending.value,
+            outcome=outcome.status.value,
             detail=outcome.detail,
             resumed=bool(order.checkpoint),
             cpu_used=worker.cpu_used,
@@ -403,32 +403,32 @@
         self, worker: Worker, run: Run, outcome: OrderOutcome, now_s: float
     ) -> None:
         is_gone = self._common_failure(worker, outcome)
-        may_have_run = outcome.ending in (OrderEnding.OBEYED, OrderEnding.UNANSWERED)
+        may_have_run = outcome.status in (OrderStatus.OBEYED, OrderStatus.UNANSWERED)
         self._board.crashes.start_answered(run, self._wall_clock(), may_have_run=may_have_run)
         if is_gone:
             return
         if may_have_run:
             if run.phase is RunPhase.STARTING:
-                is_running = outcome.ending is OrderEnding.OBEYED
+                is_running = outcome.status is OrderStatus.OBEYED
                 run.enter(RunPhase.RUNNING if is_running else RunPhase.UNANSWERED, now_s)
-            if outcome.ending is OrderEnding.UNANSWERED:
+            if outcome.status is OrderStatus.UNANSWERED:
                 worker.pause_until_s = now_s + UNANSWERED_PAUSE_S
             return
-        self._learn_refusal(worker, run, outcome.ending, now_s)
+        self._learn_refusal(worker, run, outcome.status, now_s)
         self._board.start_failed(run, now_s)
 
-    def _learn_refusal(self, worker: Worker, run: Run, ending: OrderEnding, now_s: float) -> None:
+    def _learn_refusal(self, worker: Worker, run: Run, status: OrderStatus, now_s: float) -> None:
         """Learn from a start that was not carried out what the next one has to wait for."""
         step = self._board.open_step(run.name)
-        if ending is OrderEnding.TOO_LATE:
+        if status is OrderStatus.TOO_LATE:
             worker.is_fenced = False
-        elif ending is OrderEnding.NO_TICKET:
+        elif status is OrderStatus.NO_TICKET:
             if step is not None:
                 step.permits.pop(worker.worker_id, None)
-        elif ending is OrderEnding.INVALID:
+        elif status is OrderStatus.INVALID:
             if step is not None:
                 step.refused(now_s)
-        elif ending is OrderEnding.NO_ROOM:
+        elif status is OrderStatus.NO_ROOM:
             worker.pause_until_s = now_s + NO_ROOM_PAUSE_S
         else:
             worker.pause_until_s = now_s + UNHEALTHY_PAUSE_S
@@ -439,7 +439,7 @@
         if worker is None or not self._holder.may_act:
             return
         outcome = await self._orders.stop(worker.view, order, token=self._board.token)
-        self._metrics.count(f"scheduler.stop.{outcome.ending.value}")
+        self._metrics.count(f"scheduler.stop.{outcome.status.value}")
         self._log.line(
             "run-stopped",
             id=run.name.job_id,
@@ -447,10 +447,10 @@
             run=run.run_id,
             worker=worker.worker_id,
             reason=run.stop_reason,
-            outcome=outcome.ending.value,
+            outcome=outcome.status.value,
             token=self._board.token,
         )
-        if not self._common_failure(worker, outcome) and outcome.ending is OrderEnding.OBEYED:
+        if not self._common_failure(worker, outcome) and outcome.status is OrderStatus.OBEYED:
             run.enter(RunPhase.STOPPED, self._clock())
         self._order_answered(worker)
 
@@ -459,7 +459,7 @@
         if worker is None or not self._holder.may_act:
             return
         outcome = await self._orders.pace(worker.view, order, token=self._board.token)
-        self._metrics.count(f"scheduler.pace.{outcome.ending.value}")
+        self._metrics.count(f"scheduler.pace.{outcome.status.value}")
         self._log.line(
             "run-paced",
             id=order.run.name.job_id,
@@ -467,9 +467,9 @@
             worker=worker.worker_id,
             percent=order.percent,
             was=order.run.pace_percent,
-            outcome=outcome.ending.value,
+            outcome=outcome.status.value,
         )
-        if not self._common_failure(worker, outcome) and outcome.ending is OrderEnding.OBEYED:
+        if not self._common_failure(worker, outcome) and outcome.status is OrderStatus.OBEYED:
             order.run.pace_percent = order.percent
 
 
--- a/src/shallotworks/standins/_orders_view.py
+++ b/src/shallotworks/standins/_orders_view.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from shallotworks.scheduling import (
-    OrderEnding,
     OrderOutcome,
+    OrderStatus,
     PaceOrder,
     StartOrder,
     StopOrder,
@@ -105,7 +105,7 @@
 
     async def pace(self, worker: WorkerView, order: PaceOrder, *, token: int) -> OrderOutcome:
         """Obey without effect."""
-        return OrderOutcome(ending=OrderEnding.OBEYED)
+        return OrderOutcome(status=OrderStatus.OBEYED)
 
     async def _reach(
         self, worker: WorkerView, lost_s: float | None = None
@@ -130,13 +130,13 @@
     ) -> OrderOutcome:
         absence = self._fleet.absences.get(worker.worker_id)
         if absence is not None and worker.worker_id not in self.faults.cut:
-            return OrderOutcome(ending=absence)
+            return OrderOutcome(status=absence)
         return await self._lose(lost_s)
 
     async def _lose(self, lost_s: float | None = None) -> OrderOutcome:
         now_s = asyncio.get_running_loop().time()
         await asyncio.sleep(TIMEOUT_S if lost_s is None else max(0.0, lost_s - now_s))
-        return OrderOutcome(ending=OrderEnding.UNANSWERED)
+        return OrderOutcome(status=OrderStatus.UNANSWERED)
 
     async def _start_late(
         self, worker: TaskWorker, order: StartOrder, token: int, lease_until_ms: int
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -13,8 +13,8 @@
 from shallotworks.scheduling import (
     EndedTask,
     EndKind,
-    OrderEnding,
     OrderOutcome,
+    OrderStatus,
     RunningTask,
     StartOrder,
     StopOrder,
@@ -148,7 +148,7 @@
         """Carry out a look."""
         self.pass_time()
         if token < self._token:
-            return OrderOutcome(ending=OrderEnding.FENCED, clock_ms=self.clock_ms)
+            return OrderOutcome(status=OrderStatus.FENCED, clock_ms=self.clock_ms)
         self._token = token
         for end in self._ended:
             if end.number <= acknowledged:
@@ -165,7 +165,7 @@
             ),
             ended=tuple(self._ended),
         )
-        return OrderOutcome(ending=OrderEnding.OBEYED, clock_ms=self.clock_ms, report=report)
+        return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms, report=report)
 
     def start(
         self, order: StartOrder, token: int, lease_until_ms: int, *, is_late: bool = False
@@ -174,31 +174,31 @@
         self.pass_time()
         run = order.run
         if token < self._token:
-            return self._refuse(OrderEnding.FENCED)
+            return self._refuse(OrderStatus.FENCED)
         self._token = token
         if lease_until_ms <= self.clock_ms:
-            return self._refuse(OrderEnding.TOO_LATE)
+            return self._refuse(OrderStatus.TOO_LATE)
         if (run.name, run.run_id) in self._runs:
-            return OrderOutcome(ending=OrderEnding.OBEYED, clock_ms=self.clock_ms)
+            return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms)
         self._extend(lease_until_ms)
         if run.run_id <= self._highest.get(run.name, 0):
-            return self._refuse(OrderEnding.STALE_RUN)
+            return self._refuse(OrderStatus.STALE_RUN)
         used = sum(self._fleet.need(name) for name, _ in self._runs)
         if self._is_over_capacity(used + self._fleet.need(run.name)):
             if self.is_guarded:
-                return self._refuse(OrderEnding.NO_ROOM)
+                return self._refuse(OrderStatus.NO_ROOM)
             if not is_late:
                 self._fleet.overfilled(self, run.name)
         self._fleet.starts(self, run.name)
         self._runs[(run.name, run.run_id)] = self._fleet.make_run(run.name, run.run_id)
         self._tell()
-        return OrderOutcome(ending=OrderEnding.OBEYED, clock_ms=self.clock_ms)
+        return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms)
 
     def stop(self, order: StopOrder, token: int) -> OrderOutcome:
         """Carry out a stop."""
         self.pass_time()
         if token < self._token:
-            return self._refuse(OrderEnding.FENCED)
+            return self._refuse(OrderStatus.FENCED)
         self._token = token
         name, run_id = order.run.name, order.run.run_id
         self._highest[name] = max(run_id, self._highest.get(name, 0))
@@ -207,7 +207,7 @@
             self._fleet.stops(self, name)
             run.stop_s = min(run.stop_s, self._now_s() + STOP_S)
             self._tell()
-        return OrderOutcome(ending=OrderEnding.OBEYED, clock_ms=self.clock_ms)
+        return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms)
 
     def _extend(self, lease_until_ms: int) -> None:
         ends_s = lease_until_ms / 1000 - self._clock_offset_s
@@ -222,8 +222,8 @@
         self._ended.append(end)
         self._fleet.ended(end)
 
-    def _refuse(self, ending: OrderEnding) -> OrderOutcome:
-        return OrderOutcome(ending=ending, clock_ms=self.clock_ms)
+    def _refuse(self, status: OrderStatus) -> OrderOutcome:
+        return OrderOutcome(status=status, clock_ms=self.clock_ms)
 
     def _now_s(self) -> float:
         return asyncio.get_running_loop().time()
@@ -254,7 +254,7 @@
         self.done: set[TaskName] = set()
         self.noted: set[TaskName] = set()
         self.begun: set[TaskName] = set()
-        self.absences: dict[str, OrderEnding] = {}
+        self.absences: dict[str, OrderStatus] = {}
         """What becomes of calls for workers that are over; by default they get no answer."""
         self.most_attempts = 0
         """Failed ends of a task after which no run of it may start; 0 for no limit."""
--- a/src/shallotworks/standins/_worker_http.py
+++ b/src/shallotworks/standins/_worker_http.py
@@ -8,8 +8,8 @@
 
 from shallotworks.jobs import Step, TaskName
 from shallotworks.scheduling import (
-    OrderEnding,
     OrderOutcome,
+    OrderStatus,
     PaceOrder,
     Run,
     RunPhase,
@@ -26,10 +26,10 @@
 ANSWER_S = 5.0
 INCARNATION_HEADER = "Shallotworks-Expect-Instance"
 _REFUSALS = {
-    OrderEnding.FENCED: "fence",
-    OrderEnding.STALE_RUN: "old",
-    OrderEnding.TOO_LATE: "late",
-    OrderEnding.NO_ROOM: "room",
+    OrderStatus.FENCED: "fence",
+    OrderStatus.STALE_RUN: "old",
+    OrderStatus.TOO_LATE: "late",
+    OrderStatus.NO_ROOM: "room",
 }
 
 
@@ -52,9 +52,9 @@
             return web.Response(status=421)
         body = await request.json()
         outcome = await self._carry_out(request.path, body)
-        if outcome.ending is OrderEnding.OBEYED:
+        if outcome.status is OrderStatus.OBEYED:
             return answer_json(_report(outcome))
-        reason = _REFUSALS.get(outcome.ending)
+        reason = _REFUSALS.get(outcome.status)
         if reason is None:
             return drop_connection(request)
         return answer_json({"clockMs": outcome.clock_ms, "reason": reason}, status=409)
--- a/tests/crash_history.py
+++ b/tests/crash_history.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import replace
 
-from shallotworks.scheduling import OrderEnding
+from shallotworks.scheduling import OrderStatus
 from shallotworks.standins import CrashingWorkers, TaskWorker
 
 __all__ = ["ReturningWorkers"]
@@ -31,11 +31,11 @@
         """Crash a worker; another incarnation takes its place."""
         super().crash(worker)
         if not self.is_silent:
-            self.absences[worker.view.worker_id] = OrderEnding.UNSENT
+            self.absences[worker.view.worker_id] = OrderStatus.UNSENT
             worker.wake()
         asyncio.get_running_loop().call_later(BACK_AFTER_S, self._come_back, worker)
         self.crashed.set()
 
     def _come_back(self, worker: TaskWorker) -> None:
-        self.absences[worker.view.worker_id] = OrderEnding.GONE
+        self.absences[worker.view.worker_id] = OrderStatus.GONE
         self.add(replace(worker.view, worker_id=f"{worker.view.worker_id}+"))
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -24,7 +24,7 @@
     EndedTask,
     EndKind,
     MachineBook,
-    OrderEnding,
+    OrderStatus,
     OrderTimes,
     PoolNeed,
     ServiceTerm,
@@ -523,7 +523,7 @@
             self.fleet.workers[worker_id].crash()
             self._in_background(self._unregister_later(worker_id, EXPIRY_S))
 
-    async def leave(self, worker_id: str, *, absence: OrderEnding = OrderEnding.UNSENT) -> None:
+    async def leave(self, worker_id: str, *, absence: OrderStatus = OrderStatus.UNSENT) -> None:
         """Let a worker drain, and go for good.
 
         Args:
@@ -552,7 +552,7 @@
             await asyncio.sleep(REPLACED_S)
             await self._is_store_up.wait()
             self.add_worker(address=self.fleet.workers[worker_id].view.address)
-            self.fleet.absences[worker_id] = OrderEnding.GONE
+            self.fleet.absences[worker_id] = OrderStatus.GONE
 
     def fail_task(self, worker_id: str) -> None:
         """Let a task of a worker fail through its own fault."""
@@ -603,7 +603,7 @@
             worker = self.fleet.workers[worker_id]
             self.fleet.take_away(worker)
             self._over_s[worker_id] = _now_s()
-            self.fleet.absences[worker_id] = OrderEnding.UNSENT
+            self.fleet.absences[worker_id] = OrderStatus.UNSENT
             self._tell_keeper_word()
             await asyncio.sleep(REPLACED_S)
             await self._is_store_up.wait()
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -9,7 +9,7 @@
 
 from shallotworks.jobs import JobState, TaskName
 from shallotworks.logs import LogLines
-from shallotworks.scheduling import OrderEnding, OrderOutcome, StartOrder, WorkerView
+from shallotworks.scheduling import OrderOutcome, OrderStatus, StartOrder, WorkerView
 from tests.crash_history import ReturningWorkers
 from tests.fleet_history import History
 from tests.on_loop import run_story
@@ -138,11 +138,11 @@
                     return await start(worker, order, **times)
                 refused.append(worker.worker_id)
                 one.fleet.workers[worker.worker_id].crash()
-                one.fleet.absences[worker.worker_id] = OrderEnding.GONE
+                one.fleet.absences[worker.worker_id] = OrderStatus.GONE
                 one.fleet.add(replace(worker, worker_id=f"{worker.worker_id}+"))
                 # A look shows meanwhile that the worker is over.
                 await asyncio.sleep(0.1)
-                return OrderOutcome(ending=OrderEnding.GONE)
+                return OrderOutcome(status=OrderStatus.GONE)
 
             orders.start = refusing  # type: ignore[method-assign]
             one.instances[0].start()
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -29,7 +29,7 @@
 from shallotworks.platform._machines import PlatformAdvice, PlatformMachines
 from shallotworks.platform._store import PlatformStore
 from shallotworks.platform._workers import WorkerRegistry, _outcome
-from shallotworks.scheduling import MachineState, OrderEnding, ServiceBoard
+from shallotworks.scheduling import MachineState, OrderStatus, ServiceBoard
 from shallotworks.standins import RecordStore, StoreView
 from shallotworks.standins._http_listener import HttpListener, answer_json
 from shallotworks.store import Item, Mirror
@@ -700,21 +700,21 @@
         body = {"clockMs": 5, "running": [], "ended": []} | fields
         outcome = _outcome(HttpAnswer(status=200, body=body), is_look=True)
         self.assertIsNone(outcome.report)
-        self.assertIs(OrderEnding.INVALID, outcome.ending)
+        self.assertIs(OrderStatus.INVALID, outcome.status)
 
     @parameterized.expand(
         [
-            (200, OrderEnding.OBEYED),
-            (409, OrderEnding.FENCED),
-            (421, OrderEnding.GONE),
-            (503, OrderEnding.UNHEALTHY),
+            (200, OrderStatus.OBEYED),
+            (409, OrderStatus.FENCED),
+            (421, OrderStatus.GONE),
+            (503, OrderStatus.UNHEALTHY),
         ]
     )
-    def test_an_ending_holds_without_a_clock(self, status: int, ending: OrderEnding) -> None:
+    def test_an_ending_holds_without_a_clock(self, status: int, order_status: OrderStatus) -> None:
         """The status alone says what became of an order."""
         answer = HttpAnswer(status=status, body={"clockMs": [], "reason": "fence"})
         outcome = _outcome(answer, is_look=False)
-        self.assertEqual((ending, 0), (outcome.ending, outcome.clock_ms))
+        self.assertEqual((order_status, 0), (outcome.status, outcome.clock_ms))
 
 
 class MachineTests(unittest.TestCase):
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -11,7 +11,7 @@
 
 from parameterized import parameterized
 
-from shallotworks.scheduling import OrderEnding
+from shallotworks.scheduling import OrderStatus
 from tests.lasting_history import RUNS_AGAIN_S, LastingHistory, lasting
 from tests.on_loop import run_story
 
@@ -76,7 +76,7 @@
 
 
 async def one_leaves_unanswering(history: LastingHistory) -> None:
-    await history.leave(used_worker(history), absence=OrderEnding.UNANSWERED)
+    await history.leave(used_worker(history), absence=OrderStatus.UNANSWERED)
 
 
 def together(first: Trouble, second: Trouble, *, after_s: float) -> Trouble:
@@ -318,7 +318,7 @@
             (idle,) = history.offered()
             lost = used_worker(history)
             history.crash(lost)
-            history.fleet.absences[lost] = OrderEnding.GONE
+            history.fleet.absences[lost] = OrderStatus.GONE
             while history.is_held_back(idle):
                 await asyncio.sleep(0.001)
             await history.outage(3.6, is_silent=True)
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -15,7 +15,7 @@
 from shallotworks.platform._configuration import Configuration, OperatorsBook
 from shallotworks.platform._http import HttpAnswer
 from shallotworks.platform._workers import WorkerRegistry, _outcome
-from shallotworks.scheduling import EndKind, OrderEnding
+from shallotworks.scheduling import EndKind, OrderStatus
 from shallotworks.store import Item
 from tests.scheduling_fakes import quiet_log
 
@@ -146,23 +146,23 @@
 
     @parameterized.expand(
         [
-            (200, "", OrderEnding.OBEYED),
-            (400, "", OrderEnding.INVALID),
-            (409, "fence", OrderEnding.FENCED),
-            (409, "old", OrderEnding.STALE_RUN),
-            (409, "late", OrderEnding.TOO_LATE),
-            (409, "room", OrderEnding.NO_ROOM),
-            (409, "ticket", OrderEnding.NO_TICKET),
-            (421, "", OrderEnding.GONE),
-            (429, "", OrderEnding.UNHEALTHY),
-            (503, "", OrderEnding.UNHEALTHY),
-            (500, "", OrderEnding.UNANSWERED),
+            (200, "", OrderStatus.OBEYED),
+            (400, "", OrderStatus.INVALID),
+            (409, "fence", OrderStatus.FENCED),
+            (409, "old", OrderStatus.STALE_RUN),
+            (409, "late", OrderStatus.TOO_LATE),
+            (409, "room", OrderStatus.NO_ROOM),
+            (409, "ticket", OrderStatus.NO_TICKET),
+            (421, "", OrderStatus.GONE),
+            (429, "", OrderStatus.UNHEALTHY),
+            (503, "", OrderStatus.UNHEALTHY),
+            (500, "", OrderStatus.UNANSWERED),
         ]
     )
-    def test_endings(self, status: int, reason: str, expected: OrderEnding) -> None:
+    def test_endings(self, status: int, reason: str, expected: OrderStatus) -> None:
         """Each answer says whether the order was carried out."""
         answer = HttpAnswer(status=status, body={"clockMs": 5, "reason": reason})
-        self.assertIs(expected, _outcome(answer, is_look=False).ending)
+        self.assertIs(expected, _outcome(answer, is_look=False).status)
 
     def test_reports(self) -> None:
         """What runs, with and without the last figure, and what has ended."""
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -13,7 +13,7 @@
 from parameterized import parameterized
 
 from shallotworks.jobs import TaskName
-from shallotworks.scheduling import EndedTask, EndKind, OrderEnding, OrderOutcome, WorkerView
+from shallotworks.scheduling import EndedTask, EndKind, OrderOutcome, OrderStatus, WorkerView
 from shallotworks.standins import OrdersView, TaskWorkers
 from tests.fleet_history import SERVICE, History
 from tests.on_loop import run_story
@@ -148,7 +148,7 @@
             dead = next(iter(fleet.workers.values()))
             fleet.listed_though_dead.add(dead.view.worker_id)
             dead.crash()
-            fleet.absences[dead.view.worker_id] = OrderEnding.GONE
+            fleet.absences[dead.view.worker_id] = OrderStatus.GONE
             looks = [0]
             for instance in history.instances:
                 count_looks(instance.orders, dead.view.worker_id, looks)
--- a/tests/test_scheduling_orders.py
+++ b/tests/test_scheduling_orders.py
@@ -4,7 +4,7 @@
 import unittest
 
 from shallotworks.jobs import JobState
-from shallotworks.scheduling import OrderEnding, OrderOutcome, StartOrder, WorkerView
+from shallotworks.scheduling import OrderOutcome, OrderStatus, StartOrder, WorkerView
 from tests.fleet_history import History
 from tests.on_loop import run_story
 from tests.scheduling_fakes import step
@@ -51,7 +51,7 @@
                 if order.run.name.job_id != REFUSED_ID:
                     return await start(worker, order, **times)
                 tries.append(asyncio.get_running_loop().time())
-                return OrderOutcome(ending=OrderEnding.INVALID, detail="status 400")
+                return OrderOutcome(status=OrderStatus.INVALID, detail="status 400")
 
             orders.start = refusing  # type: ignore[method-assign]
             history.instances[0].start()
