--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -11,7 +11,14 @@
 from ._entries import StepEntry
 from ._keeper import MachineKeeper
 from ._keeper_parts import KeeperParts
-from ._machine_book import MACHINES_PREFIX, KeeperWord, MachineBook, PoolNeed, keeper_key, need_key
+from ._machine_book import (
+    MACHINES_PREFIX,
+    MachineBook,
+    MachineControllerRecord,
+    PoolNeed,
+    machine_controller_key,
+    need_key,
+)
 from ._model import (
     AdviceRequest,
     EndedTask,
@@ -59,7 +66,7 @@
     "EndedTask",
     "KeeperParts",
     "MACHINES_PREFIX",
-    "KeeperWord",
+    "MachineControllerRecord",
     "Machine",
     "MachineBook",
     "MachineKeeper",
@@ -97,7 +104,7 @@
     "WorkerOrders",
     "WorkerReport",
     "WorkerView",
-    "keeper_key",
+    "machine_controller_key",
     "need_key",
     "runners_key",
     "urgency",
--- a/src/shallotworks/scheduling/_keeper_record.py
+++ b/src/shallotworks/scheduling/_keeper_record.py
@@ -7,7 +7,7 @@
 from shallotworks.store import HeldRecord, Holder
 
 from ._keeper_parts import KeeperParts
-from ._machine_book import KeeperWord, keeper_key
+from ._machine_book import MachineControllerRecord, machine_controller_key
 from ._protocols import Machine
 
 __all__ = ["KeeperRecord"]
@@ -59,7 +59,9 @@
     def __init__(self, *, holder: Holder, parts: KeeperParts) -> None:
         self._holder = holder
         self._parts = parts
-        self._record = HeldRecord(key=keeper_key(), holder=holder, store=parts.store, log=parts.log)
+        self._record = HeldRecord(
+            key=machine_controller_key(), holder=holder, store=parts.store, log=parts.log
+        )
         self._begun_s = parts.clock()
         self._blocked: frozenset[str] | None = None
         """Machines that have to wait; ``None`` for all."""
@@ -72,7 +74,7 @@
         self._words_before: dict[str, tuple[int, int]] = {}
         """For each pool whose word was known when this keeper last rested, where that came from."""
         self.is_read = False
-        self.told = KeeperWord()
+        self.told = MachineControllerRecord()
 
     async def read(self) -> None:
         """Learn what the predecessor has said, where the store answers."""
@@ -86,15 +88,17 @@
             self._blocked = frozenset(word.ordered)
             self._ordered = dict.fromkeys(word.ordered, now_s)
 
-    def _predecessor(self) -> KeeperWord:
+    def _predecessor(self) -> MachineControllerRecord:
         value = self._record.value
         if value is None:
-            return KeeperWord()
+            return MachineControllerRecord()
         try:
-            return KeeperWord.decode(value)
+            return MachineControllerRecord.decode(value)
         except (ValueError, KeyError, TypeError) as error:
-            self._parts.log.line("machines-record-unreadable", key=keeper_key(), reason=repr(error))
-            return KeeperWord()
+            self._parts.log.line(
+                "machines-record-unreadable", key=machine_controller_key(), reason=repr(error)
+            )
+            return MachineControllerRecord()
 
     def rest(self) -> None:
         """Take note that the key rests: what schedulers have said may be over by the time it wakes.
@@ -167,7 +171,7 @@
 
     async def _put(self, due: frozenset[str], recalls: dict[str, int]) -> bool:
         self._ordered = self._recently_ordered()
-        word = KeeperWord(
+        word = MachineControllerRecord(
             due=due,
             over=self._over_told(),
             recalls=recalls,
--- a/src/shallotworks/scheduling/_machine_book.py
+++ b/src/shallotworks/scheduling/_machine_book.py
@@ -13,7 +13,14 @@
 from shallotworks.logs import LogLines
 from shallotworks.store import Item
 
-__all__ = ["MACHINES_PREFIX", "KeeperWord", "MachineBook", "PoolNeed", "keeper_key", "need_key"]
+__all__ = [
+    "MACHINES_PREFIX",
+    "MachineControllerRecord",
+    "MachineBook",
+    "PoolNeed",
+    "machine_controller_key",
+    "need_key",
+]
 
 MACHINES_PREFIX = "shallotworks/machines/"
 NEED_PREFIX = MACHINES_PREFIX + "need/"
@@ -24,7 +31,7 @@
     return NEED_PREFIX + service
 
 
-def keeper_key() -> str:
+def machine_controller_key() -> str:
     """Return the key of what the keeper writes."""
     return MACHINES_PREFIX + "keeper"
 
@@ -73,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class KeeperWord:
+class MachineControllerRecord:
     """What the keeper says of workers.
 
     Args:
@@ -101,7 +108,7 @@
         return json.dumps(record).encode()
 
     @classmethod
-    def decode(cls, value: bytes) -> KeeperWord:
+    def decode(cls, value: bytes) -> MachineControllerRecord:
         """Return what a record says; raises `ValueError` or `KeyError`."""
         record = json.loads(value)
         ordered = record.get("ordered")
@@ -125,13 +132,13 @@
     def __init__(self, *, log: LogLines) -> None:
         self._log = log
         self.needs: dict[str, PoolNeed] = {}
-        self.keeper = KeeperWord()
+        self.keeper = MachineControllerRecord()
 
     def written(self, item: Item) -> None:
         """Hear that a record was written."""
         try:
-            if item.key == keeper_key():
-                self.keeper = KeeperWord.decode(item.value)
+            if item.key == machine_controller_key():
+                self.keeper = MachineControllerRecord.decode(item.value)
             elif item.key.startswith(NEED_PREFIX):
                 self.needs[item.key.removeprefix(NEED_PREFIX)] = PoolNeed.decode(item.value)
         except (ValueError, KeyError, TypeError) as error:
@@ -139,7 +146,7 @@
 
     def deleted(self, key: str, revision: int) -> None:
         """Hear that a record is gone."""
-        if key == keeper_key():
-            self.keeper = KeeperWord()
+        if key == machine_controller_key():
+            self.keeper = MachineControllerRecord()
         else:
             self.needs.pop(key.removeprefix(NEED_PREFIX), None)
--- a/src/shallotworks/scheduling/_term_workers.py
+++ b/src/shallotworks/scheduling/_term_workers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ._board import ServiceBoard
-from ._machine_book import KeeperWord, MachineBook
+from ._machine_book import MachineBook, MachineControllerRecord
 from ._model import WorkerView
 from ._protocols import WorkerDirectory
 from ._runners import Runner, RunnersRecord
@@ -87,7 +87,7 @@
         Args:
             on_change: Called when the board has changed.
         """
-        seen: tuple[int, KeeperWord] | None = None
+        seen: tuple[int, MachineControllerRecord] | None = None
         while True:
             version = (self._directory.version, self._book.keeper)
             if version != seen:
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -32,7 +32,7 @@
     need_key,
 )
 from shallotworks.scheduling._keeper_record import OVER_TOLD_S
-from shallotworks.scheduling._machine_book import KeeperWord, keeper_key
+from shallotworks.scheduling._machine_book import MachineControllerRecord, machine_controller_key
 from shallotworks.standins import (
     OrderFaults,
     RecordFaults,
@@ -628,8 +628,8 @@
 
     def _tell_keeper_word(self) -> None:
         over = (one for one, at_s in self._over_s.items() if _now_s() - at_s < OVER_TOLD_S)
-        word = KeeperWord(due=self._due, over=tuple(over))
-        self.store.put(keeper_key(), word.encode())
+        word = MachineControllerRecord(due=self._due, over=tuple(over))
+        self.store.put(machine_controller_key(), word.encode())
 
     def _register(self, worker: TaskWorker) -> None:
         """Write a worker's entry as the platform's workers do."""
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -35,7 +35,7 @@
     Upkeep,
     need_key,
 )
-from shallotworks.scheduling._machine_book import KeeperWord, keeper_key
+from shallotworks.scheduling._machine_book import MachineControllerRecord, machine_controller_key
 from shallotworks.standins import OrderFaults, OrdersView, RecordStore, StoreView, TaskWorkers
 from shallotworks.store import Holder, Mirror
 from tests.fleet_history import AllAllowed
@@ -204,7 +204,9 @@
 
     def tell_due(self, *workers: str) -> None:
         """Say in the keeper's place which workers are to be emptied."""
-        self.store.put(keeper_key(), KeeperWord(due=frozenset(workers)).encode())
+        self.store.put(
+            machine_controller_key(), MachineControllerRecord(due=frozenset(workers)).encode()
+        )
 
     def drain(self, *workers: str) -> None:
         """Let workers say that they are about to leave."""
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -10,11 +10,11 @@
 from shallotworks.errors import ErrorKind, Failure
 from shallotworks.jobs import TaskName
 from shallotworks.scheduling import (
-    KeeperWord,
+    MachineControllerRecord,
     PoolNeed,
     Runner,
     RunnersRecord,
-    keeper_key,
+    machine_controller_key,
     need_key,
     runners_key,
 )
@@ -283,7 +283,9 @@
             await keeper._record.tell(frozenset({"w"}), {})
             faults.lost_part = 0.0
             await keeper._record.tell(frozenset(), {})
-            stored = KeeperWord.decode(world.store.items[keeper_key()].value)
+            stored = MachineControllerRecord.decode(
+                world.store.items[machine_controller_key()].value
+            )
             self.assertEqual(frozenset(), stored.due)
             world.stop()
 
--- a/tests/test_machine_keeper.py
+++ b/tests/test_machine_keeper.py
@@ -24,7 +24,7 @@
     Upkeep,
     need_key,
 )
-from shallotworks.scheduling._machine_book import KeeperWord
+from shallotworks.scheduling._machine_book import MachineControllerRecord
 from shallotworks.standins import RecordStore, StoreView
 from shallotworks.store import Holder, Mirror
 from tests.held_keys import acquire
@@ -132,12 +132,14 @@
 
     def follow_keeper(self, *ordered: str) -> None:
         """Let an earlier keeper have ordered some machines of late, and no others."""
-        word = KeeperWord(ordered=tuple(ordered))
+        word = MachineControllerRecord(ordered=tuple(ordered))
         self.store.put(MACHINES_PREFIX + "keeper", word.encode())
 
     def named(self) -> tuple[str, ...] | None:
         """Return the machines that the keeper's word in the store names as ordered."""
-        return KeeperWord.decode(self.store.items[MACHINES_PREFIX + "keeper"].value).ordered
+        return MachineControllerRecord.decode(
+            self.store.items[MACHINES_PREFIX + "keeper"].value
+        ).ordered
 
     async def start(self, *, answer_s: float = 0.0) -> Holder:
         """Start a keeper, whose store answers this much later."""
@@ -744,7 +746,7 @@
 
         async def story() -> None:
             world = World(antenna=2, coverage=3)
-            before = KeeperWord(over=("w0",))
+            before = MachineControllerRecord(over=("w0",))
             world.store.put(MACHINES_PREFIX + "keeper", before.encode())
             await world.start()
             world.tell("coverage", free=True)
