--- a/src/shallotworks/scheduling/_keeper.py
+++ b/src/shallotworks/scheduling/_keeper.py
@@ -57,8 +57,10 @@
             keep.cancel()
 
     def _has_work(self) -> bool:
-        needs = self._parts.book.needs.values()
-        return bool(self._waves.open_waves()) or any(need.lacking or need.free for need in needs)
+        demands = self._parts.book.demands.values()
+        return bool(self._waves.open_waves()) or any(
+            demand.lacking or demand.free for demand in demands
+        )
 
     async def _round(self) -> None:
         await self._record.read()
--- a/src/shallotworks/scheduling/_keeper_record.py
+++ b/src/shallotworks/scheduling/_keeper_record.py
@@ -108,7 +108,7 @@
         """
         self._rested_s = self._parts.clock()
         self._words_before = {
-            service: need.origin for service, need in self._parts.book.needs.items()
+            service: demand.origin for service, demand in self._parts.book.demands.items()
         }
 
     def is_heard(self, service: str) -> bool:
@@ -119,8 +119,8 @@
         """
         if self._parts.clock() - self._rested_s >= self._apart_s:
             return True
-        need = self._parts.book.needs.get(service)
-        return need is not None and need.origin != self._words_before.get(service)
+        demand = self._parts.book.demands.get(service)
+        return demand is not None and demand.origin != self._words_before.get(service)
 
     def may_order(self, machine: Machine) -> bool:
         """Whether no other holder's order can be too close, and its pool's word is no old one.
--- a/src/shallotworks/scheduling/_machine_book.py
+++ b/src/shallotworks/scheduling/_machine_book.py
@@ -17,18 +17,18 @@
     "MACHINES_PREFIX",
     "MachineControllerRecord",
     "MachineBook",
-    "PoolNeed",
+    "PoolDemand",
     "machine_controller_key",
-    "need_key",
+    "pool_demand_key",
 ]
 
 MACHINES_PREFIX = "shallotworks/machines/"
-NEED_PREFIX = MACHINES_PREFIX + "need/"
+POOL_DEMAND_PREFIX = MACHINES_PREFIX + "need/"
 
 
-def need_key(service: str) -> str:
+def pool_demand_key(service: str) -> str:
     """Return the key of what a service's scheduler writes."""
-    return NEED_PREFIX + service
+    return POOL_DEMAND_PREFIX + service
 
 
 def machine_controller_key() -> str:
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PoolNeed:
+class PoolDemand:
     """What a service's scheduler says of its machines.
 
     Args:
@@ -68,7 +68,7 @@
         return json.dumps(record).encode()
 
     @classmethod
-    def decode(cls, value: bytes) -> PoolNeed:
+    def decode(cls, value: bytes) -> PoolDemand:
         """Return what a record says; raises `ValueError` or `KeyError`."""
         record = json.loads(value)
         return cls(
@@ -127,11 +127,11 @@
         log: Records that can't be read.
     """
 
-    __slots__ = ("_log", "keeper", "needs")
+    __slots__ = ("_log", "demands", "keeper")
 
     def __init__(self, *, log: LogLines) -> None:
         self._log = log
-        self.needs: dict[str, PoolNeed] = {}
+        self.demands: dict[str, PoolDemand] = {}
         self.keeper = MachineControllerRecord()
 
     def written(self, item: Item) -> None:
@@ -139,8 +139,10 @@
         try:
             if item.key == machine_controller_key():
                 self.keeper = MachineControllerRecord.decode(item.value)
-            elif item.key.startswith(NEED_PREFIX):
-                self.needs[item.key.removeprefix(NEED_PREFIX)] = PoolNeed.decode(item.value)
+            elif item.key.startswith(POOL_DEMAND_PREFIX):
+                self.demands[item.key.removeprefix(POOL_DEMAND_PREFIX)] = PoolDemand.decode(
+                    item.value
+                )
         except (ValueError, KeyError, TypeError) as error:
             self._log.line("machines-record-unreadable", key=item.key, reason=repr(error))
 
@@ -149,4 +151,4 @@
         if key == machine_controller_key():
             self.keeper = MachineControllerRecord()
         else:
-            self.needs.pop(key.removeprefix(NEED_PREFIX), None)
+            self.demands.pop(key.removeprefix(POOL_DEMAND_PREFIX), None)
--- a/src/shallotworks/scheduling/_machine_orders.py
+++ b/src/shallotworks/scheduling/_machine_orders.py
@@ -10,7 +10,7 @@
 
 from ._keeper_parts import KeeperParts
 from ._keeper_record import KeeperRecord
-from ._machine_book import PoolNeed, need_key
+from ._machine_book import PoolDemand, pool_demand_key
 from ._protocols import Machine, MachineOrderStatus
 
 __all__ = ["MachineOrders"]
@@ -74,8 +74,8 @@
         """Whether the machine's scheduler had nothing on it that must stay, when last heard of."""
         if not machine.worker_id:
             return True
-        need = self._parts.book.needs.get(machine.pool)
-        return need is not None and machine.worker_id in need.free
+        demand = self._parts.book.demands.get(machine.pool)
+        return demand is not None and machine.worker_id in demand.free
 
     async def may_take(self, machine: Machine) -> bool:
         """Whether the machine's scheduler has nothing on it that must stay; see `takeable`."""
@@ -99,11 +99,11 @@
 
     async def _free_of(self, pool: str) -> frozenset[str]:
         """Return what a pool's scheduler offers, as it stands in the store."""
-        outcome = await self._parts.store.get(need_key(pool))
+        outcome = await self._parts.store.get(pool_demand_key(pool))
         if not isinstance(outcome, Success):
             return frozenset()
         item = outcome.unwrap()
-        return frozenset(PoolNeed.decode(item.value).free if item is not None else ())
+        return frozenset(PoolDemand.decode(item.value).free if item is not None else ())
 
     def _note(
         self,
--- a/src/shallotworks/scheduling/_moves.py
+++ b/src/shallotworks/scheduling/_moves.py
@@ -194,7 +194,7 @@
         lacking = Counter(self._takers())
         wanted = lacking.total()
         recalls: dict[str, int] = {}
-        for service in sorted(self._parts.book.needs):
+        for service in sorted(self._parts.book.demands):
             borrowed = sizes.get(service, 0) - home.get(service, 0)
             by_others = min(wanted, lacking.total() - lacking[service])
             if service not in self._parts.standby() and borrowed > 0 and by_others > 0:
@@ -242,7 +242,7 @@
         """Return machines that schedulers offer, and those in standby pools."""
         idle: list[Machine] = []
         resting: list[Machine] = []
-        needs = self._parts.book.needs
+        demands = self._parts.book.demands
         standby = self._parts.standby()
         for machine in machines.values():
             if machine.state is not MachineState.UP or machine.name in self._moving:
@@ -250,8 +250,8 @@
             if machine.pool in standby:
                 resting.append(machine)
             elif machine.name not in in_waves and machine.worker_id:
-                need = needs.get(machine.pool)
-                if need is not None and machine.worker_id in need.free:
+                demand = demands.get(machine.pool)
+                if demand is not None and machine.worker_id in demand.free:
                     idle.append(machine)
         # Machines that are due for upkeep go to work last: they would soon be taken away again.
         resting.sort(key=lambda one: one.name in in_waves)
@@ -263,10 +263,12 @@
         for move in self._moving.values():
             coming[move.service] = coming.get(move.service, 0) + 1
         takers: list[tuple[int, str]] = []
-        for service, need in self._parts.book.needs.items():
+        for service, demand in self._parts.book.demands.items():
             if not self._orders.is_heard(service):
                 continue
-            takers.extend((turn, service) for turn in range(need.lacking - coming.get(service, 0)))
+            takers.extend(
+                (turn, service) for turn in range(demand.lacking - coming.get(service, 0))
+            )
         return [service for _, service in sorted(takers)]
 
     def _pick_lent(
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -14,7 +14,7 @@
 
 from ._board import ServiceBoard
 from ._demand import DemandLimits, arriving_cores
-from ._machine_book import PoolNeed
+from ._machine_book import PoolDemand
 from ._model import Worker
 from ._placement import LEAST_WORKERS
 from ._waiting import tasks_recovering
@@ -86,7 +86,7 @@
         """Workers that are being emptied, since when."""
         self._offered: set[str] = set()
 
-    def assess(self, due: frozenset[str], *, now_s: float, wall_s: float) -> PoolNeed:
+    def assess(self, due: frozenset[str], *, now_s: float, wall_s: float) -> PoolDemand:
         """Return what to tell the keeper, having cordoned what is offered.
 
         Args:
@@ -102,7 +102,7 @@
             self._offer(worker, worker.worker_id in offered, now_s)
         self._offered = offered
         free = sorted(offered | set(self._emptied(now_s)))
-        return PoolNeed(lacking=lacking, free=tuple(free), token=self._board.token)
+        return PoolDemand(lacking=lacking, free=tuple(free), token=self._board.token)
 
     def state(self, *, wall_s: float) -> dict[str, int]:
         """Return the pool's state in figures for its log line: machines, cores and waiting work."""
--- a/src/shallotworks/scheduling/_term.py
+++ b/src/shallotworks/scheduling/_term.py
@@ -24,7 +24,7 @@
 
 from ._board import ServiceBoard
 from ._decisions import Decider
-from ._machine_book import MachineBook, PoolNeed, need_key
+from ._machine_book import MachineBook, PoolDemand, pool_demand_key
 from ._model import AdviceRequest
 from ._orders import OrderDesk, OrderTimes
 from ._progress_writer import ProgressWriter
@@ -104,12 +104,12 @@
     """
 
     __slots__ = (
+        "_demand",
         "_desk",
         "_has_mark",
         "_holder",
         "_keys",
         "_mirror",
-        "_need",
         "_parts",
         "_pending",
         "_pending_jobs",
@@ -169,7 +169,7 @@
             log=parts.log,
             pause_s=JOBS_PAUSE_S,
         )
-        self._need = self._own_record(need_key(service))
+        self._demand = self._own_record(pool_demand_key(service))
         self._pending = self._own_record(self._keys.pending())
         self._pending_jobs: dict[str, Item] = {}
         self._has_mark = False
@@ -333,10 +333,10 @@
         while not self._parts.directory.is_synced:
             await asyncio.sleep(DIRECTORY_EVERY_S)
         recorded = await self._workers.await_earlier()
-        while not await self._need.read():
+        while not await self._demand.read():
             await asyncio.sleep(STORE_RETRY_S)
         # Offers of an earlier term must not be taken for this one's.
-        while not await self._tell_need(PoolNeed(token=self._holder.token)):
+        while not await self._publish_demand(PoolDemand(token=self._holder.token)):
             await asyncio.sleep(STORE_RETRY_S)
         self._log(
             "term-prepared",
@@ -382,7 +382,7 @@
     async def _size_pool(self) -> None:
         """Tell the keeper of machines what this service lacks and what it can do without."""
         await self.is_prepared.wait()
-        told: PoolNeed | None = None
+        told: PoolDemand | None = None
         wakes = _Wakes()
         while True:
             self._sizer.keep_lasting_off(self._standing_offers(), self._parts.clock())
@@ -395,11 +395,11 @@
             for worker in self._sizer.emptying():
                 self.decider.evacuate(worker)
                 self._desk.wake()
-            if (need != told or self._need.doubtful) and await self._tell_need(need):
+            if (need != told or self._demand.doubtful) and await self._publish_demand(need):
                 told = need
             await asyncio.sleep(SIZE_EVERY_S)
 
-    async def _tell_need(self, need: PoolNeed) -> bool:
+    async def _publish_demand(self, need: PoolDemand) -> bool:
         """Tell the keeper what this service needs; return whether that surely stands now.
 
         The failure: a lasting task is started on a worker that stands as free in the store, and the
@@ -407,7 +407,7 @@
         answered. While a worker may stand as free, and for a while after, lasting tasks keep off.
         """
         offered = self._standing_offers() | set(need.free)
-        if not await self._need.put(need.encode()):
+        if not await self._demand.put(need.encode()):
             return False
         self._sizer.keep_lasting_off(offered, self._parts.clock())
         self._log("need-told", lacking=need.lacking, free=len(need.free))
@@ -416,9 +416,9 @@
     def _standing_offers(self) -> set[str]:
         """Return the workers that may stand as free in the store."""
         offered: set[str] = set()
-        for word in self._need.possible():
+        for word in self._demand.possible():
             try:
-                offered.update(PoolNeed.decode(word).free)
+                offered.update(PoolDemand.decode(word).free)
             except (ValueError, KeyError, TypeError) as error:
                 self._log("need-unreadable", reason=repr(error))
         return offered
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -26,10 +26,10 @@
     MachineBook,
     OrderStatus,
     OrderTimes,
-    PoolNeed,
+    PoolDemand,
     ServiceTerm,
     TermParts,
-    need_key,
+    pool_demand_key,
 )
 from shallotworks.scheduling._keeper_record import OVER_TOLD_S
 from shallotworks.scheduling._machine_book import MachineControllerRecord, machine_controller_key
@@ -613,10 +613,10 @@
 
     def offered(self) -> tuple[str, ...]:
         """Return what the scheduler offers, read just before an order as the keeper does."""
-        item = self.store.items.get(need_key(SERVICE))
+        item = self.store.items.get(pool_demand_key(SERVICE))
         if item is None or not self._is_store_up.is_set():
             return ()
-        return PoolNeed.decode(item.value).free
+        return PoolDemand.decode(item.value).free
 
     def is_held_back(self, worker_id: str) -> bool:
         """Return whether whoever schedules starts nothing on a worker, since it is offered."""
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -28,12 +28,12 @@
     MachineOrderStatus,
     MachineState,
     OrderTimes,
-    PoolNeed,
+    PoolDemand,
     Run,
     ServiceTerm,
     TermParts,
     Upkeep,
-    need_key,
+    pool_demand_key,
 )
 from shallotworks.scheduling._machine_book import MachineControllerRecord, machine_controller_key
 from shallotworks.standins import OrderFaults, OrdersView, RecordStore, StoreView, TaskWorkers
@@ -218,7 +218,7 @@
 
     def borrow(self, count: int) -> None:
         """Let another service lack machines."""
-        self.store.put(need_key(BORROWER), PoolNeed(lacking=count).encode())
+        self.store.put(pool_demand_key(BORROWER), PoolDemand(lacking=count).encode())
 
     # ---- holders
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -11,11 +11,11 @@
 from shallotworks.jobs import TaskName
 from shallotworks.scheduling import (
     MachineControllerRecord,
-    PoolNeed,
+    PoolDemand,
     Runner,
     RunnersRecord,
     machine_controller_key,
-    need_key,
+    pool_demand_key,
     runners_key,
 )
 from shallotworks.standins import RecordStore, StoreView
@@ -193,12 +193,12 @@
             await history.submit(JOB_ID, step(1, is_lasting=True))
             await asyncio.sleep(1.0)
             faults.late_part = 1.0
-            offer = PoolNeed(token=token, free=("w0",))
-            self.assertFalse(await term._tell_need(offer))
+            offer = PoolDemand(token=token, free=("w0",))
+            self.assertFalse(await term._publish_demand(offer))
             faults.late_part = 0.0
-            self.assertTrue(await term._tell_need(PoolNeed(token=token)))
+            self.assertTrue(await term._publish_demand(PoolDemand(token=token)))
             await asyncio.sleep(LATE_S)
-            stored = PoolNeed.decode(history.store.items[need_key(SERVICE)].value)
+            stored = PoolDemand.decode(history.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual((), stored.free)
             await history.instances[0].kill()
 
--- a/tests/test_machine_keeper.py
+++ b/tests/test_machine_keeper.py
@@ -20,9 +20,9 @@
     MachineKeeper,
     MachineOrderStatus,
     MachineState,
-    PoolNeed,
+    PoolDemand,
     Upkeep,
-    need_key,
+    pool_demand_key,
 )
 from shallotworks.scheduling._machine_book import MachineControllerRecord
 from shallotworks.standins import RecordStore, StoreView
@@ -169,8 +169,8 @@
             for one in self.platform.machines.values()
             if one.pool == service and one.worker_id
         ]
-        need = PoolNeed(lacking=lacking, free=tuple(workers) if free else (), woke=woke)
-        self.store.put(need_key(service), need.encode())
+        need = PoolDemand(lacking=lacking, free=tuple(workers) if free else (), woke=woke)
+        self.store.put(pool_demand_key(service), need.encode())
 
     def moves(self) -> list[tuple[str, str, float]]:
         """Return the moves that were ordered."""
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -9,7 +9,7 @@
 
 from shallotworks.errors import Failure
 from shallotworks.jobs import JobKeys
-from shallotworks.scheduling import Bidder, PoolNeed, PoolSizer, SizingLimits, need_key
+from shallotworks.scheduling import Bidder, PoolDemand, PoolSizer, SizingLimits, pool_demand_key
 from shallotworks.standins import RecordStore, StoreView
 from shallotworks.store import Changes, Holder, HolderTimes
 from tests.fleet_history import SERVICE, History
@@ -182,14 +182,14 @@
             (instance,) = history.instances
             instance.start()
             await asyncio.sleep(3.0)
-            before = PoolNeed.decode(history.store.items[need_key(SERVICE)].value)
+            before = PoolDemand.decode(history.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual(2, len(before.free))
             history.store.are_leases_paused = True
             instance.view.faults.is_down = True
             await asyncio.sleep(7.0)
             instance.view.faults.is_down = False
             await asyncio.sleep(1.5)
-            after = PoolNeed.decode(history.store.items[need_key(SERVICE)].value)
+            after = PoolDemand.decode(history.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual(before.free, after.free)
             self.assertEqual(before.token, after.token)
             self.assertEqual(before.woke + 1, after.woke)
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from shallotworks.scheduling import EndKind, PoolNeed, PoolSizer, RunningTask, SizingLimits
+from shallotworks.scheduling import EndKind, PoolDemand, PoolSizer, RunningTask, SizingLimits
 from tests.scheduling_fakes import WALL_S, Bench, job, step, view
 
 LIMITS = SizingLimits(backlog_s=0.8, idle_s=0.3, patience_s=1.5)
@@ -15,7 +15,7 @@
         super().__init__(*(view(name) for name in names))
         self.sizer = PoolSizer(board=self.board, limits=LIMITS)
 
-    def assess(self, *due: str, after_s: float = 0.0) -> PoolNeed:
+    def assess(self, *due: str, after_s: float = 0.0) -> PoolDemand:
         """Return what the keeper is told, some time after the jobs' arrival."""
         return self.sizer.assess(frozenset(due), now_s=self.now_s, wall_s=WALL_S + after_s)
 
