--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -19,8 +19,8 @@
     MACHINES_PREFIX,
     Bidder,
     KeeperParts,
-    MachineBook,
     MachineKeeper,
+    MachineRecords,
     OrderTimes,
     ServiceTerm,
     TermParts,
@@ -108,7 +108,7 @@
         self._registry = WorkerRegistry(log=self._log)
         self._workers_heard_s = -math.inf
         self._book = OperatorsBook(on_configuration=self._configured, log=self._log)
-        self._machine_book = MachineBook(log=self._log)
+        self._machine_records = MachineRecords(log=self._log)
         self._held_times = HolderTimes(ttl_s=max(HolderTimes().ttl_s, settings.smallest_ttl_s))
         self._parts = self._make_parts()
         self._bidder = Bidder(
@@ -150,7 +150,7 @@
             orders=self._orders,
             directory=self._registry,
             advice=PlatformAdvice(client=advice_client),
-            book=self._machine_book,
+            machine_records=self._machine_records,
             clock=boot_clock,
             wall_clock=time.time,
             times=OrderTimes(lease_s=settings.bounds.longest_lease_s * LEASE_PART),
@@ -235,7 +235,7 @@
         machines = Mirror(
             store=self._store,
             prefix=MACHINES_PREFIX,
-            listener=self._machine_book,
+            listener=self._machine_records,
             log=self._log,
             pause_s=MACHINES_PAUSE_S,
         )
@@ -254,7 +254,7 @@
                 client=self._machines_client, instance=self._settings.instance
             ),
             upkeep=self._book,
-            book=self._machine_book,
+            machine_records=self._machine_records,
             standby=self._standby,
             store=self._store,
             clock=boot_clock,
--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -11,10 +11,10 @@
 from ._entries import StepEntry
 from ._keeper import MachineKeeper
 from ._keeper_parts import KeeperParts
-from ._machine_book import (
+from ._machine_records import (
     MACHINES_PREFIX,
-    MachineBook,
     MachineControllerRecord,
+    MachineRecords,
     PoolDemand,
     machine_controller_key,
     pool_demand_key,
@@ -68,7 +68,7 @@
     "MACHINES_PREFIX",
     "MachineControllerRecord",
     "Machine",
-    "MachineBook",
+    "MachineRecords",
     "MachineKeeper",
     "MachineState",
     "Machines",
--- a/src/shallotworks/scheduling/_keeper.py
+++ b/src/shallotworks/scheduling/_keeper.py
@@ -57,7 +57,7 @@
             keep.cancel()
 
     def _has_work(self) -> bool:
-        demands = self._parts.book.demands.values()
+        demands = self._parts.machine_records.demands.values()
         return bool(self._waves.open_waves()) or any(
             demand.lacking or demand.free for demand in demands
         )
--- a/src/shallotworks/scheduling/_keeper_parts.py
+++ b/src/shallotworks/scheduling/_keeper_parts.py
@@ -8,7 +8,7 @@
 from shallotworks.logs import LogLines
 from shallotworks.store import Store
 
-from ._machine_book import MachineBook
+from ._machine_records import MachineRecords
 from ._protocols import Machines, UpkeepBook
 
 __all__ = ["KeeperParts"]
@@ -21,7 +21,7 @@
     Args:
         machines: The machines.
         upkeep: The waves that operators ask for.
-        book: What schedulers say.
+        machine_records: What schedulers say.
         standby: Returns the services whose machines are off and not paid for.
         store: The store.
         clock: Seconds, counting suspended time.
@@ -33,7 +33,7 @@
 
     machines: Machines
     upkeep: UpkeepBook
-    book: MachineBook
+    machine_records: MachineRecords
     standby: Callable[[], frozenset[str]]
     store: Store
     clock: Callable[[], float]
--- a/src/shallotworks/scheduling/_keeper_record.py
+++ b/src/shallotworks/scheduling/_keeper_record.py
@@ -7,7 +7,7 @@
 from shallotworks.store import HeldRecord, Holder
 
 from ._keeper_parts import KeeperParts
-from ._machine_book import MachineControllerRecord, machine_controller_key
+from ._machine_records import MachineControllerRecord, machine_controller_key
 from ._protocols import Machine
 
 __all__ = ["KeeperRecord"]
@@ -108,7 +108,8 @@
         """
         self._rested_s = self._parts.clock()
         self._words_before = {
-            service: demand.origin for service, demand in self._parts.book.demands.items()
+            service: demand.origin
+            for service, demand in self._parts.machine_records.demands.items()
         }
 
     def is_heard(self, service: str) -> bool:
@@ -119,7 +120,7 @@
         """
         if self._parts.clock() - self._rested_s >= self._apart_s:
             return True
-        demand = self._parts.book.demands.get(service)
+        demand = self._parts.machine_records.demands.get(service)
         return demand is not None and demand.origin != self._words_before.get(service)
 
     def may_order(self, machine: Machine) -> bool:
--- a/src/shallotworks/scheduling/_machine_orders.py
+++ b/src/shallotworks/scheduling/_machine_orders.py
@@ -10,7 +10,7 @@
 
 from ._keeper_parts import KeeperParts
 from ._keeper_record import KeeperRecord
-from ._machine_book import PoolDemand, pool_demand_key
+from ._machine_records import PoolDemand, pool_demand_key
 from ._protocols import Machine, MachineOrderStatus
 
 __all__ = ["MachineOrders"]
@@ -74,7 +74,7 @@
         """Whether the machine's scheduler had nothing on it that must stay, when last heard of."""
         if not machine.worker_id:
             return True
-        demand = self._parts.book.demands.get(machine.pool)
+        demand = self._parts.machine_records.demands.get(machine.pool)
         return demand is not None and machine.worker_id in demand.free
 
     async def may_take(self, machine: Machine) -> bool:
--- a/src/shallotworks/scheduling/_machine_book.py
+++ b/src/shallotworks/scheduling/_machine_records.py
@@ -16,7 +16,7 @@
 __all__ = [
     "MACHINES_PREFIX",
     "MachineControllerRecord",
-    "MachineBook",
+    "MachineRecords",
     "PoolDemand",
     "machine_controller_key",
     "pool_demand_key",
@@ -120,25 +120,25 @@
         )
 
 
-class MachineBook:
+class MachineRecords:
     """Both kinds of records as they were last read; implements `MirrorListener`.
 
     Args:
         log: Records that can't be read.
     """
 
-    __slots__ = ("_log", "demands", "keeper")
+    __slots__ = ("_log", "controller", "demands")
 
     def __init__(self, *, log: LogLines) -> None:
         self._log = log
         self.demands: dict[str, PoolDemand] = {}
-        self.keeper = MachineControllerRecord()
+        self.controller = MachineControllerRecord()
 
     def written(self, item: Item) -> None:
         """Hear that a record was written."""
         try:
             if item.key == machine_controller_key():
-                self.keeper = MachineControllerRecord.decode(item.value)
+                self.controller = MachineControllerRecord.decode(item.value)
             elif item.key.startswith(POOL_DEMAND_PREFIX):
                 self.demands[item.key.removeprefix(POOL_DEMAND_PREFIX)] = PoolDemand.decode(
                     item.value
@@ -149,6 +149,6 @@
     def deleted(self, key: str, revision: int) -> None:
         """Hear that a record is gone."""
         if key == machine_controller_key():
-            self.keeper = MachineControllerRecord()
+            self.controller = MachineControllerRecord()
         else:
             self.demands.pop(key.removeprefix(POOL_DEMAND_PREFIX), None)
--- a/src/shallotworks/scheduling/_moves.py
+++ b/src/shallotworks/scheduling/_moves.py
@@ -194,7 +194,7 @@
         lacking = Counter(self._takers())
         wanted = lacking.total()
         recalls: dict[str, int] = {}
-        for service in sorted(self._parts.book.demands):
+        for service in sorted(self._parts.machine_records.demands):
             borrowed = sizes.get(service, 0) - home.get(service, 0)
             by_others = min(wanted, lacking.total() - lacking[service])
             if service not in self._parts.standby() and borrowed > 0 and by_others > 0:
@@ -242,7 +242,7 @@
         """Return machines that schedulers offer, and those in standby pools."""
         idle: list[Machine] = []
         resting: list[Machine] = []
-        demands = self._parts.book.demands
+        demands = self._parts.machine_records.demands
         standby = self._parts.standby()
         for machine in machines.values():
             if machine.state is not MachineState.UP or machine.name in self._moving:
@@ -263,7 +263,7 @@
         for move in self._moving.values():
             coming[move.service] = coming.get(move.service, 0) + 1
         takers: list[tuple[int, str]] = []
-        for service, demand in self._parts.book.demands.items():
+        for service, demand in self._parts.machine_records.demands.items():
             if not self._orders.is_heard(service):
                 continue
             takers.extend(
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -14,7 +14,7 @@
 
 from ._board import ServiceBoard
 from ._demand import DemandLimits, arriving_cores
-from ._machine_book import PoolDemand
+from ._machine_records import PoolDemand
 from ._model import Worker
 from ._placement import LEAST_WORKERS
 from ._waiting import tasks_recovering
--- a/src/shallotworks/scheduling/_term.py
+++ b/src/shallotworks/scheduling/_term.py
@@ -24,7 +24,7 @@
 
 from ._board import ServiceBoard
 from ._decisions import Decider
-from ._machine_book import MachineBook, PoolDemand, pool_demand_key
+from ._machine_records import MachineRecords, PoolDemand, pool_demand_key
 from ._model import AdviceRequest
 from ._orders import OrderDesk, OrderTimes
 from ._progress_writer import ProgressWriter
@@ -68,7 +68,7 @@
         orders: Gives orders to workers.
         directory: Lists workers.
         advice: Says which workers may run a step.
-        book: What the keeper of machines wants emptied.
+        machine_records: What the keeper of machines wants emptied.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
         times: Times of orders.
@@ -84,7 +84,7 @@
     orders: WorkerOrders
     directory: WorkerDirectory
     advice: AdviceService
-    book: MachineBook
+    machine_records: MachineRecords
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
     times: OrderTimes
@@ -137,7 +137,7 @@
             board=self.board,
             record=RunnersRecord(service=service, holder=holder, store=parts.store, log=parts.log),
             directory=parts.directory,
-            book=parts.book,
+            machine_records=parts.machine_records,
             clock=parts.clock,
             wall_clock=parts.wall_clock,
             recovery_s=parts.times.recovery_s,
@@ -386,12 +386,14 @@
         wakes = _Wakes()
         while True:
             self._sizer.keep_lasting_off(self._standing_offers(), self._parts.clock())
-            book = self._parts.book
+            machine_records = self._parts.machine_records
             need = self._sizer.assess(
-                book.keeper.due, now_s=self._parts.clock(), wall_s=self._parts.wall_clock()
+                machine_records.controller.due,
+                now_s=self._parts.clock(),
+                wall_s=self._parts.wall_clock(),
             )
             need = replace(need, woke=wakes.count(may_act=self._holder.may_act))
-            self._sizer.yield_some(book.keeper.recalls.get(self.service, 0))
+            self._sizer.yield_some(machine_records.controller.recalls.get(self.service, 0))
             for worker in self._sizer.emptying():
                 self.decider.evacuate(worker)
                 self._desk.wake()
--- a/src/shallotworks/scheduling/_term_workers.py
+++ b/src/shallotworks/scheduling/_term_workers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ._board import ServiceBoard
-from ._machine_book import MachineBook, MachineControllerRecord
+from ._machine_records import MachineControllerRecord, MachineRecords
 from ._model import WorkerView
 from ._protocols import WorkerDirectory
 from ._runners import Runner, RunnersRecord
@@ -23,7 +23,7 @@
         board: The board.
         record: The record that the next term reads.
         directory: Lists workers.
-        book: What the keeper of machines has taken away.
+        machine_records: What the keeper of machines has taken away.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
         recovery_s: Whatever an earlier term started on an unseen worker has ended by then.
@@ -31,9 +31,9 @@
 
     __slots__ = (
         "_board",
-        "_book",
         "_clock",
         "_directory",
+        "_machine_records",
         "_record",
         "_recovery_s",
         "_wall_clock",
@@ -45,7 +45,7 @@
         board: ServiceBoard,
         record: RunnersRecord,
         directory: WorkerDirectory,
-        book: MachineBook,
+        machine_records: MachineRecords,
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
         recovery_s: float,
@@ -53,7 +53,7 @@
         self._board = board
         self._record = record
         self._directory = directory
-        self._book = book
+        self._machine_records = machine_records
         self._clock = clock
         self._wall_clock = wall_clock
         self._recovery_s = recovery_s
@@ -89,7 +89,7 @@
         """
         seen: tuple[int, MachineControllerRecord] | None = None
         while True:
-            version = (self._directory.version, self._book.keeper)
+            version = (self._directory.version, self._machine_records.controller)
             if version != seen:
                 seen = version if await self._learn_directory() else None
                 on_change()
@@ -114,7 +114,7 @@
         """Return the listed workers but for those that are over, whose entries stay on."""
         listed = self._directory.workers_of(self._board.service)
         self._board.drop_replaced(listed)
-        for worker_id in self._book.keeper.over:
+        for worker_id in self._machine_records.controller.over:
             listed.pop(worker_id, None)
             if worker_id in self._board.workers:
                 self._board.worker_over(
--- a/src/shallotworks/scheduling/_waves.py
+++ b/src/shallotworks/scheduling/_waves.py
@@ -178,7 +178,7 @@
         its 15 upkeeps fell into the turn. What lacks machines is asked each time, so that the wave
         goes on between turns, and beside them when its own time runs short.
         """
-        if not any(demand.lacking for demand in self._parts.book.demands.values()):
+        if not any(demand.lacking for demand in self._parts.machine_records.demands.values()):
             return False
         left = len(wave.machines) - len(record.done)
         rounds = math.ceil(left / max(1, wave.most_at_once))
@@ -211,7 +211,11 @@
             earlier: Workers that are being emptied.
         """
         left = [one for one in self._left(wave, record, machines) if one.worker_id]
-        free = {worker for demand in self._parts.book.demands.values() for worker in demand.free}
+        free = {
+            worker
+            for demand in self._parts.machine_records.demands.values()
+            for worker in demand.free
+        }
         left.sort(key=lambda one: (one.worker_id not in earlier, one.worker_id not in free))
         chosen = [*left[: wave.most_at_once * AHEAD], *self._unproved(record, machines)]
         return {one.worker_id for one in chosen if one.worker_id}
--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -12,7 +12,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.scheduling import (
     Bidder,
-    MachineBook,
+    MachineRecords,
     OrderTimes,
     Permits,
     ServiceTerm,
@@ -84,7 +84,7 @@
             orders=self.orders,
             directory=self.directory,
             advice=AllAllowed(),
-            book=MachineBook(log=quiet_log()),
+            machine_records=MachineRecords(log=quiet_log()),
             clock=self.now_s,
             wall_clock=self.now_s,
             times=OrderTimes(),
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -23,7 +23,7 @@
     MACHINES_PREFIX,
     EndedTask,
     EndKind,
-    MachineBook,
+    MachineRecords,
     OrderStatus,
     OrderTimes,
     PoolDemand,
@@ -32,7 +32,7 @@
     pool_demand_key,
 )
 from shallotworks.scheduling._keeper_record import OVER_TOLD_S
-from shallotworks.scheduling._machine_book import MachineControllerRecord, machine_controller_key
+from shallotworks.scheduling._machine_records import MachineControllerRecord, machine_controller_key
 from shallotworks.standins import (
     OrderFaults,
     RecordFaults,
@@ -138,7 +138,7 @@
         self.bidder._log = log
         self._log = log
         self._registry = WorkerRegistry(log=quiet_log())
-        self._book = MachineBook(log=log)
+        self._book = MachineRecords(log=log)
         self._is_following = False
         self.terms_begun_s: list[float] = []
 
@@ -162,7 +162,7 @@
             orders=self.orders,
             directory=self._registry,
             advice=AllAllowed(),
-            book=self._book,
+            machine_records=self._book,
             clock=self.now_s,
             wall_clock=self.now_s,
             times=OrderTimes(),
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -23,9 +23,9 @@
     EndKind,
     KeeperParts,
     Machine,
-    MachineBook,
     MachineKeeper,
     MachineOrderStatus,
+    MachineRecords,
     MachineState,
     OrderTimes,
     PoolDemand,
@@ -35,7 +35,7 @@
     Upkeep,
     pool_demand_key,
 )
-from shallotworks.scheduling._machine_book import MachineControllerRecord, machine_controller_key
+from shallotworks.scheduling._machine_records import MachineControllerRecord, machine_controller_key
 from shallotworks.standins import OrderFaults, OrdersView, RecordStore, StoreView, TaskWorkers
 from shallotworks.store import Holder, Mirror
 from tests.fleet_history import AllAllowed
@@ -153,7 +153,7 @@
         names = [TaskName(JOB, 0, 0, index) for index in range(count)]
         self.budget = Budget(fleet=self.fleet, names=names, may_miss=self.job.steps[0].may_miss)
         self.fleet.budget = self.budget
-        self.keeper_book = MachineBook(log=quiet_log())
+        self.controller_records = MachineRecords(log=quiet_log())
         self._tasks: list[asyncio.Task[None]] = []
 
     def _add(self, machine: str, worker: str, pool: str) -> None:
@@ -229,7 +229,7 @@
         parts = KeeperParts(
             machines=self,
             upkeep=self,
-            book=self.keeper_book,
+            machine_records=self.controller_records,
             standby=frozenset,
             store=store,
             clock=now_s,
@@ -237,10 +237,10 @@
             log=quiet_log(),
         )
         mirror = Mirror(
-            store=store, prefix=MACHINES_PREFIX, listener=self.keeper_book, log=quiet_log()
+            store=store, prefix=MACHINES_PREFIX, listener=self.controller_records, log=quiet_log()
         )
-        keeper = MachineKeeper(holder=holder, parts=parts)
-        self._tasks += [asyncio.create_task(mirror.run()), asyncio.create_task(keeper.run())]
+        controller = MachineKeeper(holder=holder, parts=parts)
+        self._tasks += [asyncio.create_task(mirror.run()), asyncio.create_task(controller.run())]
         await asyncio.sleep(KEEPER_WAITS_S + 0.1)
 
     async def begin_term(self, *, cut: set[str] | None = None) -> TermHandle:
@@ -253,14 +253,16 @@
         orders = OrdersView(fleet=self.fleet, faults=OrderFaults(cut=cut or set()))
         mark = JobKeys(service=SERVICE).holder_mark
         holder = await acquire(store, key=f"shallotworks/duty/scheduler/{SERVICE}", mark=mark)
-        book = MachineBook(log=quiet_log())
-        mirror = Mirror(store=store, prefix=MACHINES_PREFIX, listener=book, log=quiet_log())
+        machine_records = MachineRecords(log=quiet_log())
+        mirror = Mirror(
+            store=store, prefix=MACHINES_PREFIX, listener=machine_records, log=quiet_log()
+        )
         parts = TermParts(
             store=store,
             orders=orders,
             directory=self.fleet,
             advice=AllAllowed(),
-            book=book,
+            machine_records=machine_records,
             clock=now_s,
             wall_clock=now_s,
             times=OrderTimes(),
@@ -325,7 +327,7 @@
             await site.begin_keeper()
             taken = {run.worker_id for run in _runs(first)}
             site.ask_wave(*("m" + worker for worker in sorted(taken)))
-            while not site.keeper_book.keeper.due:
+            while not site.controller_records.controller.due:
                 await asyncio.sleep(0.005)
             await site.kill(first)
             await asyncio.sleep(wait_s)
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -277,12 +277,12 @@
             world = World(antenna=2)
             holder = await world.start()
             faults = holder._store.faults
-            keeper = world.keeper
-            assert keeper is not None
+            controller = world.controller
+            assert controller is not None
             faults.lost_part = 1.0
-            await keeper._record.tell(frozenset({"w"}), {})
+            await controller._record.tell(frozenset({"w"}), {})
             faults.lost_part = 0.0
-            await keeper._record.tell(frozenset(), {})
+            await controller._record.tell(frozenset(), {})
             stored = MachineControllerRecord.decode(
                 world.store.items[machine_controller_key()].value
             )
--- a/tests/test_machine_keeper.py
+++ b/tests/test_machine_keeper.py
@@ -16,15 +16,15 @@
     MACHINES_PREFIX,
     KeeperParts,
     Machine,
-    MachineBook,
     MachineKeeper,
     MachineOrderStatus,
+    MachineRecords,
     MachineState,
     PoolDemand,
     Upkeep,
     pool_demand_key,
 )
-from shallotworks.scheduling._machine_book import MachineControllerRecord
+from shallotworks.scheduling._machine_records import MachineControllerRecord
 from shallotworks.standins import RecordStore, StoreView
 from shallotworks.store import Holder, Mirror
 from tests.held_keys import acquire
@@ -118,9 +118,9 @@
     def __init__(self, **pools: int) -> None:
         self.platform = Platform(**pools)
         self.store = RecordStore(rng=random.Random(1))
-        self.book = MachineBook(log=quiet_log())
+        self.machine_records = MachineRecords(log=quiet_log())
         self.tasks: list[asyncio.Task[None]] = []
-        self.keeper: MachineKeeper | None = None
+        self.controller: MachineKeeper | None = None
         self.unnamed: list[str] = []
         """Machines that were ordered before the keeper had named them in the store."""
         self.platform.on_order = self._judge_order
@@ -147,19 +147,21 @@
         clock = asyncio.get_running_loop().time
         holder = await acquire(view, key="keeper", mark="mark")
         view.faults.delay_s = answer_s
-        mirror = Mirror(store=view, prefix=MACHINES_PREFIX, listener=self.book, log=quiet_log())
+        mirror = Mirror(
+            store=view, prefix=MACHINES_PREFIX, listener=self.machine_records, log=quiet_log()
+        )
         parts = KeeperParts(
             machines=self.platform,
             upkeep=self.platform,
-            book=self.book,
+            machine_records=self.machine_records,
             standby=lambda: frozenset({"spare"}),
             store=view,
             clock=clock,
             wall_clock=clock,
             log=quiet_log(),
         )
-        self.keeper = MachineKeeper(holder=holder, parts=parts)
-        self.tasks = [asyncio.create_task(mirror.run()), asyncio.create_task(self.keeper.run())]
+        self.controller = MachineKeeper(holder=holder, parts=parts)
+        self.tasks = [asyncio.create_task(mirror.run()), asyncio.create_task(self.controller.run())]
         return holder
 
     def tell(self, service: str, *, lacking: int = 0, free: bool = False, woke: int = 0) -> None:
@@ -243,7 +245,7 @@
             world.tell("antenna")
             await asyncio.sleep(8)
             self.assertEqual([], world.platform.orders)
-            self.assertTrue(world.book.keeper.due)
+            self.assertTrue(world.machine_records.controller.due)
             self.assertEqual(b"running", world.store.items["status/1"].value)
             world.stop()
 
@@ -343,7 +345,7 @@
                 world.tell("antenna", free=True)
                 await asyncio.sleep(0.2)
             self.assertGreater(len(world.platform.orders), 1)
-            self.assertEqual((), world.book.keeper.over)
+            self.assertEqual((), world.machine_records.controller.over)
             world.stop()
 
         run_story(story())
@@ -368,7 +370,7 @@
             await world.start()
             await asyncio.sleep(3.4)
             worker = world.platform.machines[name].worker_id
-            self.assertNotIn(worker, world.book.keeper.due)
+            self.assertNotIn(worker, world.machine_records.controller.due)
             for _ in range(60):
                 world.tell("antenna", free=True)
                 await asyncio.sleep(0.2)
@@ -420,7 +422,7 @@
             world.platform.busy = set()
             await asyncio.sleep(4)
             self.assertEqual([], world.platform.orders)
-            self.assertTrue(world.book.keeper.due)
+            self.assertTrue(world.machine_records.controller.due)
             world.stop()
 
         run_story(story())
@@ -684,11 +686,11 @@
             world.tell("antenna")
             world.tell("coverage", lacking=3)
             await asyncio.sleep(0.5)
-            self.assertEqual({"antenna": 3}, world.book.keeper.recalls)
+            self.assertEqual({"antenna": 3}, world.machine_records.controller.recalls)
             world.tell("antenna", lacking=9)
             world.tell("coverage", lacking=9)
             await asyncio.sleep(0.5)
-            self.assertEqual({"antenna": 4}, world.book.keeper.recalls)
+            self.assertEqual({"antenna": 4}, world.machine_records.controller.recalls)
             world.stop()
 
         run_story(story())
@@ -730,7 +732,7 @@
             world.tell("coverage", free=True)
             world.tell("antenna", lacking=1)
             await asyncio.sleep(4)
-            self.assertEqual(("w2",), world.book.keeper.over)
+            self.assertEqual(("w2",), world.machine_records.controller.over)
             record = json.loads(world.store.items[MACHINES_PREFIX + "keeper"].value)
             self.assertEqual(["w2"], record["over"])
             world.stop()
@@ -752,12 +754,12 @@
             world.tell("coverage", free=True)
             world.tell("antenna", lacking=1)
             await asyncio.sleep(4.5)
-            over = world.book.keeper.over
+            over = world.machine_records.controller.over
             self.assertEqual(("w0", 2), (over[0], len(over)))
             await asyncio.sleep(16)
             world.tell("antenna", lacking=3)
             await asyncio.sleep(1)
-            self.assertNotIn("w0", world.book.keeper.over)
+            self.assertNotIn("w0", world.machine_records.controller.over)
             world.stop()
 
         run_story(story())
--- a/tests/test_runners_record.py
+++ b/tests/test_runners_record.py
@@ -10,7 +10,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.scheduling import (
     EndKind,
-    MachineBook,
+    MachineRecords,
     OrderDesk,
     OrderTimes,
     Run,
@@ -186,7 +186,7 @@
                 board=bench.board,
                 record=record,
                 directory=TaskWorkers(rng=random.Random(1)),
-                book=MachineBook(log=quiet_log()),
+                machine_records=MachineRecords(log=quiet_log()),
                 clock=loop.time,
                 wall_clock=loop.time,
                 recovery_s=OrderTimes().recovery_s,
