--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -19,7 +19,7 @@
     MACHINES_PREFIX,
     Bidder,
     KeeperParts,
-    MachineKeeper,
+    MachineController,
     MachineRecords,
     OrderTimes,
     ServiceTerm,
@@ -262,7 +262,7 @@
             log=self._log,
             turns_apart_s=self._settings.bounds.turns_apart_s,
         )
-        await MachineKeeper(holder=holder, parts=parts).run()
+        await MachineController(holder=holder, parts=parts).run()
 
     def _workers_heard(self) -> None:
         self._workers_heard_s = boot_clock()
--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -9,8 +9,8 @@
 from ._board import ServiceBoard, Stored
 from ._decisions import Decider
 from ._entries import StepEntry
-from ._keeper import MachineKeeper
 from ._keeper_parts import KeeperParts
+from ._machine_controller import MachineController
 from ._machine_records import (
     MACHINES_PREFIX,
     MachineControllerRecord,
@@ -69,7 +69,7 @@
     "MachineControllerRecord",
     "Machine",
     "MachineRecords",
-    "MachineKeeper",
+    "MachineController",
     "MachineState",
     "Machines",
     "OrderStatus",
--- a/src/shallotworks/scheduling/_keeper.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -17,13 +17,13 @@
 from ._moves import PoolMover
 from ._waves import WaveRunner
 
-__all__ = ["MachineKeeper"]
+__all__ = ["MachineController"]
 
 ROUND_S = 0.2
 """Between looks at the machines: a machine is down for 2 s, and moves within 1.5 s."""
 
 
-class MachineKeeper:
+class MachineController:
     """One term of the keeper.
 
     Args:
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -23,7 +23,7 @@
     EndKind,
     KeeperParts,
     Machine,
-    MachineKeeper,
+    MachineController,
     MachineOrderStatus,
     MachineRecords,
     MachineState,
@@ -239,7 +239,7 @@
         mirror = Mirror(
             store=store, prefix=MACHINES_PREFIX, listener=self.controller_records, log=quiet_log()
         )
-        controller = MachineKeeper(holder=holder, parts=parts)
+        controller = MachineController(holder=holder, parts=parts)
         self._tasks += [asyncio.create_task(mirror.run()), asyncio.create_task(controller.run())]
         await asyncio.sleep(KEEPER_WAITS_S + 0.1)
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -24,7 +24,7 @@
 from tests.held_keys import acquire
 from tests.on_loop import run_story
 from tests.scheduling_fakes import Bench, job, quiet_log, step, view
-from tests.test_machine_keeper import World
+from tests.test_machine_controller import World
 
 JOB_ID = "00000000000000ab"
 NAME = TaskName(JOB_ID, 0, 0, 0)
--- a/tests/test_machine_keeper.py
+++ b/tests/test_machine_controller.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.scheduling.MachineKeeper`: waves of upkeep and moves between pools."""
+"""Tests of `shallotworks.scheduling.MachineController`: waves of upkeep and moves between pools."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     MACHINES_PREFIX,
     KeeperParts,
     Machine,
-    MachineKeeper,
+    MachineController,
     MachineOrderStatus,
     MachineRecords,
     MachineState,
@@ -120,7 +120,7 @@
         self.store = RecordStore(rng=random.Random(1))
         self.machine_records = MachineRecords(log=quiet_log())
         self.tasks: list[asyncio.Task[None]] = []
-        self.controller: MachineKeeper | None = None
+        self.controller: MachineController | None = None
         self.unnamed: list[str] = []
         """Machines that were ordered before the keeper had named them in the store."""
         self.platform.on_order = self._judge_order
@@ -160,7 +160,7 @@
             wall_clock=clock,
             log=quiet_log(),
         )
-        self.controller = MachineKeeper(holder=holder, parts=parts)
+        self.controller = MachineController(holder=holder, parts=parts)
         self.tasks = [asyncio.create_task(mirror.run()), asyncio.create_task(self.controller.run())]
         return holder
 
