--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -12,7 +12,7 @@
 from shallotworks.store import Holder
 
 from ._keeper_parts import KeeperParts
-from ._keeper_record import KeeperRecord
+from ._machine_controller_ledger import MachineControllerLedger
 from ._machine_orders import MachineOrders
 from ._moves import PoolMover
 from ._waves import WaveRunner
@@ -36,7 +36,7 @@
     def __init__(self, *, holder: Holder, parts: KeeperParts) -> None:
         self._holder = holder
         self._parts = parts
-        self._record = KeeperRecord(holder=holder, parts=parts)
+        self._record = MachineControllerLedger(holder=holder, parts=parts)
         orders = MachineOrders(holder=holder, parts=parts, record=self._record)
         self._waves = WaveRunner(holder=holder, parts=parts, orders=orders)
         self._mover = PoolMover(holder=holder, parts=parts, orders=orders)
@@ -47,11 +47,11 @@
         try:
             while not self._holder.lost.is_set():
                 if not self._holder.may_act:
-                    self._record.rest()
+                    self._record.note_suspension()
                 else:
                     if self._has_work():
                         await self._round()
-                    await self._record.forget_old()
+                    await self._record.prune()
                 await asyncio.sleep(ROUND_S)
         finally:
             keep.cancel()
@@ -77,7 +77,7 @@
             record = await self._waves.advance(wave, machines)
             if record is not None:
                 in_waves.update(self._waves.engaged(wave, record))
-                due.update(self._waves.next_due(wave, record, machines, self._record.told.due))
-        await self._record.tell(frozenset(due), await self._mover.recalls(machines))
+                due.update(self._waves.next_due(wave, record, machines, self._record.published.due))
+        await self._record.publish(frozenset(due), await self._mover.recalls(machines))
         await self._mover.move_some(machines, in_waves)
-        await self._record.tell(frozenset(due), self._record.told.recalls)
+        await self._record.publish(frozenset(due), self._record.published.recalls)
--- a/src/shallotworks/scheduling/_keeper_record.py
+++ b/src/shallotworks/scheduling/_machine_controller_ledger.py
@@ -10,7 +10,7 @@
 from ._machine_records import MachineControllerRecord, machine_controller_key
 from ._protocols import Machine
 
-__all__ = ["KeeperRecord"]
+__all__ = ["MachineControllerLedger"]
 
 OVER_TOLD_S = 15.0
 """Workers that were taken away are told of for this long: a scheduler that begins meanwhile need
@@ -27,7 +27,7 @@
 may lack them."""
 
 
-class KeeperRecord:
+class MachineControllerLedger:
     """What one term of the keeper says of workers and machines.
 
     The failures that it guards against: two holders take turns on a machine; and every queue waits
@@ -53,7 +53,7 @@
         "_rested_s",
         "_words_before",
         "is_read",
-        "told",
+        "published",
     )
 
     def __init__(self, *, holder: Holder, parts: KeeperParts) -> None:
@@ -74,7 +74,7 @@
         self._words_before: dict[str, tuple[int, int]] = {}
         """For each pool whose word was known when this keeper last rested, where that came from."""
         self.is_read = False
-        self.told = MachineControllerRecord()
+        self.published = MachineControllerRecord()
 
     async def read(self) -> None:
         """Learn what the predecessor has said, where the store answers."""
@@ -100,7 +100,7 @@
             )
             return MachineControllerRecord()
 
-    def rest(self) -> None:
+    def note_suspension(self) -> None:
         """Take note that the key rests: what schedulers have said may be over by the time it wakes.
 
         The failure: a scheduler takes its offer back in an outage and can't say so; the keeper goes
@@ -112,7 +112,7 @@
             for service, demand in self._parts.machine_records.demands.items()
         }
 
-    def is_heard(self, service: str) -> bool:
+    def is_demand_current(self, service: str) -> bool:
         """Whether a service's scheduler has spoken since this keeper last rested.
 
         One that does not, since it has not rested itself, is heard again once its calls in flight
@@ -132,7 +132,7 @@
         is_named = self._blocked is None or machine.name in self._blocked
         if is_named and not is_apart:
             return False
-        return machine.pool in self._parts.standby() or self.is_heard(machine.pool)
+        return machine.pool in self._parts.standby() or self.is_demand_current(machine.pool)
 
     @property
     def _apart_s(self) -> float:
@@ -146,27 +146,31 @@
             return True
         now_s = self._parts.clock()
         self._ordered |= dict.fromkeys(names, now_s)
-        if names <= set(self.told.ordered or ()) and not self._record.doubtful:
+        if names <= set(self.published.ordered or ()) and not self._record.doubtful:
             return True
-        return await self._put(self.told.due, self.told.recalls)
+        return await self._put(self.published.due, self.published.recalls)
 
-    async def forget_old(self) -> None:
+    async def prune(self) -> None:
         """Take machines from the word whose orders no new keeper can come too close to."""
         now_s = self._parts.clock()
         if not self.is_read or now_s - self._forgot_s < FORGET_EVERY_S:
             return
         self._forgot_s = now_s
-        if set(self.told.ordered or ()) - set(self._recently_ordered()):
-            await self._put(self.told.due, self.told.recalls)
+        if set(self.published.ordered or ()) - set(self._recently_ordered()):
+            await self._put(self.published.due, self.published.recalls)
 
     def note_over(self, worker_id: str) -> None:
         """Take note that a worker was taken away."""
         self._over[worker_id] = self._parts.clock()
 
-    async def tell(self, due: frozenset[str], recalls: dict[str, int]) -> None:
+    async def publish(self, due: frozenset[str], recalls: dict[str, int]) -> None:
         """Tell schedulers what is due and wanted back, and what was taken away."""
-        told = self.told
-        is_same = (told.due, told.recalls, told.over) == (due, recalls, self._over_told())
+        published = self.published
+        is_same = (published.due, published.recalls, published.over) == (
+            due,
+            recalls,
+            self._over_told(),
+        )
         if not is_same or self._record.doubtful:
             await self._put(due, recalls)
 
@@ -180,7 +184,7 @@
         )
         is_told = await self._record.put(word.encode())
         if is_told:
-            self.told = word
+            self.published = word
         return is_told
 
     def _recently_ordered(self) -> dict[str, float]:
--- a/src/shallotworks/scheduling/_machine_orders.py
+++ b/src/shallotworks/scheduling/_machine_orders.py
@@ -9,7 +9,7 @@
 from shallotworks.store import Holder
 
 from ._keeper_parts import KeeperParts
-from ._keeper_record import KeeperRecord
+from ._machine_controller_ledger import MachineControllerLedger
 from ._machine_records import PoolDemand, pool_demand_key
 from ._protocols import Machine, MachineOrderStatus
 
@@ -27,7 +27,9 @@
 
     __slots__ = ("_holder", "_parts", "_record")
 
-    def __init__(self, *, holder: Holder, parts: KeeperParts, record: KeeperRecord) -> None:
+    def __init__(
+        self, *, holder: Holder, parts: KeeperParts, record: MachineControllerLedger
+    ) -> None:
         self._holder = holder
         self._parts = parts
         self._record = record
@@ -38,9 +40,9 @@
         is_named = await self._record.announce(one.name for one in allowed)
         return allowed if is_named else []
 
-    def is_heard(self, service: str) -> bool:
+    def is_demand_current(self, service: str) -> bool:
         """Whether what a service's scheduler says it lacks is no word from before an outage."""
-        return self._record.is_heard(service)
+        return self._record.is_demand_current(service)
 
     async def upkeep(self, machine: Machine, wave: int, *, is_first: bool) -> MachineOrderStatus:
         """Take a machine down for its upkeep.
--- a/src/shallotworks/scheduling/_moves.py
+++ b/src/shallotworks/scheduling/_moves.py
@@ -264,7 +264,7 @@
             coming[move.service] = coming.get(move.service, 0) + 1
         takers: list[tuple[int, str]] = []
         for service, demand in self._parts.machine_records.demands.items():
-            if not self._orders.is_heard(service):
+            if not self._orders.is_demand_current(service):
                 continue
             takers.extend(
                 (turn, service) for turn in range(demand.lacking - coming.get(service, 0))
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -31,7 +31,7 @@
     TermParts,
     pool_demand_key,
 )
-from shallotworks.scheduling._keeper_record import OVER_TOLD_S
+from shallotworks.scheduling._machine_controller_ledger import OVER_TOLD_S
 from shallotworks.scheduling._machine_records import MachineControllerRecord, machine_controller_key
 from shallotworks.standins import (
     OrderFaults,
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -280,9 +280,9 @@
             controller = world.controller
             assert controller is not None
             faults.lost_part = 1.0
-            await controller._record.tell(frozenset({"w"}), {})
+            await controller._record.publish(frozenset({"w"}), {})
             faults.lost_part = 0.0
-            await controller._record.tell(frozenset(), {})
+            await controller._record.publish(frozenset(), {})
             stored = MachineControllerRecord.decode(
                 world.store.items[machine_controller_key()].value
             )
