--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -18,12 +18,12 @@
 from shallotworks.scheduling import (
     MACHINES_PREFIX,
     Bidder,
-    KeeperParts,
     MachineController,
+    MachineControllerDependencies,
     MachineRecords,
     OrderTimes,
+    SchedulerDependencies,
     ServiceTerm,
-    TermParts,
 )
 from shallotworks.store import Holder, HolderTimes, Mirror
 
@@ -110,7 +110,7 @@
         self._book = OperatorsBook(on_configuration=self._configured, log=self._log)
         self._machine_records = MachineRecords(log=self._log)
         self._held_times = HolderTimes(ttl_s=max(HolderTimes().ttl_s, settings.smallest_ttl_s))
-        self._parts = self._make_parts()
+        self._dependencies = self._make_dependencies()
         self._bidder = Bidder(
             store=self._store,
             root=DUTIES_PREFIX,
@@ -142,10 +142,10 @@
         self._stop = asyncio.Event()
         self._followers: list[asyncio.Task[None]] = []
 
-    def _make_parts(self) -> TermParts:
+    def _make_dependencies(self) -> SchedulerDependencies:
         settings = self._settings
         advice_client = self._advice_client if settings.advice_address else None
-        return TermParts(
+        return SchedulerDependencies(
             store=self._store,
             orders=self._orders,
             directory=self._registry,
@@ -218,7 +218,7 @@
             await self._run_keeper(holder)
             return
         service = duty.removeprefix(SCHEDULER_DUTY)
-        await ServiceTerm(service=service, holder=holder, parts=self._parts).run()
+        await ServiceTerm(service=service, holder=holder, dependencies=self._dependencies).run()
 
     def _follow_fleet(self) -> None:
         """Follow workers and machines from the first duty on; who only answers callers need not."""
@@ -249,7 +249,7 @@
         self._registry.is_synced = True
 
     async def _run_keeper(self, holder: Holder) -> None:
-        parts = KeeperParts(
+        dependencies = MachineControllerDependencies(
             machines=PlatformMachines(
                 client=self._machines_client, instance=self._settings.instance
             ),
@@ -262,7 +262,7 @@
             log=self._log,
             turns_apart_s=self._settings.bounds.turns_apart_s,
         )
-        await MachineController(holder=holder, parts=parts).run()
+        await MachineController(holder=holder, dependencies=dependencies).run()
 
     def _workers_heard(self) -> None:
         self._workers_heard_s = boot_clock()
--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -9,8 +9,8 @@
 from ._board import ServiceBoard, Stored
 from ._decisions import Decider
 from ._entries import StepEntry
-from ._keeper_parts import KeeperParts
 from ._machine_controller import MachineController
+from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_records import (
     MACHINES_PREFIX,
     MachineControllerRecord,
@@ -51,7 +51,7 @@
 )
 from ._runners import Runner, RunnersRecord, runners_key
 from ._sizing import PoolSizer, SizingLimits
-from ._term import ServiceTerm, TermParts
+from ._term import SchedulerDependencies, ServiceTerm
 from ._wait_reason import WaitReason
 from ._waiting import WaitSummary, WaitWatch, waiting_reason
 from ._wave import WaveRecord, wave_key
@@ -64,7 +64,7 @@
     "MachineOrderStatus",
     "EndKind",
     "EndedTask",
-    "KeeperParts",
+    "MachineControllerDependencies",
     "MACHINES_PREFIX",
     "MachineControllerRecord",
     "Machine",
@@ -92,7 +92,7 @@
     "StepEntry",
     "StopOrder",
     "Stored",
-    "TermParts",
+    "SchedulerDependencies",
     "Upkeep",
     "UpkeepBook",
     "WaitReason",
--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -11,7 +11,7 @@
 
 from shallotworks.store import Holder
 
-from ._keeper_parts import KeeperParts
+from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_controller_ledger import MachineControllerLedger
 from ._machine_orders import MachineOrders
 from ._moves import PoolMover
@@ -28,18 +28,18 @@
 
     Args:
         holder: The keeper's key; its token fences each order.
-        parts: What it works with.
+        dependencies: What it works with.
     """
 
-    __slots__ = ("_holder", "_mover", "_parts", "_record", "_waves")
+    __slots__ = ("_dependencies", "_holder", "_mover", "_record", "_waves")
 
-    def __init__(self, *, holder: Holder, parts: KeeperParts) -> None:
+    def __init__(self, *, holder: Holder, dependencies: MachineControllerDependencies) -> None:
         self._holder = holder
-        self._parts = parts
-        self._record = MachineControllerLedger(holder=holder, parts=parts)
-        orders = MachineOrders(holder=holder, parts=parts, record=self._record)
-        self._waves = WaveRunner(holder=holder, parts=parts, orders=orders)
-        self._mover = PoolMover(holder=holder, parts=parts, orders=orders)
+        self._dependencies = dependencies
+        self._record = MachineControllerLedger(holder=holder, dependencies=dependencies)
+        orders = MachineOrders(holder=holder, dependencies=dependencies, record=self._record)
+        self._waves = WaveRunner(holder=holder, dependencies=dependencies, orders=orders)
+        self._mover = PoolMover(holder=holder, dependencies=dependencies, orders=orders)
 
     async def run(self) -> None:
         """Keep machines until the key is lost."""
@@ -57,7 +57,7 @@
             keep.cancel()
 
     def _has_work(self) -> bool:
-        demands = self._parts.machine_records.demands.values()
+        demands = self._dependencies.machine_records.demands.values()
         return bool(self._waves.open_waves()) or any(
             demand.lacking or demand.free for demand in demands
         )
@@ -66,9 +66,9 @@
         await self._record.read()
         if not self._record.is_read:
             return
-        listed = await self._parts.machines.list()
+        listed = await self._dependencies.machines.list()
         if not isinstance(listed, Success):
-            self._parts.log.line("machines-not-listed", reason=str(listed.failure()))
+            self._dependencies.log.line("machines-not-listed", reason=str(listed.failure()))
             return
         machines = {one.name: one for one in listed.unwrap()}
         due: set[str] = set()
--- a/src/shallotworks/scheduling/_keeper_parts.py
+++ b/src/shallotworks/scheduling/_machine_controller_dependencies.py
@@ -11,11 +11,11 @@
 from ._machine_records import MachineRecords
 from ._protocols import Machines, UpkeepBook
 
-__all__ = ["KeeperParts"]
+__all__ = ["MachineControllerDependencies"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class KeeperParts:
+class MachineControllerDependencies:
     """What a keeper works with.
 
     Args:
--- a/src/shallotworks/scheduling/_machine_controller_ledger.py
+++ b/src/shallotworks/scheduling/_machine_controller_ledger.py
@@ -6,7 +6,7 @@
 
 from shallotworks.store import HeldRecord, Holder
 
-from ._keeper_parts import KeeperParts
+from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_records import MachineControllerRecord, machine_controller_key
 from ._protocols import Machine
 
@@ -38,17 +38,17 @@
 
     Args:
         holder: The keeper's key.
-        parts: What it works with.
+        dependencies: What it works with.
     """
 
     __slots__ = (
         "_begun_s",
         "_blocked",
+        "_dependencies",
         "_forgot_s",
         "_holder",
         "_ordered",
         "_over",
-        "_parts",
         "_record",
         "_rested_s",
         "_words_before",
@@ -56,16 +56,19 @@
         "published",
     )
 
-    def __init__(self, *, holder: Holder, parts: KeeperParts) -> None:
+    def __init__(self, *, holder: Holder, dependencies: MachineControllerDependencies) -> None:
         self._holder = holder
-        self._parts = parts
+        self._dependencies = dependencies
         self._record = HeldRecord(
-            key=machine_controller_key(), holder=holder, store=parts.store, log=parts.log
+            key=machine_controller_key(),
+            holder=holder,
+            store=dependencies.store,
+            log=dependencies.log,
         )
-        self._begun_s = parts.clock()
+        self._begun_s = dependencies.clock()
         self._blocked: frozenset[str] | None = None
         """Machines that have to wait; ``None`` for all."""
-        self._forgot_s = parts.clock()
+        self._forgot_s = dependencies.clock()
         self._ordered: dict[str, float] = {}
         """Machines for which orders may have been given, with the latest moment."""
         self._over: dict[str, float] = {}
@@ -81,7 +84,7 @@
         if self.is_read or not await self._record.read():
             return
         self.is_read = True
-        now_s = self._parts.clock()
+        now_s = self._dependencies.clock()
         word = self._predecessor()
         self._over = dict.fromkeys(word.over, now_s)
         if word.ordered is not None:
@@ -95,7 +98,7 @@
         try:
             return MachineControllerRecord.decode(value)
         except (ValueError, KeyError, TypeError) as error:
-            self._parts.log.line(
+            self._dependencies.log.line(
                 "machines-record-unreadable", key=machine_controller_key(), reason=repr(error)
             )
             return MachineControllerRecord()
@@ -106,10 +109,10 @@
         The failure: a scheduler takes its offer back in an outage and can't say so; the keeper goes
         on with its first look, and the machine is taken away under what was started there.
         """
-        self._rested_s = self._parts.clock()
+        self._rested_s = self._dependencies.clock()
         self._words_before = {
             service: demand.origin
-            for service, demand in self._parts.machine_records.demands.items()
+            for service, demand in self._dependencies.machine_records.demands.items()
         }
 
     def is_demand_current(self, service: str) -> bool:
@@ -118,9 +121,9 @@
         One that does not, since it has not rested itself, is heard again once its calls in flight
         have surely timed out.
         """
-        if self._parts.clock() - self._rested_s >= self._apart_s:
+        if self._dependencies.clock() - self._rested_s >= self._apart_s:
             return True
-        demand = self._parts.machine_records.demands.get(service)
+        demand = self._dependencies.machine_records.demands.get(service)
         return demand is not None and demand.origin != self._words_before.get(service)
 
     def may_order(self, machine: Machine) -> bool:
@@ -128,23 +131,23 @@
 
         In a standby pool nothing runs, so that it has no word to wait for.
         """
-        is_apart = self._parts.clock() - self._begun_s >= self._apart_s
+        is_apart = self._dependencies.clock() - self._begun_s >= self._apart_s
         is_named = self._blocked is None or machine.name in self._blocked
         if is_named and not is_apart:
             return False
-        return machine.pool in self._parts.standby() or self.is_demand_current(machine.pool)
+        return machine.pool in self._dependencies.standby() or self.is_demand_current(machine.pool)
 
     @property
     def _apart_s(self) -> float:
         """How far orders of two holders must be apart."""
-        return self._parts.turns_apart_s + TURNS_MARGIN_S
+        return self._dependencies.turns_apart_s + TURNS_MARGIN_S
 
     async def announce(self, machines: Iterable[str]) -> bool:
         """Name machines in the store before they are ordered; return whether they stand there."""
         names = set(machines)
         if not names:
             return True
-        now_s = self._parts.clock()
+        now_s = self._dependencies.clock()
         self._ordered |= dict.fromkeys(names, now_s)
         if names <= set(self.published.ordered or ()) and not self._record.doubtful:
             return True
@@ -152,7 +155,7 @@
 
     async def prune(self) -> None:
         """Take machines from the word whose orders no new keeper can come too close to."""
-        now_s = self._parts.clock()
+        now_s = self._dependencies.clock()
         if not self.is_read or now_s - self._forgot_s < FORGET_EVERY_S:
             return
         self._forgot_s = now_s
@@ -161,7 +164,7 @@
 
     def note_over(self, worker_id: str) -> None:
         """Take note that a worker was taken away."""
-        self._over[worker_id] = self._parts.clock()
+        self._over[worker_id] = self._dependencies.clock()
 
     async def publish(self, due: frozenset[str], recalls: dict[str, int]) -> None:
         """Tell schedulers what is due and wanted back, and what was taken away."""
@@ -188,8 +191,8 @@
         return is_told
 
     def _recently_ordered(self) -> dict[str, float]:
-        told_s = self._parts.turns_apart_s + ORDERED_TOLD_MARGIN_S
-        now_s = self._parts.clock()
+        told_s = self._dependencies.turns_apart_s + ORDERED_TOLD_MARGIN_S
+        now_s = self._dependencies.clock()
         return {name: at_s for name, at_s in self._ordered.items() if now_s - at_s < told_s}
 
     def _over_told(self) -> tuple[str, ...]:
@@ -198,6 +201,6 @@
         The failure: a scheduler and the keeper on one instance are killed together, and the next
         scheduler waits 10 s for workers that the last keeper took away and that no one tells of.
         """
-        now_s = self._parts.clock()
+        now_s = self._dependencies.clock()
         self._over = {one: at_s for one, at_s in self._over.items() if now_s - at_s < OVER_KEPT_S}
         return tuple(one for one, at_s in self._over.items() if now_s - at_s < OVER_TOLD_S)
--- a/src/shallotworks/scheduling/_machine_orders.py
+++ b/src/shallotworks/scheduling/_machine_orders.py
@@ -8,7 +8,7 @@
 
 from shallotworks.store import Holder
 
-from ._keeper_parts import KeeperParts
+from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_controller_ledger import MachineControllerLedger
 from ._machine_records import PoolDemand, pool_demand_key
 from ._protocols import Machine, MachineOrderStatus
@@ -21,17 +21,21 @@
 
     Args:
         holder: The keeper's key; its token fences each order.
-        parts: What it works with.
+        dependencies: What it works with.
         record: Where machines are named before they are ordered.
     """
 
-    __slots__ = ("_holder", "_parts", "_record")
+    __slots__ = ("_dependencies", "_holder", "_record")
 
     def __init__(
-        self, *, holder: Holder, parts: KeeperParts, record: MachineControllerLedger
+        self,
+        *,
+        holder: Holder,
+        dependencies: MachineControllerDependencies,
+        record: MachineControllerLedger,
     ) -> None:
         self._holder = holder
-        self._parts = parts
+        self._dependencies = dependencies
         self._record = record
 
     async def prepare(self, machines: list[Machine]) -> list[Machine]:
@@ -56,7 +60,7 @@
         """
         if not self._holder.may_act:
             return MachineOrderStatus.REFUSED
-        status = await self._parts.machines.upkeep(
+        status = await self._dependencies.machines.upkeep(
             machine.name, wave=wave, token=self._holder.token
         )
         self._note("upkeep", machine, status, is_over=is_first, wave=wave)
@@ -66,7 +70,7 @@
         """Move a machine into another service's pool."""
         if not self._holder.may_act:
             return MachineOrderStatus.REFUSED
-        status = await self._parts.machines.move(
+        status = await self._dependencies.machines.move(
             machine.name, pool=service, token=self._holder.token
         )
         self._note("move", machine, status, is_over=True, to=service)
@@ -76,7 +80,7 @@
         """Whether the machine's scheduler had nothing on it that must stay, when last heard of."""
         if not machine.worker_id:
             return True
-        demand = self._parts.machine_records.demands.get(machine.pool)
+        demand = self._dependencies.machine_records.demands.get(machine.pool)
         return demand is not None and machine.worker_id in demand.free
 
     async def may_take(self, machine: Machine) -> bool:
@@ -101,7 +105,7 @@
 
     async def _free_of(self, pool: str) -> frozenset[str]:
         """Return what a pool's scheduler offers, as it stands in the store."""
-        outcome = await self._parts.store.get(pool_demand_key(pool))
+        outcome = await self._dependencies.store.get(pool_demand_key(pool))
         if not isinstance(outcome, Success):
             return frozenset()
         item = outcome.unwrap()
@@ -116,7 +120,7 @@
         is_over: bool,
         **inputs: object,
     ) -> None:
-        self._parts.log.line(
+        self._dependencies.log.line(
             "machine-ordered",
             order=order,
             machine=machine.name,
--- a/src/shallotworks/scheduling/_moves.py
+++ b/src/shallotworks/scheduling/_moves.py
@@ -11,7 +11,7 @@
 
 from shallotworks.store import Commit, Committed, Condition, Holder, Write
 
-from ._keeper_parts import KeeperParts
+from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_orders import MachineOrders
 from ._protocols import Machine, MachineOrderStatus, MachineState
 
@@ -65,23 +65,25 @@
 
     Args:
         holder: The keeper's key.
-        parts: What it works with.
+        dependencies: What it works with.
         orders: Gives orders.
     """
 
     __slots__ = (
+        "_dependencies",
         "_holder",
         "_home",
         "_idle_since",
         "_misfits",
         "_moving",
         "_orders",
-        "_parts",
     )
 
-    def __init__(self, *, holder: Holder, parts: KeeperParts, orders: MachineOrders) -> None:
+    def __init__(
+        self, *, holder: Holder, dependencies: MachineControllerDependencies, orders: MachineOrders
+    ) -> None:
         self._holder = holder
-        self._parts = parts
+        self._dependencies = dependencies
         self._orders = orders
         self._home: dict[str, int] | None = None
         self._moving: dict[str, _Move] = {}
@@ -111,14 +113,14 @@
 
     async def _takeable(self, machines: list[Machine]) -> list[Machine]:
         """Return the machines that their pools still offer; standby ones need no word."""
-        standby = self._parts.standby()
+        standby = self._dependencies.standby()
         resting = [machine for machine in machines if machine.pool in standby]
         offered = [machine for machine in machines if machine.pool not in standby]
         return resting + await self._orders.takeable(offered)
 
     def _watch_arrivals(self, machines: dict[str, Machine]) -> None:
         """Let go of moves that are over."""
-        now_s = self._parts.clock()
+        now_s = self._dependencies.clock()
         for name, move in list(self._moving.items()):
             if move.arrived_s is None and self._has_arrived(machines.get(name), move.service):
                 move.arrived_s = now_s
@@ -128,7 +130,7 @@
     def _has_arrived(self, machine: Machine | None, service: str) -> bool:
         if machine is None or machine.state is not MachineState.UP or machine.pool != service:
             return False
-        return bool(machine.worker_id) or service in self._parts.standby()
+        return bool(machine.worker_id) or service in self._dependencies.standby()
 
     def _lend(
         self,
@@ -149,20 +151,20 @@
         return moves
 
     def _watch_idle(self, idle: list[Machine]) -> None:
-        now_s = self._parts.clock()
+        now_s = self._dependencies.clock()
         self._idle_since = {
             one.worker_id: self._idle_since.get(one.worker_id, now_s) for one in idle
         }
 
     def _has_rested(self, machine: Machine) -> bool:
-        now_s = self._parts.clock()
+        now_s = self._dependencies.clock()
         return now_s - self._idle_since.get(machine.worker_id, now_s) >= REST_S
 
     def _send_back(
         self, idle: list[Machine], home: dict[str, int], sizes: dict[str, int], most: int
     ) -> list[tuple[Machine, str]]:
         """Send what a service has beyond its home size to where machines are missing."""
-        standby = self._parts.standby()
+        standby = self._dependencies.standby()
         moves: list[tuple[Machine, str]] = []
         for machine in idle:
             if len(moves) >= most or sizes[machine.pool] <= home.get(machine.pool, 0):
@@ -194,10 +196,10 @@
         lacking = Counter(self._takers())
         wanted = lacking.total()
         recalls: dict[str, int] = {}
-        for service in sorted(self._parts.machine_records.demands):
+        for service in sorted(self._dependencies.machine_records.demands):
             borrowed = sizes.get(service, 0) - home.get(service, 0)
             by_others = min(wanted, lacking.total() - lacking[service])
-            if service not in self._parts.standby() and borrowed > 0 and by_others > 0:
+            if service not in self._dependencies.standby() and borrowed > 0 and by_others > 0:
                 recalls[service] = min(borrowed, by_others)
                 wanted -= recalls[service]
         return recalls
@@ -209,14 +211,14 @@
         """
         if self._home is not None:
             return self._home
-        outcome = await self._parts.store.get(HOME_KEY)
+        outcome = await self._dependencies.store.get(HOME_KEY)
         if not isinstance(outcome, Success):
             return None
         item = outcome.unwrap()
         if item is None:
             sizes = self._sizes(machines)
             value = json.dumps(sizes).encode()
-            saved = await self._parts.store.commit(
+            saved = await self._dependencies.store.commit(
                 Commit(
                     conditions=(self._holder.condition, Condition(key=HOME_KEY, revision=0)),
                     writes=(Write(key=HOME_KEY, value=value),),
@@ -242,8 +244,8 @@
         """Return machines that schedulers offer, and those in standby pools."""
         idle: list[Machine] = []
         resting: list[Machine] = []
-        demands = self._parts.machine_records.demands
-        standby = self._parts.standby()
+        demands = self._dependencies.machine_records.demands
+        standby = self._dependencies.standby()
         for machine in machines.values():
             if machine.state is not MachineState.UP or machine.name in self._moving:
                 continue
@@ -263,7 +265,7 @@
         for move in self._moving.values():
             coming[move.service] = coming.get(move.service, 0) + 1
         takers: list[tuple[int, str]] = []
-        for service, demand in self._parts.machine_records.demands.items():
+        for service, demand in self._dependencies.machine_records.demands.items():
             if not self._orders.is_demand_current(service):
                 continue
             takers.extend(
@@ -292,7 +294,9 @@
     async def _move(self, machine: Machine, service: str) -> None:
         status = await self._orders.move(machine, service)
         if status in (MachineOrderStatus.OBEYED, MachineOrderStatus.UNANSWERED):
-            self._moving[machine.name] = _Move(service=service, ordered_s=self._parts.clock())
+            self._moving[machine.name] = _Move(
+                service=service, ordered_s=self._dependencies.clock()
+            )
         if status is MachineOrderStatus.MISFIT:
             self._misfits.add((machine.name, service))
 
--- a/src/shallotworks/scheduling/_term.py
+++ b/src/shallotworks/scheduling/_term.py
@@ -34,7 +34,7 @@
 from ._term_workers import DIRECTORY_EVERY_S, TermWorkers
 from ._waiting import WaitWatch, name_some
 
-__all__ = ["ServiceTerm", "TermParts"]
+__all__ = ["ServiceTerm", "SchedulerDependencies"]
 
 DECIDE_EVERY_S = 0.2
 """Decisions are also taken this often with no news, for what only time brings."""
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TermParts:
+class SchedulerDependencies:
     """What a term works with.
 
     Args:
@@ -100,17 +100,17 @@
     Args:
         service: The service.
         holder: The held key.
-        parts: What it works with.
+        dependencies: What it works with.
     """
 
     __slots__ = (
         "_demand",
+        "_dependencies",
         "_desk",
         "_has_mark",
         "_holder",
         "_keys",
         "_mirror",
-        "_parts",
         "_pending",
         "_pending_jobs",
         "_sizer",
@@ -124,49 +124,55 @@
         "service",
     )
 
-    def __init__(self, *, service: str, holder: Holder, parts: TermParts) -> None:
+    def __init__(
+        self, *, service: str, holder: Holder, dependencies: SchedulerDependencies
+    ) -> None:
         self.service = service
         self._holder = holder
-        self._parts = parts
+        self._dependencies = dependencies
         self._keys = JobKeys(service=service)
-        self.board = ServiceBoard(service=service, token=holder.token, log=parts.log)
+        self.board = ServiceBoard(service=service, token=holder.token, log=dependencies.log)
         self.decider = Decider(board=self.board)
         self._sizer = PoolSizer(board=self.board, limits=SizingLimits())
-        self._waits = WaitWatch(board=self.board, metrics=parts.metrics, log=parts.log)
+        self._waits = WaitWatch(
+            board=self.board, metrics=dependencies.metrics, log=dependencies.log
+        )
         self._workers = TermWorkers(
             board=self.board,
-            record=RunnersRecord(service=service, holder=holder, store=parts.store, log=parts.log),
-            directory=parts.directory,
-            machine_records=parts.machine_records,
-            clock=parts.clock,
-            wall_clock=parts.wall_clock,
-            recovery_s=parts.times.recovery_s,
+            record=RunnersRecord(
+                service=service, holder=holder, store=dependencies.store, log=dependencies.log
+            ),
+            directory=dependencies.directory,
+            machine_records=dependencies.machine_records,
+            clock=dependencies.clock,
+            wall_clock=dependencies.wall_clock,
+            recovery_s=dependencies.times.recovery_s,
         )
         self._desk = OrderDesk(
             board=self.board,
             holder=holder,
-            orders=parts.orders,
-            clock=parts.clock,
-            wall_clock=parts.wall_clock,
-            times=parts.times,
+            orders=dependencies.orders,
+            clock=dependencies.clock,
+            wall_clock=dependencies.wall_clock,
+            times=dependencies.times,
             may_use=self._workers.may_use,
-            log=parts.log,
-            metrics=parts.metrics,
+            log=dependencies.log,
+            metrics=dependencies.metrics,
             on_progress=self._note_progress,
         )
         self._writer = ProgressWriter(
             board=self.board,
             holder=holder,
-            store=parts.store,
-            log=parts.log,
-            metrics=parts.metrics,
+            store=dependencies.store,
+            log=dependencies.log,
+            metrics=dependencies.metrics,
             on_stored=self._desk.wake,
         )
         self._mirror = Mirror(
-            store=parts.store,
+            store=dependencies.store,
             prefix=self._keys.prefix,
             listener=self,
-            log=parts.log,
+            log=dependencies.log,
             pause_s=JOBS_PAUSE_S,
         )
         self._demand = self._own_record(pool_demand_key(service))
@@ -177,8 +183,10 @@
         self.is_prepared = asyncio.Event()
 
     def _own_record(self, key: str) -> HeldRecord:
-        parts = self._parts
-        return HeldRecord(key=key, holder=self._holder, store=parts.store, log=parts.log)
+        dependencies = self._dependencies
+        return HeldRecord(
+            key=key, holder=self._holder, store=dependencies.store, log=dependencies.log
+        )
 
     async def run(self) -> None:
         """Schedule until the key is lost."""
@@ -221,7 +229,7 @@
             await self._workers.hand_over()
 
     def _log(self, event: str, **fields: object) -> None:
-        self._parts.log.line(event, service=self.service, token=self._holder.token, **fields)
+        self._dependencies.log.line(event, service=self.service, token=self._holder.token, **fields)
 
     def _workers_changed(self) -> None:
         self._desk.notice_workers()
@@ -271,7 +279,7 @@
             progress,
             revision=item.revision,
             is_old=record.revision < self._holder.token,
-            wall_s=self._parts.wall_clock(),
+            wall_s=self._dependencies.wall_clock(),
         )
 
     def deleted(self, key: str, revision: int) -> None:
@@ -298,9 +306,9 @@
         while True:
             if directory.done():
                 directory.result()
-            began_s = self._parts.clock()
+            began_s = self._dependencies.clock()
             has_more = self._holder.may_act and self._decide()
-            await asyncio.sleep((self._parts.clock() - began_s) * DECIDE_PAUSE_PART)
+            await asyncio.sleep((self._dependencies.clock() - began_s) * DECIDE_PAUSE_PART)
             if not has_more:
                 await self._desk.wait(DECIDE_EVERY_S)
 
@@ -308,7 +316,7 @@
         """Carry out what is to be done now; return whether more is, and may not wait for news."""
         self._decide_once()
         is_waiting = any(True for _ in self.board.open_steps())
-        now_s, wall_s = self._parts.clock(), self._parts.wall_clock()
+        now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
         if is_waiting and self._sizer.withdraw(now_s, wall_s=wall_s):
             self._decide_once()
         self._desk.notice_workers()
@@ -317,8 +325,8 @@
         return self.decider.is_cut_short
 
     def _decide_once(self) -> None:
-        now_s, wall_s = self._parts.clock(), self._parts.wall_clock()
-        may_start = self._parts.is_capacity_known(self.service)
+        now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
+        may_start = self._dependencies.is_capacity_known(self.service)
         for decision in self.decider.decide(now_s=now_s, wall_s=wall_s, may_start=may_start):
             if isinstance(decision, AdviceRequest):
                 self._spawn(self._ask(decision))
@@ -330,7 +338,7 @@
         await self._mirror.synced.wait()
         if not self._has_mark:
             self._holder.lose("its mark among the jobs is not there")
-        while not self._parts.directory.is_synced:
+        while not self._dependencies.directory.is_synced:
             await asyncio.sleep(DIRECTORY_EVERY_S)
         recorded = await self._workers.await_earlier()
         while not await self._demand.read():
@@ -347,13 +355,13 @@
         self.is_prepared.set()
 
     async def _ask(self, request: AdviceRequest) -> None:
-        outcome = await self._parts.advice.ask(request.step, request.worker_ids)
+        outcome = await self._dependencies.advice.ask(request.step, request.worker_ids)
         entry = self.board.entries.get(request.step[0])
         step = entry.steps.get(request.step[1:]) if entry is not None else None
         if step is None:
             return
         step.is_asking = False
-        step.advised_s = self._parts.clock()
+        step.advised_s = self._dependencies.clock()
         if isinstance(outcome, Success):
             permits = outcome.unwrap()
             step.permits = dict(permits.tickets)
@@ -372,7 +380,7 @@
     async def _publish(self) -> None:
         await self.is_prepared.wait()
         while True:
-            now_s, wall_s = self._parts.clock(), self._parts.wall_clock()
+            now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
             self._log("pool-state", **self._sizer.state(wall_s=wall_s))
             self._waits.tell(now_s=now_s, wall_s=wall_s)
             await self._workers.keep_record()
@@ -385,12 +393,12 @@
         told: PoolDemand | None = None
         wakes = _Wakes()
         while True:
-            self._sizer.keep_lasting_off(self._standing_offers(), self._parts.clock())
-            machine_records = self._parts.machine_records
+            self._sizer.keep_lasting_off(self._standing_offers(), self._dependencies.clock())
+            machine_records = self._dependencies.machine_records
             need = self._sizer.assess(
                 machine_records.controller.due,
-                now_s=self._parts.clock(),
-                wall_s=self._parts.wall_clock(),
+                now_s=self._dependencies.clock(),
+                wall_s=self._dependencies.wall_clock(),
             )
             need = replace(need, woke=wakes.count(may_act=self._holder.may_act))
             self._sizer.yield_some(machine_records.controller.recalls.get(self.service, 0))
@@ -411,7 +419,7 @@
         offered = self._standing_offers() | set(need.free)
         if not await self._demand.put(need.encode()):
             return False
-        self._sizer.keep_lasting_off(offered, self._parts.clock())
+        self._sizer.keep_lasting_off(offered, self._dependencies.clock())
         self._log("need-told", lacking=need.lacking, free=len(need.free))
         return True
 
@@ -429,11 +437,14 @@
         """Delete the records of jobs that ended long ago."""
         while True:
             await asyncio.sleep(CLEAN_EVERY_S)
-            before_s = self._parts.wall_clock() - KEEP_FINAL_PART * self._parts.final_state_told_s
+            before_s = (
+                self._dependencies.wall_clock()
+                - KEEP_FINAL_PART * self._dependencies.final_state_told_s
+            )
             old = [job_id for job_id, ended_s in self.board.finals.items() if ended_s < before_s]
             for job_id in old[:MOST_CLEANED]:
                 keys = (self._keys.job(job_id), self._keys.progress(job_id))
-                await self._parts.store.commit(
+                await self._dependencies.store.commit(
                     Commit(conditions=(self._holder.condition,), deletes=keys)
                 )
 
--- a/src/shallotworks/scheduling/_waves.py
+++ b/src/shallotworks/scheduling/_waves.py
@@ -8,7 +8,7 @@
 
 from shallotworks.store import Commit, Committed, Condition, Conflicted, Holder, Write
 
-from ._keeper_parts import KeeperParts
+from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_orders import MachineOrders
 from ._protocols import Machine, MachineOrderStatus, MachineState, Upkeep
 from ._wave import WaveRecord, wave_key
@@ -44,15 +44,25 @@
 
     Args:
         holder: The keeper's key.
-        parts: What it works with.
+        dependencies: What it works with.
         orders: Gives orders.
     """
 
-    __slots__ = ("_absent", "_begun", "_completed", "_holder", "_ordered", "_orders", "_parts")
-
-    def __init__(self, *, holder: Holder, parts: KeeperParts, orders: MachineOrders) -> None:
+    __slots__ = (
+        "_absent",
+        "_begun",
+        "_completed",
+        "_dependencies",
+        "_holder",
+        "_ordered",
+        "_orders",
+    )
+
+    def __init__(
+        self, *, holder: Holder, dependencies: MachineControllerDependencies, orders: MachineOrders
+    ) -> None:
         self._holder = holder
-        self._parts = parts
+        self._dependencies = dependencies
         self._orders = orders
         self._completed: set[int] = set()
         self._absent: dict[str, float] = {}
@@ -65,7 +75,7 @@
 
     def open_waves(self) -> list[Upkeep]:
         """Return the waves that are not completed."""
-        return [one for one in self._parts.upkeep.waves() if one.wave not in self._completed]
+        return [one for one in self._dependencies.upkeep.waves() if one.wave not in self._completed]
 
     async def advance(self, wave: Upkeep, machines: dict[str, Machine]) -> WaveRecord | None:
         """Take a wave as far as it goes now.
@@ -85,7 +95,7 @@
             self._completed.add(wave.wave)
             return None
         for name in record.begun:
-            self._begun.setdefault(name, self._parts.clock())
+            self._begun.setdefault(name, self._dependencies.clock())
         is_changed = self._settle(wave, record, machines)
         is_whole = self._is_whole(wave, record, machines)
         if is_changed or is_whole:
@@ -112,14 +122,16 @@
         for name, old_worker in list(record.down.items()):
             machine = machines.get(name)
             if machine is not None and machine.state is MachineState.UPKEEP:
-                self._begun.setdefault(name, self._parts.clock())
+                self._begun.setdefault(name, self._dependencies.clock())
             is_gone = machine is None and self._has_left(wave, record, name)
             if is_gone or (machine is not None and self._is_back(machine, old_worker)):
                 del record.down[name]
                 record.begun = [one for one in record.begun if one != name]
                 record.done.append(name)
                 is_changed = True
-                self._parts.log.line("upkeep-done", machine=name, wave=wave.wave, is_gone=is_gone)
+                self._dependencies.log.line(
+                    "upkeep-done", machine=name, wave=wave.wave, is_gone=is_gone
+                )
         return is_changed
 
     def _is_back(self, machine: Machine, old_worker: str) -> bool:
@@ -133,7 +145,7 @@
         begun_s = self._begun.get(machine.name)
         if begun_s is None or machine.state is not MachineState.UP:
             return False
-        if self._parts.clock() - begun_s < LIST_LAG_S:
+        if self._dependencies.clock() - begun_s < LIST_LAG_S:
             return False
         return not (old_worker or machine.worker_id) or machine.worker_id not in ("", old_worker)
 
@@ -142,14 +154,14 @@
             if name in machines:
                 self._absent.pop(name, None)
             else:
-                self._absent.setdefault(name, self._parts.clock())
+                self._absent.setdefault(name, self._dependencies.clock())
         return not record.down and all(
             name in record.done or self._has_left(wave, record, name) for name in wave.machines
         )
 
     def _has_left(self, wave: Upkeep, record: WaveRecord, name: str) -> bool:
-        absent_s = self._parts.clock() - self._absent.get(name, math.inf)
-        is_over = self._parts.wall_clock() >= record.first_s + wave.duration_s
+        absent_s = self._dependencies.clock() - self._absent.get(name, math.inf)
+        is_over = self._dependencies.wall_clock() >= record.first_s + wave.duration_s
         return absent_s >= ABSENT_S and is_over
 
     def _left(
@@ -178,12 +190,14 @@
         its 15 upkeeps fell into the turn. What lacks machines is asked each time, so that the wave
         goes on between turns, and beside them when its own time runs short.
         """
-        if not any(demand.lacking for demand in self._parts.machine_records.demands.values()):
+        if not any(
+            demand.lacking for demand in self._dependencies.machine_records.demands.values()
+        ):
             return False
         left = len(wave.machines) - len(record.done)
         rounds = math.ceil(left / max(1, wave.most_at_once))
         ends_s = record.first_s + wave.duration_s
-        return ends_s - self._parts.wall_clock() > rounds * SLOT_S * HASTE
+        return ends_s - self._dependencies.wall_clock() > rounds * SLOT_S * HASTE
 
     def engaged(self, wave: Upkeep, record: WaveRecord) -> set[str]:
         """Return the machines that a wave keeps from being lent.
@@ -213,7 +227,7 @@
         left = [one for one in self._left(wave, record, machines) if one.worker_id]
         free = {
             worker
-            for demand in self._parts.machine_records.demands.values()
+            for demand in self._dependencies.machine_records.demands.values()
             for worker in demand.free
         }
         left.sort(key=lambda one: (one.worker_id not in earlier, one.worker_id not in free))
@@ -222,7 +236,7 @@
 
     def _unproved(self, record: WaveRecord, machines: dict[str, Machine]) -> list[Machine]:
         """Return the machines with a slot that are up and whose upkeep may not have begun."""
-        now_s = self._parts.clock()
+        now_s = self._dependencies.clock()
         up = [
             (machines[name], old_worker)
             for name, old_worker in record.down.items()
@@ -259,7 +273,7 @@
         self, wave: Upkeep, record: WaveRecord, machines: dict[str, Machine]
     ) -> None:
         """Give orders again that were refused or not answered; a second one does no harm."""
-        now_s = self._parts.clock()
+        now_s = self._dependencies.clock()
         again = [
             machine
             for machine in self._unproved(record, machines)
@@ -271,39 +285,41 @@
                 await self._order(wave, machine, is_first=False)
 
     async def _order(self, wave: Upkeep, machine: Machine, *, is_first: bool) -> None:
-        self._ordered[machine.name] = self._parts.clock()
+        self._ordered[machine.name] = self._dependencies.clock()
         status = await self._orders.upkeep(machine, wave.wave, is_first=is_first)
         if status is MachineOrderStatus.OBEYED:
-            self._begun[machine.name] = self._parts.clock()
+            self._begun[machine.name] = self._dependencies.clock()
 
     async def _load(self, wave: Upkeep) -> tuple[WaveRecord, int] | None:
-        outcome = await self._parts.store.get(wave_key(wave.wave))
+        outcome = await self._dependencies.store.get(wave_key(wave.wave))
         if not isinstance(outcome, Success):
             return None
         item = outcome.unwrap()
         if item is not None:
             return WaveRecord.decode(item.value), item.revision
-        record = WaveRecord(first_s=self._parts.wall_clock())
+        record = WaveRecord(first_s=self._dependencies.wall_clock())
         revision = await self._save(wave, record, 0)
         return (record, revision) if revision is not None else None
 
     async def _save(self, wave: Upkeep, record: WaveRecord, revision: int) -> int | None:
         """Store a wave's record and tell its state; ``None`` where that failed."""
         key = wave_key(wave.wave)
-        outcome = await self._parts.store.commit(
+        outcome = await self._dependencies.store.commit(
             Commit(
                 conditions=(self._holder.condition, Condition(key=key, revision=revision)),
                 writes=(
                     Write(key=key, value=record.encode()),
                     Write(
-                        key=self._parts.upkeep.status_key(wave.wave),
-                        value=self._parts.upkeep.encode_status(record.is_completed),
+                        key=self._dependencies.upkeep.status_key(wave.wave),
+                        value=self._dependencies.upkeep.encode_status(record.is_completed),
                     ),
                 ),
             )
         )
         if not isinstance(outcome, Success):
-            self._parts.log.line("wave-not-stored", wave=wave.wave, reason=str(outcome.failure()))
+            self._dependencies.log.line(
+                "wave-not-stored", wave=wave.wave, reason=str(outcome.failure())
+            )
             return None
         result = outcome.unwrap()
         if isinstance(result, Conflicted):
--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -15,8 +15,8 @@
     MachineRecords,
     OrderTimes,
     Permits,
+    SchedulerDependencies,
     ServiceTerm,
-    TermParts,
     WorkerDirectory,
 )
 from shallotworks.standins import OrderFaults, OrdersView, RecordStore, StoreView, TaskWorkers
@@ -79,7 +79,7 @@
         await asyncio.gather(*self._tasks, *self.bidder._bids.values(), return_exceptions=True)
 
     async def _run_term(self, service: str, holder: Holder) -> None:
-        parts = TermParts(
+        dependencies = SchedulerDependencies(
             store=self.view,
             orders=self.orders,
             directory=self.directory,
@@ -91,7 +91,7 @@
             log=quiet_log(),
             metrics=Metrics(),
         )
-        term = ServiceTerm(service=service, holder=holder, parts=parts)
+        term = ServiceTerm(service=service, holder=holder, dependencies=dependencies)
         self.terms.append(term)
         await term.run()
 
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -27,8 +27,8 @@
     OrderStatus,
     OrderTimes,
     PoolDemand,
+    SchedulerDependencies,
     ServiceTerm,
-    TermParts,
     pool_demand_key,
 )
 from shallotworks.scheduling._machine_controller_ledger import OVER_TOLD_S
@@ -157,7 +157,7 @@
     async def _run_term(self, service: str, holder: Holder) -> None:
         self.terms_begun_s.append(self.now_s())
         self._follow()
-        parts = TermParts(
+        dependencies = SchedulerDependencies(
             store=self.view,
             orders=self.orders,
             directory=self._registry,
@@ -169,7 +169,7 @@
             log=self._log,
             metrics=Metrics(),
         )
-        term = ServiceTerm(service=service, holder=holder, parts=parts)
+        term = ServiceTerm(service=service, holder=holder, dependencies=dependencies)
         self.terms.append(term)
         await term.run()
 
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -21,17 +21,17 @@
     MACHINES_PREFIX,
     EndedTask,
     EndKind,
-    KeeperParts,
     Machine,
     MachineController,
+    MachineControllerDependencies,
     MachineOrderStatus,
     MachineRecords,
     MachineState,
     OrderTimes,
     PoolDemand,
     Run,
+    SchedulerDependencies,
     ServiceTerm,
-    TermParts,
     Upkeep,
     pool_demand_key,
 )
@@ -226,7 +226,7 @@
         """Begin a term of the keeper, and let its wait before the first order pass."""
         store = StoreView(store=self.store)
         holder = await acquire(store, key="keeper", mark="keeper-mark")
-        parts = KeeperParts(
+        dependencies = MachineControllerDependencies(
             machines=self,
             upkeep=self,
             machine_records=self.controller_records,
@@ -239,7 +239,7 @@
         mirror = Mirror(
             store=store, prefix=MACHINES_PREFIX, listener=self.controller_records, log=quiet_log()
         )
-        controller = MachineController(holder=holder, parts=parts)
+        controller = MachineController(holder=holder, dependencies=dependencies)
         self._tasks += [asyncio.create_task(mirror.run()), asyncio.create_task(controller.run())]
         await asyncio.sleep(KEEPER_WAITS_S + 0.1)
 
@@ -257,7 +257,7 @@
         mirror = Mirror(
             store=store, prefix=MACHINES_PREFIX, listener=machine_records, log=quiet_log()
         )
-        parts = TermParts(
+        dependencies = SchedulerDependencies(
             store=store,
             orders=orders,
             directory=self.fleet,
@@ -271,7 +271,7 @@
         )
         mirroring = asyncio.create_task(mirror.run())
         await mirror.synced.wait()
-        term = ServiceTerm(service=SERVICE, holder=holder, parts=parts)
+        term = ServiceTerm(service=SERVICE, holder=holder, dependencies=dependencies)
         handle = TermHandle(term=term, holder=holder, store=store, orders=orders)
         handle.tasks = [mirroring, asyncio.create_task(term.run())]
         self._tasks += handle.tasks
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -14,9 +14,9 @@
 from shallotworks.errors import Failure
 from shallotworks.scheduling import (
     MACHINES_PREFIX,
-    KeeperParts,
     Machine,
     MachineController,
+    MachineControllerDependencies,
     MachineOrderStatus,
     MachineRecords,
     MachineState,
@@ -150,7 +150,7 @@
         mirror = Mirror(
             store=view, prefix=MACHINES_PREFIX, listener=self.machine_records, log=quiet_log()
         )
-        parts = KeeperParts(
+        dependencies = MachineControllerDependencies(
             machines=self.platform,
             upkeep=self.platform,
             machine_records=self.machine_records,
@@ -160,7 +160,7 @@
             wall_clock=clock,
             log=quiet_log(),
         )
-        self.controller = MachineController(holder=holder, parts=parts)
+        self.controller = MachineController(holder=holder, dependencies=dependencies)
         self.tasks = [asyncio.create_task(mirror.run()), asyncio.create_task(self.controller.run())]
         return holder
 
