--- a/src/shallotworks/platform/_configuration.py
+++ b/src/shallotworks/platform/_configuration.py
@@ -9,7 +9,7 @@
 
 from shallotworks.jobs import QueuePolicy
 from shallotworks.logs import LogLines
-from shallotworks.scheduling import Upkeep
+from shallotworks.scheduling import MaintenanceWave
 from shallotworks.store import Item
 
 from ._fields import UNREADABLE, table
@@ -70,7 +70,7 @@
 
 
 class OperatorsBook:
-    """Follows what operators write; implements `UpkeepBook` and `MirrorListener`.
+    """Follows what operators write; implements `MaintenanceSchedule` and `MirrorListener`.
 
     The failure it guards against: a configuration that is followed by an older one in the same
     process, so that a route which callers already use is gone again. Only a higher version counts.
@@ -85,7 +85,7 @@
     def __init__(self, *, on_configuration: Callable[[Configuration], None], log: LogLines) -> None:
         self._on_configuration = on_configuration
         self._log = log
-        self._waves: dict[int, Upkeep] = {}
+        self._waves: dict[int, MaintenanceWave] = {}
         self.configuration: Configuration | None = None
 
     def written(self, item: Item) -> None:
@@ -107,7 +107,7 @@
         if key.startswith(WAVES_PREFIX) and wave.isdecimal():
             self._waves.pop(int(wave), None)
 
-    def waves(self) -> tuple[Upkeep, ...]:
+    def waves(self) -> tuple[MaintenanceWave, ...]:
         """Return all waves."""
         return tuple(self._waves.values())
 
@@ -173,8 +173,8 @@
     )
 
 
-def _decode_wave(body: dict[str, Any]) -> Upkeep:
-    return Upkeep(
+def _decode_wave(body: dict[str, Any]) -> MaintenanceWave:
+    return MaintenanceWave(
         wave=int(body["wave"]),
         machines=tuple(str(name) for name in body["machines"]),
         duration_s=float(body["durationS"]),
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -253,7 +253,7 @@
             machines=PlatformMachines(
                 client=self._machines_client, instance=self._settings.instance
             ),
-            upkeep=self._book,
+            maintenance_schedule=self._book,
             machine_records=self._machine_records,
             standby=self._standby,
             store=self._store,
--- a/src/shallotworks/platform/_machines.py
+++ b/src/shallotworks/platform/_machines.py
@@ -67,7 +67,7 @@
                 return Success(tuple(machines))
             path = f"/v1/machines?{urlencode({'pageToken': token})}"
 
-    async def upkeep(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
+    async def start_maintenance(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
         """Take a machine down for its upkeep; all that runs there ends at once."""
         return await self._order("/v1/machine-upkeep", {"machine": machine, "wave": wave}, token)
 
--- a/src/shallotworks/scheduling/_machine_controller_dependencies.py
+++ b/src/shallotworks/scheduling/_machine_controller_dependencies.py
@@ -9,7 +9,7 @@
 from shallotworks.store import Store
 
 from ._machine_records import MachineRecords
-from ._protocols import Machines, UpkeepBook
+from ._protocols import Machines, MaintenanceSchedule
 
 __all__ = ["MachineControllerDependencies"]
 
@@ -20,7 +20,7 @@
 
     Args:
         machines: The machines.
-        upkeep: The waves that operators ask for.
+        maintenance_schedule: The waves that operators ask for.
         machine_records: What schedulers say.
         standby: Returns the services whose machines are off and not paid for.
         store: The store.
@@ -32,7 +32,7 @@
     """
 
     machines: Machines
-    upkeep: UpkeepBook
+    maintenance_schedule: MaintenanceSchedule
     machine_records: MachineRecords
     standby: Callable[[], frozenset[str]]
     store: Store
--- a/src/shallotworks/scheduling/_machine_orders.py
+++ b/src/shallotworks/scheduling/_machine_orders.py
@@ -48,7 +48,9 @@
         """Whether what a service's scheduler says it lacks is no word from before an outage."""
         return self._record.is_demand_current(service)
 
-    async def upkeep(self, machine: Machine, wave: int, *, is_first: bool) -> MachineOrderStatus:
+    async def start_maintenance(
+        self, machine: Machine, wave: int, *, is_first: bool
+    ) -> MachineOrderStatus:
         """Take a machine down for its upkeep.
 
         Args:
@@ -60,7 +62,7 @@
         """
         if not self._holder.may_act:
             return MachineOrderStatus.REFUSED
-        status = await self._dependencies.machines.upkeep(
+        status = await self._dependencies.machines.start_maintenance(
             machine.name, wave=wave, token=self._holder.token
         )
         self._note("upkeep", machine, status, is_over=is_first, wave=wave)
--- a/src/shallotworks/scheduling/_protocols.py
+++ b/src/shallotworks/scheduling/_protocols.py
@@ -19,8 +19,8 @@
     "MachineState",
     "Machines",
     "Permits",
-    "Upkeep",
-    "UpkeepBook",
+    "MaintenanceWave",
+    "MaintenanceSchedule",
     "WorkerDirectory",
     "WorkerOrders",
 ]
@@ -113,7 +113,7 @@
 
     UP = "up"
     MOVING = "moving"
-    UPKEEP = "upkeep"
+    MAINTENANCE = "upkeep"
     DOWN = "down"
 
 
@@ -157,7 +157,7 @@
         """Read all machines."""
         ...
 
-    async def upkeep(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
+    async def start_maintenance(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
         """Take a machine down for its upkeep; all that runs there ends at once."""
         ...
 
@@ -167,7 +167,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Upkeep:
+class MaintenanceWave:
     """A wave of upkeep that the operators ask for.
 
     Args:
@@ -183,10 +183,10 @@
     most_at_once: int
 
 
-class UpkeepBook(Protocol):
+class MaintenanceSchedule(Protocol):
     """The waves that operators ask for, and where their state is told."""
 
-    def waves(self) -> tuple[Upkeep, ...]:
+    def waves(self) -> tuple[MaintenanceWave, ...]:
         """Return all waves."""
         ...
 
--- a/src/shallotworks/scheduling/_waves.py
+++ b/src/shallotworks/scheduling/_waves.py
@@ -10,7 +10,7 @@
 
 from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_orders import MachineOrders
-from ._protocols import Machine, MachineOrderStatus, MachineState, Upkeep
+from ._protocols import Machine, MachineOrderStatus, MachineState, MaintenanceWave
 from ._wave import WaveRecord, wave_key
 
 __all__ = ["WaveRunner"]
@@ -73,11 +73,17 @@
         self._ordered: dict[str, float] = {}
         """Machines with the time of the latest order."""
 
-    def open_waves(self) -> list[Upkeep]:
+    def open_waves(self) -> list[MaintenanceWave]:
         """Return the waves that are not completed."""
-        return [one for one in self._dependencies.upkeep.waves() if one.wave not in self._completed]
+        return [
+            one
+            for one in self._dependencies.maintenance_schedule.waves()
+            if one.wave not in self._completed
+        ]
 
-    async def advance(self, wave: Upkeep, machines: dict[str, Machine]) -> WaveRecord | None:
+    async def advance(
+        self, wave: MaintenanceWave, machines: dict[str, Machine]
+    ) -> WaveRecord | None:
         """Take a wave as far as it goes now.
 
         Args:
@@ -109,19 +115,21 @@
         await self._tell_begun(wave, record, revision)
         return record
 
-    async def _tell_begun(self, wave: Upkeep, record: WaveRecord, revision: int) -> None:
+    async def _tell_begun(self, wave: MaintenanceWave, record: WaveRecord, revision: int) -> None:
         """Store which upkeeps have begun: a successor would have their machines emptied again."""
         begun = [name for name in record.down if name in self._begun]
         if begun != record.begun:
             record.begun = begun
             await self._save(wave, record, revision)
 
-    def _settle(self, wave: Upkeep, record: WaveRecord, machines: dict[str, Machine]) -> bool:
+    def _settle(
+        self, wave: MaintenanceWave, record: WaveRecord, machines: dict[str, Machine]
+    ) -> bool:
         """Give back the slots of machines that are back; return whether the record changed."""
         is_changed = False
         for name, old_worker in list(record.down.items()):
             machine = machines.get(name)
-            if machine is not None and machine.state is MachineState.UPKEEP:
+            if machine is not None and machine.state is MachineState.MAINTENANCE:
                 self._begun.setdefault(name, self._dependencies.clock())
             is_gone = machine is None and self._has_left(wave, record, name)
             if is_gone or (machine is not None and self._is_back(machine, old_worker)):
@@ -149,7 +157,9 @@
             return False
         return not (old_worker or machine.worker_id) or machine.worker_id not in ("", old_worker)
 
-    def _is_whole(self, wave: Upkeep, record: WaveRecord, machines: dict[str, Machine]) -> bool:
+    def _is_whole(
+        self, wave: MaintenanceWave, record: WaveRecord, machines: dict[str, Machine]
+    ) -> bool:
         for name in wave.machines:
             if name in machines:
                 self._absent.pop(name, None)
@@ -159,13 +169,13 @@
             name in record.done or self._has_left(wave, record, name) for name in wave.machines
         )
 
-    def _has_left(self, wave: Upkeep, record: WaveRecord, name: str) -> bool:
+    def _has_left(self, wave: MaintenanceWave, record: WaveRecord, name: str) -> bool:
         absent_s = self._dependencies.clock() - self._absent.get(name, math.inf)
         is_over = self._dependencies.wall_clock() >= record.first_s + wave.duration_s
         return absent_s >= ABSENT_S and is_over
 
     def _left(
-        self, wave: Upkeep, record: WaveRecord, machines: dict[str, Machine]
+        self, wave: MaintenanceWave, record: WaveRecord, machines: dict[str, Machine]
     ) -> list[Machine]:
         """Return the machines whose turn may come: up, neither done nor down for it.
 
@@ -182,7 +192,7 @@
             and machines[name].state is MachineState.UP
         ]
 
-    def _yields(self, wave: Upkeep, record: WaveRecord) -> bool:
+    def _yields(self, wave: MaintenanceWave, record: WaveRecord) -> bool:
         """Whether a wave can wait while a queue lacks machines.
 
         The load: the operators' wave and a queue's turn begin in the same second. Six machines at
@@ -199,7 +209,7 @@
         ends_s = record.first_s + wave.duration_s
         return ends_s - self._dependencies.wall_clock() > rounds * SLOT_S * HASTE
 
-    def engaged(self, wave: Upkeep, record: WaveRecord) -> set[str]:
+    def engaged(self, wave: MaintenanceWave, record: WaveRecord) -> set[str]:
         """Return the machines that a wave keeps from being lent.
 
         One that is lent has its upkeep later, in another pool. While a wave waits it keeps no more
@@ -211,7 +221,7 @@
 
     def next_due(
         self,
-        wave: Upkeep,
+        wave: MaintenanceWave,
         record: WaveRecord,
         machines: dict[str, Machine],
         earlier: frozenset[str],
@@ -250,7 +260,7 @@
         ]
 
     async def _take_down(
-        self, wave: Upkeep, record: WaveRecord, revision: int, machines: dict[str, Machine]
+        self, wave: MaintenanceWave, record: WaveRecord, revision: int, machines: dict[str, Machine]
     ) -> int:
         """Take slots and order upkeeps; return the revision of the record."""
         slots = max(0, wave.most_at_once - len(record.down))
@@ -270,7 +280,7 @@
         return revision
 
     async def _repeat_unproved(
-        self, wave: Upkeep, record: WaveRecord, machines: dict[str, Machine]
+        self, wave: MaintenanceWave, record: WaveRecord, machines: dict[str, Machine]
     ) -> None:
         """Give orders again that were refused or not answered; a second one does no harm."""
         now_s = self._dependencies.clock()
@@ -284,13 +294,13 @@
             if await self._orders.may_take(machine):
                 await self._order(wave, machine, is_first=False)
 
-    async def _order(self, wave: Upkeep, machine: Machine, *, is_first: bool) -> None:
+    async def _order(self, wave: MaintenanceWave, machine: Machine, *, is_first: bool) -> None:
         self._ordered[machine.name] = self._dependencies.clock()
-        status = await self._orders.upkeep(machine, wave.wave, is_first=is_first)
+        status = await self._orders.start_maintenance(machine, wave.wave, is_first=is_first)
         if status is MachineOrderStatus.OBEYED:
             self._begun[machine.name] = self._dependencies.clock()
 
-    async def _load(self, wave: Upkeep) -> tuple[WaveRecord, int] | None:
+    async def _load(self, wave: MaintenanceWave) -> tuple[WaveRecord, int] | None:
         outcome = await self._dependencies.store.get(wave_key(wave.wave))
         if not isinstance(outcome, Success):
             return None
@@ -301,7 +311,7 @@
         revision = await self._save(wave, record, 0)
         return (record, revision) if revision is not None else None
 
-    async def _save(self, wave: Upkeep, record: WaveRecord, revision: int) -> int | None:
+    async def _save(self, wave: MaintenanceWave, record: WaveRecord, revision: int) -> int | None:
         """Store a wave's record and tell its state; ``None`` where that failed."""
         key = wave_key(wave.wave)
         outcome = await self._dependencies.store.commit(
@@ -310,8 +320,10 @@
                 writes=(
                     Write(key=key, value=record.encode()),
                     Write(
-                        key=self._dependencies.upkeep.status_key(wave.wave),
-                        value=self._dependencies.upkeep.encode_status(record.is_completed),
+                        key=self._dependencies.maintenance_schedule.status_key(wave.wave),
+                        value=self._dependencies.maintenance_schedule.encode_status(
+                            record.is_completed
+                        ),
                     ),
                 ),
             )
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -27,12 +27,12 @@
     MachineOrderStatus,
     MachineRecords,
     MachineState,
+    MaintenanceWave,
     OrderTimes,
     PoolDemand,
     Run,
     SchedulerDependencies,
     ServiceTerm,
-    Upkeep,
     pool_demand_key,
 )
 from shallotworks.scheduling._machine_records import MachineControllerRecord, machine_controller_key
@@ -125,8 +125,8 @@
 class Site:
     """A service with lasting tasks, its machines, their keeper and the service's schedulers.
 
-    Implements `Machines` and `UpkeepBook`. Each machine has the name of its worker with an ``m``
-    before it.
+    Implements `Machines` and `MaintenanceSchedule`. Each machine has the name of its worker with an
+    ``m`` before it.
     """
 
     def __init__(self, *workers: str, **step_fields: int) -> None:
@@ -138,7 +138,7 @@
         """Lasting tasks at work that orders for machines ended; a scheduler gives none away."""
         self.order_s = 0.0
         """Time from an order for a machine to its being carried out."""
-        self.asked: tuple[Upkeep, ...] = ()
+        self.asked: tuple[MaintenanceWave, ...] = ()
         for name in workers:
             self._add("m" + name, name, SERVICE)
         count = step_fields.pop("count")
@@ -167,8 +167,10 @@
     async def list(self) -> Result[tuple[Machine, ...], Failure]:
         return Success(tuple(self.machines.values()))
 
-    async def upkeep(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
-        return await self._take(machine, MachineState.UPKEEP, self.machines[machine].pool, UPKEEP_S)
+    async def start_maintenance(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
+        return await self._take(
+            machine, MachineState.MAINTENANCE, self.machines[machine].pool, UPKEEP_S
+        )
 
     async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
         return await self._take(machine, MachineState.MOVING, pool, MOVE_S)
@@ -189,7 +191,7 @@
         asyncio.get_running_loop().call_later(for_s, self._add, machine, life, pool)
         return MachineOrderStatus.OBEYED
 
-    def waves(self) -> tuple[Upkeep, ...]:
+    def waves(self) -> tuple[MaintenanceWave, ...]:
         return self.asked
 
     def status_key(self, wave: int) -> str:
@@ -200,7 +202,9 @@
 
     def ask_wave(self, *machines: str) -> None:
         """Ask for a wave that may take all its machines at once."""
-        self.asked = (Upkeep(wave=1, machines=machines, duration_s=30, most_at_once=len(machines)),)
+        self.asked = (
+            MaintenanceWave(wave=1, machines=machines, duration_s=30, most_at_once=len(machines)),
+        )
 
     def tell_due(self, *workers: str) -> None:
         """Say in the keeper's place which workers are to be emptied."""
@@ -228,7 +232,7 @@
         holder = await acquire(store, key="keeper", mark="keeper-mark")
         dependencies = MachineControllerDependencies(
             machines=self,
-            upkeep=self,
+            maintenance_schedule=self,
             machine_records=self.controller_records,
             standby=frozenset,
             store=store,
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -20,8 +20,8 @@
     MachineOrderStatus,
     MachineRecords,
     MachineState,
+    MaintenanceWave,
     PoolDemand,
-    Upkeep,
     pool_demand_key,
 )
 from shallotworks.scheduling._machine_records import MachineControllerRecord
@@ -43,7 +43,7 @@
         self.orders: list[tuple[str, str, float]] = []
         self.down = 0
         self.most_down = 0
-        self.asked: tuple[Upkeep, ...] = ()
+        self.asked: tuple[MaintenanceWave, ...] = ()
         self.lose_answers = False
         self.on_order: Callable[[str], None] = lambda _machine: None
         self.busy: set[str] = set()
@@ -64,7 +64,7 @@
     async def list(self) -> Result[tuple[Machine, ...], Failure]:
         return Success(tuple(self.machines.values()))
 
-    async def upkeep(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
+    async def start_maintenance(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
         now_s = asyncio.get_running_loop().time()
         self.on_order(machine)
         if machine in self.busy:
@@ -74,7 +74,7 @@
         if not known:
             self.down += 1
             self.most_down = max(self.most_down, self.down)
-            self._away(machine, self.machines[machine].pool, MachineState.UPKEEP, UPKEEP_S)
+            self._away(machine, self.machines[machine].pool, MachineState.MAINTENANCE, UPKEEP_S)
         return MachineOrderStatus.UNANSWERED if self.lose_answers else MachineOrderStatus.OBEYED
 
     async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
@@ -99,10 +99,10 @@
         pool = self.machines[name].pool
         worker = "" if pool == "spare" else self._next_worker()
         self.machines[name] = Machine(name=name, pool=pool, state=MachineState.UP, worker_id=worker)
-        if state is MachineState.UPKEEP:
+        if state is MachineState.MAINTENANCE:
             self.down -= 1
 
-    def waves(self) -> tuple[Upkeep, ...]:
+    def waves(self) -> tuple[MaintenanceWave, ...]:
         return self.asked
 
     def status_key(self, wave: int) -> str:
@@ -152,7 +152,7 @@
         )
         dependencies = MachineControllerDependencies(
             machines=self.platform,
-            upkeep=self.platform,
+            maintenance_schedule=self.platform,
             machine_records=self.machine_records,
             standby=lambda: frozenset({"spare"}),
             store=view,
@@ -188,9 +188,11 @@
             task.cancel()
 
 
-def wave(world: World, *, most: int) -> Upkeep:
+def wave(world: World, *, most: int) -> MaintenanceWave:
     """Return a wave of all machines."""
-    return Upkeep(wave=1, machines=tuple(world.platform.machines), duration_s=30, most_at_once=most)
+    return MaintenanceWave(
+        wave=1, machines=tuple(world.platform.machines), duration_s=30, most_at_once=most
+    )
 
 
 class FleetTests(unittest.TestCase):
@@ -392,7 +394,7 @@
                 await asyncio.sleep(0.2)
             self.assertEqual(b"completed", world.store.items["status/1"].value)
             world.platform.busy = {"m0"}
-            second = Upkeep(wave=2, machines=("m0",), duration_s=30, most_at_once=1)
+            second = MaintenanceWave(wave=2, machines=("m0",), duration_s=30, most_at_once=1)
             world.platform.asked = (*world.platform.asked, second)
             for round_number in range(40):
                 world.tell("antenna", free=True)
@@ -439,8 +441,10 @@
         async def story() -> None:
             world = World(antenna=4, coverage=2)
             machines = tuple(name for name in world.platform.machines)[:4]
-            upkeep = Upkeep(wave=1, machines=machines, duration_s=duration_s, most_at_once=2)
-            world.platform.asked = (upkeep,)
+            maintenance_wave = MaintenanceWave(
+                wave=1, machines=machines, duration_s=duration_s, most_at_once=2
+            )
+            world.platform.asked = (maintenance_wave,)
             world.follow_keeper()
             world.tell("antenna", free=True)
             world.tell("coverage", lacking=3)
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -222,7 +222,7 @@
 
 class EmptyingTests(unittest.TestCase):
     def test_a_due_worker_is_free_when_nothing_lasting_is_left(self) -> None:
-        """Upkeep that ends a serving task, or waits for ever for tasks that end.
+        """Maintenance that ends a serving task, or waits for ever for tasks that end.
 
         A due worker takes nothing new. It is told to be free once its lasting tasks have moved
         away, and tasks that end have had their time.
