--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -23,7 +23,7 @@
     MachineRecords,
     OrderTimes,
     SchedulerDependencies,
-    ServiceTerm,
+    ServiceScheduler,
 )
 from shallotworks.store import Holder, HolderTimes, Mirror
 
@@ -116,7 +116,7 @@
             root=DUTIES_PREFIX,
             mark=_mark_of,
             instance=settings.instance,
-            run_term=self._run_duty,
+            run_epoch=self._run_duty,
             clock=boot_clock,
             times=self._held_times,
             log=self._log,
@@ -218,7 +218,9 @@
             await self._run_keeper(holder)
             return
         service = duty.removeprefix(SCHEDULER_DUTY)
-        await ServiceTerm(service=service, holder=holder, dependencies=self._dependencies).run()
+        await ServiceScheduler(
+            service=service, holder=holder, dependencies=self._dependencies
+        ).run()
 
     def _follow_fleet(self) -> None:
         """Follow workers and machines from the first duty on; who only answers callers need not."""
--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -1,7 +1,7 @@
 """Scheduling: which worker runs which task, in which order, under leases and fencing tokens.
 
-`ServiceTerm` is one term of a service's scheduler; `Bidder` wins terms. What is decided stands in
-`Decider`, `Placement`, the order of work and pacing, which need no network. This package knows
+`ServiceScheduler` is one term of a service's scheduler; `Bidder` wins terms. What is decided stands
+in `Decider`, `Placement`, the order of work and pacing, which need no network. This package knows
 workers, machines and the store only through protocols.
 """
 
@@ -50,8 +50,8 @@
     WorkerOrders,
 )
 from ._runners import Runner, RunnersRecord, runners_key
+from ._service_scheduler import SchedulerDependencies, ServiceScheduler
 from ._sizing import PoolSizer, SizingLimits
-from ._term import SchedulerDependencies, ServiceTerm
 from ._wait_reason import WaitReason
 from ._waiting import WaitSummary, WaitWatch, waiting_reason
 from ._wave import WaveRecord, wave_key
@@ -86,7 +86,7 @@
     "Runner",
     "RunnersRecord",
     "ServiceBoard",
-    "ServiceTerm",
+    "ServiceScheduler",
     "SizingLimits",
     "StartOrder",
     "StepEntry",
--- a/src/shallotworks/scheduling/_bidding.py
+++ b/src/shallotworks/scheduling/_bidding.py
@@ -33,7 +33,7 @@
         root: Prefix of the keys, each duty's name after it.
         mark: Returns a second key for a duty's name; see `Holder.acquire`.
         instance: This instance's name, written into the keys.
-        run_term: Runs a term until its key is lost.
+        run_epoch: Runs a term until its key is lost.
         clock: Seconds, counting suspended time.
         times: Times of held keys.
         log: One line for each term.
@@ -52,7 +52,7 @@
         "_mirror",
         "_news",
         "_root",
-        "_run_term",
+        "_run_epoch",
         "_store",
         "_strength",
         "_times",
@@ -66,7 +66,7 @@
         root: str,
         mark: Callable[[str], str],
         instance: str,
-        run_term: Callable[[str, Holder], Awaitable[None]],
+        run_epoch: Callable[[str, Holder], Awaitable[None]],
         clock: Callable[[], float],
         times: HolderTimes,
         log: LogLines,
@@ -77,7 +77,7 @@
         self._root = root
         self._mark = mark
         self._instance = instance
-        self._run_term = run_term
+        self._run_epoch = run_epoch
         self._clock = clock
         self._times = times
         self._log = log
@@ -187,7 +187,7 @@
         self._holders[service] = holder
         self._log.line("duty-acquired", key=holder.key, token=holder.token)
         try:
-            await self._run_term(service, holder)
+            await self._run_epoch(service, holder)
         except Exception as error:
             # A fault in one term must not end the instance: the key goes to another instance.
             self._log.line("term-fault", service=service, reason=repr(error))
--- a/src/shallotworks/scheduling/_board.py
+++ b/src/shallotworks/scheduling/_board.py
@@ -26,9 +26,9 @@
     WorkerView,
 )
 
-__all__ = ["RUNS_PER_TERM", "ServiceBoard", "Stored", "WaitingTasks"]
+__all__ = ["RUN_IDS_PER_EPOCH", "ServiceBoard", "Stored", "WaitingTasks"]
 
-RUNS_PER_TERM = 1_000_000
+RUN_IDS_PER_EPOCH = 1_000_000
 """Run ids begin at the term's fencing token times this, so that a successor's are higher than all
 that its predecessors gave out without knowing the last one."""
 MISSING_REPORTS = 2
@@ -103,7 +103,7 @@
         self.service = service
         self.token = token
         self._log = log
-        self._next_run = token * RUNS_PER_TERM
+        self._next_run = token * RUN_IDS_PER_EPOCH
         self.entries: dict[str, JobEntry] = {}
         """Jobs that are open, or whose end is not stored yet, or of which a run may be alive."""
         self.finals: dict[str, float] = {}
@@ -659,7 +659,7 @@
         worker = self.workers.get(run.worker_id)
         if worker is None or now_s - worker.reported_s >= FRESH_S:
             return False
-        is_adopted = run.run_id <= self.token * RUNS_PER_TERM
+        is_adopted = run.run_id <= self.token * RUN_IDS_PER_EPOCH
         return not is_adopted or worker.reported_s - run.since_s >= ADOPTED_S
 
 
--- a/src/shallotworks/scheduling/_term.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -34,7 +34,7 @@
 from ._term_workers import DIRECTORY_EVERY_S, TermWorkers
 from ._waiting import WaitWatch, name_some
 
-__all__ = ["ServiceTerm", "SchedulerDependencies"]
+__all__ = ["ServiceScheduler", "SchedulerDependencies"]
 
 DECIDE_EVERY_S = 0.2
 """Decisions are also taken this often with no news, for what only time brings."""
@@ -94,7 +94,7 @@
     is_capacity_known: Callable[[str], bool] = lambda _service: True
 
 
-class ServiceTerm:
+class ServiceScheduler:
     """Schedules one service while its key is held.
 
     Args:
--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -16,7 +16,7 @@
     OrderTimes,
     Permits,
     SchedulerDependencies,
-    ServiceTerm,
+    ServiceScheduler,
     WorkerDirectory,
 )
 from shallotworks.standins import OrderFaults, OrdersView, RecordStore, StoreView, TaskWorkers
@@ -42,7 +42,7 @@
         self.name = name
         self.view = StoreView(store=store)
         self.orders = OrdersView(fleet=fleet, faults=OrderFaults())
-        self.terms: list[ServiceTerm] = []
+        self.service_schedulers: list[ServiceScheduler] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._fleet = fleet
         self.directory: WorkerDirectory = fleet
@@ -55,7 +55,7 @@
             root="shallotworks/duty/scheduler/",
             mark=lambda service: JobKeys(service=service).holder_mark,
             instance=name,
-            run_term=self._run_term,
+            run_epoch=self._run_epoch,
             clock=self.now_s,
             times=HolderTimes(),
             log=quiet_log(),
@@ -78,7 +78,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, *self.bidder._bids.values(), return_exceptions=True)
 
-    async def _run_term(self, service: str, holder: Holder) -> None:
+    async def _run_epoch(self, service: str, holder: Holder) -> None:
         dependencies = SchedulerDependencies(
             store=self.view,
             orders=self.orders,
@@ -91,9 +91,11 @@
             log=quiet_log(),
             metrics=Metrics(),
         )
-        term = ServiceTerm(service=service, holder=holder, dependencies=dependencies)
-        self.terms.append(term)
-        await term.run()
+        service_scheduler = ServiceScheduler(
+            service=service, holder=holder, dependencies=dependencies
+        )
+        self.service_schedulers.append(service_scheduler)
+        await service_scheduler.run()
 
 
 class History:
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -28,7 +28,7 @@
     OrderTimes,
     PoolDemand,
     SchedulerDependencies,
-    ServiceTerm,
+    ServiceScheduler,
     pool_demand_key,
 )
 from shallotworks.scheduling._machine_controller_ledger import OVER_TOLD_S
@@ -154,7 +154,7 @@
             await self.bidder.stop()
         await self.kill()
 
-    async def _run_term(self, service: str, holder: Holder) -> None:
+    async def _run_epoch(self, service: str, holder: Holder) -> None:
         self.terms_begun_s.append(self.now_s())
         self._follow()
         dependencies = SchedulerDependencies(
@@ -169,9 +169,11 @@
             log=self._log,
             metrics=Metrics(),
         )
-        term = ServiceTerm(service=service, holder=holder, dependencies=dependencies)
-        self.terms.append(term)
-        await term.run()
+        service_scheduler = ServiceScheduler(
+            service=service, holder=holder, dependencies=dependencies
+        )
+        self.service_schedulers.append(service_scheduler)
+        await service_scheduler.run()
 
     def _follow(self) -> None:
         """Follow workers and the keeper from the first duty on."""
@@ -623,7 +625,7 @@
         scheduler = self.scheduler()
         if scheduler is None:
             return False
-        worker = scheduler.terms[-1].board.workers.get(worker_id)
+        worker = scheduler.service_schedulers[-1].board.workers.get(worker_id)
         return worker is not None and worker.is_cordoned
 
     def _tell_keeper_word(self) -> None:
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -32,7 +32,7 @@
     PoolDemand,
     Run,
     SchedulerDependencies,
-    ServiceTerm,
+    ServiceScheduler,
     pool_demand_key,
 )
 from shallotworks.scheduling._machine_records import MachineControllerRecord, machine_controller_key
@@ -105,13 +105,18 @@
             self.budget.order_ends({end.name}, "a stop")
 
 
-class TermHandle:
+class SchedulerHandle:
     """A term that runs, and what stands between it and the world."""
 
     def __init__(
-        self, *, term: ServiceTerm, holder: Holder, store: StoreView, orders: OrdersView
+        self,
+        *,
+        service_scheduler: ServiceScheduler,
+        holder: Holder,
+        store: StoreView,
+        orders: OrdersView,
     ) -> None:
-        self.term = term
+        self.service_scheduler = service_scheduler
         self.holder = holder
         self.store = store
         self.orders = orders
@@ -247,7 +252,7 @@
         self._tasks += [asyncio.create_task(mirror.run()), asyncio.create_task(controller.run())]
         await asyncio.sleep(KEEPER_WAITS_S + 0.1)
 
-    async def begin_term(self, *, cut: set[str] | None = None) -> TermHandle:
+    async def begin_term(self, *, cut: set[str] | None = None) -> SchedulerHandle:
         """Begin a term of the service's scheduler.
 
         Args:
@@ -275,9 +280,13 @@
         )
         mirroring = asyncio.create_task(mirror.run())
         await mirror.synced.wait()
-        term = ServiceTerm(service=SERVICE, holder=holder, dependencies=dependencies)
-        handle = TermHandle(term=term, holder=holder, store=store, orders=orders)
-        handle.tasks = [mirroring, asyncio.create_task(term.run())]
+        service_scheduler = ServiceScheduler(
+            service=SERVICE, holder=holder, dependencies=dependencies
+        )
+        handle = SchedulerHandle(
+            service_scheduler=service_scheduler, holder=holder, store=store, orders=orders
+        )
+        handle.tasks = [mirroring, asyncio.create_task(service_scheduler.run())]
         self._tasks += handle.tasks
         return handle
 
@@ -286,7 +295,7 @@
         self.store.revoke("shallotworks/duty/scheduler/")
         self.store.revoke(JobKeys(service=SERVICE).holder_mark)
 
-    async def kill(self, handle: TermHandle) -> None:
+    async def kill(self, handle: SchedulerHandle) -> None:
         """End a term without a word, and its keys with it."""
         handle.store.faults.is_down = True
         for task in handle.tasks:
@@ -508,8 +517,12 @@
         self.assertEqual(([], 2), run_story(story()))
 
 
-def _runs(handle: TermHandle) -> list[Run]:
-    return [run for worker in handle.term.board.workers.values() for run in worker.runs.values()]
+def _runs(handle: SchedulerHandle) -> list[Run]:
+    return [
+        run
+        for worker in handle.service_scheduler.board.workers.values()
+        for run in worker.runs.values()
+    ]
 
 
 if __name__ == "__main__":
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -239,7 +239,7 @@
                     root="duty/",
                     mark=lambda duty: f"mark/{duty}",
                     instance=f"n{number}",
-                    run_term=hold,
+                    run_epoch=hold,
                     clock=asyncio.get_running_loop().time,
                     times=HolderTimes(ttl_s=60.0),
                     log=quiet_log(),
@@ -275,7 +275,7 @@
                 root="duty/",
                 mark=str,
                 instance=name,
-                run_term=None,  # type: ignore[arg-type]
+                run_epoch=None,  # type: ignore[arg-type]
                 clock=lambda: 0.0,
                 times=HolderTimes(),
                 log=quiet_log(),
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -639,7 +639,7 @@
     @property
     def board(self) -> ServiceBoard:
         """What the scheduler knows."""
-        return self._instance.terms[-1].board
+        return self._instance.service_schedulers[-1].board
 
     def write(self, worker_id: str, value: bytes) -> None:
         """Write an entry."""
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -186,17 +186,17 @@
             history = History(seed=1, workers=1, instances=1)
             history.instances[0].start()
             await asyncio.sleep(2.0)
-            term = history.instances[0].terms[-1]
-            token = term.board.token
+            service_scheduler = history.instances[0].service_schedulers[-1]
+            token = service_scheduler.board.token
             faults = history.instances[0].view.faults
             history.fleet.lasting.add(JOB_ID)
             await history.submit(JOB_ID, step(1, is_lasting=True))
             await asyncio.sleep(1.0)
             faults.late_part = 1.0
             offer = PoolDemand(token=token, free=("w0",))
-            self.assertFalse(await term._publish_demand(offer))
+            self.assertFalse(await service_scheduler._publish_demand(offer))
             faults.late_part = 0.0
-            self.assertTrue(await term._publish_demand(PoolDemand(token=token)))
+            self.assertTrue(await service_scheduler._publish_demand(PoolDemand(token=token)))
             await asyncio.sleep(LATE_S)
             stored = PoolDemand.decode(history.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual((), stored.free)
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -136,7 +136,7 @@
             watched = _SlowWatch(store=store)
             holders: list[Holder] = []
 
-            async def run_term(service: str, holder: Holder) -> None:
+            async def run_epoch(service: str, holder: Holder) -> None:
                 holders.append(holder)
                 keep = asyncio.create_task(holder.keep())
                 await holder.lost.wait()
@@ -147,7 +147,7 @@
                 root="duty/",
                 mark=lambda service: JobKeys(service=service).holder_mark,
                 instance="n0",
-                run_term=run_term,
+                run_epoch=run_epoch,
                 clock=asyncio.get_running_loop().time,
                 times=HolderTimes(),
                 log=quiet_log(),
--- a/tests/test_runners_record.py
+++ b/tests/test_runners_record.py
@@ -222,7 +222,7 @@
             await asyncio.sleep(1.0)
             whole_worker = step(1, cpu_millicores=4000)
             await asyncio.gather(*(history.submit(one, whole_worker) for one in job_ids))
-            board = scheduler.terms[-1].board
+            board = scheduler.service_schedulers[-1].board
             while len(history.fleet.done) < 2 or not board.dirty():
                 await asyncio.sleep(0.001)
             # A store that answers this slowly has not answered before the key is given back.
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -156,11 +156,11 @@
             (instance,) = history.instances
             instance.start()
             await asyncio.sleep(0.5)
-            term = instance.terms[-1]
+            service_scheduler = instance.service_schedulers[-1]
             instance.view.faults.is_down = True
-            term._holder._sent_s -= 60.0
-            self.assertFalse(term._holder.may_act)
-            term.decider._started = MOST_STARTS
+            service_scheduler._holder._sent_s -= 60.0
+            self.assertFalse(service_scheduler._holder.may_act)
+            service_scheduler.decider._started = MOST_STARTS
             plain, waits = OrderDesk.wait, 0
 
             async def counted(desk: OrderDesk, longest_s: float) -> None:
@@ -198,10 +198,10 @@
             (instance,) = history.instances
             instance.start()
             await asyncio.sleep(1.0)
-            term = instance.terms[-1]
+            service_scheduler = instance.service_schedulers[-1]
             before_s = spent_s
             for _ in range(1000):
-                term._desk.wake()
+                service_scheduler._desk.wake()
                 await asyncio.sleep(0.001)
             # One second passed beside the decisions, which get half as much at the most.
             self.assertLessEqual(round(spent_s - before_s, 6), 0.5 + cost_s)
