--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -31,8 +31,8 @@
 from ._protocols import AdviceService, WorkerDirectory, WorkerOrders
 from ._runners import RunnersRecord
 from ._sizing import PoolSizer, SizingLimits
-from ._term_workers import DIRECTORY_EVERY_S, TermWorkers
 from ._waiting import WaitWatch, name_some
+from ._worker_tracker import DIRECTORY_EVERY_S, WorkerTracker
 
 __all__ = ["ServiceScheduler", "SchedulerDependencies"]
 
@@ -137,7 +137,7 @@
         self._waits = WaitWatch(
             board=self.board, metrics=dependencies.metrics, log=dependencies.log
         )
-        self._workers = TermWorkers(
+        self._workers = WorkerTracker(
             board=self.board,
             record=RunnersRecord(
                 service=service, holder=holder, store=dependencies.store, log=dependencies.log
--- a/src/shallotworks/scheduling/_term_workers.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -11,12 +11,12 @@
 from ._protocols import WorkerDirectory
 from ._runners import Runner, RunnersRecord
 
-__all__ = ["DIRECTORY_EVERY_S", "TermWorkers"]
+__all__ = ["DIRECTORY_EVERY_S", "WorkerTracker"]
 
 DIRECTORY_EVERY_S = 0.05
 
 
-class TermWorkers:
+class WorkerTracker:
     """Brings the listed workers onto a service's board, each after it was recorded.
 
     Args:
--- a/tests/test_runners_record.py
+++ b/tests/test_runners_record.py
@@ -22,7 +22,7 @@
     runners_key,
 )
 from shallotworks.scheduling._board import Stored
-from shallotworks.scheduling._term_workers import TermWorkers
+from shallotworks.scheduling._worker_tracker import WorkerTracker
 from shallotworks.standins import OrdersView, RecordStore, StoreView, TaskWorkers
 from shallotworks.store import HolderTimes
 from tests.fleet_history import SERVICE, History
@@ -182,7 +182,7 @@
                 service=SERVICE, holder=holder, store=StoreView(store=store), log=quiet_log()
             )
             bench = Bench(view("ended"), view("idle"))
-            workers = TermWorkers(
+            workers = WorkerTracker(
                 board=bench.board,
                 record=record,
                 directory=TaskWorkers(rng=random.Random(1)),
