--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -66,7 +66,7 @@
         number += 1
         while bench.starts():
             pass
-        if any(True for _ in bench.board.open_steps()):
+        if any(True for _ in bench.scheduler_state.open_steps()):
             break
     for _ in range(WAITING_TASKS // TASKS_A_JOB):
         _hand_in(bench, number, rng)
@@ -85,7 +85,7 @@
 
 
 def _end_some(bench: Bench, rng: random.Random) -> None:
-    busy = [worker for worker in bench.board.workers.values() if worker.runs]
+    busy = [worker for worker in bench.scheduler_state.workers.values() if worker.runs]
     for worker in rng.sample(busy, min(ENDS_A_ROUND, len(busy))):
         run = rng.choice(list(worker.runs.values()))
         bench.report(worker.worker_id, ended=((run.name, run.run_id, EndKind.DONE),), sent_s=-1.0)
--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -16,7 +16,7 @@
     Decider,
     EndedTask,
     EndKind,
-    ServiceBoard,
+    SchedulerState,
     StartOrder,
     StepEntry,
     WorkerReport,
@@ -81,8 +81,8 @@
 def _play(seed: int, order: Order) -> tuple[float, float]:
     rng = random.Random(seed)
     arrivals = _arrivals(rng)
-    board = ServiceBoard(service="s", token=1, log=LogLines(process="bench", write=len))
-    decider = Decider(board=board, order=order)
+    scheduler_state = SchedulerState(service="s", token=1, log=LogLines(process="bench", write=len))
+    decider = Decider(scheduler_state=scheduler_state, order=order)
     for number in range(WORKERS):
         view = WorkerView(
             worker_id=f"w{number}",
@@ -91,8 +91,8 @@
             cpu_millicores=WORKER_MILLICORES,
             memory_mb=1_000_000,
         )
-        board.worker_learnt(view)
-        worker = board.workers[view.worker_id]
+        scheduler_state.worker_learnt(view)
+        worker = scheduler_state.workers[view.worker_id]
         worker.lease_ends_s = 1e9
         worker.is_fenced = True
     running: list[tuple[float, StartOrder]] = []
@@ -100,15 +100,15 @@
     now_s = 0.0
     while now_s < TURN_S + PAUSE_S:
         while arrivals and arrivals[0].accepted_s <= now_s:
-            _accept(board, arrivals.pop(0), now_s)
-        running = _end_some(board, running, now_s)
-        _note_completed(board, ended_s, now_s)
+            _accept(scheduler_state, arrivals.pop(0), now_s)
+        running = _end_some(scheduler_state, running, now_s)
+        _note_completed(scheduler_state, ended_s, now_s)
         for decision in decider.decide(now_s=now_s, wall_s=now_s):
             if isinstance(decision, StartOrder):
                 length_s = decision.run.step.estimated_s * rng.uniform(0.8, 1.2)
                 running.append((now_s + length_s, decision))
         now_s += TICK_S
-    return _shares(board, ended_s)
+    return _shares(scheduler_state, ended_s)
 
 
 def _arrivals(rng: random.Random) -> list[Job]:
@@ -132,16 +132,16 @@
     return jobs
 
 
-def _accept(board: ServiceBoard, job: Job, now_s: float) -> None:
-    board.job_learnt(job, JobProgress(queue="q"), revision=1, is_old=False, wall_s=now_s)
+def _accept(scheduler_state: SchedulerState, job: Job, now_s: float) -> None:
+    scheduler_state.job_learnt(job, JobProgress(queue="q"), revision=1, is_old=False, wall_s=now_s)
 
 
 def _end_some(
-    board: ServiceBoard, running: list[tuple[float, StartOrder]], now_s: float
+    scheduler_state: SchedulerState, running: list[tuple[float, StartOrder]], now_s: float
 ) -> list[tuple[float, StartOrder]]:
     for ends_s, order in running:
         if ends_s <= now_s:
-            worker = board.workers[order.run.worker_id]
+            worker = scheduler_state.workers[order.run.worker_id]
             end = EndedTask(
                 number=worker.seen_ends + 1,
                 name=order.run.name,
@@ -149,18 +149,20 @@
                 kind=EndKind.DONE,
             )
             report = WorkerReport(clock_ms=1, running=(), ended=(end,))
-            board.reported(worker, report, sent_s=-1.0, now_s=now_s, wall_s=now_s)
+            scheduler_state.reported(worker, report, sent_s=-1.0, now_s=now_s, wall_s=now_s)
     return [row for row in running if row[0] > now_s]
 
 
-def _note_completed(board: ServiceBoard, ended_s: dict[str, float], now_s: float) -> None:
-    for job_id, entry in board.entries.items():
+def _note_completed(
+    scheduler_state: SchedulerState, ended_s: dict[str, float], now_s: float
+) -> None:
+    for job_id, entry in scheduler_state.entries.items():
         if entry.progress.state is JobState.COMPLETED:
             ended_s.setdefault(job_id, now_s)
 
 
-def _shares(board: ServiceBoard, ended_s: dict[str, float]) -> tuple[float, float]:
-    entries = sorted(board.entries.values(), key=lambda entry: entry.work_core_s)
+def _shares(scheduler_state: SchedulerState, ended_s: dict[str, float]) -> tuple[float, float]:
+    entries = sorted(scheduler_state.entries.values(), key=lambda entry: entry.work_core_s)
     within = [
         ended_s.get(entry.job.job_id, 1e9) <= entry.job.accepted_s + entry.job.objective_s()
         for entry in entries
--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -6,7 +6,6 @@
 """
 
 from ._bidding import Bidder
-from ._board import ServiceBoard, Stored
 from ._decisions import Decider
 from ._entries import StepEntry
 from ._machine_controller import MachineController
@@ -50,6 +49,7 @@
     WorkerOrders,
 )
 from ._runners import Runner, RunnersRecord, runners_key
+from ._scheduler_state import SchedulerState, Stored
 from ._service_scheduler import SchedulerDependencies, ServiceScheduler
 from ._sizing import PoolSizer, SizingLimits
 from ._wait_reason import WaitReason
@@ -85,7 +85,7 @@
     "RunningTask",
     "Runner",
     "RunnersRecord",
-    "ServiceBoard",
+    "SchedulerState",
     "ServiceScheduler",
     "SizingLimits",
     "StartOrder",
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable, Iterator
 
-from ._board import ServiceBoard
 from ._entries import StepEntry
 from ._model import (
     AdviceRequest,
@@ -19,6 +18,7 @@
 from ._pacing import pace_orders
 from ._placement import Candidates, Placement
 from ._room import Room
+from ._scheduler_state import SchedulerState
 from ._wait_reason import WaitReason
 
 __all__ = ["Decider", "Decision"]
@@ -47,19 +47,19 @@
     """Decides on a board.
 
     Args:
-        board: What is known.
+        scheduler_state: What is known.
         order: Says which of the waiting steps gets room first, the smallest; see `urgency`.
     """
 
-    __slots__ = ("_board", "_held", "_now_s", "_order", "_room", "_started", "_wall_s")
+    __slots__ = ("_held", "_now_s", "_order", "_room", "_scheduler_state", "_started", "_wall_s")
 
     def __init__(
         self,
         *,
-        board: ServiceBoard,
+        scheduler_state: SchedulerState,
         order: Callable[[StepEntry, float], tuple[float, ...]] = urgency,
     ) -> None:
-        self._board = board
+        self._scheduler_state = scheduler_state
         self._order = order
         self._held: set[str] = set()
         """Workers whose room is held for lasting tasks, in this decision."""
@@ -79,7 +79,7 @@
         self._now_s, self._wall_s = now_s, wall_s
         self._pass_time(now_s, wall_s)
         yield from self._stops(now_s)
-        for worker in self._board.workers.values():
+        for worker in self._scheduler_state.workers.values():
             yield from pace_orders(worker, now_s)
         self._started = 0
         if may_start:
@@ -95,7 +95,7 @@
         """Stop lasting tasks on a worker that is to go, as many as their budgets allow now."""
         for run in list(worker.runs.values()):
             if run.step.is_lasting and self.may_disturb(run):
-                self._board.want_stop(run, "evacuation")
+                self._scheduler_state.want_stop(run, "evacuation")
 
     def may_disturb(self, run: Run) -> bool:
         """Whether a lasting task may be taken away now.
@@ -106,34 +106,34 @@
         """
         if run.is_stop_wanted:
             return False
-        entry = self._board.entries.get(run.name.job_id)
+        entry = self._scheduler_state.entries.get(run.name.job_id)
         if entry is None or entry.progress.state.is_final:
             return True
         step = entry.steps.get((run.name.occurrence, run.name.step))
         if step is None:
             return True
-        away = self._board.away(step, excluding=run, now_s=self._now_s)
+        away = self._scheduler_state.away(step, excluding=run, now_s=self._now_s)
         return away < max(1, run.step.may_miss)
 
     # ---- what time brings
 
     def _pass_time(self, now_s: float, wall_s: float) -> None:
-        board = self._board
-        for job_id in list(board.timed):
-            board.open_due(board.entries[job_id], wall_s)
-        for worker_id, until_s in list(board.pending_recovery.items()):
+        scheduler_state = self._scheduler_state
+        for job_id in list(scheduler_state.timed):
+            scheduler_state.open_due(scheduler_state.entries[job_id], wall_s)
+        for worker_id, until_s in list(scheduler_state.pending_recovery.items()):
             if now_s > until_s:
-                board.crashes.earlier_runs_lost()
-                board.recovered(worker_id, "leases out")
-        for worker in list(board.workers.values()):
+                scheduler_state.crashes.earlier_runs_lost()
+                scheduler_state.recovered(worker_id, "leases out")
+        for worker in list(scheduler_state.workers.values()):
             self._pass_time_of(worker, now_s)
 
     def _pass_time_of(self, worker: Worker, now_s: float) -> None:
         if now_s > worker.lease_ends_s and _is_settled(worker):
-            self._board.lapse(worker, now_s, self._wall_s)
+            self._scheduler_state.lapse(worker, now_s, self._wall_s)
         if not worker.is_listed and not worker.runs and now_s > worker.lease_ends_s:
             reason = "no longer listed"
-            self._board.worker_over(worker.worker_id, reason, now_s, self._wall_s)
+            self._scheduler_state.worker_over(worker.worker_id, reason, now_s, self._wall_s)
             return
         if worker.view.is_draining:
             self.evacuate(worker)
@@ -146,14 +146,14 @@
         if worker.view.is_draining and step.is_checkpointed and not step.is_lasting:
             left_s = step.estimated_s * (1 - run.percent / 100)
             if left_s > DRAIN_LEFT_S:
-                self._board.want_stop(run, "worker-draining")
+                self._scheduler_state.want_stop(run, "worker-draining")
         if step.is_gang or step.is_lasting or run.pace_percent < 100:
             return
         limit_s = max(STANDSTILL_S, step.estimated_s * LEAST_STANDSTILL_PART)
         if worker.reported_s - run.progressed_s > limit_s:
             worker.avoid_until_s = now_s + limit_s
-            self._board.want_stop(run, "stands-still")
-            entry = self._board.entries.get(run.name.job_id)
+            self._scheduler_state.want_stop(run, "stands-still")
+            entry = self._scheduler_state.entries.get(run.name.job_id)
             if entry is not None:
                 earlier = entry.avoid.get(run.name, frozenset())
                 entry.avoid[run.name] = earlier | {worker.worker_id}
@@ -161,7 +161,7 @@
     # ---- stops
 
     def _stops(self, now_s: float) -> Iterator[StopOrder]:
-        for run in list(self._board.unwanted):
+        for run in list(self._scheduler_state.unwanted):
             if run.phase in (RunPhase.RESERVED, RunPhase.STARTING, RunPhase.STOPPED):
                 continue
             if now_s - run.stop_sent_s >= STOP_RETRY_S:
@@ -172,9 +172,11 @@
     # ---- starts
 
     def _starts(self, now_s: float, wall_s: float) -> Iterator[StartOrder | AdviceRequest]:
-        steps = sorted(self._board.open_steps(), key=lambda step: self._order(step, wall_s))
+        steps = sorted(
+            self._scheduler_state.open_steps(), key=lambda step: self._order(step, wall_s)
+        )
         too_big: list[tuple[int, int, int]] = []
-        self._room = Room(self._board.workers.values(), steps)
+        self._room = Room(self._scheduler_state.workers.values(), steps)
         self._held.clear()
         for step in steps:
             if self.is_cut_short:
@@ -200,16 +202,16 @@
 
     def _isolated_starts(self, now_s: float) -> Iterator[StartOrder]:
         """Yield the starts of suspects whose workers are ready for them."""
-        for run, may_be_sent in self._board.isolation.ready(now_s):
-            step = self._board.open_step(run.name)
+        for run, may_be_sent in self._scheduler_state.isolation.ready(now_s):
+            step = self._scheduler_state.open_step(run.name)
             if may_be_sent and step is not None:
                 yield self._start_order(step, run)
             else:
-                self._board.start_failed(run, now_s)
+                self._scheduler_state.start_failed(run, now_s)
 
     def _start_beside_suspects(self, step: StepEntry, now_s: float) -> Iterator[StartOrder]:
         """Start tasks of a job that has lost runs with crashed workers, suspects in isolation."""
-        isolation, entry = self._board.isolation, step.job_entry
+        isolation, entry = self._scheduler_state.isolation, step.job_entry
         indices = {step.name(index): index for index in step.waiting}
         suspects = isolation.suspects(entry, indices, self._wall_s)
         if entry.progress.state.is_final:
@@ -223,17 +225,23 @@
     def _isolate(self, step: StepEntry, index: int, now_s: float) -> None:
         """Keep a worker for a suspect, one where a crash would take the least with it."""
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s)
-        places = [one for one in self._board.isolation.places() if placement.obstacle(one) is None]
+        places = [
+            one
+            for one in self._scheduler_state.isolation.places()
+            if placement.obstacle(one) is None
+        ]
         if not places:
             return
-        run = self._board.new_run(step, index, places[0], self._board.next_run_id(), now_s)
-        self._board.isolation.isolate(run, places[0], now_s=now_s, wall_s=self._wall_s)
+        run = self._scheduler_state.new_run(
+            step, index, places[0], self._scheduler_state.next_run_id(), now_s
+        )
+        self._scheduler_state.isolation.isolate(run, places[0], now_s=now_s, wall_s=self._wall_s)
         self._started += 1
 
     def _start_tasks(
         self, step: StepEntry, indices: list[int], now_s: float
     ) -> Iterator[StartOrder]:
-        is_spread = self._board.crashes.are_frequent(self._wall_s)
+        is_spread = self._scheduler_state.crashes.are_frequent(self._wall_s)
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s, is_spread=is_spread)
         candidates = Candidates(placement=placement, workers=self._workers_for(step))
         for index in list(indices):
@@ -243,9 +251,9 @@
                 return
             if step.step.is_one_rack and not step.rack:
                 step.rack = worker.view.rack
-            run_id = self._board.next_run_id()
-            run = self._board.new_run(step, index, worker, run_id, now_s)
-            self._board.crashes.started(run, self._wall_s)
+            run_id = self._scheduler_state.next_run_id()
+            run = self._scheduler_state.new_run(step, index, worker, run_id, now_s)
+            self._scheduler_state.crashes.started(run, self._wall_s)
             candidates.placed(worker)
             self._started += 1
             yield self._start_order(step, run)
@@ -253,7 +261,7 @@
     def _workers_for(self, step: StepEntry) -> list[Worker]:
         if step.step.is_lasting:
             # Where its tasks run already matters, also on workers that are full.
-            return list(self._board.workers.values())
+            return list(self._scheduler_state.workers.values())
         return [worker for worker in self._room.workers if worker.worker_id not in self._held]
 
     def _hold_room(self, step: StepEntry, now_s: float) -> None:
@@ -267,7 +275,7 @@
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s)
         fitting = [
             worker
-            for worker in self._board.workers.values()
+            for worker in self._scheduler_state.workers.values()
             if placement.obstacle(worker) is WaitReason.ROOM
             and not worker.is_cordoned
             and worker.lasting_from_s <= now_s
@@ -287,11 +295,11 @@
                 break
         else:
             return
-        run_id = self._board.next_run_id()
+        run_id = self._scheduler_state.next_run_id()
         checkpoint = self._gang_checkpoint(step)
         self._started += len(chosen)
         for index, worker in chosen:
-            run = self._board.new_run(step, index, worker, run_id, now_s)
+            run = self._scheduler_state.new_run(step, index, worker, run_id, now_s)
             spec = step.job_entry.job.spec
             ticket = step.permits.get(worker.worker_id, "")
             yield StartOrder(run=run, spec=spec, checkpoint=checkpoint, ticket=ticket)
@@ -329,7 +337,7 @@
     def _racks(self, step: StepEntry) -> list[str]:
         if not step.step.is_one_rack:
             return [""]
-        racks = sorted({worker.view.rack for worker in self._board.workers.values()})
+        racks = sorted({worker.view.rack for worker in self._scheduler_state.workers.values()})
         racks.sort(key=lambda rack: rack != step.step.near_rack)
         return [*racks, ""]
 
@@ -351,7 +359,7 @@
             return
         usable = [
             worker
-            for worker in self._board.workers.values()
+            for worker in self._scheduler_state.workers.values()
             if worker.is_fenced and worker.is_listed and not worker.view.is_draining
         ]
         usable.sort(key=lambda worker: worker.cpu_used / max(1, worker.view.cpu_millicores))
--- a/src/shallotworks/scheduling/_orders.py
+++ b/src/shallotworks/scheduling/_orders.py
@@ -11,7 +11,6 @@
 from shallotworks.metrics import Metrics
 from shallotworks.store import Holder
 
-from ._board import ServiceBoard
 from ._model import (
     OrderOutcome,
     OrderStatus,
@@ -23,6 +22,7 @@
     Worker,
 )
 from ._protocols import WorkerOrders
+from ._scheduler_state import SchedulerState
 
 __all__ = ["OrderDesk", "OrderTimes"]
 
@@ -91,7 +91,7 @@
     """Sends orders and teaches the board what came of them.
 
     Args:
-        board: What is known.
+        scheduler_state: What is known.
         holder: Whether orders may be given, asked before each.
         orders: Sends them.
         clock: Seconds, counting suspended time.
@@ -105,7 +105,6 @@
     """
 
     __slots__ = (
-        "_board",
         "_clock",
         "_followers",
         "_holder",
@@ -116,6 +115,7 @@
         "_news",
         "_on_progress",
         "_orders",
+        "_scheduler_state",
         "_stirred",
         "_times",
         "_wall_clock",
@@ -124,7 +124,7 @@
     def __init__(
         self,
         *,
-        board: ServiceBoard,
+        scheduler_state: SchedulerState,
         holder: Holder,
         orders: WorkerOrders,
         clock: Callable[[], float],
@@ -135,7 +135,7 @@
         metrics: Metrics,
         on_progress: Callable[[], None],
     ) -> None:
-        self._board = board
+        self._scheduler_state = scheduler_state
         self._holder = holder
         self._orders = orders
         self._clock = clock
@@ -155,7 +155,7 @@
     def wake(self) -> None:
         """Say that there is news to decide on, which may concern any worker."""
         self._news.set()
-        for worker in self._board.workers.values():
+        for worker in self._scheduler_state.workers.values():
             self._stir(worker)
 
     def _stir(self, worker: Worker) -> None:
@@ -185,12 +185,14 @@
 
     def notice_workers(self) -> None:
         """Begin to follow workers that are new on the board."""
-        for worker_id, worker in self._board.workers.items():
+        for worker_id, worker in self._scheduler_state.workers.items():
             task = self._followers.get(worker_id)
             if task is None or task.done():
                 self._stirred[worker_id] = asyncio.Event()
                 self._followers[worker_id] = asyncio.create_task(self._follow(worker))
-        for worker_id in [one for one in self._followers if one not in self._board.workers]:
+        for worker_id in [
+            one for one in self._followers if one not in self._scheduler_state.workers
+        ]:
             self._followers.pop(worker_id).cancel()
             self._stirred.pop(worker_id, None)
 
@@ -239,7 +241,7 @@
 
     async def _follow(self, worker: Worker) -> None:
         try:
-            while self._board.workers.get(worker.worker_id) is worker:
+            while self._scheduler_state.workers.get(worker.worker_id) is worker:
                 await self._await_reason(worker)
                 if not self._holder.may_act:
                     await asyncio.sleep(SETTLE_WAIT_S)
@@ -261,7 +263,7 @@
             worker.runs
             or not worker.is_fenced
             or worker.acknowledged < worker.highest_settled
-            or worker.worker_id in self._board.pending_recovery
+            or worker.worker_id in self._scheduler_state.pending_recovery
         )
 
     async def _look(self, worker: Worker) -> None:
@@ -271,7 +273,7 @@
         wait_s = self._look_wait_s(worker)
         outcome = await self._orders.look(
             worker.view,
-            token=self._board.token,
+            token=self._scheduler_state.token,
             acknowledged=acknowledged,
             lease_until_ms=lease_ms,
             wait_s=wait_s,
@@ -280,12 +282,14 @@
         self._metrics.count(f"scheduler.look.{outcome.status.value}")
         if outcome.report is None:
             if outcome.status in _LOST and self._clock() - sent_s < wait_s + CLOSED_WITHIN_S:
-                self._board.crashes.connection_closed(worker, self._clock(), self._wall_clock())
+                self._scheduler_state.crashes.connection_closed(
+                    worker, self._clock(), self._wall_clock()
+                )
             self._look_failed(worker, outcome)
             await asyncio.sleep(SETTLE_WAIT_S)
             return
         worker.acknowledged = max(worker.acknowledged, acknowledged)
-        self._board.reported(
+        self._scheduler_state.reported(
             worker,
             outcome.report,
             sent_s=sent_s,
@@ -307,7 +311,7 @@
     def _look_wait_s(self, worker: Worker) -> float:
         if self._is_pressing(worker):
             return 0.0
-        left_s = self._board.isolation.left_s(worker, self._clock())
+        left_s = self._scheduler_state.isolation.left_s(worker, self._clock())
         if left_s is None:
             return self._times.look_wait_s
         return min(self._times.look_wait_s, max(left_s, LEAST_WAIT_S))
@@ -331,7 +335,7 @@
                 detail=outcome.detail,
                 silent_s=round(self._clock() - worker.reported_s, 2),
                 lease_left_s=round(worker.lease_ends_s - self._clock(), 2),
-                token=self._board.token,
+                token=self._scheduler_state.token,
             )
         self._news.set()
 
@@ -361,7 +365,7 @@
             self._holder.lose(f"a later scheduler has fenced {worker.worker_id}")
             return True
         if outcome.status is OrderStatus.GONE:
-            self._board.replaced(worker.worker_id, self._clock(), self._wall_clock())
+            self._scheduler_state.replaced(worker.worker_id, self._clock(), self._wall_clock())
             return True
         return False
 
@@ -369,16 +373,16 @@
 
     async def _start(self, order: StartOrder) -> None:
         run = order.run
-        worker = self._board.workers.get(run.worker_id)
+        worker = self._scheduler_state.workers.get(run.worker_id)
         sent_s = self._clock()
         lease_ms = self._extend(worker, sent_s) if worker is not None else None
         if worker is None or (run.name, run.run_id) not in worker.runs:
             return
         if lease_ms is None or not self._holder.may_act:
-            self._board.start_failed(run, sent_s)
+            self._scheduler_state.start_failed(run, sent_s)
             return
         outcome = await self._orders.start(
-            worker.view, order, token=self._board.token, lease_until_ms=lease_ms
+            worker.view, order, token=self._scheduler_state.token, lease_until_ms=lease_ms
         )
         now_s = self._clock()
         self._metrics.count(f"scheduler.start.{outcome.status.value}")
@@ -394,7 +398,7 @@
             resumed=bool(order.checkpoint),
             cpu_used=worker.cpu_used,
             seen_s=round(now_s - worker.reported_s, 3),
-            token=self._board.token,
+            token=self._scheduler_state.token,
         )
         self._start_answered(worker, run, outcome, now_s)
         self._order_answered(worker)
@@ -404,7 +408,9 @@
     ) -> None:
         is_gone = self._common_failure(worker, outcome)
         may_have_run = outcome.status in (OrderStatus.OBEYED, OrderStatus.UNANSWERED)
-        self._board.crashes.start_answered(run, self._wall_clock(), may_have_run=may_have_run)
+        self._scheduler_state.crashes.start_answered(
+            run, self._wall_clock(), may_have_run=may_have_run
+        )
         if is_gone:
             return
         if may_have_run:
@@ -415,11 +421,11 @@
                 worker.pause_until_s = now_s + UNANSWERED_PAUSE_S
             return
         self._learn_refusal(worker, run, outcome.status, now_s)
-        self._board.start_failed(run, now_s)
+        self._scheduler_state.start_failed(run, now_s)
 
     def _learn_refusal(self, worker: Worker, run: Run, status: OrderStatus, now_s: float) -> None:
         """Learn from a start that was not carried out what the next one has to wait for."""
-        step = self._board.open_step(run.name)
+        step = self._scheduler_state.open_step(run.name)
         if status is OrderStatus.TOO_LATE:
             worker.is_fenced = False
         elif status is OrderStatus.NO_TICKET:
@@ -435,10 +441,10 @@
 
     async def _stop(self, order: StopOrder) -> None:
         run = order.run
-        worker = self._board.workers.get(run.worker_id)
+        worker = self._scheduler_state.workers.get(run.worker_id)
         if worker is None or not self._holder.may_act:
             return
-        outcome = await self._orders.stop(worker.view, order, token=self._board.token)
+        outcome = await self._orders.stop(worker.view, order, token=self._scheduler_state.token)
         self._metrics.count(f"scheduler.stop.{outcome.status.value}")
         self._log.line(
             "run-stopped",
@@ -448,17 +454,17 @@
             worker=worker.worker_id,
             reason=run.stop_reason,
             outcome=outcome.status.value,
-            token=self._board.token,
+            token=self._scheduler_state.token,
         )
         if not self._common_failure(worker, outcome) and outcome.status is OrderStatus.OBEYED:
             run.enter(RunPhase.STOPPED, self._clock())
         self._order_answered(worker)
 
     async def _pace(self, order: PaceOrder) -> None:
-        worker = self._board.workers.get(order.run.worker_id)
+        worker = self._scheduler_state.workers.get(order.run.worker_id)
         if worker is None or not self._holder.may_act:
             return
-        outcome = await self._orders.pace(worker.view, order, token=self._board.token)
+        outcome = await self._orders.pace(worker.view, order, token=self._scheduler_state.token)
         self._metrics.count(f"scheduler.pace.{outcome.status.value}")
         self._log.line(
             "run-paced",
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -13,8 +13,8 @@
 from shallotworks.metrics import Metrics
 from shallotworks.store import Commit, Committed, Condition, Conflicted, Holder, Store, Write
 
-from ._board import ServiceBoard, Stored
 from ._entries import JobEntry
+from ._scheduler_state import SchedulerState, Stored
 
 __all__ = ["ProgressWriter"]
 
@@ -39,7 +39,7 @@
     KB for a job that is over instead of 3 KB.
 
     Args:
-        board: What is known.
+        scheduler_state: What is known.
         holder: The scheduler's key.
         store: The store.
         log: Failures and conflicts.
@@ -48,7 +48,6 @@
     """
 
     __slots__ = (
-        "_board",
         "_holder",
         "_is_key_gone",
         "_is_settled",
@@ -56,6 +55,7 @@
         "_log",
         "_metrics",
         "_on_stored",
+        "_scheduler_state",
         "_store",
         "wake",
     )
@@ -63,20 +63,20 @@
     def __init__(
         self,
         *,
-        board: ServiceBoard,
+        scheduler_state: SchedulerState,
         holder: Holder,
         store: Store,
         log: LogLines,
         metrics: Metrics,
         on_stored: Callable[[], None],
     ) -> None:
-        self._board = board
+        self._scheduler_state = scheduler_state
         self._holder = holder
         self._store = store
         self._log = log
         self._metrics = metrics
         self._on_stored = on_stored
-        self._keys = JobKeys(service=board.service)
+        self._keys = JobKeys(service=scheduler_state.service)
         self._is_key_gone = False
         self.wake = asyncio.Event()
         """Set when progress has changed."""
@@ -89,7 +89,7 @@
             await self.wake.wait()
             self.wake.clear()
             self._is_settled.clear()
-            while dirty := self._board.dirty():
+            while dirty := self._scheduler_state.dirty():
                 stored = await asyncio.gather(*map(self._store_batch, _batches(dirty)))
                 if self._is_key_gone:
                     break
@@ -131,7 +131,7 @@
         if not isinstance(outcome, Success):
             self._log.line(
                 "progress-not-stored",
-                service=self._board.service,
+                service=self._scheduler_state.service,
                 jobs=len(entries),
                 reason=str(outcome.failure()),
             )
@@ -139,7 +139,9 @@
         result = outcome.unwrap()
         if isinstance(result, Committed):
             for job_id, change in changes.items():
-                self._board.stored(Stored(job_id=job_id, changes=change, revision=result.revision))
+                self._scheduler_state.stored(
+                    Stored(job_id=job_id, changes=change, revision=result.revision)
+                )
             self._metrics.count("scheduler.progress.stored", len(entries))
             self._on_stored()
             return True
@@ -156,10 +158,10 @@
         for key, entry in keys.items():
             item = current.get(key)
             if item is None:
-                self._board.job_deleted(entry.job.job_id)
+                self._scheduler_state.job_deleted(entry.job.job_id)
             elif item.revision != entry.revision:
                 self._log.line("progress-conflict", id=entry.job.job_id, revision=item.revision)
-                self._board.progress_learnt(
+                self._scheduler_state.progress_learnt(
                     entry.job.job_id, decode_progress(item.value), item.revision
                 )
         self._on_stored()
--- a/src/shallotworks/scheduling/_board.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -26,7 +26,7 @@
     WorkerView,
 )
 
-__all__ = ["RUN_IDS_PER_EPOCH", "ServiceBoard", "Stored", "WaitingTasks"]
+__all__ = ["RUN_IDS_PER_EPOCH", "SchedulerState", "Stored", "WaitingTasks"]
 
 RUN_IDS_PER_EPOCH = 1_000_000
 """Run ids begin at the term's fencing token times this, so that a successor's are higher than all
@@ -71,7 +71,7 @@
     is_late: bool
 
 
-class ServiceBoard:
+class SchedulerState:
     """Jobs, workers and runs of one service during one term of its scheduler.
 
     Args:
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -22,7 +22,6 @@
     Store,
 )
 
-from ._board import ServiceBoard
 from ._decisions import Decider
 from ._machine_records import MachineRecords, PoolDemand, pool_demand_key
 from ._model import AdviceRequest
@@ -30,6 +29,7 @@
 from ._progress_writer import ProgressWriter
 from ._protocols import AdviceService, WorkerDirectory, WorkerOrders
 from ._runners import RunnersRecord
+from ._scheduler_state import SchedulerState
 from ._sizing import PoolSizer, SizingLimits
 from ._waiting import WaitWatch, name_some
 from ._worker_tracker import DIRECTORY_EVERY_S, WorkerTracker
@@ -118,9 +118,9 @@
         "_waits",
         "_workers",
         "_writer",
-        "board",
         "decider",
         "is_prepared",
+        "scheduler_state",
         "service",
     )
 
@@ -131,14 +131,16 @@
         self._holder = holder
         self._dependencies = dependencies
         self._keys = JobKeys(service=service)
-        self.board = ServiceBoard(service=service, token=holder.token, log=dependencies.log)
-        self.decider = Decider(board=self.board)
-        self._sizer = PoolSizer(board=self.board, limits=SizingLimits())
+        self.scheduler_state = SchedulerState(
+            service=service, token=holder.token, log=dependencies.log
+        )
+        self.decider = Decider(scheduler_state=self.scheduler_state)
+        self._sizer = PoolSizer(scheduler_state=self.scheduler_state, limits=SizingLimits())
         self._waits = WaitWatch(
-            board=self.board, metrics=dependencies.metrics, log=dependencies.log
+            scheduler_state=self.scheduler_state, metrics=dependencies.metrics, log=dependencies.log
         )
         self._workers = WorkerTracker(
-            board=self.board,
+            scheduler_state=self.scheduler_state,
             record=RunnersRecord(
                 service=service, holder=holder, store=dependencies.store, log=dependencies.log
             ),
@@ -149,7 +151,7 @@
             recovery_s=dependencies.times.recovery_s,
         )
         self._desk = OrderDesk(
-            board=self.board,
+            scheduler_state=self.scheduler_state,
             holder=holder,
             orders=dependencies.orders,
             clock=dependencies.clock,
@@ -161,7 +163,7 @@
             on_progress=self._note_progress,
         )
         self._writer = ProgressWriter(
-            board=self.board,
+            scheduler_state=self.scheduler_state,
             holder=holder,
             store=dependencies.store,
             log=dependencies.log,
@@ -215,7 +217,9 @@
             for task in (*tasks, lost, *self._tasks):
                 task.cancel()
             self._desk.close()
-            self._log("term-ended", runs=sum(len(w.runs) for w in self.board.workers.values()))
+            self._log(
+                "term-ended", runs=sum(len(w.runs) for w in self.scheduler_state.workers.values())
+            )
 
     async def _hand_over(self) -> None:
         """Leave to the successor the workers that may run something, and no others.
@@ -259,22 +263,22 @@
 
     def _progress_written(self, job_id: str, item: Item) -> None:
         progress = decode_progress(item.value)
-        if job_id in self.board.entries:
-            self.board.progress_learnt(job_id, progress, item.revision)
+        if job_id in self.scheduler_state.entries:
+            self.scheduler_state.progress_learnt(job_id, progress, item.revision)
             return
-        if job_id in self.board.finals:
+        if job_id in self.scheduler_state.finals:
             # Told late: an earlier state of a job whose end this scheduler has stored meanwhile.
             return
         record = self._pending_jobs.pop(job_id, None)
         if record is None and progress.state.is_final:
-            self.board.final_learnt(job_id, progress)
+            self.scheduler_state.final_learnt(job_id, progress)
             return
         if record is None:
             # A job's record is created with its progress and stands before it in key order; without
             # it there is nothing that could be run.
             self._log("job-without-record", id=job_id)
             return
-        self.board.job_learnt(
+        self.scheduler_state.job_learnt(
             decode_job(record.value),
             progress,
             revision=item.revision,
@@ -293,7 +297,7 @@
             return
         job_id, is_progress = self._keys.parse(key)
         if is_progress:
-            self.board.job_deleted(job_id)
+            self.scheduler_state.job_deleted(job_id)
         else:
             self._pending_jobs.pop(job_id, None)
 
@@ -315,12 +319,12 @@
     def _decide(self) -> bool:
         """Carry out what is to be done now; return whether more is, and may not wait for news."""
         self._decide_once()
-        is_waiting = any(True for _ in self.board.open_steps())
+        is_waiting = any(True for _ in self.scheduler_state.open_steps())
         now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
         if is_waiting and self._sizer.withdraw(now_s, wall_s=wall_s):
             self._decide_once()
         self._desk.notice_workers()
-        if any(entry.is_dirty for entry in self.board.entries.values()):
+        if any(entry.is_dirty for entry in self.scheduler_state.entries.values()):
             self._writer.wake.set()
         return self.decider.is_cut_short
 
@@ -348,15 +352,15 @@
             await asyncio.sleep(STORE_RETRY_S)
         self._log(
             "term-prepared",
-            jobs=len(self.board.entries),
+            jobs=len(self.scheduler_state.entries),
             workers_recorded=recorded,
-            awaited=name_some(self.board.pending_recovery, MOST_AWAITED_NAMED),
+            awaited=name_some(self.scheduler_state.pending_recovery, MOST_AWAITED_NAMED),
         )
         self.is_prepared.set()
 
     async def _ask(self, request: AdviceRequest) -> None:
         outcome = await self._dependencies.advice.ask(request.step, request.worker_ids)
-        entry = self.board.entries.get(request.step[0])
+        entry = self.scheduler_state.entries.get(request.step[0])
         step = entry.steps.get(request.step[1:]) if entry is not None else None
         if step is None:
             return
@@ -384,7 +388,9 @@
             self._log("pool-state", **self._sizer.state(wall_s=wall_s))
             self._waits.tell(now_s=now_s, wall_s=wall_s)
             await self._workers.keep_record()
-            await self._pending.put(json.dumps(self.board.waiting_jobs(), sort_keys=True).encode())
+            await self._pending.put(
+                json.dumps(self.scheduler_state.waiting_jobs(), sort_keys=True).encode()
+            )
             await asyncio.sleep(PUBLISH_EVERY_S)
 
     async def _size_pool(self) -> None:
@@ -441,7 +447,11 @@
                 self._dependencies.wall_clock()
                 - KEEP_FINAL_PART * self._dependencies.final_state_told_s
             )
-            old = [job_id for job_id, ended_s in self.board.finals.items() if ended_s < before_s]
+            old = [
+                job_id
+                for job_id, ended_s in self.scheduler_state.finals.items()
+                if ended_s < before_s
+            ]
             for job_id in old[:MOST_CLEANED]:
                 keys = (self._keys.job(job_id), self._keys.progress(job_id))
                 await self._dependencies.store.commit(
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -12,11 +12,11 @@
 
 from shallotworks.jobs import Step
 
-from ._board import ServiceBoard
 from ._demand import DemandLimits, arriving_cores
 from ._machine_records import PoolDemand
 from ._model import Worker
 from ._placement import LEAST_WORKERS
+from ._scheduler_state import SchedulerState
 from ._waiting import tasks_recovering
 
 __all__ = ["PoolSizer", "SizingLimits"]
@@ -72,14 +72,14 @@
     """Sizes the pool of one service.
 
     Args:
-        board: The service's board.
+        scheduler_state: The service's board.
         limits: Limits.
     """
 
-    __slots__ = ("_board", "_cordoned", "_idle_since", "_limits", "_offered")
+    __slots__ = ("_cordoned", "_idle_since", "_limits", "_offered", "_scheduler_state")
 
-    def __init__(self, *, board: ServiceBoard, limits: SizingLimits) -> None:
-        self._board = board
+    def __init__(self, *, scheduler_state: SchedulerState, limits: SizingLimits) -> None:
+        self._scheduler_state = scheduler_state
         self._limits = limits
         self._idle_since: dict[str, float] = {}
         self._cordoned: dict[str, float] = {}
@@ -98,16 +98,16 @@
         lacking = self._lacking(wall_s)
         self._cordon_due(due, now_s)
         offered = self._surplus(now_s, wall_s)
-        for worker in self._board.workers.values():
+        for worker in self._scheduler_state.workers.values():
             self._offer(worker, worker.worker_id in offered, now_s)
         self._offered = offered
         free = sorted(offered | set(self._emptied(now_s)))
-        return PoolDemand(lacking=lacking, free=tuple(free), token=self._board.token)
+        return PoolDemand(lacking=lacking, free=tuple(free), token=self._scheduler_state.token)
 
     def state(self, *, wall_s: float) -> dict[str, int]:
         """Return the pool's state in figures for its log line: machines, cores and waiting work."""
         usable = self._usable()
-        waiting = list(self._board.open_steps())
+        waiting = list(self._scheduler_state.open_steps())
         lasting = [run for worker in usable for run in worker.runs.values() if run.step.is_lasting]
         hopeless = [step for step in waiting if step.is_hopeless(wall_s)]
         return {
@@ -119,10 +119,10 @@
             "cores_lasting": sum(run.step.cpu_millicores for run in lasting) // 1000,
             "waiting_core_s": int(self._waiting_millicore_s(wall_s) / 1000),
             "tasks_waiting": sum(len(step.waiting) for step in waiting),
-            "tasks_recovering": tasks_recovering(self._board),
+            "tasks_recovering": tasks_recovering(self._scheduler_state),
             "tasks_hopeless": sum(len(step.waiting) for step in hopeless),
-            "jobs": len(self._board.entries),
-            "unseen_workers": len(self._board.pending_recovery),
+            "jobs": len(self._scheduler_state.entries),
+            "unseen_workers": len(self._scheduler_state.pending_recovery),
         }
 
     def yield_some(self, count: int) -> None:
@@ -133,7 +133,7 @@
         are chosen; jobs that can still be on time use them as before.
         """
         yielding = {worker.worker_id for worker in self._least_used(count)}
-        for worker in self._board.workers.values():
+        for worker in self._scheduler_state.workers.values():
             worker.is_yielding = worker.worker_id in yielding
 
     def _least_used(self, count: int) -> list[Worker]:
@@ -148,23 +148,25 @@
     def emptying(self) -> Iterator[Worker]:
         """Yield the workers that are due and still run something."""
         for worker_id in self._cordoned:
-            worker = self._board.workers.get(worker_id)
+            worker = self._scheduler_state.workers.get(worker_id)
             if worker is not None:
                 yield worker
 
     def _watch_idle(self, now_s: float) -> None:
-        for worker_id, worker in self._board.workers.items():
+        for worker_id, worker in self._scheduler_state.workers.items():
             if worker.runs:
                 self._idle_since.pop(worker_id, None)
             else:
                 self._idle_since.setdefault(worker_id, now_s)
-        for worker_id in [one for one in self._idle_since if one not in self._board.workers]:
+        for worker_id in [
+            one for one in self._idle_since if one not in self._scheduler_state.workers
+        ]:
             del self._idle_since[worker_id]
 
     def _usable(self) -> list[Worker]:
         return [
             worker
-            for worker in self._board.workers.values()
+            for worker in self._scheduler_state.workers.values()
             if worker.is_listed and not worker.view.is_draining
         ]
 
@@ -177,7 +179,7 @@
         often at the start of a turn, after its first machines have come.
         """
         waiting_millicore_s = self._waiting_millicore_s(wall_s)
-        arrivals = self._board.arrivals
+        arrivals = self._scheduler_state.arrivals
         arriving = 1000 * arriving_cores(arrivals, wall_s=wall_s, limits=self._limits.demand)
         usable = self._usable()
         size = max((worker.view.cpu_millicores for worker in usable), default=0)
@@ -196,7 +198,7 @@
 
     def _waiting_millicore_s(self, wall_s: float) -> float:
         total = 0.0
-        for entry in self._board.open_steps():
+        for entry in self._scheduler_state.open_steps():
             step = entry.step
             if step.is_filler or entry.is_hopeless(wall_s):
                 continue
@@ -239,9 +241,11 @@
         """Return how many free workers tasks that can be in time, and late ones, are kept for."""
         kept = {True: 0, False: 0}
         size = max(self._usable(), key=lambda one: one.view.cpu_millicores, default=None)
-        for waiting in self._board.tasks_to_place(now_s, wall_s):
+        for waiting in self._scheduler_state.tasks_to_place(now_s, wall_s):
             together = _tasks_together(waiting.step, size)
-            needed = -(-waiting.tasks // together) if together else len(self._board.workers)
+            needed = (
+                -(-waiting.tasks // together) if together else len(self._scheduler_state.workers)
+            )
             kept[waiting.is_late] += needed
         in_time, late = kept[False], kept[True]
         if in_time:
@@ -256,7 +260,7 @@
         The failure: a successor tells that a worker is free which it has not looked at yet, its
         machine is taken, and the lasting tasks that its predecessor started there end.
         """
-        return not worker.runs and worker.worker_id not in self._board.pending_recovery
+        return not worker.runs and worker.worker_id not in self._scheduler_state.pending_recovery
 
     def withdraw(self, now_s: float, *, wall_s: float) -> bool:
         """Take back as many offers as tasks wait for; return whether there were any.
@@ -266,7 +270,7 @@
         """
         taken_back = self._offered - self._lendable(self._free_to_use(), now_s, wall_s)
         for worker_id in taken_back:
-            worker = self._board.workers.get(worker_id)
+            worker = self._scheduler_state.workers.get(worker_id)
             if worker is not None:
                 self._offer(worker, False, now_s)
         self._offered = self._offered - taken_back
@@ -275,7 +279,7 @@
     def keep_lasting_off(self, worker_ids: Iterable[str], now_s: float) -> None:
         """Keep lasting tasks off workers that the keeper may still read to be free."""
         for worker_id in worker_ids:
-            self._board.keep_lasting_off(worker_id, now_s + self._limits.lasting_after_s)
+            self._scheduler_state.keep_lasting_off(worker_id, now_s + self._limits.lasting_after_s)
 
     def _offer(self, worker: Worker, is_offered: bool, now_s: float) -> None:
         if worker.worker_id in self._cordoned:
@@ -286,18 +290,18 @@
 
     def _cordon_due(self, due: frozenset[str], now_s: float) -> None:
         for worker_id in list(self._cordoned):
-            if worker_id not in due or worker_id not in self._board.workers:
+            if worker_id not in due or worker_id not in self._scheduler_state.workers:
                 del self._cordoned[worker_id]
         for worker_id in due:
-            worker = self._board.workers.get(worker_id)
+            worker = self._scheduler_state.workers.get(worker_id)
             if worker is not None and worker_id not in self._cordoned:
                 self._cordoned[worker_id] = now_s
                 worker.is_cordoned = True
 
     def _emptied(self, now_s: float) -> Iterator[str]:
         for worker_id, since_s in self._cordoned.items():
-            worker = self._board.workers[worker_id]
-            if worker_id in self._board.pending_recovery:
+            worker = self._scheduler_state.workers[worker_id]
+            if worker_id in self._scheduler_state.pending_recovery:
                 continue
             if any(run.step.is_lasting for run in worker.runs.values()):
                 continue
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -15,9 +15,9 @@
 from shallotworks.logs import LogLines
 from shallotworks.metrics import Metrics
 
-from ._board import ServiceBoard
 from ._entries import StepEntry
 from ._placement import Placement
+from ._scheduler_state import SchedulerState
 from ._wait_reason import WaitReason
 
 __all__ = [
@@ -131,7 +131,7 @@
 
 
 def waiting_reason(
-    board: ServiceBoard, step: StepEntry, *, now_s: float, wall_s: float
+    scheduler_state: SchedulerState, step: StepEntry, *, now_s: float, wall_s: float
 ) -> WaitReason:
     """Return why the waiting tasks of a step that may be started wait.
 
@@ -139,7 +139,7 @@
     full tell nothing while an idle one is cordoned.
 
     Args:
-        board: What is known.
+        scheduler_state: What is known.
         step: The step.
         now_s: The scheduler's clock.
         wall_s: Time of day in seconds since 1970.
@@ -150,7 +150,7 @@
         return WaitReason.REFUSED
     placement = Placement.of(step, now_s=now_s, wall_s=wall_s)
     closest = WaitReason.UNLISTED
-    for worker in board.workers.values():
+    for worker in scheduler_state.workers.values():
         obstacle = placement.obstacle(worker)
         if obstacle is None:
             return _reason_beside_room(step)
@@ -166,9 +166,9 @@
     return WaitReason.SUSPECT if step.job_entry.progress.lost else WaitReason.READY
 
 
-def tasks_recovering(board: ServiceBoard) -> int:
+def tasks_recovering(scheduler_state: SchedulerState) -> int:
     """Return how many tasks wait until recovery is over."""
-    return sum(len(step.waiting) for step in _held_steps(board))
+    return sum(len(step.waiting) for step in _held_steps(scheduler_state))
 
 
 def name_some(worker_ids: Iterable[str], most: int) -> list[str]:
@@ -181,12 +181,12 @@
     return sorted(worker_ids)[:most]
 
 
-def _held_steps(board: ServiceBoard) -> Iterator[StepEntry]:
+def _held_steps(scheduler_state: SchedulerState) -> Iterator[StepEntry]:
     """Yield the steps with tasks that wait and that the board holds back."""
-    if not board.pending_recovery:
+    if not scheduler_state.pending_recovery:
         return
-    startable = set(board.open_steps())
-    for entry in board.entries.values():
+    startable = set(scheduler_state.open_steps())
+    for entry in scheduler_state.entries.values():
         for step in entry.steps.values():
             if step.waiting and step not in startable:
                 yield step
@@ -199,17 +199,17 @@
     looks; one that is broken by a run between two looks counts as one.
 
     Args:
-        board: What is known.
+        scheduler_state: What is known.
         metrics: Counts the time that tasks wait by reason, in milliseconds times tasks: its rate
             in a second, divided by 1,000, is the number of tasks that wait. A gauge would go on
             telling the last number of a term that has ended.
         log: One line for each look that finds a long wait.
     """
 
-    __slots__ = ("_board", "_log", "_looked_s", "_metrics", "_since_s")
+    __slots__ = ("_log", "_looked_s", "_metrics", "_scheduler_state", "_since_s")
 
-    def __init__(self, *, board: ServiceBoard, metrics: Metrics, log: LogLines) -> None:
-        self._board = board
+    def __init__(self, *, scheduler_state: SchedulerState, metrics: Metrics, log: LogLines) -> None:
+        self._scheduler_state = scheduler_state
         self._metrics = metrics
         self._log = log
         self._since_s: dict[StepEntry, dict[int, float]] = {}
@@ -225,9 +225,14 @@
         summary = self.look(now_s=now_s, wall_s=wall_s)
         self._count(summary, now_s)
         if summary.is_long:
-            board = self._board
+            scheduler_state = self._scheduler_state
             fields = summary.fields()
-            self._log.line("tasks-waiting", service=board.service, token=board.token, **fields)
+            self._log.line(
+                "tasks-waiting",
+                service=scheduler_state.service,
+                token=scheduler_state.token,
+                **fields,
+            )
 
     def look(self, *, now_s: float, wall_s: float) -> WaitSummary:
         """Return what waits now.
@@ -236,11 +241,13 @@
             now_s: The scheduler's clock.
             wall_s: Time of day in seconds since 1970.
         """
-        held, startable = list(_held_steps(self._board)), list(self._board.open_steps())
+        held, startable = list(_held_steps(self._scheduler_state)), list(
+            self._scheduler_state.open_steps()
+        )
         self._remember([*held, *startable], now_s)
         # The longest waits come first, so that their reasons are among those that are found.
         startable.sort(key=lambda step: (self._oldest_s(step), not step.step.is_lasting))
-        examiner = _Examiner(board=self._board, now_s=now_s, wall_s=wall_s)
+        examiner = _Examiner(scheduler_state=self._scheduler_state, now_s=now_s, wall_s=wall_s)
         waits = [_StepWait(step, WaitReason.RECOVERY, self._oldest_s(step)) for step in held]
         waits += [
             _StepWait(step, examiner.reason(step), self._oldest_s(step)) for step in startable
@@ -276,7 +283,7 @@
         )
 
     def _recovery(self, now_s: float) -> RecoveryWait:
-        pending = self._board.pending_recovery
+        pending = self._scheduler_state.pending_recovery
         return RecoveryWait(
             unseen=tuple(sorted(pending)), left_s=max(0.0, max(pending.values()) - now_s)
         )
@@ -287,7 +294,7 @@
             return
         passed_ms = round((now_s - last_s) * MS_PER_S)
         for reason, tasks in summary.counts:
-            name = f"scheduler.waiting_task_ms.{self._board.service}.{reason.value}"
+            name = f"scheduler.waiting_task_ms.{self._scheduler_state.service}.{reason.value}"
             self._metrics.count(name, tasks * passed_ms)
 
 
@@ -318,10 +325,10 @@
     each worker would hold the event loop, and with it the renewal of the term's key.
     """
 
-    __slots__ = ("_board", "_by_kind", "_left", "_now_s", "_wall_s")
+    __slots__ = ("_by_kind", "_left", "_now_s", "_scheduler_state", "_wall_s")
 
-    def __init__(self, *, board: ServiceBoard, now_s: float, wall_s: float) -> None:
-        self._board = board
+    def __init__(self, *, scheduler_state: SchedulerState, now_s: float, wall_s: float) -> None:
+        self._scheduler_state = scheduler_state
         self._now_s = now_s
         self._wall_s = wall_s
         self._left = MOST_EXAMINED
@@ -335,7 +342,7 @@
         if self._left <= 0:
             return WaitReason.NOT_EXAMINED
         self._left -= 1
-        reason = waiting_reason(self._board, step, now_s=self._now_s, wall_s=self._wall_s)
+        reason = waiting_reason(self._scheduler_state, step, now_s=self._now_s, wall_s=self._wall_s)
         if kind is not None:
             self._by_kind[kind] = reason
         return reason
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Callable
 
-from ._board import ServiceBoard
 from ._machine_records import MachineControllerRecord, MachineRecords
 from ._model import WorkerView
 from ._protocols import WorkerDirectory
 from ._runners import Runner, RunnersRecord
+from ._scheduler_state import SchedulerState
 
 __all__ = ["DIRECTORY_EVERY_S", "WorkerTracker"]
 
@@ -20,7 +20,7 @@
     """Brings the listed workers onto a service's board, each after it was recorded.
 
     Args:
-        board: The board.
+        scheduler_state: The board.
         record: The record that the next term reads.
         directory: Lists workers.
         machine_records: What the keeper of machines has taken away.
@@ -30,19 +30,19 @@
     """
 
     __slots__ = (
-        "_board",
         "_clock",
         "_directory",
         "_machine_records",
         "_record",
         "_recovery_s",
+        "_scheduler_state",
         "_wall_clock",
     )
 
     def __init__(
         self,
         *,
-        board: ServiceBoard,
+        scheduler_state: SchedulerState,
         record: RunnersRecord,
         directory: WorkerDirectory,
         machine_records: MachineRecords,
@@ -50,7 +50,7 @@
         wall_clock: Callable[[], float],
         recovery_s: float,
     ) -> None:
-        self._board = board
+        self._scheduler_state = scheduler_state
         self._record = record
         self._directory = directory
         self._machine_records = machine_records
@@ -75,11 +75,13 @@
         if runner.left_s is not None:
             bound_s = min(bound_s, runner.left_s)
         over_s = self._clock() + bound_s
-        self._board.pending_recovery[worker_id] = over_s
-        view = WorkerView(worker_id=worker_id, service=self._board.service, address=runner.address)
-        self._board.worker_learnt(view)
-        self._board.worker_unlisted(worker_id)
-        self._board.workers[worker_id].lease_ends_s = over_s
+        self._scheduler_state.pending_recovery[worker_id] = over_s
+        view = WorkerView(
+            worker_id=worker_id, service=self._scheduler_state.service, address=runner.address
+        )
+        self._scheduler_state.worker_learnt(view)
+        self._scheduler_state.worker_unlisted(worker_id)
+        self._scheduler_state.workers[worker_id].lease_ends_s = over_s
 
     async def follow(self, on_change: Callable[[], None]) -> None:
         """Follow the directory and the keeper's word, until cancelled.
@@ -98,26 +100,26 @@
     async def _learn_directory(self) -> bool:
         """Put the listed workers on the board; return whether all of them may be used."""
         listed = self._listed()
-        for worker_id, worker in self._board.workers.items():
+        for worker_id, worker in self._scheduler_state.workers.items():
             if worker_id not in listed:
                 worker.is_listed = False
             elif listed[worker_id].is_draining:
                 # Known before the record leaves it out: nothing may start there from then on.
-                self._board.worker_learnt(listed[worker_id])
+                self._scheduler_state.worker_learnt(listed[worker_id])
         is_kept = await self.keep_record()
         for worker_id, view in listed.items():
             if self._record.may_use(worker_id):
-                self._board.worker_learnt(view)
+                self._scheduler_state.worker_learnt(view)
         return is_kept
 
     def _listed(self) -> dict[str, WorkerView]:
         """Return the listed workers but for those that are over, whose entries stay on."""
-        listed = self._directory.workers_of(self._board.service)
-        self._board.drop_replaced(listed)
+        listed = self._directory.workers_of(self._scheduler_state.service)
+        self._scheduler_state.drop_replaced(listed)
         for worker_id in self._machine_records.controller.over:
             listed.pop(worker_id, None)
-            if worker_id in self._board.workers:
-                self._board.worker_over(
+            if worker_id in self._scheduler_state.workers:
+                self._scheduler_state.worker_over(
                     worker_id, "taken away", self._clock(), self._wall_clock(), is_planned=True
                 )
         return listed
@@ -134,7 +136,9 @@
 
     def _wanted(self) -> dict[str, Runner]:
         listed = self._listed()
-        views = {worker_id: worker.view for worker_id, worker in self._board.workers.items()}
+        views = {
+            worker_id: worker.view for worker_id, worker in self._scheduler_state.workers.items()
+        }
         views |= listed
         return {
             worker_id: Runner(address=view.address)
@@ -143,8 +147,8 @@
         }
 
     def _may_run_something(self, worker_id: str) -> bool:
-        worker = self._board.workers.get(worker_id)
-        is_unseen = worker_id in self._board.pending_recovery
+        worker = self._scheduler_state.workers.get(worker_id)
+        is_unseen = worker_id in self._scheduler_state.pending_recovery
         return is_unseen or (worker is not None and bool(worker.runs or worker.unsettled))
 
     async def hand_over(self) -> None:
@@ -163,9 +167,9 @@
         """
         now_s = self._clock()
         left: dict[str, Runner] = {}
-        for worker_id, worker in self._board.workers.items():
+        for worker_id, worker in self._scheduler_state.workers.items():
             address = worker.view.address
-            until_s = self._board.pending_recovery.get(worker_id)
+            until_s = self._scheduler_state.pending_recovery.get(worker_id)
             if until_s is not None:
                 left[worker_id] = Runner(address=address, left_s=max(0.0, until_s - now_s))
             elif worker.runs or worker.unsettled:
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -625,7 +625,7 @@
         scheduler = self.scheduler()
         if scheduler is None:
             return False
-        worker = scheduler.service_schedulers[-1].board.workers.get(worker_id)
+        worker = scheduler.service_schedulers[-1].scheduler_state.workers.get(worker_id)
         return worker is not None and worker.is_cordoned
 
     def _tell_keeper_word(self) -> None:
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -10,7 +10,7 @@
     EndKind,
     RunningTask,
     RunPhase,
-    ServiceBoard,
+    SchedulerState,
     StartOrder,
     Stored,
     Worker,
@@ -61,8 +61,8 @@
     """A board with its decider and a clock that tests advance."""
 
     def __init__(self, *workers: WorkerView) -> None:
-        self.board = ServiceBoard(service="antenna", token=TOKEN, log=quiet_log())
-        self.decider = Decider(board=self.board)
+        self.scheduler_state = SchedulerState(service="antenna", token=TOKEN, log=quiet_log())
+        self.decider = Decider(scheduler_state=self.scheduler_state)
         self.now_s = 100.0
         self.ends: dict[str, int] = {}
         for one in workers:
@@ -70,7 +70,7 @@
 
     def add(self, one: WorkerView) -> Worker:
         """Add a worker that has been seen, with nothing on it."""
-        self.board.worker_learnt(one)
+        self.scheduler_state.worker_learnt(one)
         worker = self.worker(one.worker_id)
         worker.lease_ends_s = FAR_LEASE_S
         self.report(one.worker_id)
@@ -78,7 +78,7 @@
 
     def worker(self, worker_id: str) -> Worker:
         """Return a worker."""
-        return self.board.workers[worker_id]
+        return self.scheduler_state.workers[worker_id]
 
     def learn(
         self,
@@ -89,7 +89,7 @@
         wall_s: float = WALL_S,
     ) -> None:
         """Add a job, learnt at a time of day."""
-        self.board.job_learnt(
+        self.scheduler_state.job_learnt(
             one,
             progress or JobProgress(queue=one.policy.queue),
             revision=1,
@@ -109,7 +109,7 @@
         happens here at once.
         """
         decisions = self.decide()
-        kept = [one for one in self.board.workers.values() if one.isolated is not None]
+        kept = [one for one in self.scheduler_state.workers.values() if one.isolated is not None]
         if kept:
             self.store()
             for worker in kept:
@@ -119,11 +119,11 @@
 
     def store(self) -> None:
         """Store all progress."""
-        for entry in self.board.dirty():
+        for entry in self.scheduler_state.dirty():
             stored = Stored(
                 job_id=entry.job.job_id, changes=entry.changes, revision=entry.revision + 1
             )
-            self.board.stored(stored)
+            self.scheduler_state.stored(stored)
 
     def report(
         self,
@@ -139,7 +139,7 @@
             self.ends[worker_id] = self.ends.get(worker_id, 0) + 1
             number = self.ends[worker_id]
             rows.append(EndedTask(number=number, name=name, run_id=run_id, kind=kind))
-        self.board.reported(
+        self.scheduler_state.reported(
             self.worker(worker_id),
             WorkerReport(clock_ms=1000, running=running, ended=tuple(rows)),
             sent_s=self.now_s if sent_s is None else sent_s,
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -520,7 +520,7 @@
 def _runs(handle: SchedulerHandle) -> list[Run]:
     return [
         run
-        for worker in handle.service_scheduler.board.workers.values()
+        for worker in handle.service_scheduler.scheduler_state.workers.values()
         for run in worker.runs.values()
     ]
 
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -41,13 +41,13 @@
 
 def crash(bench: Bench, worker_id: str) -> None:
     """Crash a worker: its connections are closed, later another incarnation answers."""
-    bench.board.crashes.connection_closed(bench.worker(worker_id), bench.now_s, WALL_S)
-    bench.board.replaced(worker_id, bench.now_s, WALL_S)
+    bench.scheduler_state.crashes.connection_closed(bench.worker(worker_id), bench.now_s, WALL_S)
+    bench.scheduler_state.replaced(worker_id, bench.now_s, WALL_S)
 
 
 def blames(bench: Bench, job_id: str = "j") -> list[list[Blame]]:
     """Return the blames of a job's tasks, by task."""
-    progress = bench.board.entries[job_id].progress
+    progress = bench.scheduler_state.entries[job_id].progress
     return [[one.blame for one in runs] for _, runs in sorted(progress.lost.items())]
 
 
@@ -127,7 +127,7 @@
         bench.now_s += 0.1
         bench.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
         bench.now_s += 5.0
-        bench.board.replaced("a", bench.now_s, WALL_S)
+        bench.scheduler_state.replaced("a", bench.now_s, WALL_S)
         self.assertEqual([[SOLE]], blames(bench))
 
     def test_lasting_tasks_that_have_run_for_long_are_not_blamed(self) -> None:
@@ -157,10 +157,10 @@
         bench.learn(job("j", step(4)))
         confirm(bench, *bench.starts())
         for one in workers:
-            bench.board.crashes.connection_closed(bench.worker(one), bench.now_s, WALL_S)
+            bench.scheduler_state.crashes.connection_closed(bench.worker(one), bench.now_s, WALL_S)
         bench.now_s += 3.0
         for one in workers:
-            bench.board.replaced(one, bench.now_s, WALL_S)
+            bench.scheduler_state.replaced(one, bench.now_s, WALL_S)
         self.assertEqual([[LATE]] * 4, blames(bench))
 
     @parameterized.expand([("taken away", True, False), ("drained", False, True)])
@@ -171,9 +171,9 @@
         bench = Bench(view("a"))
         bench.learn(job("j", step(1)))
         bench.starts()
-        bench.board.crashes.connection_closed(bench.worker("a"), bench.now_s, WALL_S)
-        bench.board.worker_learnt(view("a", is_draining=is_draining))
-        bench.board.worker_over("a", "gone", bench.now_s, WALL_S, is_planned=is_planned)
+        bench.scheduler_state.crashes.connection_closed(bench.worker("a"), bench.now_s, WALL_S)
+        bench.scheduler_state.worker_learnt(view("a", is_draining=is_draining))
+        bench.scheduler_state.worker_over("a", "gone", bench.now_s, WALL_S, is_planned=is_planned)
         self.assertEqual([], blames(bench))
 
     @parameterized.expand([("refused by another incarnation", False), ("no answer", True)])
@@ -184,9 +184,9 @@
         bench = Bench(view("a"))
         bench.learn(job("j", step(1)))
         (order,) = bench.starts()
-        bench.board.replaced("a", bench.now_s, WALL_S)
+        bench.scheduler_state.replaced("a", bench.now_s, WALL_S)
         self.assertEqual([], blames(bench))
-        bench.board.crashes.start_answered(order.run, WALL_S, may_have_run=may_have_run)
+        bench.scheduler_state.crashes.start_answered(order.run, WALL_S, may_have_run=may_have_run)
         self.assertEqual([[SOLE]] if may_have_run else [], blames(bench))
 
     def test_a_worker_that_answers_again_clears_its_runs(self) -> None:
@@ -196,7 +196,7 @@
         (order,) = bench.starts()
         confirm(bench, order)
         worker = bench.worker(order.run.worker_id)
-        bench.board.crashes.connection_closed(worker, bench.now_s, WALL_S)
+        bench.scheduler_state.crashes.connection_closed(worker, bench.now_s, WALL_S)
         self.assertEqual([[SOLE]], blames(bench))
         bench.report(worker.worker_id, ended=((NAME, order.run.run_id, EndKind.FAILED),))
         self.assertEqual([], blames(bench))
@@ -209,7 +209,7 @@
         (order,) = bench.starts()
         worker = bench.worker(order.run.worker_id)
         confirm(bench, order)
-        bench.board.lapse(worker, bench.now_s, WALL_S)
+        bench.scheduler_state.lapse(worker, bench.now_s, WALL_S)
         self.assertEqual([[SOLE]], blames(bench))
         bench.report(worker.worker_id)
         (again,) = bench.starts()
@@ -225,12 +225,14 @@
         bench.learn(job("j", step(1)))
         (order,) = bench.starts()
         worker = bench.worker(order.run.worker_id)
-        bench.board.lapse(worker, bench.now_s, WALL_S)
+        bench.scheduler_state.lapse(worker, bench.now_s, WALL_S)
         if is_replaced:
-            bench.board.replaced(worker.worker_id, bench.now_s, WALL_S)
+            bench.scheduler_state.replaced(worker.worker_id, bench.now_s, WALL_S)
         else:
-            bench.board.worker_over(worker.worker_id, "no longer listed", bench.now_s, WALL_S)
-        (runs,) = bench.board.entries["j"].progress.lost.values()
+            bench.scheduler_state.worker_over(
+                worker.worker_id, "no longer listed", bench.now_s, WALL_S
+            )
+        (runs,) = bench.scheduler_state.entries["j"].progress.lost.values()
         self.assertEqual([(blame, True)], [(one.blame, one.is_certain) for one in runs])
 
 
@@ -274,7 +276,9 @@
         self.suspect(step(1, is_lasting=True))
         self.bench.now_s += 1.0
         self.bench.decide()
-        (kept,) = [one for one in self.bench.board.workers.values() if one.isolated is not None]
+        (kept,) = [
+            one for one in self.bench.scheduler_state.workers.values() if one.isolated is not None
+        ]
         # What a failed look does.
         kept.pause_until_s = self.bench.now_s + 0.5
         self.bench.now_s += 0.1
@@ -285,13 +289,17 @@
         """Tasks of other jobs are lost with a worker on which a suspect was tried."""
         self.suspect(step(1))
         self.bench.starts()
-        (isolated,) = [w for w in self.bench.board.workers.values() if w.isolated is not None]
+        (isolated,) = [
+            w for w in self.bench.scheduler_state.workers.values() if w.isolated is not None
+        ]
         self.bench.learn(job("k", step(8)))
         others = self.bench.starts()
         self.assertEqual(4, len(others))
         self.assertNotIn(isolated.worker_id, {one.run.worker_id for one in others})
-        (waiting,) = self.bench.board.open_steps()
-        reason = waiting_reason(self.bench.board, waiting, now_s=self.bench.now_s, wall_s=WALL_S)
+        (waiting,) = self.bench.scheduler_state.open_steps()
+        reason = waiting_reason(
+            self.bench.scheduler_state, waiting, now_s=self.bench.now_s, wall_s=WALL_S
+        )
         self.assertIs(WaitReason.QUARANTINED, reason)
 
     def test_it_waits_for_young_runs_beside_it(self) -> None:
@@ -325,7 +333,7 @@
         confirm(self.bench, order)
         self.bench.now_s += 3.0
         crash(self.bench, order.run.worker_id)
-        entry = self.bench.board.entries["j"]
+        entry = self.bench.scheduler_state.entries["j"]
         self.assertIs(JobState.FAILED, entry.progress.state)
         self.assertEqual([], self.bench.starts())
 
@@ -335,9 +343,9 @@
         self.bench.decide()
         cancelled = JobProgress(queue="sweeps")
         cancelled.finish(JobState.CANCELLED, now_s=WALL_S)
-        self.bench.board.progress_learnt("j", cancelled, 9)
+        self.bench.scheduler_state.progress_learnt("j", cancelled, 9)
         self.assertEqual([], self.bench.starts())
-        workers = self.bench.board.workers.values()
+        workers = self.bench.scheduler_state.workers.values()
         self.assertEqual([None, None], [worker.isolated for worker in workers])
         self.assertEqual([0, 0], [len(worker.runs) for worker in workers])
 
@@ -350,7 +358,9 @@
         self.bench.report("b")
         self.bench.decide()
         self.assertEqual([[SHARED, SOLE]], blames(self.bench))
-        self.assertEqual(1, sum(len(one.runs) for one in self.bench.board.workers.values()))
+        self.assertEqual(
+            1, sum(len(one.runs) for one in self.bench.scheduler_state.workers.values())
+        )
 
     @parameterized.expand(
         [
@@ -367,7 +377,7 @@
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (*lost(*earlier), row)})
         self.bench.learn(job("j", step(1)), progress=progress, is_old=True)
         self.bench.decide()
-        entry = self.bench.board.entries["j"]
+        entry = self.bench.scheduler_state.entries["j"]
         known = entry.progress.lost_runs(entry.job, NAME)
         self.assertEqual(crashes, sum(one.is_certain for one in known))
         self.assertEqual(is_given_up, entry.progress.state is JobState.FAILED)
@@ -382,14 +392,16 @@
         bench = Bench(view("a"), view("b"))
         bench.learn(job("k", step(1, estimated_s=9.0)))
         bench.starts()
-        (first,) = [one for one in bench.board.workers.values() if one.runs]
+        (first,) = [one for one in bench.scheduler_state.workers.values() if one.runs]
         self.assertEqual("a", first.worker_id)
         for number in range(crashes):
             worker = bench.add(view(f"x{number}"))
             bench.learn(job(f"c{number}", step(1, label="none", is_lasting=True)))
-            entry = bench.board.entries[f"c{number}"]
+            entry = bench.scheduler_state.entries[f"c{number}"]
             (lost_step,) = entry.steps.values()
-            bench.board.new_run(lost_step, 0, worker, bench.board.next_run_id(), bench.now_s)
+            bench.scheduler_state.new_run(
+                lost_step, 0, worker, bench.scheduler_state.next_run_id(), bench.now_s
+            )
             crash(bench, worker.worker_id)
         bench.learn(job("j", step(2)))
         workers = {one.run.worker_id for one in bench.starts() if one.run.name.job_id == "j"}
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -43,13 +43,13 @@
             return len(data)
 
         bench = Bench(view("a"))
-        bench.board._log = log = LogLines(process="test", write=take)
+        bench.scheduler_state._log = log = LogLines(process="test", write=take)
         bench.learn(job("j", step(1)))
         (start,) = bench.starts()
         bench.now_s += 0.25
         bench.report("a")
         bench.now_s += 3.0
-        bench.board.replaced("a", bench.now_s, WALL_S)
+        bench.scheduler_state.replaced("a", bench.now_s, WALL_S)
         log.flush()
         records = [json.loads(line) for line in b"".join(lines).splitlines()]
         lost = [record for record in records if record["event"] == "run-lost"]
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -81,9 +81,9 @@
                 bench.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
                 record = Write(key=KEYS.progress(name), value=b"")
                 store.carry_out(Commit(writes=(record,)))
-                bench.board.entries[name].revision = store.revision
+                bench.scheduler_state.entries[name].revision = store.revision
             writer = ProgressWriter(
-                board=bench.board,
+                scheduler_state=bench.scheduler_state,
                 holder=holder,
                 store=Counting(store=store),
                 log=quiet_log(),
@@ -94,7 +94,7 @@
             running = asyncio.create_task(writer.run())
             await asyncio.sleep(1.0)
             running.cancel()
-            self.assertEqual(30, len(bench.board.finals))
+            self.assertEqual(30, len(bench.scheduler_state.finals))
             self.assertLessEqual(largest, 32)
 
         run_story(story())
@@ -117,10 +117,10 @@
                 bench.learn(job(name, step(2)))
                 bench.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
                 store.store.carry_out(Commit(writes=(Write(key=KEYS.progress(name), value=b""),)))
-                bench.board.entries[name].revision = store.store.revision
+                bench.scheduler_state.entries[name].revision = store.store.revision
             store.faults.delay_s = 0.05
             writer = ProgressWriter(
-                board=bench.board,
+                scheduler_state=bench.scheduler_state,
                 holder=holder,
                 store=store,
                 log=quiet_log(),
@@ -130,7 +130,7 @@
             writer.wake.set()
             running = asyncio.create_task(writer.run())
             began_s = loop.time()
-            while bench.board.dirty():
+            while bench.scheduler_state.dirty():
                 await asyncio.sleep(0.005)
             self.assertLess(loop.time() - began_s, 0.15)
             running.cancel()
@@ -177,7 +177,7 @@
         bench.learn(job("j", step(1)))
         bench.report("a", ended=((DONE, 5, EndKind.DONE),))
         self.assertEqual({1}, bench.worker("a").unsettled)
-        bench.board.job_deleted("j")
+        bench.scheduler_state.job_deleted("j")
         self.assertEqual(set(), bench.worker("a").unsettled)
 
     def test_a_stored_cancel_stands(self) -> None:
@@ -189,12 +189,12 @@
         bench = Bench(view("a"))
         bench.learn(job("j", step(1)))
         bench.report("a", ended=((DONE, 5, EndKind.DONE),))
-        entry = bench.board.entries["j"]
+        entry = bench.scheduler_state.entries["j"]
         self.assertTrue(entry.is_dirty)
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
-        bench.board.progress_learnt("j", cancelled, 9)
+        bench.scheduler_state.progress_learnt("j", cancelled, 9)
         self.assertFalse(entry.is_dirty)
-        self.assertIn("j", bench.board.finals)
+        self.assertIn("j", bench.scheduler_state.finals)
 
     def test_a_job_is_let_go_once_no_run_of_it_can_be_alive(self) -> None:
         """A cancelled job's run that works on, since nobody has it stopped any more."""
@@ -204,11 +204,11 @@
         row = RunningTask(name=DONE, run_id=start.run.run_id)
         bench.report("a", running=(row,))
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
-        bench.board.progress_learnt("j", cancelled, 9)
-        self.assertIn("j", bench.board.entries)
+        bench.scheduler_state.progress_learnt("j", cancelled, 9)
+        self.assertIn("j", bench.scheduler_state.entries)
         self.assertEqual([StopOrder], [type(one) for one in bench.decide()])
         bench.report("a", ended=((DONE, start.run.run_id, EndKind.STOPPED),))
-        self.assertNotIn("j", bench.board.entries)
+        self.assertNotIn("j", bench.scheduler_state.entries)
         self.assertEqual([], bench.starts())
 
     def test_records_of_finished_jobs_are_read(self) -> None:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -29,7 +29,7 @@
 from shallotworks.platform._machines import PlatformAdvice, PlatformMachines
 from shallotworks.platform._store import PlatformStore
 from shallotworks.platform._workers import WorkerRegistry, _outcome
-from shallotworks.scheduling import MachineState, OrderStatus, ServiceBoard
+from shallotworks.scheduling import MachineState, OrderStatus, SchedulerState
 from shallotworks.standins import RecordStore, StoreView
 from shallotworks.standins._http_listener import HttpListener, answer_json
 from shallotworks.store import Item, Mirror
@@ -575,11 +575,11 @@
             busy = await fleet.run_long_task(14.0)
             fleet.write(busy, value)
             await asyncio.sleep(SETTLE_S)
-            self.assertFalse(fleet.board.workers[busy].is_listed)
+            self.assertFalse(fleet.scheduler_state.workers[busy].is_listed)
             for number in range(1, 9):
                 await fleet.history.submit(f"{number:016x}", step(2))
                 await asyncio.sleep(0.5)
-                self.assertEqual(1, len(fleet.board.workers[busy].runs))
+                self.assertEqual(1, len(fleet.scheduler_state.workers[busy].runs))
             await asyncio.sleep(16.0)
             self.assertEqual(1 + 8 * 2, fleet.history.fleet.started)
             self.assertEqual([], fleet.history.breaches())
@@ -603,8 +603,8 @@
             await asyncio.sleep(bad_for_s)
             fleet.register(spoilt)
             await asyncio.sleep(SETTLE_S)
-            self.assertIn(spoilt, fleet.board.workers)
-            self.assertTrue(fleet.board.workers[spoilt].is_listed)
+            self.assertIn(spoilt, fleet.scheduler_state.workers)
+            self.assertTrue(fleet.scheduler_state.workers[spoilt].is_listed)
 
         run_story(RegisteredFleet().play(story))
 
@@ -637,9 +637,9 @@
         follower.cancel()
 
     @property
-    def board(self) -> ServiceBoard:
+    def scheduler_state(self) -> SchedulerState:
         """What the scheduler knows."""
-        return self._instance.service_schedulers[-1].board
+        return self._instance.service_schedulers[-1].scheduler_state
 
     def write(self, worker_id: str, value: bytes) -> None:
         """Write an entry."""
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -187,7 +187,7 @@
             history.instances[0].start()
             await asyncio.sleep(2.0)
             service_scheduler = history.instances[0].service_schedulers[-1]
-            token = service_scheduler.board.token
+            token = service_scheduler.scheduler_state.token
             faults = history.instances[0].view.faults
             history.fleet.lasting.add(JOB_ID)
             await history.submit(JOB_ID, step(1, is_lasting=True))
@@ -308,7 +308,7 @@
         bench.add(view("b"))
         # What `OrderDesk` does when an order came too late.
         bench.worker("a").is_fenced = False
-        bench.board.worker_unlisted("a")
+        bench.scheduler_state.worker_unlisted("a")
         bench.now_s += STARTED_AGAIN_S
         self.assertEqual(["b"], [one.run.worker_id for one in bench.starts()])
 
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -208,14 +208,14 @@
         might still come.
         """
         bench = Bench(view("a"), view("b"))
-        bench.board.pending_recovery["c"] = bench.now_s + 5.0
+        bench.scheduler_state.pending_recovery["c"] = bench.now_s + 5.0
         bench.learn(job("j", step(2, is_lasting=True)), is_old=True)
-        sizer = PoolSizer(board=bench.board, limits=SizingLimits())
+        sizer = PoolSizer(scheduler_state=bench.scheduler_state, limits=SizingLimits())
         for _ in range(20):
             need = sizer.assess(frozenset(), now_s=bench.now_s, wall_s=WALL_S)
             self.assertEqual((), need.free)
             bench.now_s += 0.1
-        bench.board.recovered("c", "seen")
+        bench.scheduler_state.recovered("c", "seen")
         sizer.withdraw(bench.now_s, wall_s=WALL_S)
         self.assertEqual(2, len(bench.starts()))
 
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -13,7 +13,7 @@
 
     def __init__(self, *names: str) -> None:
         super().__init__(*(view(name) for name in names))
-        self.sizer = PoolSizer(board=self.board, limits=LIMITS)
+        self.sizer = PoolSizer(scheduler_state=self.scheduler_state, limits=LIMITS)
 
     def assess(self, *due: str, after_s: float = 0.0) -> PoolDemand:
         """Return what the keeper is told, some time after the jobs' arrival."""
@@ -95,7 +95,7 @@
         for worker_id in ("a", "b"):
             bench.worker(worker_id).view = view(worker_id, cpu_millicores=12_000)
         bench.starts()
-        self.assertEqual([], [one for one in bench.board.open_steps() if one.waiting])
+        self.assertEqual([], [one for one in bench.scheduler_state.open_steps() if one.waiting])
         self.assertEqual(1, bench.assess(after_s=0.75).lacking)
 
 
@@ -117,7 +117,7 @@
         """However much of it waits."""
         bench = Sized("a")
         bench.learn(job("late", step(40), accepted_s=WALL_S - 60))
-        bench.board.arrivals.clear()
+        bench.scheduler_state.arrivals.clear()
         self.assertEqual(0, bench.assess().lacking)
 
 
--- a/tests/test_runners_record.py
+++ b/tests/test_runners_record.py
@@ -17,11 +17,11 @@
     Runner,
     RunnersRecord,
     RunPhase,
-    ServiceBoard,
+    SchedulerState,
     StartOrder,
     runners_key,
 )
-from shallotworks.scheduling._board import Stored
+from shallotworks.scheduling._scheduler_state import Stored
 from shallotworks.scheduling._worker_tracker import WorkerTracker
 from shallotworks.standins import OrdersView, RecordStore, StoreView, TaskWorkers
 from shallotworks.store import HolderTimes
@@ -183,7 +183,7 @@
             )
             bench = Bench(view("ended"), view("idle"))
             workers = WorkerTracker(
-                board=bench.board,
+                scheduler_state=bench.scheduler_state,
                 record=record,
                 directory=TaskWorkers(rng=random.Random(1)),
                 machine_records=MachineRecords(log=quiet_log()),
@@ -197,9 +197,9 @@
             bench.report("ended", ended=((NAME, order.run.run_id, EndKind.DONE),))
             await workers.hand_over()
             self.assertEqual({"ended"}, set(record.runners))
-            (dirty,) = bench.board.dirty()
+            (dirty,) = bench.scheduler_state.dirty()
             stored = Stored(job_id=JOB_ID, changes=dirty.changes, revision=2)
-            bench.board.stored(stored)
+            bench.scheduler_state.stored(stored)
             await workers.hand_over()
             self.assertEqual(set(), set(record.runners))
 
@@ -222,13 +222,13 @@
             await asyncio.sleep(1.0)
             whole_worker = step(1, cpu_millicores=4000)
             await asyncio.gather(*(history.submit(one, whole_worker) for one in job_ids))
-            board = scheduler.service_schedulers[-1].board
-            while len(history.fleet.done) < 2 or not board.dirty():
+            scheduler_state = scheduler.service_schedulers[-1].scheduler_state
+            while len(history.fleet.done) < 2 or not scheduler_state.dirty():
                 await asyncio.sleep(0.001)
             # A store that answers this slowly has not answered before the key is given back.
             scheduler.view.faults.delay_s = 0.05
             await scheduler.bidder.stop()
-            self.assertEqual([], board.dirty())
+            self.assertEqual([], scheduler_state.dirty())
             await _end(history)
 
         run_story(story())
@@ -250,10 +250,10 @@
             fleet.lasting.add(JOB_ID)
             worker = fleet.add(view("w0", service=SERVICE))
             one = job(JOB_ID, step(1, is_lasting=True))
-            board = ServiceBoard(service=SERVICE, token=9, log=quiet_log())
+            scheduler_state = SchedulerState(service=SERVICE, token=9, log=quiet_log())
             progress = JobProgress(queue="sweeps")
-            board.job_learnt(one, progress, revision=1, is_old=True, wall_s=loop.time())
-            board.worker_learnt(worker.view)
+            scheduler_state.job_learnt(one, progress, revision=1, is_old=True, wall_s=loop.time())
+            scheduler_state.worker_learnt(worker.view)
             run = Run(
                 name=NAME,
                 run_id=1,
@@ -265,7 +265,7 @@
             worker.start(StartOrder(run=run, spec="x"), 8, worker.clock_ms + 3000)
             holder = await acquire(StoreView(store=RecordStore(rng=random.Random(1))))
             desk = OrderDesk(
-                board=board,
+                scheduler_state=scheduler_state,
                 holder=holder,
                 orders=OrdersView(fleet=fleet),
                 clock=loop.time,
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -57,7 +57,7 @@
         bench.learn(job("f" * 16, step(4)))
         for order in bench.starts():
             run = order.run
-            bench.board.want_stop(run, "cancelled")
+            bench.scheduler_state.want_stop(run, "cancelled")
             run.enter(run.phase.RUNNING, bench.now_s)
         for number in range(40):
             bench.learn(job(f"{number:016x}", step(8)))
@@ -93,9 +93,9 @@
         while bench.starts():
             pass
         bench.learn(job("f" * 16, wanted))
-        entry = bench.board.entries["f" * 16].steps[(0, 0)]
+        entry = bench.scheduler_state.entries["f" * 16].steps[(0, 0)]
         placement = Placement.of(entry, now_s=bench.now_s, wall_s=1_000_000.0)
-        workers = list(bench.board.workers.values())
+        workers = list(bench.scheduler_state.workers.values())
         candidates = Candidates(placement=placement, workers=workers)
         chosen: list[str] = []
         for index in range(wanted.count):
@@ -105,7 +105,7 @@
                 break
             chosen.append(worker.worker_id)
             run_id = TOKEN * 1_000_000 + 10_000 + index
-            bench.board.new_run(entry, index, worker, run_id, bench.now_s)
+            bench.scheduler_state.new_run(entry, index, worker, run_id, bench.now_s)
             candidates.placed(worker)
         return chosen
 
@@ -138,8 +138,8 @@
                 bench.learn(job(f"{number:016x}", wanted))
             while bench.starts():
                 pass
-            workers = bench.board.workers.values()
-            for entry in bench.board.open_steps():
+            workers = bench.scheduler_state.workers.values()
+            for entry in bench.scheduler_state.open_steps():
                 self.assertFalse(any(one.fits(entry.step) for one in workers), f"seed {seed}")
 
 
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -147,7 +147,7 @@
         bench.learn(job("patient", step(1), policy=patient))
         bench.learn(job("urgent", step(1), policy=urgent))
         bench.learn(job("lasting", step(1, is_lasting=True)))
-        bench.board.worker_learnt(view("a", cpu_millicores=9000))
+        bench.scheduler_state.worker_learnt(view("a", cpu_millicores=9000))
         order = [start.run.name.job_id for start in bench.starts()]
         self.assertEqual(["lasting", "urgent", "patient", "hopeless", "low"], order)
 
@@ -279,7 +279,7 @@
         bench = Bench(view("a"))
         bench.learn(job("j", step(1)))
         first = bench.starts()[0].run
-        bench.board.start_failed(first, bench.now_s)
+        bench.scheduler_state.start_failed(first, bench.now_s)
         self.assertGreater(bench.starts()[0].run.run_id, first.run_id)
 
     def test_a_task_that_stands_still_runs_elsewhere(self) -> None:
@@ -356,8 +356,10 @@
         bench.learn(one)
         run = bench.starts()[0].run
         run.enter(RunPhase.RUNNING, bench.now_s)
-        progress = bench.board.entries["j"].progress.__class__(queue="q", state=JobState.CANCELLED)
-        bench.board.progress_learnt("j", progress, revision=2)
+        progress = bench.scheduler_state.entries["j"].progress.__class__(
+            queue="q", state=JobState.CANCELLED
+        )
+        bench.scheduler_state.progress_learnt("j", progress, revision=2)
         self.assertEqual([run], [order.run for order in bench.decide()])
         bench.report("a", ended=((run.name, run.run_id, EndKind.STOPPED),))
         self.assertEqual([], bench.decide())
@@ -455,7 +457,7 @@
         asked = bench.decide()
         self.assertEqual([AdviceRequest], [type(one) for one in asked])
         self.assertEqual([], bench.decide())
-        entry = bench.board.entries["j"].steps[(0, 0)]
+        entry = bench.scheduler_state.entries["j"].steps[(0, 0)]
         entry.is_asking, entry.permits = False, {"b": "t-b"}
         starts = bench.starts()
         self.assertEqual([("b", "t-b")] * 2, [(one.run.worker_id, one.ticket) for one in starts])
--- a/tests/test_scheduling_takeover.py
+++ b/tests/test_scheduling_takeover.py
@@ -24,7 +24,7 @@
         bench.report("b", ended=((first, 4, EndKind.DONE),))
         self.assertEqual([], bench.decide())
         bench.report("a", ended=((second, 5, EndKind.DONE),))
-        self.assertIs(JobState.COMPLETED, bench.board.entries["j"].progress.state)
+        self.assertIs(JobState.COMPLETED, bench.scheduler_state.entries["j"].progress.state)
 
     def test_a_task_waits_until_its_stray_run_has_ended(self) -> None:
         """Two runs of one task at once, after a run was given up on a worker that still had it.
@@ -51,7 +51,7 @@
         tasks of earlier jobs may run there; jobs that were accepted since may not.
         """
         bench = Bench(view("a"))
-        bench.board.pending_recovery["c"] = bench.now_s + 10
+        bench.scheduler_state.pending_recovery["c"] = bench.now_s + 10
         bench.learn(job("old", step(1)), is_old=True)
         bench.learn(job("new", step(1)))
         self.assertEqual(["new"], [order.run.name.job_id for order in bench.starts()])
@@ -65,9 +65,9 @@
         name = TaskName("j", 0, 0, 0)
         for _ in range(2):
             bench.report("a", ended=((name, 5, EndKind.FAILED),))
-        self.assertIs(JobState.QUEUED, bench.board.entries["j"].progress.state)
+        self.assertIs(JobState.QUEUED, bench.scheduler_state.entries["j"].progress.state)
         bench.report("a", ended=((name, 6, EndKind.FAILED),))
-        self.assertIs(JobState.FAILED, bench.board.entries["j"].progress.state)
+        self.assertIs(JobState.FAILED, bench.scheduler_state.entries["j"].progress.state)
 
 
 if __name__ == "__main__":
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -55,7 +55,9 @@
         super().__init__(*(view(name) for name in names))
         self.lines = Lines()
         self.metrics = Metrics()
-        self.watch = WaitWatch(board=self.board, metrics=self.metrics, log=self.lines.log)
+        self.watch = WaitWatch(
+            scheduler_state=self.scheduler_state, metrics=self.metrics, log=self.lines.log
+        )
 
     def look(self) -> WaitSummary:
         """Return what waits now."""
@@ -70,8 +72,8 @@
 
 def reason_of(bench: Bench, job_id: str = "j") -> WaitReason:
     """Return why the first step of a job waits."""
-    entry = bench.board.entries[job_id].steps[(0, 0)]
-    return waiting_reason(bench.board, entry, now_s=bench.now_s, wall_s=WALL_S)
+    entry = bench.scheduler_state.entries[job_id].steps[(0, 0)]
+    return waiting_reason(bench.scheduler_state, entry, now_s=bench.now_s, wall_s=WALL_S)
 
 
 def fill(worker: Worker) -> None:
@@ -189,7 +191,7 @@
         """Its members wait for each other, also where there is room for those that wait."""
         bench = Bench(view("a"))
         bench.learn(job("j", step(3, is_gang=True)))
-        bench.board.entries["j"].steps[(0, 0)].waiting.remove(1)
+        bench.scheduler_state.entries["j"].steps[(0, 0)].waiting.remove(1)
         self.assertIs(WaitReason.GANG, reason_of(bench))
 
     def test_the_worker_that_came_closest_tells_the_reason(self) -> None:
@@ -314,7 +316,7 @@
         run = bench.starts()[0].run
         bench.look()
         bench.now_s += 3.0
-        bench.board.start_failed(run, bench.now_s)
+        bench.scheduler_state.start_failed(run, bench.now_s)
         bench.look()
         bench.now_s += 2.0
         longest = bench.look().longest
@@ -352,7 +354,7 @@
         tells what is waited for and for how long at most.
         """
         bench = Watched("a", "b")
-        bench.board.pending_recovery.update({"gone": 110.0, "cut": 104.0})
+        bench.scheduler_state.pending_recovery.update({"gone": 110.0, "cut": 104.0})
         bench.learn(job("old", step(3, is_lasting=True)), is_old=True)
         bench.learn(job("new", step(1)))
         summary = bench.look()
@@ -367,7 +369,7 @@
     def test_recovery_that_keeps_nothing_back_is_not_told(self) -> None:
         """Workers that are not seen yet are no reason while no earlier task waits."""
         bench = Watched()
-        bench.board.pending_recovery["gone"] = 110.0
+        bench.scheduler_state.pending_recovery["gone"] = 110.0
         bench.learn(job("new", step(1)))
         summary = bench.look()
         self.assertEqual(((WaitReason.UNLISTED, 1),), summary.counts)
@@ -378,10 +380,10 @@
         for pending, recovering in (({"gone": 110.0}, 3), ({}, 0)):
             with self.subTest(pending=pending):
                 bench = Bench(view("a"))
-                bench.board.pending_recovery.update(pending)
+                bench.scheduler_state.pending_recovery.update(pending)
                 bench.learn(job("old", step(3, is_lasting=True)), is_old=True)
                 bench.learn(job("new", step(2)))
-                sizer = PoolSizer(board=bench.board, limits=SizingLimits())
+                sizer = PoolSizer(scheduler_state=bench.scheduler_state, limits=SizingLimits())
                 self.assertEqual(recovering, sizer.state(wall_s=WALL_S)["tasks_recovering"])
 
 
@@ -397,7 +399,7 @@
         """The line names the task, its reason and the workers that are waited for, all bounded."""
         bench = Watched("a")
         unseen = {f"w{number}": 120.0 for number in range(MOST_NAMED + 2)}
-        bench.board.pending_recovery.update(unseen)
+        bench.scheduler_state.pending_recovery.update(unseen)
         bench.learn(job("ends", step(1, label="big")))
         bench.tell(0.0)
         bench.learn(job("lasts", step(2, is_lasting=True)), is_old=True)
