--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -13,7 +13,7 @@
 from shallotworks.jobs import Job, JobProgress, JobState, QueuePolicy, Step
 from shallotworks.logs import LogLines
 from shallotworks.scheduling import (
-    Decider,
+    DecisionEngine,
     EndedTask,
     EndKind,
     SchedulerState,
@@ -82,7 +82,7 @@
     rng = random.Random(seed)
     arrivals = _arrivals(rng)
     scheduler_state = SchedulerState(service="s", token=1, log=LogLines(process="bench", write=len))
-    decider = Decider(scheduler_state=scheduler_state, order=order)
+    decision_engine = DecisionEngine(scheduler_state=scheduler_state, order=order)
     for number in range(WORKERS):
         view = WorkerView(
             worker_id=f"w{number}",
@@ -103,7 +103,7 @@
             _accept(scheduler_state, arrivals.pop(0), now_s)
         running = _end_some(scheduler_state, running, now_s)
         _note_completed(scheduler_state, ended_s, now_s)
-        for decision in decider.decide(now_s=now_s, wall_s=now_s):
+        for decision in decision_engine.decide(now_s=now_s, wall_s=now_s):
             if isinstance(decision, StartOrder):
                 length_s = decision.run.step.estimated_s * rng.uniform(0.8, 1.2)
                 running.append((now_s + length_s, decision))
--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -1,12 +1,12 @@
 """Scheduling: which worker runs which task, in which order, under leases and fencing tokens.
 
 `ServiceScheduler` is one term of a service's scheduler; `Bidder` wins terms. What is decided stands
-in `Decider`, `Placement`, the order of work and pacing, which need no network. This package knows
-workers, machines and the store only through protocols.
+in `DecisionEngine`, `Placement`, the order of work and pacing, which need no network. This package
+knows workers, machines and the store only through protocols.
 """
 
 from ._bidding import Bidder
-from ._decisions import Decider
+from ._decisions import DecisionEngine
 from ._entries import StepEntry
 from ._machine_controller import MachineController
 from ._machine_controller_dependencies import MachineControllerDependencies
@@ -60,7 +60,7 @@
     "AdviceRequest",
     "AdviceService",
     "Bidder",
-    "Decider",
+    "DecisionEngine",
     "MachineOrderStatus",
     "EndKind",
     "EndedTask",
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -21,7 +21,7 @@
 from ._scheduler_state import SchedulerState
 from ._wait_reason import WaitReason
 
-__all__ = ["Decider", "Decision"]
+__all__ = ["DecisionEngine", "Decision"]
 
 STOP_RETRY_S = 0.7
 """A stop that was not answered is sent again after this; one takes a worker 0.2 to 0.9 s."""
@@ -43,7 +43,7 @@
 Decision = StartOrder | StopOrder | PaceOrder | AdviceRequest
 
 
-class Decider:
+class DecisionEngine:
     """Decides on a board.
 
     Args:
--- a/src/shallotworks/scheduling/_room.py
+++ b/src/shallotworks/scheduling/_room.py
@@ -48,7 +48,7 @@
         """Whether no worker surely has room for a task of a step of tasks that end."""
         wants = step.step
         if wants.is_lasting:
-            # Room is held for these; see `Decider._hold_room`.
+            # Room is held for these; see `DecisionEngine._hold_room`.
             return False
         return (
             _cpu_of(wants) > self._cpu_millicores
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -22,7 +22,7 @@
     Store,
 )
 
-from ._decisions import Decider
+from ._decisions import DecisionEngine
 from ._machine_records import MachineRecords, PoolDemand, pool_demand_key
 from ._model import AdviceRequest
 from ._orders import OrderDesk, OrderTimes
@@ -118,7 +118,7 @@
         "_waits",
         "_workers",
         "_writer",
-        "decider",
+        "decision_engine",
         "is_prepared",
         "scheduler_state",
         "service",
@@ -134,7 +134,7 @@
         self.scheduler_state = SchedulerState(
             service=service, token=holder.token, log=dependencies.log
         )
-        self.decider = Decider(scheduler_state=self.scheduler_state)
+        self.decision_engine = DecisionEngine(scheduler_state=self.scheduler_state)
         self._sizer = PoolSizer(scheduler_state=self.scheduler_state, limits=SizingLimits())
         self._waits = WaitWatch(
             scheduler_state=self.scheduler_state, metrics=dependencies.metrics, log=dependencies.log
@@ -326,12 +326,14 @@
         self._desk.notice_workers()
         if any(entry.is_dirty for entry in self.scheduler_state.entries.values()):
             self._writer.wake.set()
-        return self.decider.is_cut_short
+        return self.decision_engine.is_cut_short
 
     def _decide_once(self) -> None:
         now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
         may_start = self._dependencies.is_capacity_known(self.service)
-        for decision in self.decider.decide(now_s=now_s, wall_s=wall_s, may_start=may_start):
+        for decision in self.decision_engine.decide(
+            now_s=now_s, wall_s=wall_s, may_start=may_start
+        ):
             if isinstance(decision, AdviceRequest):
                 self._spawn(self._ask(decision))
             else:
@@ -409,7 +411,7 @@
             need = replace(need, woke=wakes.count(may_act=self._holder.may_act))
             self._sizer.yield_some(machine_records.controller.recalls.get(self.service, 0))
             for worker in self._sizer.emptying():
-                self.decider.evacuate(worker)
+                self.decision_engine.evacuate(worker)
                 self._desk.wake()
             if (need != told or self._demand.doubtful) and await self._publish_demand(need):
                 told = need
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -5,7 +5,7 @@
 from shallotworks.jobs import Job, JobProgress, QueuePolicy, Step, TaskName
 from shallotworks.logs import LogLines
 from shallotworks.scheduling import (
-    Decider,
+    DecisionEngine,
     EndedTask,
     EndKind,
     RunningTask,
@@ -62,7 +62,7 @@
 
     def __init__(self, *workers: WorkerView) -> None:
         self.scheduler_state = SchedulerState(service="antenna", token=TOKEN, log=quiet_log())
-        self.decider = Decider(scheduler_state=self.scheduler_state)
+        self.decision_engine = DecisionEngine(scheduler_state=self.scheduler_state)
         self.now_s = 100.0
         self.ends: dict[str, int] = {}
         for one in workers:
@@ -100,7 +100,7 @@
     def decide(self) -> list[object]:
         """Return all decisions of this moment."""
         wall_s = WALL_S + self.now_s - 100.0
-        return list(self.decider.decide(now_s=self.now_s, wall_s=wall_s))
+        return list(self.decision_engine.decide(now_s=self.now_s, wall_s=wall_s))
 
     def starts(self) -> list[StartOrder]:
         """Return the starts of this moment; each is obeyed.
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -10,7 +10,7 @@
 from parameterized import parameterized
 
 from shallotworks.jobs import Step
-from shallotworks.scheduling import Decider, OrderDesk, StartOrder, StopOrder, Worker
+from shallotworks.scheduling import DecisionEngine, OrderDesk, StartOrder, StopOrder, Worker
 from shallotworks.scheduling._decisions import MOST_STARTS, Decision
 from shallotworks.scheduling._placement import Candidates, Placement
 from tests.fleet_history import History, Instance
@@ -41,7 +41,7 @@
         sizes = []
         for _ in range(6):
             sizes.append(len(bench.starts()))
-            self.assertEqual(sizes[-1] >= MOST_STARTS, bench.decider.is_cut_short)
+            self.assertEqual(sizes[-1] >= MOST_STARTS, bench.decision_engine.is_cut_short)
         self.assertEqual([64, 64, 64, 64, 64, 0], sizes)
 
     def test_a_gang_is_not_split(self) -> None:
@@ -160,7 +160,7 @@
             instance.view.faults.is_down = True
             service_scheduler._holder._sent_s -= 60.0
             self.assertFalse(service_scheduler._holder.may_act)
-            service_scheduler.decider._started = MOST_STARTS
+            service_scheduler.decision_engine._started = MOST_STARTS
             plain, waits = OrderDesk.wait, 0
 
             async def counted(desk: OrderDesk, longest_s: float) -> None:
@@ -183,9 +183,9 @@
         """
         cost_s = 0.02
         spent_s = 0.0
-        plain = Decider.decide
+        plain = DecisionEngine.decide
 
-        def costly(self: Decider, **moment: Any) -> Iterator[Decision]:
+        def costly(self: DecisionEngine, **moment: Any) -> Iterator[Decision]:
             nonlocal spent_s
             spent_s += cost_s
             return plain(self, **moment)
@@ -209,7 +209,7 @@
             await instance.kill()
 
         with (
-            mock.patch.object(Decider, "decide", costly),
+            mock.patch.object(DecisionEngine, "decide", costly),
             mock.patch.object(Instance, "now_s", staticmethod(clock)),
         ):
             run_story(story())
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -410,18 +410,18 @@
         worker = bench.worker("a")
         worker.is_cordoned = True
         bench.add(view("b"))
-        bench.decider.evacuate(worker)
+        bench.decision_engine.evacuate(worker)
         stops = [order.run for order in bench.decide() if isinstance(order, StopOrder)]
         self.assertEqual(2, len(stops))
         gone = tuple((run.name, run.run_id, EndKind.STOPPED) for run in stops)
         left = tuple(row for row in rows if row.name not in {run.name for run in stops})
         bench.report("a", running=left, ended=gone)
         moved = [order.run for order in bench.starts()]
-        bench.decider.evacuate(worker)
+        bench.decision_engine.evacuate(worker)
         self.assertEqual([], bench.decide())
         back = tuple(RunningTask(name=run.name, run_id=run.run_id, percent=100) for run in moved)
         bench.report("b", running=back)
-        bench.decider.evacuate(worker)
+        bench.decision_engine.evacuate(worker)
         self.assertEqual(2, len(bench.decide()))
 
     def test_tasks_on_a_silent_worker_count_as_away(self) -> None:
@@ -445,7 +445,7 @@
         bench.report("a", running=rows)
         bench.worker("a").is_cordoned = True
         bench.decide()
-        bench.decider.evacuate(bench.worker("a"))
+        bench.decision_engine.evacuate(bench.worker("a"))
         self.assertEqual([], bench.decide())
 
 
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -86,7 +86,9 @@
         order.run.enter(order.run.phase.RUNNING, bench.now_s)
         bench.scheduler_state.want_stop(order.run, "test")
         bench.learn(job("k", step(1)))
-        decisions = list(bench.decider.decide(now_s=bench.now_s, wall_s=WALL_S, may_start=False))
+        decisions = list(
+            bench.decision_engine.decide(now_s=bench.now_s, wall_s=WALL_S, may_start=False)
+        )
         self.assertEqual([StopOrder], [type(one) for one in decisions])
         self.assertEqual(["k"], [one.run.name.job_id for one in bench.starts()])
 
