--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -34,8 +34,8 @@
     WorkerReport,
     WorkerView,
 )
+from ._order_dispatcher import OrderDispatcher, OrderTimes
 from ._ordering import urgency
-from ._orders import OrderDesk, OrderTimes
 from ._protocols import (
     AdviceService,
     Machine,
@@ -74,7 +74,7 @@
     "Machines",
     "OrderStatus",
     "OrderOutcome",
-    "OrderDesk",
+    "OrderDispatcher",
     "OrderTimes",
     "PaceOrder",
     "Permits",
--- a/src/shallotworks/scheduling/_orders.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -24,7 +24,7 @@
 from ._protocols import WorkerOrders
 from ._scheduler_state import SchedulerState
 
-__all__ = ["OrderDesk", "OrderTimes"]
+__all__ = ["OrderDispatcher", "OrderTimes"]
 
 CLOCK_SKEW_PART = 0.02
 """How slow a worker's clock may be. Source: the platform's page on running tasks."""
@@ -87,7 +87,7 @@
 at once with the same ends."""
 
 
-class OrderDesk:
+class OrderDispatcher:
     """Sends orders and teaches the board what came of them.
 
     Args:
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -25,7 +25,7 @@
 from ._decisions import DecisionEngine
 from ._machine_records import MachineRecords, PoolDemand, pool_demand_key
 from ._model import AdviceRequest
-from ._orders import OrderDesk, OrderTimes
+from ._order_dispatcher import OrderDispatcher, OrderTimes
 from ._progress_writer import ProgressWriter
 from ._protocols import AdviceService, WorkerDirectory, WorkerOrders
 from ._runners import RunnersRecord
@@ -106,11 +106,11 @@
     __slots__ = (
         "_demand",
         "_dependencies",
-        "_desk",
         "_has_mark",
         "_holder",
         "_keys",
         "_mirror",
+        "_order_dispatcher",
         "_pending",
         "_pending_jobs",
         "_sizer",
@@ -150,7 +150,7 @@
             wall_clock=dependencies.wall_clock,
             recovery_s=dependencies.times.recovery_s,
         )
-        self._desk = OrderDesk(
+        self._order_dispatcher = OrderDispatcher(
             scheduler_state=self.scheduler_state,
             holder=holder,
             orders=dependencies.orders,
@@ -168,7 +168,7 @@
             store=dependencies.store,
             log=dependencies.log,
             metrics=dependencies.metrics,
-            on_stored=self._desk.wake,
+            on_stored=self._order_dispatcher.wake,
         )
         self._mirror = Mirror(
             store=dependencies.store,
@@ -210,13 +210,13 @@
                 if task is not lost and task.exception() is not None:
                     self._holder.lose(f"a fault: {task.exception()!r}")
                     raise task.exception() or RuntimeError
-            await self._desk.settle(STOP_PATIENCE_S)
-            self._desk.stop_looking()
+            await self._order_dispatcher.settle(STOP_PATIENCE_S)
+            self._order_dispatcher.stop_looking()
             await self._hand_over()
         finally:
             for task in (*tasks, lost, *self._tasks):
                 task.cancel()
-            self._desk.close()
+            self._order_dispatcher.close()
             self._log(
                 "term-ended", runs=sum(len(w.runs) for w in self.scheduler_state.workers.values())
             )
@@ -236,8 +236,8 @@
         self._dependencies.log.line(event, service=self.service, token=self._holder.token, **fields)
 
     def _workers_changed(self) -> None:
-        self._desk.notice_workers()
-        self._desk.wake()
+        self._order_dispatcher.notice_workers()
+        self._order_dispatcher.wake()
 
     def _note_progress(self) -> None:
         self._writer.wake.set()
@@ -259,7 +259,7 @@
             self._progress_written(job_id, item)
         except ValueError as error:
             self._log("record-unreadable", id=job_id, reason=str(error)[:200])
-        self._desk.wake()
+        self._order_dispatcher.wake()
 
     def _progress_written(self, job_id: str, item: Item) -> None:
         progress = decode_progress(item.value)
@@ -314,7 +314,7 @@
             has_more = self._holder.may_act and self._decide()
             await asyncio.sleep((self._dependencies.clock() - began_s) * DECIDE_PAUSE_PART)
             if not has_more:
-                await self._desk.wait(DECIDE_EVERY_S)
+                await self._order_dispatcher.wait(DECIDE_EVERY_S)
 
     def _decide(self) -> bool:
         """Carry out what is to be done now; return whether more is, and may not wait for news."""
@@ -323,7 +323,7 @@
         now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
         if is_waiting and self._sizer.withdraw(now_s, wall_s=wall_s):
             self._decide_once()
-        self._desk.notice_workers()
+        self._order_dispatcher.notice_workers()
         if any(entry.is_dirty for entry in self.scheduler_state.entries.values()):
             self._writer.wake.set()
         return self.decision_engine.is_cut_short
@@ -337,7 +337,7 @@
             if isinstance(decision, AdviceRequest):
                 self._spawn(self._ask(decision))
             else:
-                self._desk.carry_out(decision)
+                self._order_dispatcher.carry_out(decision)
 
     async def _prepare(self) -> None:
         """Learn what earlier terms left: jobs, and workers that may still run their tasks."""
@@ -374,7 +374,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(permits.valid_s, step.permits.clear)
         self._log("advice", id=request.step[0], step=list(request.step[1:]), outcome=str(outcome))
-        self._desk.wake()
+        self._order_dispatcher.wake()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
@@ -412,7 +412,7 @@
             self._sizer.yield_some(machine_records.controller.recalls.get(self.service, 0))
             for worker in self._sizer.emptying():
                 self.decision_engine.evacuate(worker)
-                self._desk.wake()
+                self._order_dispatcher.wake()
             if (need != told or self._demand.doubtful) and await self._publish_demand(need):
                 told = need
             await asyncio.sleep(SIZE_EVERY_S)
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -306,7 +306,7 @@
         bench.worker("a").lease_ends_s = bench.now_s + 5.0
         order.run.enter(order.run.phase.RUNNING, bench.now_s)
         bench.add(view("b"))
-        # What `OrderDesk` does when an order came too late.
+        # What `OrderDispatcher` does when an order came too late.
         bench.worker("a").is_fenced = False
         bench.scheduler_state.worker_unlisted("a")
         bench.now_s += STARTED_AGAIN_S
--- a/tests/test_runners_record.py
+++ b/tests/test_runners_record.py
@@ -11,7 +11,7 @@
 from shallotworks.scheduling import (
     EndKind,
     MachineRecords,
-    OrderDesk,
+    OrderDispatcher,
     OrderTimes,
     Run,
     Runner,
@@ -264,7 +264,7 @@
             )
             worker.start(StartOrder(run=run, spec="x"), 8, worker.clock_ms + 3000)
             holder = await acquire(StoreView(store=RecordStore(rng=random.Random(1))))
-            desk = OrderDesk(
+            order_dispatcher = OrderDispatcher(
                 scheduler_state=scheduler_state,
                 holder=holder,
                 orders=OrdersView(fleet=fleet),
@@ -277,11 +277,11 @@
                 on_progress=lambda: None,
             )
             keep = asyncio.create_task(holder.keep())
-            desk.notice_workers()
+            order_dispatcher.notice_workers()
             await asyncio.sleep(4.0)
             worker.pass_time()
             self.assertEqual(is_recorded, NAME in worker.names())
-            desk.close()
+            order_dispatcher.close()
             keep.cancel()
 
         run_story(story())
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -10,7 +10,7 @@
 from parameterized import parameterized
 
 from shallotworks.jobs import Step
-from shallotworks.scheduling import DecisionEngine, OrderDesk, StartOrder, StopOrder, Worker
+from shallotworks.scheduling import DecisionEngine, OrderDispatcher, StartOrder, StopOrder, Worker
 from shallotworks.scheduling._decisions import MOST_STARTS, Decision
 from shallotworks.scheduling._placement import Candidates, Placement
 from tests.fleet_history import History, Instance
@@ -161,14 +161,14 @@
             service_scheduler._holder._sent_s -= 60.0
             self.assertFalse(service_scheduler._holder.may_act)
             service_scheduler.decision_engine._started = MOST_STARTS
-            plain, waits = OrderDesk.wait, 0
+            plain, waits = OrderDispatcher.wait, 0
 
-            async def counted(desk: OrderDesk, longest_s: float) -> None:
+            async def counted(order_dispatcher: OrderDispatcher, longest_s: float) -> None:
                 nonlocal waits
                 waits += 1
-                await plain(desk, longest_s)
+                await plain(order_dispatcher, longest_s)
 
-            with mock.patch.object(OrderDesk, "wait", counted):
+            with mock.patch.object(OrderDispatcher, "wait", counted):
                 await asyncio.sleep(0.7)
             self.assertGreaterEqual(waits, 2)
             await instance.kill()
@@ -201,7 +201,7 @@
             service_scheduler = instance.service_schedulers[-1]
             before_s = spent_s
             for _ in range(1000):
-                service_scheduler._desk.wake()
+                service_scheduler._order_dispatcher.wake()
                 await asyncio.sleep(0.001)
             # One second passed beside the decisions, which get half as much at the most.
             self.assertLessEqual(round(spent_s - before_s, 6), 0.5 + cost_s)
