--- a/bench/turn.py
+++ b/bench/turn.py
@@ -95,7 +95,7 @@
         """Pace nothing."""
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=1)
 
-    async def look(
+    async def poll(
         self,
         worker: WorkerView,
         *,
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -57,7 +57,7 @@
     def __init__(self) -> None:
         self._clients: dict[str, HttpClient] = {}
 
-    async def look(
+    async def poll(
         self,
         worker: WorkerView,
         *,
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -38,24 +38,24 @@
         lease_s: What runs on a worker ends this long after the last order that extended it. Long
             enough for a successor to take over after a crash (2.5 s) and for an outage of the
             store; short enough that tasks on a cut worker run again soon.
-        look_wait_s: A look waits this long at the worker for an end.
+        poll_wait_s: A look waits this long at the worker for an end.
         answer_s: Time for an order's answer beyond its own wait: workers answer in milliseconds.
-        idle_look_s: A worker with nothing to run is looked at this often, for its clock.
+        idle_poll_s: A worker with nothing to run is looked at this often, for its clock.
         full_lease_s: Leases are granted in full for this long after the last confirmed renewal of
             the scheduler's key, and no lease ends later than one granted then. Three renewals; it
             bounds how long a successor waits for a worker that it can't reach.
     """
 
     lease_s: float = 5.0
-    look_wait_s: float = 1.0
+    poll_wait_s: float = 1.0
     answer_s: float = 0.8
-    idle_look_s: float = 10.0
+    idle_poll_s: float = 10.0
     full_lease_s: float = 1.5
 
     @property
     def silence_s(self) -> float:
         """A worker that has not answered for this long gets no longer lease."""
-        return self.look_wait_s + self.answer_s
+        return self.poll_wait_s + self.answer_s
 
     @property
     def horizon_s(self) -> float:
@@ -69,7 +69,7 @@
         Its key was confirmed for the last time before this term's came to be. Workers' clocks may
         be slow, and are reckoned from answers as old as the pause between looks.
         """
-        skew_s = CLOCK_SKEW_PART * (self.horizon_s + self.idle_look_s + self.silence_s)
+        skew_s = CLOCK_SKEW_PART * (self.horizon_s + self.idle_poll_s + self.silence_s)
         return self.horizon_s + skew_s + MARGIN_S
 
 
@@ -211,7 +211,7 @@
         if self._in_flight:
             await asyncio.wait(list(self._in_flight), timeout=longest_s)
 
-    def stop_looking(self) -> None:
+    def stop_polling(self) -> None:
         """Look at no worker any more, so that the board learns of no further ends.
 
         The failure: an end that is learnt while the last progress is being stored is on the board
@@ -223,7 +223,7 @@
 
     def close(self) -> None:
         """Stop looking, and give up the orders in flight."""
-        self.stop_looking()
+        self.stop_polling()
         for task in self._in_flight:
             task.cancel()
 
@@ -256,7 +256,7 @@
         if worker.unsettled:
             await _wait(event, SETTLE_WAIT_S, lambda: not worker.unsettled)
         elif not self._needs_look(worker):
-            await _wait(event, self._times.idle_look_s, lambda: self._needs_look(worker))
+            await _wait(event, self._times.idle_poll_s, lambda: self._needs_look(worker))
 
     def _needs_look(self, worker: Worker) -> bool:
         return bool(
@@ -271,7 +271,7 @@
         acknowledged = worker.highest_settled
         lease_ms = self._extend(worker, sent_s) if self._may_extend(worker, sent_s) else None
         wait_s = self._look_wait_s(worker)
-        outcome = await self._orders.look(
+        outcome = await self._orders.poll(
             worker.view,
             token=self._scheduler_state.token,
             acknowledged=acknowledged,
@@ -313,8 +313,8 @@
             return 0.0
         left_s = self._scheduler_state.isolation.left_s(worker, self._clock())
         if left_s is None:
-            return self._times.look_wait_s
-        return min(self._times.look_wait_s, max(left_s, LEAST_WAIT_S))
+            return self._times.poll_wait_s
+        return min(self._times.poll_wait_s, max(left_s, LEAST_WAIT_S))
 
     def _is_pressing(self, worker: Worker) -> bool:
         if not worker.is_fenced or worker.unsettled or not worker.clock_ms:
--- a/src/shallotworks/scheduling/_protocols.py
+++ b/src/shallotworks/scheduling/_protocols.py
@@ -29,7 +29,7 @@
 class WorkerOrders(Protocol):
     """Gives orders to workers, each for one incarnation and under a fencing token."""
 
-    async def look(
+    async def poll(
         self,
         worker: WorkerView,
         *,
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -211,7 +211,7 @@
                     self._holder.lose(f"a fault: {task.exception()!r}")
                     raise task.exception() or RuntimeError
             await self._order_dispatcher.settle(STOP_PATIENCE_S)
-            self._order_dispatcher.stop_looking()
+            self._order_dispatcher.stop_polling()
             await self._hand_over()
         finally:
             for task in (*tasks, lost, *self._tasks):
--- a/src/shallotworks/standins/_orders_view.py
+++ b/src/shallotworks/standins/_orders_view.py
@@ -52,7 +52,7 @@
         self.faults = faults or OrderFaults()
         self._late: set[asyncio.Task[None]] = set()
 
-    async def look(
+    async def poll(
         self,
         worker: WorkerView,
         *,
@@ -68,10 +68,10 @@
         reached = await self._reach(worker, lost_s)
         if isinstance(reached, OrderOutcome):
             return reached
-        outcome = reached.look(token, acknowledged, lease_until_ms)
+        outcome = reached.poll(token, acknowledged, lease_until_ms)
         while outcome.report is not None and not outcome.report.ended and loop.time() < ends_s:
             await reached.wait_for_end(ends_s - loop.time())
-            outcome = reached.look(token, acknowledged, None)
+            outcome = reached.poll(token, acknowledged, None)
         if not reached.is_alive or worker.worker_id in self.faults.cut:
             return await self._answer_of_absent(worker, lost_s)
         return outcome
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -144,7 +144,7 @@
         self._news.set()
         self._news = asyncio.Event()
 
-    def look(self, token: int, acknowledged: int, lease_until_ms: int | None) -> OrderOutcome:
+    def poll(self, token: int, acknowledged: int, lease_until_ms: int | None) -> OrderOutcome:
         """Carry out a look."""
         self.pass_time()
         if token < self._token:
--- a/src/shallotworks/standins/_worker_http.py
+++ b/src/shallotworks/standins/_worker_http.py
@@ -62,7 +62,7 @@
     async def _carry_out(self, path: str, body: dict[str, Any]) -> OrderOutcome:
         token = body["fencingToken"]
         if path == "/v1/hold":
-            return await self._orders.look(
+            return await self._orders.poll(
                 self._view,
                 token=token,
                 acknowledged=body["lastSeen"],
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -60,13 +60,13 @@
 
 def count_looks(orders: OrdersView, worker_id: str, looks: list[int]) -> None:
     """Count an instance's looks at one worker."""
-    look = orders.look
+    poll = orders.poll
 
     async def counted(worker: WorkerView, **arguments: Any) -> OrderOutcome:
         looks[0] += worker.worker_id == worker_id
-        return await look(worker, **arguments)
+        return await poll(worker, **arguments)
 
-    orders.look = counted  # type: ignore[method-assign]
+    orders.poll = counted  # type: ignore[method-assign]
 
 
 async def replace_one_after_the_other(fleet: TaskWorkers) -> None:
