--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -45,7 +45,7 @@
     begun = set(history.fleet.begun)
     at_s = loop.time()
     ended = asyncio.create_task(
-        scheduler.bidder.stop() if is_planned else history.replace(scheduler)
+        scheduler.elector.stop() if is_planned else history.replace(scheduler)
     )
     firsts = [float("inf"), float("inf")]
     while loop.time() - at_s < WATCHED_S and float("inf") in firsts:
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -17,7 +17,7 @@
 from shallotworks.metrics import LoadWatch, Metrics, summarise, to_exposition
 from shallotworks.scheduling import (
     MACHINES_PREFIX,
-    Bidder,
+    LeaderElector,
     MachineController,
     MachineControllerDependencies,
     MachineRecords,
@@ -111,7 +111,7 @@
         self._machine_records = MachineRecords(log=self._log)
         self._held_times = HolderTimes(ttl_s=max(HolderTimes().ttl_s, settings.smallest_ttl_s))
         self._dependencies = self._make_dependencies()
-        self._bidder = Bidder(
+        self._elector = LeaderElector(
             store=self._store,
             root=DUTIES_PREFIX,
             mark=_mark_of,
@@ -137,7 +137,7 @@
             metrics=self._metrics,
             log=self._log,
             processor_clock=time.process_time,
-            duties=self._bidder.held,
+            duties=self._elector.held,
         )
         self._stop = asyncio.Event()
         self._followers: list[asyncio.Task[None]] = []
@@ -178,7 +178,7 @@
             for loop in (
                 self._log.run(),
                 operators.run(),
-                self._bidder.run(),
+                self._elector.run(),
                 self._load.run(),
             )
         ]
@@ -199,7 +199,7 @@
         serve_for_s = min(LEAVE_S, self._settings.bounds.stop_grace_s * LEAVE_PART)
         self._log.line("stopping", serve_for_s=serve_for_s)
         began_s = asyncio.get_running_loop().time()
-        await self._quietly(self._bidder.stop())
+        await self._quietly(self._elector.stop())
         spent_s = asyncio.get_running_loop().time() - began_s
         await asyncio.sleep(max(0.0, serve_for_s - spent_s))
         await self._quietly(self._ingress.close())
@@ -281,7 +281,7 @@
 
     def _configured(self, configuration: Configuration) -> None:
         schedulers = {SCHEDULER_DUTY + service for service in configuration.services}
-        self._bidder.serve(schedulers | {KEEPER_DUTY})
+        self._elector.serve(schedulers | {KEEPER_DUTY})
 
     def _metrics_text(self) -> str:
         return to_exposition(summarise(self._metrics.freeze(), process=self._settings.instance))
--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -1,13 +1,13 @@
 """Scheduling: which worker runs which task, in which order, under leases and fencing tokens.
 
-`ServiceScheduler` is one term of a service's scheduler; `Bidder` wins terms. What is decided stands
-in `DecisionEngine`, `Placement`, the order of work and pacing, which need no network. This package
-knows workers, machines and the store only through protocols.
+`ServiceScheduler` is one term of a service's scheduler; `LeaderElector` wins terms. What is decided
+stands in `DecisionEngine`, `Placement`, the order of work and pacing, which need no network. This
+package knows workers, machines and the store only through protocols.
 """
 
-from ._bidding import Bidder
 from ._decisions import DecisionEngine
 from ._entries import StepEntry
+from ._leader_elector import LeaderElector
 from ._machine_controller import MachineController
 from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_records import (
@@ -59,7 +59,7 @@
 __all__ = [
     "AdviceRequest",
     "AdviceService",
-    "Bidder",
+    "LeaderElector",
     "DecisionEngine",
     "MachineOrderStatus",
     "EndKind",
--- a/src/shallotworks/scheduling/_bidding.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -10,7 +10,7 @@
 from shallotworks.logs import LogLines
 from shallotworks.store import Holder, HolderTimes, Item, Mirror, Store
 
-__all__ = ["Bidder"]
+__all__ = ["LeaderElector"]
 
 SPREAD_S = 0.2
 """Bids of different instances are spread over this long, each service's in another order, so that
@@ -25,7 +25,7 @@
 of four times its processor is still more."""
 
 
-class Bidder:
+class LeaderElector:
     """Bids for the keys of all services and runs a term for each that is won.
 
     Args:
--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -11,7 +11,7 @@
 from shallotworks.jobs import Job, JobDesk, JobKeys, JobState, Step, TaskName, decode_progress
 from shallotworks.metrics import Metrics
 from shallotworks.scheduling import (
-    Bidder,
+    LeaderElector,
     MachineRecords,
     OrderTimes,
     Permits,
@@ -50,7 +50,7 @@
         self.desk = JobDesk(
             store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=self.now_s
         )
-        self.bidder = Bidder(
+        self.elector = LeaderElector(
             store=self.view,
             root="shallotworks/duty/scheduler/",
             mark=lambda service: JobKeys(service=service).holder_mark,
@@ -67,16 +67,16 @@
 
     def start(self) -> None:
         """Begin to bid."""
-        self._tasks.add(asyncio.create_task(self.bidder.run()))
-        self.bidder.serve({SERVICE})
+        self._tasks.add(asyncio.create_task(self.elector.run()))
+        self.elector.serve({SERVICE})
 
     async def kill(self) -> None:
         """End at once, without a word to anyone."""
         self.view.faults.is_down = True
         self.orders.faults.cut = set(self._fleet.workers)
-        for task in (*self._tasks, *self.bidder._bids.values()):
+        for task in (*self._tasks, *self.elector._bids.values()):
             task.cancel()
-        await asyncio.gather(*self._tasks, *self.bidder._bids.values(), return_exceptions=True)
+        await asyncio.gather(*self._tasks, *self.elector._bids.values(), return_exceptions=True)
 
     async def _run_epoch(self, service: str, holder: Holder) -> None:
         dependencies = SchedulerDependencies(
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -135,7 +135,7 @@
         super().__init__(name=name, store=store, fleet=fleet)
         self.view.faults = faults
         self.orders.faults = OrderFaults(cut=silent)
-        self.bidder._log = log
+        self.elector._log = log
         self._log = log
         self._registry = WorkerRegistry(log=quiet_log())
         self._book = MachineRecords(log=log)
@@ -151,7 +151,7 @@
     async def stop(self) -> None:
         """End as after a signal to stop: duties are handed over."""
         with contextlib.suppress(TimeoutError):
-            await self.bidder.stop()
+            await self.elector.stop()
         await self.kill()
 
     async def _run_epoch(self, service: str, holder: Holder) -> None:
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -19,7 +19,7 @@
     encode_progress,
 )
 from shallotworks.metrics import Metrics
-from shallotworks.scheduling import Bidder, EndKind, RunningTask, StopOrder
+from shallotworks.scheduling import EndKind, LeaderElector, RunningTask, StopOrder
 from shallotworks.scheduling._progress_writer import ProgressWriter
 from shallotworks.standins import RecordStore, StoreView
 from shallotworks.store import Commit, Holder, HolderTimes, Write
@@ -157,7 +157,7 @@
             assert scheduler is not None
             record = history.store.items[f"shallotworks/runners/{SERVICE}"]
             self.assertEqual(4, len(json.loads(record.value)))
-            await scheduler.bidder.stop()
+            await scheduler.elector.stop()
             record = history.store.items[f"shallotworks/runners/{SERVICE}"]
             self.assertEqual(1, len(json.loads(record.value)))
             for instance in history.instances:
@@ -233,8 +233,8 @@
             async def hold(_duty: str, holder: Holder) -> None:
                 await holder.lost.wait()
 
-            bidders = [
-                Bidder(
+            electors = [
+                LeaderElector(
                     store=StoreView(store=store),
                     root="duty/",
                     mark=lambda duty: f"mark/{duty}",
@@ -246,15 +246,15 @@
                 )
                 for number in range(3)
             ]
-            following = [asyncio.create_task(one.run()) for one in bidders]
-            for one in bidders:
+            following = [asyncio.create_task(one.run()) for one in electors]
+            for one in electors:
                 one.serve({f"s{number}" for number in range(6)})
                 await asyncio.sleep(0.1)
             await asyncio.sleep(3.0)
-            held = [len(one._holders) for one in bidders]
+            held = [len(one._holders) for one in electors]
             self.assertEqual(6, sum(held))
             self.assertLessEqual(max(held), 3)
-            for one in bidders:
+            for one in electors:
                 await one.stop()
             for task in following:
                 task.cancel()
@@ -269,8 +269,8 @@
     ) -> None:
         """A duty goes to an instance with a quarter of the processor while a better one lives."""
 
-        def bidder(name: str, strength: float) -> Bidder:
-            return Bidder(
+        def elector(name: str, strength: float) -> LeaderElector:
+            return LeaderElector(
                 store=StoreView(store=RecordStore(rng=random.Random(1))),
                 root="duty/",
                 mark=str,
@@ -283,9 +283,9 @@
             )
 
         for number in range(20):
-            strong = bidder(f"s{number}", 1.0)
+            strong = elector(f"s{number}", 1.0)
             strong._holders = dict.fromkeys(map(str, range(strong_duties)), mock.Mock(spec=Holder))
-            weak = bidder(f"w{number}", weak_strength)
+            weak = elector(f"w{number}", weak_strength)
             self.assertLess(strong._delay_s("antenna"), weak._delay_s("antenna"))
 
 
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -9,7 +9,13 @@
 
 from shallotworks.errors import Failure
 from shallotworks.jobs import JobKeys
-from shallotworks.scheduling import Bidder, PoolDemand, PoolSizer, SizingLimits, pool_demand_key
+from shallotworks.scheduling import (
+    LeaderElector,
+    PoolDemand,
+    PoolSizer,
+    SizingLimits,
+    pool_demand_key,
+)
 from shallotworks.standins import RecordStore, StoreView
 from shallotworks.store import Changes, Holder, HolderTimes
 from tests.fleet_history import SERVICE, History
@@ -142,7 +148,7 @@
                 await holder.lost.wait()
                 keep.cancel()
 
-            bidder = Bidder(
+            elector = LeaderElector(
                 store=watched,
                 root="duty/",
                 mark=lambda service: JobKeys(service=service).holder_mark,
@@ -152,8 +158,8 @@
                 times=HolderTimes(),
                 log=quiet_log(),
             )
-            follow = asyncio.create_task(bidder.run())
-            bidder.serve({"antenna"})
+            follow = asyncio.create_task(elector.run())
+            elector.serve({"antenna"})
             await asyncio.sleep(2.0)
             watched.is_late = True
             store.end_lease(store.items["duty/antenna"].lease_id)
@@ -164,7 +170,7 @@
             self.assertEqual(2, len(holders))
             self.assertFalse(holders[1].lost.is_set())
             follow.cancel()
-            await bidder.stop()
+            await elector.stop()
 
         run_story(story())
 
--- a/tests/test_runners_record.py
+++ b/tests/test_runners_record.py
@@ -227,7 +227,7 @@
                 await asyncio.sleep(0.001)
             # A store that answers this slowly has not answered before the key is given back.
             scheduler.view.faults.delay_s = 0.05
-            await scheduler.bidder.stop()
+            await scheduler.elector.stop()
             self.assertEqual([], scheduler_state.dirty())
             await _end(history)
 
@@ -328,7 +328,7 @@
                 await asyncio.sleep(2.0)
                 scheduler = history.scheduler()
                 if scheduler is not None:
-                    await scheduler.bidder.stop()
+                    await scheduler.elector.stop()
                     history.instances.remove(scheduler)
             self.assertLess(await waited, RUNS_AGAIN_S + 2.0)
             self.assertEqual([], history.fleet.breaches)
