--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -5,6 +5,7 @@
 package knows workers, machines and the store only through protocols.
 """
 
+from ._active_workers import ActiveWorker, ActiveWorkersRecord, active_workers_key
 from ._decisions import DecisionEngine
 from ._entries import StepEntry
 from ._leader_elector import LeaderElector
@@ -48,7 +49,6 @@
     WorkerDirectory,
     WorkerOrders,
 )
-from ._runners import Runner, RunnersRecord, runners_key
 from ._scheduler_state import SchedulerState, Stored
 from ._service_scheduler import SchedulerDependencies, ServiceScheduler
 from ._sizing import PoolSizer, SizingLimits
@@ -83,8 +83,8 @@
     "Run",
     "RunPhase",
     "RunningTask",
-    "Runner",
-    "RunnersRecord",
+    "ActiveWorker",
+    "ActiveWorkersRecord",
     "SchedulerState",
     "ServiceScheduler",
     "SizingLimits",
@@ -106,7 +106,7 @@
     "WorkerView",
     "machine_controller_key",
     "pool_demand_key",
-    "runners_key",
+    "active_workers_key",
     "urgency",
     "waiting_reason",
     "wave_key",
--- a/src/shallotworks/scheduling/_runners.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -10,7 +10,7 @@
 from shallotworks.logs import LogLines
 from shallotworks.store import HeldRecord, Holder, Store
 
-__all__ = ["Runner", "RunnersRecord", "runners_key"]
+__all__ = ["ActiveWorker", "ActiveWorkersRecord", "active_workers_key"]
 
 UNREADABLE = "unreadable-record"
 """Stands for the workers of a record that can't be read."""
@@ -18,13 +18,13 @@
 """Between tries to read the record while the store fails."""
 
 
-def runners_key(service: str) -> str:
+def active_workers_key(service: str) -> str:
     """Return the key of a service's record."""
     return f"shallotworks/runners/{service}"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Runner:
+class ActiveWorker:
     """A worker that may run tasks of the service.
 
     Args:
@@ -38,7 +38,7 @@
     left_s: float | None = None
 
 
-class RunnersRecord:
+class ActiveWorkersRecord:
     """The record as the holder of the service's key keeps it.
 
     The failure that it guards against: a successor that starts a task again while a worker that it
@@ -53,30 +53,30 @@
         log: What the record can't be read for.
     """
 
-    __slots__ = ("_key", "_lock", "_log", "_record", "_stored", "runners")
+    __slots__ = ("_key", "_lock", "_log", "_record", "_stored", "active_workers")
 
     def __init__(self, *, service: str, holder: Holder, store: Store, log: LogLines) -> None:
-        self._key = runners_key(service)
+        self._key = active_workers_key(service)
         self._log = log
         self._record = HeldRecord(key=self._key, holder=holder, store=store, log=log)
         self._lock = asyncio.Lock()
         self._stored: bytes | None = None
-        self.runners: dict[str, Runner] = {}
+        self.active_workers: dict[str, ActiveWorker] = {}
         """By worker's id, as the store has them."""
 
     @staticmethod
-    def decode(value: bytes) -> dict[str, Runner]:
+    def decode(value: bytes) -> dict[str, ActiveWorker]:
         """Return what a stored record says, by worker's id."""
         return {
-            worker_id: Runner(address=row["address"], left_s=row["left_s"])
+            worker_id: ActiveWorker(address=row["address"], left_s=row["left_s"])
             for worker_id, row in json.loads(value).items()
         }
 
     def may_use(self, worker_id: str) -> bool:
         """Whether tasks may be started on a worker: whatever stands there, the record names it."""
-        runner = self.runners.get(worker_id)
+        active_worker = self.active_workers.get(worker_id)
         is_doubtful = any(worker_id not in self.decode(one) for one in self._record.doubtful)
-        return runner is not None and runner.left_s is None and not is_doubtful
+        return active_worker is not None and active_worker.left_s is None and not is_doubtful
 
     async def read(self) -> None:
         """Read what the last term left; tries until the store answers."""
@@ -84,7 +84,7 @@
             await asyncio.sleep(RETRY_S)
         self._learn()
 
-    async def keep(self, wanted: Callable[[], dict[str, Runner]]) -> bool:
+    async def keep(self, wanted: Callable[[], dict[str, ActiveWorker]]) -> bool:
         """Write the record where it differs from what is wanted; return whether it stands so.
 
         Args:
@@ -101,16 +101,16 @@
             return
         self._stored = value
         try:
-            self.runners = self.decode(value)
+            self.active_workers = self.decode(value)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self._log.line("runners-unreadable", key=self._key, reason=repr(error)[:200])
             # Whoever wrote it may have workers that can't be asked: their leases have to run out.
-            self.runners = {UNREADABLE: Runner(address="")}
+            self.active_workers = {UNREADABLE: ActiveWorker(address="")}
 
 
-def _encode(runners: dict[str, Runner]) -> bytes:
+def _encode(active_workers: dict[str, ActiveWorker]) -> bytes:
     rows = {
-        worker_id: {"address": runner.address, "left_s": runner.left_s}
-        for worker_id, runner in sorted(runners.items())
+        worker_id: {"address": active_worker.address, "left_s": active_worker.left_s}
+        for worker_id, active_worker in sorted(active_workers.items())
     }
     return json.dumps(rows).encode()
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -22,13 +22,13 @@
     Store,
 )
 
+from ._active_workers import ActiveWorkersRecord
 from ._decisions import DecisionEngine
 from ._machine_records import MachineRecords, PoolDemand, pool_demand_key
 from ._model import AdviceRequest
 from ._order_dispatcher import OrderDispatcher, OrderTimes
 from ._progress_writer import ProgressWriter
 from ._protocols import AdviceService, WorkerDirectory, WorkerOrders
-from ._runners import RunnersRecord
 from ._scheduler_state import SchedulerState
 from ._sizing import PoolSizer, SizingLimits
 from ._waiting import WaitWatch, name_some
@@ -141,7 +141,7 @@
         )
         self._workers = WorkerTracker(
             scheduler_state=self.scheduler_state,
-            record=RunnersRecord(
+            record=ActiveWorkersRecord(
                 service=service, holder=holder, store=dependencies.store, log=dependencies.log
             ),
             directory=dependencies.directory,
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Callable
 
+from ._active_workers import ActiveWorker, ActiveWorkersRecord
 from ._machine_records import MachineControllerRecord, MachineRecords
 from ._model import WorkerView
 from ._protocols import WorkerDirectory
-from ._runners import Runner, RunnersRecord
 from ._scheduler_state import SchedulerState
 
 __all__ = ["DIRECTORY_EVERY_S", "WorkerTracker"]
@@ -43,7 +43,7 @@
         self,
         *,
         scheduler_state: SchedulerState,
-        record: RunnersRecord,
+        record: ActiveWorkersRecord,
         directory: WorkerDirectory,
         machine_records: MachineRecords,
         clock: Callable[[], float],
@@ -65,19 +65,21 @@
     async def await_earlier(self) -> int:
         """Put the workers of earlier terms on the board, to be seen; return how many there are."""
         await self._record.read()
-        for worker_id, runner in self._record.runners.items():
-            self._await_runner(worker_id, runner)
-        return len(self._record.runners)
+        for worker_id, active_worker in self._record.active_workers.items():
+            self._await_active_worker(worker_id, active_worker)
+        return len(self._record.active_workers)
 
-    def _await_runner(self, worker_id: str, runner: Runner) -> None:
+    def _await_active_worker(self, worker_id: str, active_worker: ActiveWorker) -> None:
         """Leave earlier jobs alone until a worker is seen, or what runs there has surely ended."""
         bound_s = self._recovery_s
-        if runner.left_s is not None:
-            bound_s = min(bound_s, runner.left_s)
+        if active_worker.left_s is not None:
+            bound_s = min(bound_s, active_worker.left_s)
         over_s = self._clock() + bound_s
         self._scheduler_state.pending_recovery[worker_id] = over_s
         view = WorkerView(
-            worker_id=worker_id, service=self._scheduler_state.service, address=runner.address
+            worker_id=worker_id,
+            service=self._scheduler_state.service,
+            address=active_worker.address,
         )
         self._scheduler_state.worker_learnt(view)
         self._scheduler_state.worker_unlisted(worker_id)
@@ -134,14 +136,14 @@
         """
         return await self._record.keep(self._wanted)
 
-    def _wanted(self) -> dict[str, Runner]:
+    def _wanted(self) -> dict[str, ActiveWorker]:
         listed = self._listed()
         views = {
             worker_id: worker.view for worker_id, worker in self._scheduler_state.workers.items()
         }
         views |= listed
         return {
-            worker_id: Runner(address=view.address)
+            worker_id: ActiveWorker(address=view.address)
             for worker_id, view in views.items()
             if not view.is_draining or self._may_run_something(worker_id)
         }
@@ -155,7 +157,7 @@
         """Leave to the next term the workers that may run something, and no others."""
         await self._record.keep(self._left)
 
-    def _left(self) -> dict[str, Runner]:
+    def _left(self) -> dict[str, ActiveWorker]:
         """Return the workers that may run something, now that this term orders nothing more.
 
         What an earlier term left on a worker that was never reached ends no later for the change:
@@ -166,12 +168,12 @@
         so it is to be seen first.
         """
         now_s = self._clock()
-        left: dict[str, Runner] = {}
+        left: dict[str, ActiveWorker] = {}
         for worker_id, worker in self._scheduler_state.workers.items():
             address = worker.view.address
             until_s = self._scheduler_state.pending_recovery.get(worker_id)
             if until_s is not None:
-                left[worker_id] = Runner(address=address, left_s=max(0.0, until_s - now_s))
+                left[worker_id] = ActiveWorker(address=address, left_s=max(0.0, until_s - now_s))
             elif worker.runs or worker.unsettled:
-                left[worker_id] = Runner(address=address)
+                left[worker_id] = ActiveWorker(address=address)
         return left
--- a/tests/test_runners_record.py
+++ b/tests/test_active_workers_record.py
@@ -9,17 +9,17 @@
 from shallotworks.jobs import JobProgress, TaskName
 from shallotworks.metrics import Metrics
 from shallotworks.scheduling import (
+    ActiveWorker,
+    ActiveWorkersRecord,
     EndKind,
     MachineRecords,
     OrderDispatcher,
     OrderTimes,
     Run,
-    Runner,
-    RunnersRecord,
     RunPhase,
     SchedulerState,
     StartOrder,
-    runners_key,
+    active_workers_key,
 )
 from shallotworks.scheduling._scheduler_state import Stored
 from shallotworks.scheduling._worker_tracker import WorkerTracker
@@ -38,8 +38,8 @@
 
 
 def _recorded(history: History) -> set[str]:
-    item = history.store.items.get(runners_key(SERVICE))
-    return set(RunnersRecord.decode(item.value)) if item is not None else set()
+    item = history.store.items.get(active_workers_key(SERVICE))
+    return set(ActiveWorkersRecord.decode(item.value)) if item is not None else set()
 
 
 async def _begun(*, workers: int, instances: int) -> History:
@@ -112,16 +112,18 @@
             store = RecordStore(rng=random.Random(1))
             late = StoreView(store=store)
             holder = await acquire(late, times=LONG)
-            record = RunnersRecord(service=SERVICE, holder=holder, store=late, log=quiet_log())
+            record = ActiveWorkersRecord(
+                service=SERVICE, holder=holder, store=late, log=quiet_log()
+            )
             await record.read()
-            one, two = Runner(address="a:1"), Runner(address="b:1")
+            one, two = ActiveWorker(address="a:1"), ActiveWorker(address="b:1")
             late.faults.late_part = 1.0
             self.assertFalse(await record.keep(lambda: {"one": one}))
             late.faults.late_part = 0.0
             self.assertTrue(await record.keep(lambda: {"one": one, "two": two}))
             await asyncio.sleep(4.0)
-            item = store.items[runners_key(SERVICE)]
-            self.assertEqual({"one": one, "two": two}, RunnersRecord.decode(item.value))
+            item = store.items[active_workers_key(SERVICE)]
+            self.assertEqual({"one": one, "two": two}, ActiveWorkersRecord.decode(item.value))
             self.assertFalse(holder.lost.is_set())
 
         run_story(story())
@@ -133,12 +135,14 @@
             store = RecordStore(rng=random.Random(1))
             caller = StoreView(store=store)
             holder = await acquire(caller, times=LONG)
-            record = RunnersRecord(service=SERVICE, holder=holder, store=caller, log=quiet_log())
+            record = ActiveWorkersRecord(
+                service=SERVICE, holder=holder, store=caller, log=quiet_log()
+            )
             caller.faults.lost_part = 1.0
-            self.assertFalse(await record.keep(lambda: {"one": Runner(address="a:1")}))
+            self.assertFalse(await record.keep(lambda: {"one": ActiveWorker(address="a:1")}))
             caller.faults.lost_part = 0.0
             self.assertFalse(record.may_use("one"))
-            both = {"one": Runner(address="a:1"), "two": Runner(address="b:1")}
+            both = {"one": ActiveWorker(address="a:1"), "two": ActiveWorker(address="b:1")}
             self.assertTrue(await record.keep(lambda: both))
             self.assertTrue(record.may_use("two"))
             self.assertFalse(holder.lost.is_set())
@@ -152,7 +156,7 @@
             history = History(seed=4, workers=1, instances=1)
             history.fleet.lasting.add(JOB_ID)
             await history.submit(JOB_ID, step(1, is_lasting=True))
-            history.store.put(runners_key(SERVICE), b'{"w0": "127.0.0.1:1"}')
+            history.store.put(active_workers_key(SERVICE), b'{"w0": "127.0.0.1:1"}')
             history.instances[0].start()
             took_s = await _until_it_runs(history)
             self.assertGreater(took_s, OrderTimes().recovery_s)
@@ -178,7 +182,7 @@
             loop = asyncio.get_running_loop()
             store = RecordStore(rng=random.Random(1))
             holder = await acquire(StoreView(store=store), times=LONG)
-            record = RunnersRecord(
+            record = ActiveWorkersRecord(
                 service=SERVICE, holder=holder, store=StoreView(store=store), log=quiet_log()
             )
             bench = Bench(view("ended"), view("idle"))
@@ -196,12 +200,12 @@
             self.assertEqual("ended", order.run.worker_id)
             bench.report("ended", ended=((NAME, order.run.run_id, EndKind.DONE),))
             await workers.hand_over()
-            self.assertEqual({"ended"}, set(record.runners))
+            self.assertEqual({"ended"}, set(record.active_workers))
             (dirty,) = bench.scheduler_state.dirty()
             stored = Stored(job_id=JOB_ID, changes=dirty.changes, revision=2)
             bench.scheduler_state.stored(stored)
             await workers.hand_over()
-            self.assertEqual(set(), set(record.runners))
+            self.assertEqual(set(), set(record.active_workers))
 
         run_story(story())
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -10,13 +10,13 @@
 from shallotworks.errors import ErrorKind, Failure
 from shallotworks.jobs import TaskName
 from shallotworks.scheduling import (
+    ActiveWorker,
+    ActiveWorkersRecord,
     MachineControllerRecord,
     PoolDemand,
-    Runner,
-    RunnersRecord,
+    active_workers_key,
     machine_controller_key,
     pool_demand_key,
-    runners_key,
 )
 from shallotworks.standins import RecordStore, StoreView
 from shallotworks.store import Holder, Item
@@ -28,7 +28,7 @@
 
 JOB_ID = "00000000000000ab"
 NAME = TaskName(JOB_ID, 0, 0, 0)
-ONE, TWO = Runner(address="a:1"), Runner(address="b:1")
+ONE, TWO = ActiveWorker(address="a:1"), ActiveWorker(address="b:1")
 LATE_S = 4.0
 """Longer than the stand-in takes to carry out what it did not answer."""
 UNANSWERED_S = 20.0
@@ -56,13 +56,13 @@
         return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason="the answer was lost"))
 
 
-async def _recorded() -> tuple[RecordStore, StoreView, RunnersRecord]:
+async def _recorded() -> tuple[RecordStore, StoreView, ActiveWorkersRecord]:
     """Return a store in which the record names two workers."""
     store = RecordStore(rng=random.Random(1))
     caller = StoreView(store=store)
     holder = await acquire(caller)
     asyncio.get_running_loop().create_task(holder.keep())
-    record = RunnersRecord(service=SERVICE, holder=holder, store=caller, log=quiet_log())
+    record = ActiveWorkersRecord(service=SERVICE, holder=holder, store=caller, log=quiet_log())
     await record.read()
     assert await record.keep(lambda: {"one": ONE, "two": TWO})
     return store, caller, record
@@ -85,7 +85,7 @@
             self.assertTrue(await record.keep(lambda: {"one": ONE, "two": TWO}))
             self.assertTrue(record.may_use("two"))
             await asyncio.sleep(LATE_S)
-            stored = RunnersRecord.decode(store.items[runners_key(SERVICE)].value)
+            stored = ActiveWorkersRecord.decode(store.items[active_workers_key(SERVICE)].value)
             self.assertIn("two", stored)
 
         run_story(story())
