--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -53,7 +53,7 @@
 from ._service_scheduler import SchedulerDependencies, ServiceScheduler
 from ._sizing import PoolSizer, SizingLimits
 from ._wait_reason import WaitReason
-from ._waiting import WaitSummary, WaitWatch, waiting_reason
+from ._waiting import WaitMonitor, WaitSummary, waiting_reason
 from ._wave import WaveRecord, wave_key
 
 __all__ = [
@@ -97,7 +97,7 @@
     "MaintenanceSchedule",
     "WaitReason",
     "WaitSummary",
-    "WaitWatch",
+    "WaitMonitor",
     "WaveRecord",
     "Worker",
     "WorkerDirectory",
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -31,7 +31,7 @@
 from ._protocols import AdviceService, WorkerDirectory, WorkerOrders
 from ._scheduler_state import SchedulerState
 from ._sizing import PoolSizer, SizingLimits
-from ._waiting import WaitWatch, name_some
+from ._waiting import WaitMonitor, name_some
 from ._worker_tracker import DIRECTORY_EVERY_S, WorkerTracker
 
 __all__ = ["ServiceScheduler", "SchedulerDependencies"]
@@ -136,7 +136,7 @@
         )
         self.decision_engine = DecisionEngine(scheduler_state=self.scheduler_state)
         self._sizer = PoolSizer(scheduler_state=self.scheduler_state, limits=SizingLimits())
-        self._waits = WaitWatch(
+        self._waits = WaitMonitor(
             scheduler_state=self.scheduler_state, metrics=dependencies.metrics, log=dependencies.log
         )
         self._workers = WorkerTracker(
@@ -388,7 +388,7 @@
         while True:
             now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
             self._log("pool-state", **self._sizer.state(wall_s=wall_s))
-            self._waits.tell(now_s=now_s, wall_s=wall_s)
+            self._waits.report(now_s=now_s, wall_s=wall_s)
             await self._workers.keep_record()
             await self._pending.put(
                 json.dumps(self.scheduler_state.waiting_jobs(), sort_keys=True).encode()
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -24,7 +24,7 @@
     "RecoveryWait",
     "TaskWait",
     "WaitSummary",
-    "WaitWatch",
+    "WaitMonitor",
     "name_some",
     "tasks_recovering",
     "waiting_reason",
@@ -192,7 +192,7 @@
                 yield step
 
 
-class WaitWatch:
+class WaitMonitor:
     """Watches the waiting tasks of one service during a term.
 
     A wait counts from the first look that finds it, so it may be longer by the time between two
@@ -215,14 +215,14 @@
         self._since_s: dict[StepEntry, dict[int, float]] = {}
         self._looked_s: float | None = None
 
-    def tell(self, *, now_s: float, wall_s: float) -> None:
+    def report(self, *, now_s: float, wall_s: float) -> None:
         """Look, count, and log what has waited for long.
 
         Args:
             now_s: The scheduler's clock.
             wall_s: Time of day in seconds since 1970.
         """
-        summary = self.look(now_s=now_s, wall_s=wall_s)
+        summary = self.summarise(now_s=now_s, wall_s=wall_s)
         self._count(summary, now_s)
         if summary.is_long:
             scheduler_state = self._scheduler_state
@@ -234,7 +234,7 @@
                 **fields,
             )
 
-    def look(self, *, now_s: float, wall_s: float) -> WaitSummary:
+    def summarise(self, *, now_s: float, wall_s: float) -> WaitSummary:
         """Return what waits now.
 
         Args:
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -15,9 +15,9 @@
     Run,
     RunPhase,
     SizingLimits,
+    WaitMonitor,
     WaitReason,
     WaitSummary,
-    WaitWatch,
     Worker,
     waiting_reason,
 )
@@ -55,18 +55,18 @@
         super().__init__(*(view(name) for name in names))
         self.lines = Lines()
         self.metrics = Metrics()
-        self.watch = WaitWatch(
+        self.watch = WaitMonitor(
             scheduler_state=self.scheduler_state, metrics=self.metrics, log=self.lines.log
         )
 
     def look(self) -> WaitSummary:
         """Return what waits now."""
-        return self.watch.look(now_s=self.now_s, wall_s=WALL_S)
+        return self.watch.summarise(now_s=self.now_s, wall_s=WALL_S)
 
     def tell(self, after_s: float) -> list[dict[str, object]]:
         """Let time pass and look; return all lines so far."""
         self.now_s += after_s
-        self.watch.tell(now_s=self.now_s, wall_s=WALL_S)
+        self.watch.report(now_s=self.now_s, wall_s=WALL_S)
         return self.lines.of("tasks-waiting")
 
 
