--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -13,9 +13,9 @@
 
 from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_controller_ledger import MachineControllerLedger
-from ._machine_orders import MachineOrders
-from ._moves import PoolMover
-from ._waves import WaveRunner
+from ._machine_order_dispatcher import MachineOrderDispatcher
+from ._pool_rebalancer import PoolRebalancer
+from ._wave_executor import WaveExecutor
 
 __all__ = ["MachineController"]
 
@@ -31,15 +31,17 @@
         dependencies: What it works with.
     """
 
-    __slots__ = ("_dependencies", "_holder", "_mover", "_record", "_waves")
+    __slots__ = ("_dependencies", "_holder", "_rebalancer", "_record", "_waves")
 
     def __init__(self, *, holder: Holder, dependencies: MachineControllerDependencies) -> None:
         self._holder = holder
         self._dependencies = dependencies
         self._record = MachineControllerLedger(holder=holder, dependencies=dependencies)
-        orders = MachineOrders(holder=holder, dependencies=dependencies, record=self._record)
-        self._waves = WaveRunner(holder=holder, dependencies=dependencies, orders=orders)
-        self._mover = PoolMover(holder=holder, dependencies=dependencies, orders=orders)
+        orders = MachineOrderDispatcher(
+            holder=holder, dependencies=dependencies, record=self._record
+        )
+        self._waves = WaveExecutor(holder=holder, dependencies=dependencies, orders=orders)
+        self._rebalancer = PoolRebalancer(holder=holder, dependencies=dependencies, orders=orders)
 
     async def run(self) -> None:
         """Keep machines until the key is lost."""
@@ -78,6 +80,6 @@
             if record is not None:
                 in_waves.update(self._waves.engaged(wave, record))
                 due.update(self._waves.next_due(wave, record, machines, self._record.published.due))
-        await self._record.publish(frozenset(due), await self._mover.recalls(machines))
-        await self._mover.move_some(machines, in_waves)
+        await self._record.publish(frozenset(due), await self._rebalancer.recalls(machines))
+        await self._rebalancer.rebalance(machines, in_waves)
         await self._record.publish(frozenset(due), self._record.published.recalls)
--- a/src/shallotworks/scheduling/_machine_orders.py
+++ b/src/shallotworks/scheduling/_machine_order_dispatcher.py
@@ -13,10 +13,10 @@
 from ._machine_records import PoolDemand, pool_demand_key
 from ._protocols import Machine, MachineOrderStatus
 
-__all__ = ["MachineOrders"]
+__all__ = ["MachineOrderDispatcher"]
 
 
-class MachineOrders:
+class MachineOrderDispatcher:
     """Gives the orders of one term of the keeper.
 
     Args:
--- a/src/shallotworks/scheduling/_moves.py
+++ b/src/shallotworks/scheduling/_pool_rebalancer.py
@@ -12,10 +12,10 @@
 from shallotworks.store import Commit, Committed, Condition, Holder, Write
 
 from ._machine_controller_dependencies import MachineControllerDependencies
-from ._machine_orders import MachineOrders
+from ._machine_order_dispatcher import MachineOrderDispatcher
 from ._protocols import Machine, MachineOrderStatus, MachineState
 
-__all__ = ["PoolMover"]
+__all__ = ["PoolRebalancer"]
 
 LONGEST_MOVE_S = 4.0
 """A machine counts as on its way for this long at the most, where its arrival isn't seen: a move
@@ -60,7 +60,7 @@
         return has_settled or now_s - self.ordered_s >= LONGEST_MOVE_S
 
 
-class PoolMover:
+class PoolRebalancer:
     """Moves machines during one term of the keeper.
 
     Args:
@@ -80,7 +80,11 @@
     )
 
     def __init__(
-        self, *, holder: Holder, dependencies: MachineControllerDependencies, orders: MachineOrders
+        self,
+        *,
+        holder: Holder,
+        dependencies: MachineControllerDependencies,
+        orders: MachineOrderDispatcher,
     ) -> None:
         self._holder = holder
         self._dependencies = dependencies
@@ -93,7 +97,7 @@
         self._misfits: set[tuple[str, str]] = set()
         """Machines and pools that don't go together."""
 
-    async def move_some(self, machines: dict[str, Machine], in_waves: set[str]) -> None:
+    async def rebalance(self, machines: dict[str, Machine], in_waves: set[str]) -> None:
         """Move machines to services that lack them, and what they can do without back again."""
         self._watch_arrivals(machines)
         home = await self._home_sizes(machines)
--- a/src/shallotworks/scheduling/_waves.py
+++ b/src/shallotworks/scheduling/_wave_executor.py
@@ -9,11 +9,11 @@
 from shallotworks.store import Commit, Committed, Condition, Conflicted, Holder, Write
 
 from ._machine_controller_dependencies import MachineControllerDependencies
-from ._machine_orders import MachineOrders
+from ._machine_order_dispatcher import MachineOrderDispatcher
 from ._protocols import Machine, MachineOrderStatus, MachineState, MaintenanceWave
 from ._wave import WaveRecord, wave_key
 
-__all__ = ["WaveRunner"]
+__all__ = ["WaveExecutor"]
 
 LIST_LAG_S = 1.0
 """A list of machines read this long after an obeyed order shows what it brought about."""
@@ -36,7 +36,7 @@
 """Machines that are emptied ahead of a wave's free slots, for each slot."""
 
 
-class WaveRunner:
+class WaveExecutor:
     """Takes waves forward during one term of the keeper.
 
     A machine counts against its wave's limit from before its order until a new worker is seen on
@@ -59,7 +59,11 @@
     )
 
     def __init__(
-        self, *, holder: Holder, dependencies: MachineControllerDependencies, orders: MachineOrders
+        self,
+        *,
+        holder: Holder,
+        dependencies: MachineControllerDependencies,
+        orders: MachineOrderDispatcher,
     ) -> None:
         self._holder = holder
         self._dependencies = dependencies
