--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -18,13 +18,13 @@
     EndKind,
     SchedulerState,
     StartOrder,
-    StepEntry,
+    TrackedStep,
     WorkerReport,
     WorkerView,
     urgency,
 )
 
-Order = Callable[[StepEntry, float], tuple[float, ...]]
+Order = Callable[[TrackedStep, float], tuple[float, ...]]
 
 SEEDS = range(1, 9)
 WORKERS = 8
@@ -36,27 +36,27 @@
 POLICY = QueuePolicy(queue="q", service="s", most_attempts=2, stretch=1.6, target_latency_s=0.6)
 
 
-def first_come(entry: StepEntry, wall_s: float) -> tuple[float, ...]:
+def first_come(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
     """Order by acceptance alone."""
-    return (entry.job_entry.job.accepted_s,)
+    return (entry.tracked_job.job.accepted_s,)
 
 
-def deadline_only(entry: StepEntry, wall_s: float) -> tuple[float, ...]:
+def deadline_only(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
     """Order by objective, also what can't meet it any more."""
     return (entry.objective_ends_s,)
 
 
-def smallest_first(entry: StepEntry, wall_s: float) -> tuple[float, ...]:
+def smallest_first(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
     """Order by work alone."""
-    return (entry.job_entry.work_core_s,)
+    return (entry.tracked_job.work_core_s,)
 
 
-def least_slack(entry: StepEntry, wall_s: float) -> tuple[float, ...]:
+def least_slack(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
     """Order what can meet its objective by the latest moment to begin, the rest by work."""
     latest_s = entry.objective_ends_s - entry.chain_s
     if wall_s <= latest_s:
         return (0, latest_s)
-    return (1, entry.job_entry.work_core_s)
+    return (1, entry.tracked_job.work_core_s)
 
 
 POLICIES: dict[str, Order] = {
--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -7,7 +7,6 @@
 
 from ._active_workers import ActiveWorker, ActiveWorkersRecord, active_workers_key
 from ._decisions import DecisionEngine
-from ._entries import StepEntry
 from ._leader_elector import LeaderElector
 from ._machine_controller import MachineController
 from ._machine_controller_dependencies import MachineControllerDependencies
@@ -52,6 +51,7 @@
 from ._scheduler_state import SchedulerState, Stored
 from ._service_scheduler import SchedulerDependencies, ServiceScheduler
 from ._sizing import PoolSizer, SizingLimits
+from ._tracked_jobs import TrackedStep
 from ._wait_reason import WaitReason
 from ._waiting import WaitMonitor, WaitSummary, waiting_reason
 from ._wave import WaveRecord, wave_key
@@ -89,7 +89,7 @@
     "ServiceScheduler",
     "SizingLimits",
     "StartOrder",
-    "StepEntry",
+    "TrackedStep",
     "StopOrder",
     "Stored",
     "SchedulerDependencies",
--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -12,8 +12,8 @@
 from shallotworks.jobs import Blame, LostRun, TaskName
 from shallotworks.logs import LogLines
 
-from ._entries import JobEntry
 from ._model import Run, RunPhase, Worker
+from ._tracked_jobs import TrackedJob
 
 __all__ = ["PROBATION_S", "CrashBlame"]
 
@@ -56,11 +56,11 @@
     def __init__(
         self,
         *,
-        entries: dict[str, JobEntry],
+        entries: dict[str, TrackedJob],
         workers: dict[str, Worker],
         first_run_id: int,
         log: LogLines,
-        close: Callable[[JobEntry, str], None],
+        close: Callable[[TrackedJob, str], None],
     ) -> None:
         self._entries = entries
         self._workers = workers
@@ -128,7 +128,7 @@
 
     def _confirm(
         self,
-        entry: JobEntry,
+        entry: TrackedJob,
         name: TaskName,
         lost: LostRun,
         wall_s: float,
@@ -193,7 +193,7 @@
         )
         self.note_lost(entry, run.name, lost, wall_s)
 
-    def note_lost(self, entry: JobEntry, name: TaskName, lost: LostRun, wall_s: float) -> None:
+    def note_lost(self, entry: TrackedJob, name: TaskName, lost: LostRun, wall_s: float) -> None:
         """Put a lost run into its job's progress, and give the job up where it is one too many."""
         if not entry.progress.note_lost(entry.job, name, lost, now_s=wall_s):
             return
@@ -213,7 +213,7 @@
         if is_given_up:
             self._close(entry, "crash-loop")
 
-    def _doubtful_on(self, worker_id: str) -> list[tuple[JobEntry, TaskName, LostRun]]:
+    def _doubtful_on(self, worker_id: str) -> list[tuple[TrackedJob, TaskName, LostRun]]:
         """Return what is not certain of runs on a worker, with their jobs and tasks."""
         return [
             (entry, TaskName(entry.job.job_id, *key), lost)
@@ -224,7 +224,7 @@
             if lost.worker_id == worker_id and not lost.is_certain
         ]
 
-    def resolve(self, entry: JobEntry, wall_s: float) -> None:
+    def resolve(self, entry: TrackedJob, wall_s: float) -> None:
         """Find out what became of workers that runs of a job, now over, may have crashed."""
         for key, runs in list(entry.progress.lost.items()):
             name = TaskName(entry.job.job_id, *key)
@@ -257,7 +257,7 @@
             self._clear(entry, run.name, run.run_id)
 
     @staticmethod
-    def _clear(entry: JobEntry, name: TaskName, run_id: int) -> None:
+    def _clear(entry: TrackedJob, name: TaskName, run_id: int) -> None:
         if entry.progress.note_survived(entry.job, name, run_id):
             entry.changes += 1
 
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable, Iterator
 
-from ._entries import StepEntry
 from ._model import (
     AdviceRequest,
     PaceOrder,
@@ -19,6 +18,7 @@
 from ._placement import Candidates, Placement
 from ._room import Room
 from ._scheduler_state import SchedulerState
+from ._tracked_jobs import TrackedStep
 from ._wait_reason import WaitReason
 
 __all__ = ["DecisionEngine", "Decision"]
@@ -57,7 +57,7 @@
         self,
         *,
         scheduler_state: SchedulerState,
-        order: Callable[[StepEntry, float], tuple[float, ...]] = urgency,
+        order: Callable[[TrackedStep, float], tuple[float, ...]] = urgency,
     ) -> None:
         self._scheduler_state = scheduler_state
         self._order = order
@@ -185,13 +185,13 @@
                 continue
             if self._room.is_short_of(step) or _needs_as_much_as(step, too_big):
                 continue
-            if step.job_entry.job.policy.is_advised and not step.permits:
+            if step.tracked_job.job.policy.is_advised and not step.permits:
                 yield from self._ask(step, now_s)
                 continue
             if step.step.is_gang:
                 yield from self._start_gang(step, now_s)
                 continue
-            if step.job_entry.progress.lost:
+            if step.tracked_job.progress.lost:
                 yield from self._start_beside_suspects(step, now_s)
                 continue
             yield from self._start_tasks(step, step.waiting, now_s)
@@ -209,9 +209,9 @@
             else:
                 self._scheduler_state.start_failed(run, now_s)
 
-    def _start_beside_suspects(self, step: StepEntry, now_s: float) -> Iterator[StartOrder]:
+    def _start_beside_suspects(self, step: TrackedStep, now_s: float) -> Iterator[StartOrder]:
         """Start tasks of a job that has lost runs with crashed workers, suspects in isolation."""
-        isolation, entry = self._scheduler_state.isolation, step.job_entry
+        isolation, entry = self._scheduler_state.isolation, step.tracked_job
         indices = {step.name(index): index for index in step.waiting}
         suspects = isolation.suspects(entry, indices, self._wall_s)
         if entry.progress.state.is_final:
@@ -222,7 +222,7 @@
             others = [index for name, index in indices.items() if name not in suspects]
             yield from self._start_tasks(step, others, now_s)
 
-    def _isolate(self, step: StepEntry, index: int, now_s: float) -> None:
+    def _isolate(self, step: TrackedStep, index: int, now_s: float) -> None:
         """Keep a worker for a suspect, one where a crash would take the least with it."""
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s)
         places = [
@@ -239,13 +239,13 @@
         self._started += 1
 
     def _start_tasks(
-        self, step: StepEntry, indices: list[int], now_s: float
+        self, step: TrackedStep, indices: list[int], now_s: float
     ) -> Iterator[StartOrder]:
         is_spread = self._scheduler_state.crashes.are_frequent(self._wall_s)
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s, is_spread=is_spread)
         candidates = Candidates(placement=placement, workers=self._workers_for(step))
         for index in list(indices):
-            avoid = step.job_entry.avoid.get(step.name(index), frozenset())
+            avoid = step.tracked_job.avoid.get(step.name(index), frozenset())
             worker = candidates.best(avoid=avoid, rack=step.rack)
             if worker is None or self.is_cut_short:
                 return
@@ -258,13 +258,13 @@
             self._started += 1
             yield self._start_order(step, run)
 
-    def _workers_for(self, step: StepEntry) -> list[Worker]:
+    def _workers_for(self, step: TrackedStep) -> list[Worker]:
         if step.step.is_lasting:
             # Where its tasks run already matters, also on workers that are full.
             return list(self._scheduler_state.workers.values())
         return [worker for worker in self._room.workers if worker.worker_id not in self._held]
 
-    def _hold_room(self, step: StepEntry, now_s: float) -> None:
+    def _hold_room(self, step: TrackedStep, now_s: float) -> None:
         """Keep tasks that end off one worker, where lasting tasks of a step find no room.
 
         The failure: a lasting task of a third of a worker's memory comes back in a turn. Whatever
@@ -285,7 +285,7 @@
             chosen = min(fitting, key=lambda worker: worker.lacks_for(step.step))
             self._held.add(chosen.worker_id)
 
-    def _start_gang(self, step: StepEntry, now_s: float) -> Iterator[StartOrder]:
+    def _start_gang(self, step: TrackedStep, now_s: float) -> Iterator[StartOrder]:
         """Start all members at once or none: a part of them would only hold room and wait."""
         if len(step.waiting) < step.step.count:
             return
@@ -300,12 +300,12 @@
         self._started += len(chosen)
         for index, worker in chosen:
             run = self._scheduler_state.new_run(step, index, worker, run_id, now_s)
-            spec = step.job_entry.job.spec
+            spec = step.tracked_job.job.spec
             ticket = step.permits.get(worker.worker_id, "")
             yield StartOrder(run=run, spec=spec, checkpoint=checkpoint, ticket=ticket)
 
     def _place_gang(
-        self, step: StepEntry, rack: str, now_s: float
+        self, step: TrackedStep, rack: str, now_s: float
     ) -> list[tuple[int, Worker]] | None:
         """Return a worker for each member, within a rack if one is named; ``None`` without room."""
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s)
@@ -315,7 +315,7 @@
         trial: list[tuple[int, Worker, Run]] = []
         try:
             for index in sorted(step.waiting):
-                avoid = step.job_entry.avoid.get(step.name(index), frozenset())
+                avoid = step.tracked_job.avoid.get(step.name(index), frozenset())
                 worker = placement.choose(workers, avoid=avoid)
                 if worker is None:
                     return None
@@ -334,27 +334,27 @@
             for _, worker, run in trial:
                 worker.remove(run)
 
-    def _racks(self, step: StepEntry) -> list[str]:
+    def _racks(self, step: TrackedStep) -> list[str]:
         if not step.step.is_one_rack:
             return [""]
         racks = sorted({worker.view.rack for worker in self._scheduler_state.workers.values()})
         racks.sort(key=lambda rack: rack != step.step.near_rack)
         return [*racks, ""]
 
-    def _gang_checkpoint(self, step: StepEntry) -> str:
-        saved = step.job_entry.checkpoints
+    def _gang_checkpoint(self, step: TrackedStep) -> str:
+        saved = step.tracked_job.checkpoints
         names = (step.name(index) for index in range(step.step.count))
         return next((saved[name] for name in names if name in saved), "")
 
-    def _start_order(self, step: StepEntry, run: Run) -> StartOrder:
+    def _start_order(self, step: TrackedStep, run: Run) -> StartOrder:
         return StartOrder(
             run=run,
-            spec=step.job_entry.job.spec,
-            checkpoint=step.job_entry.checkpoints.get(run.name, ""),
+            spec=step.tracked_job.job.spec,
+            checkpoint=step.tracked_job.checkpoints.get(run.name, ""),
             ticket=step.permits.get(run.worker_id, ""),
         )
 
-    def _ask(self, step: StepEntry, now_s: float) -> Iterator[AdviceRequest]:
+    def _ask(self, step: TrackedStep, now_s: float) -> Iterator[AdviceRequest]:
         if step.is_asking or now_s - step.advised_s < ADVICE_RETRY_S:
             return
         usable = [
@@ -375,7 +375,7 @@
     return bool(phases) and phases.isdisjoint((RunPhase.RESERVED, RunPhase.STARTING))
 
 
-def _is_plain(step: StepEntry) -> bool:
+def _is_plain(step: TrackedStep) -> bool:
     """Whether only its size can keep a step's tasks waiting; lasting ones keep off some workers."""
     wants = step.step
     return not (
@@ -383,7 +383,7 @@
     )
 
 
-def _needs_as_much_as(step: StepEntry, too_big: list[tuple[int, int, int]]) -> bool:
+def _needs_as_much_as(step: TrackedStep, too_big: list[tuple[int, int, int]]) -> bool:
     wants = step.step
     return any(
         wants.cpu_millicores >= cpu and wants.memory_mb >= memory and wants.gpus >= gpus
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -13,8 +13,8 @@
 from shallotworks.logs import LogLines
 
 from ._crash_blame import PROBATION_S, CrashBlame
-from ._entries import JobEntry
 from ._model import Run, RunPhase, Worker
+from ._tracked_jobs import TrackedJob
 
 __all__ = ["Isolation"]
 
@@ -40,7 +40,7 @@
     def __init__(
         self,
         *,
-        entries: dict[str, JobEntry],
+        entries: dict[str, TrackedJob],
         workers: dict[str, Worker],
         blame: CrashBlame,
         log: LogLines,
@@ -84,12 +84,14 @@
             return PROBATION_S
         return max(0.0, min(run.confirmed_s, now_s) + self._blame.probation_s(run) - now_s)
 
-    def suspects(self, entry: JobEntry, names: Iterable[TaskName], wall_s: float) -> list[TaskName]:
+    def suspects(
+        self, entry: TrackedJob, names: Iterable[TaskName], wall_s: float
+    ) -> list[TaskName]:
         """Return which of some waiting tasks of a job have to be started in isolation."""
         self._blame.resolve(entry, wall_s)
         return [name for name in names if is_suspect(entry.progress.lost_runs(entry.job, name))]
 
-    def may_start(self, entry: JobEntry, suspects: list[TaskName]) -> list[TaskName]:
+    def may_start(self, entry: TrackedJob, suspects: list[TaskName]) -> list[TaskName]:
         """Return the suspects of a job that may be started now, each in isolation.
 
         The tasks of a job are much alike, so one of them goes first; see `is_held`.
@@ -98,12 +100,12 @@
             return suspects
         return [] if self._has_isolated_run(entry) else suspects[:1]
 
-    def is_held(self, entry: JobEntry, suspects: list[TaskName]) -> bool:
+    def is_held(self, entry: TrackedJob, suspects: list[TaskName]) -> bool:
         """Whether a job's other tasks wait: they may do the same as a suspect of the job."""
         is_doubtful = bool(suspects) or self._has_isolated_run(entry)
         return is_doubtful and entry.job.job_id not in self._cleared_jobs
 
-    def _has_isolated_run(self, entry: JobEntry) -> bool:
+    def _has_isolated_run(self, entry: TrackedJob) -> bool:
         runs = entry.runs.values()
         return any(self._is_isolated(run) for run in runs)
 
--- a/src/shallotworks/scheduling/_ordering.py
+++ b/src/shallotworks/scheduling/_ordering.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from ._entries import StepEntry
+from ._tracked_jobs import TrackedStep
 
 __all__ = ["urgency"]
 
 
-def urgency(entry: StepEntry, wall_s: float) -> tuple[float, ...]:
+def urgency(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
     """Return a step's place in the order; the smallest comes first.
 
     Lasting tasks serve users at every moment, so they come before tasks that end. Then priority.
@@ -21,12 +21,12 @@
         entry: The step.
         wall_s: Time of day in seconds since 1970.
     """
-    job_entry = entry.job_entry
+    tracked_job = entry.tracked_job
     step = entry.step
-    priority = job_entry.job.policy.priority
+    priority = tracked_job.job.policy.priority
     if step.is_lasting:
-        return (0, step.is_filler, priority, job_entry.job.accepted_s)
+        return (0, step.is_filler, priority, tracked_job.job.accepted_s)
     latest_s = entry.objective_ends_s - entry.chain_s
     lateness = entry.is_hopeless(wall_s) + entry.is_past_use(wall_s)
-    has_begun = bool(job_entry.runs or job_entry.progress.done)
-    return (1, priority, lateness, not has_begun, job_entry.work_core_s, latest_s)
+    has_begun = bool(tracked_job.runs or tracked_job.progress.done)
+    return (1, priority, lateness, not has_begun, tracked_job.work_core_s, latest_s)
--- a/src/shallotworks/scheduling/_placement.py
+++ b/src/shallotworks/scheduling/_placement.py
@@ -6,8 +6,8 @@
 
 from shallotworks.jobs import Step, TaskName
 
-from ._entries import StepEntry
 from ._model import Worker
+from ._tracked_jobs import TrackedStep
 from ._wait_reason import WaitReason
 
 __all__ = ["LEAST_WORKERS", "Candidates", "Placement"]
@@ -61,7 +61,7 @@
 
     @classmethod
     def of(
-        cls, entry: StepEntry, *, now_s: float, wall_s: float, is_spread: bool = False
+        cls, entry: TrackedStep, *, now_s: float, wall_s: float, is_spread: bool = False
     ) -> Placement:
         """Return the placement of an open step's tasks.
 
@@ -71,7 +71,7 @@
             wall_s: Time of day in seconds since 1970.
             is_spread: Tasks go to the least used workers.
         """
-        job = entry.job_entry.job
+        job = entry.tracked_job.job
         return cls(
             step=entry.step,
             job_id=job.job_id,
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -13,8 +13,8 @@
 from shallotworks.metrics import Metrics
 from shallotworks.store import Commit, Committed, Condition, Conflicted, Holder, Store, Write
 
-from ._entries import JobEntry
 from ._scheduler_state import SchedulerState, Stored
+from ._tracked_jobs import TrackedJob
 
 __all__ = ["ProgressWriter"]
 
@@ -108,7 +108,7 @@
             async with asyncio.timeout(longest_s):
                 await self._is_settled.wait()
 
-    async def _store_batch(self, entries: list[JobEntry]) -> bool:
+    async def _store_batch(self, entries: list[TrackedJob]) -> bool:
         changes = {entry.job.job_id: entry.changes for entry in entries}
         keys = {self._keys.progress(entry.job.job_id): entry for entry in entries}
         outcome = await self._store.commit(
@@ -148,7 +148,7 @@
         self._learn_conflict(result, keys)
         return True
 
-    def _learn_conflict(self, conflict: Conflicted, keys: dict[str, JobEntry]) -> None:
+    def _learn_conflict(self, conflict: Conflicted, keys: dict[str, TrackedJob]) -> None:
         current = {item.key: item for item in conflict.current}
         own = current.get(self._holder.key)
         if own is None or own.revision != self._holder.token:
@@ -167,9 +167,9 @@
         self._on_stored()
 
 
-def _batches(dirty: list[JobEntry]) -> list[list[JobEntry]]:
+def _batches(dirty: list[TrackedJob]) -> list[list[TrackedJob]]:
     """Return the first jobs by commits, as many as fit into each beside the scheduler's key."""
-    batches: list[list[JobEntry]] = [[]]
+    batches: list[list[TrackedJob]] = [[]]
     used = 1
     for entry in dirty:
         size = 3 if entry.progress.state.is_final else 2
--- a/src/shallotworks/scheduling/_room.py
+++ b/src/shallotworks/scheduling/_room.py
@@ -6,8 +6,8 @@
 
 from shallotworks.jobs import Step
 
-from ._entries import StepEntry
 from ._model import Worker
+from ._tracked_jobs import TrackedStep
 
 __all__ = ["Room"]
 
@@ -25,7 +25,7 @@
 
     __slots__ = ("_cpu_millicores", "_gpus", "_memory_mb", "workers")
 
-    def __init__(self, workers: Iterable[Worker], steps: list[StepEntry]) -> None:
+    def __init__(self, workers: Iterable[Worker], steps: list[TrackedStep]) -> None:
         least_cpu_millicores = min((_cpu_of(entry.step) for entry in steps), default=0)
         least_memory_mb = min((entry.step.memory_mb for entry in steps), default=0)
         self.workers: list[Worker] = []
@@ -44,7 +44,7 @@
             self._memory_mb = max(self._memory_mb, memory_mb)
             self._gpus = max(self._gpus, view.gpus - worker.gpus_used)
 
-    def is_short_of(self, step: StepEntry) -> bool:
+    def is_short_of(self, step: TrackedStep) -> bool:
         """Whether no worker surely has room for a task of a step of tasks that end."""
         wants = step.step
         if wants.is_lasting:
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -12,7 +12,6 @@
 
 from ._crash_blame import CrashBlame
 from ._demand import Arrival
-from ._entries import JobEntry, StepEntry
 from ._isolation import Isolation
 from ._model import (
     UNKNOWN_STEP,
@@ -25,6 +24,7 @@
     WorkerReport,
     WorkerView,
 )
+from ._tracked_jobs import TrackedJob, TrackedStep
 
 __all__ = ["RUN_IDS_PER_EPOCH", "SchedulerState", "Stored", "WaitingTasks"]
 
@@ -104,7 +104,7 @@
         self.token = token
         self._log = log
         self._next_run = token * RUN_IDS_PER_EPOCH
-        self.entries: dict[str, JobEntry] = {}
+        self.entries: dict[str, TrackedJob] = {}
         """Jobs that are open, or whose end is not stored yet, or of which a run may be alive."""
         self.finals: dict[str, float] = {}
         """Jobs whose final state is stored, with the time of day at which they reached it."""
@@ -145,7 +145,7 @@
         if progress.state.is_final:
             self.final_learnt(job.job_id, progress)
             return
-        entry = JobEntry(job=job, progress=progress, revision=revision, is_old=is_old)
+        entry = TrackedJob(job=job, progress=progress, revision=revision, is_old=is_old)
         self.entries[job.job_id] = entry
         if not is_old and not job.is_lasting:
             self.arrivals.append((wall_s, entry.work_core_s))
@@ -180,7 +180,7 @@
             # Nothing of it will be stored any more that its ends could wait for.
             self._settle(entry, entry.changes)
 
-    def open_due(self, entry: JobEntry, wall_s: float) -> None:
+    def open_due(self, entry: TrackedJob, wall_s: float) -> None:
         """Open the steps of all occurrences that are due."""
         job = entry.job
         while entry.next_occurrence < job.occurrences:
@@ -192,7 +192,7 @@
                 self._open_step(entry, occurrence, number)
         self.timed.discard(job.job_id)
 
-    def _open_step(self, entry: JobEntry, occurrence: int, number: int) -> None:
+    def _open_step(self, entry: TrackedJob, occurrence: int, number: int) -> None:
         job, progress = entry.job, entry.progress
         key = (occurrence, number)
         if key in entry.steps or progress.is_step_done(job, occurrence, number):
@@ -200,7 +200,7 @@
         earlier = job.steps[number].after
         if not all(progress.is_step_done(job, occurrence, before) for before in earlier):
             return
-        step = StepEntry(job_entry=entry, occurrence=occurrence, number=number)
+        step = TrackedStep(tracked_job=entry, occurrence=occurrence, number=number)
         step.waiting = [
             index
             for index in range(step.step.count)
@@ -208,7 +208,7 @@
         ]
         entry.steps[key] = step
 
-    def open_steps(self) -> Iterator[StepEntry]:
+    def open_steps(self) -> Iterator[TrackedStep]:
         """Yield the steps with tasks that wait for a worker and may be started."""
         is_recovered = not self.pending_recovery
         for entry in self.entries.values():
@@ -218,7 +218,7 @@
                 if step.waiting:
                     yield step
 
-    def open_step(self, name: TaskName) -> StepEntry | None:
+    def open_step(self, name: TaskName) -> TrackedStep | None:
         """Return a task's step, if its turn has come and it isn't done."""
         entry = self.entries.get(name.job_id)
         return entry.steps.get((name.occurrence, name.step)) if entry is not None else None
@@ -244,7 +244,7 @@
         is_well = worker.is_listed and now_s - worker.reported_s < FRESH_S
         return not is_well or worker.view.is_draining
 
-    def _close(self, entry: JobEntry, reason: str) -> None:
+    def _close(self, entry: TrackedJob, reason: str) -> None:
         entry.steps.clear()
         self.timed.discard(entry.job.job_id)
         for runs in entry.live.values():
@@ -253,7 +253,7 @@
 
     # ---- what the store has
 
-    def dirty(self) -> list[JobEntry]:
+    def dirty(self) -> list[TrackedJob]:
         """Return the jobs whose latest progress the store lacks."""
         return [entry for entry in self.entries.values() if entry.is_dirty]
 
@@ -266,7 +266,7 @@
         self._settle(entry, stored.changes)
         self._retire(entry)
 
-    def _retire(self, entry: JobEntry) -> None:
+    def _retire(self, entry: TrackedJob) -> None:
         """Let go of a job that is over: decisions walk over the others only."""
         job_id = entry.job.job_id
         if entry.progress.state.is_final and not entry.is_dirty and not entry.live:
@@ -274,7 +274,7 @@
             self.isolation.forget(job_id)
             self.finals[job_id] = entry.progress.ended_s
 
-    def _settle(self, entry: JobEntry, changes: int) -> None:
+    def _settle(self, entry: TrackedJob, changes: int) -> None:
         entry.stored_changes = max(entry.stored_changes, changes)
         waiting = self._awaiting.get(entry.job.job_id, [])
         for change, worker, number in waiting:
@@ -457,7 +457,7 @@
         )
         return run
 
-    def _may_adopt(self, entry: JobEntry, run: Run) -> bool:
+    def _may_adopt(self, entry: TrackedJob, run: Run) -> bool:
         """Whether a run counts; also one whose step has not opened here yet.
 
         The failure: two runs of one task at once. The ends that open a step may be told after a
@@ -488,7 +488,7 @@
     # ---- runs
 
     def new_run(
-        self, step: StepEntry, index: int, worker: Worker, run_id: int, now_s: float
+        self, step: TrackedStep, index: int, worker: Worker, run_id: int, now_s: float
     ) -> Run:
         """Give a waiting task to a worker."""
         run = Run(
@@ -501,13 +501,13 @@
         )
         worker.add(run)
         step.waiting.remove(index)
-        entry = step.job_entry
+        entry = step.tracked_job
         entry.runs[run.name] = run
         entry.add_run(run)
         self._note_begun(entry)
         return run
 
-    def _note_begun(self, entry: JobEntry) -> None:
+    def _note_begun(self, entry: TrackedJob) -> None:
         if entry.progress.state is JobState.QUEUED:
             entry.progress.state = JobState.RUNNING
             entry.changes += 1
@@ -554,7 +554,7 @@
             self._finish_run(worker, run, end.kind, end.checkpoint, now_s)
 
     def _count_end(
-        self, entry: JobEntry, worker: Worker, end: EndedTask, now_s: float, wall_s: float
+        self, entry: TrackedJob, worker: Worker, end: EndedTask, now_s: float, wall_s: float
     ) -> bool:
         """Put an end into its job's progress; return whether that must be stored."""
         if entry.progress.state.is_final:
@@ -574,7 +574,7 @@
             self._close(entry, "job-failed")
         return True
 
-    def _task_done(self, entry: JobEntry, name: TaskName, run_id: int, wall_s: float) -> bool:
+    def _task_done(self, entry: TrackedJob, name: TaskName, run_id: int, wall_s: float) -> bool:
         if entry.progress.is_done(name):
             return False
         current = entry.runs.get(name)
@@ -641,14 +641,14 @@
                 counts[queue] = counts.get(queue, 0) + 1
         return counts
 
-    def away(self, step: StepEntry, *, excluding: Run, now_s: float) -> int:
+    def away(self, step: TrackedStep, *, excluding: Run, now_s: float) -> int:
         """Return how many tasks of a lasting step are not at work, or may not be.
 
         The failure: a worker dies without a word, its last report says that its task is at work,
         and another task of the step is stopped. So only what was reported of late counts. The same
         with a task that the last scheduler had stopped just before this one adopted it.
         """
-        runs = step.job_entry.runs
+        runs = step.tracked_job.runs
         names = (step.name(index) for index in range(step.step.count))
         others = [name for name in names if name != excluding.name]
         return sum(1 for name in others if not self._is_at_work(runs.get(name), now_s))
@@ -663,7 +663,7 @@
         return not is_adopted or worker.reported_s - run.since_s >= ADOPTED_S
 
 
-def _step_of(entry: JobEntry | None, name: TaskName) -> Step | None:
+def _step_of(entry: TrackedJob | None, name: TaskName) -> Step | None:
     if entry is None or not 0 <= name.step < len(entry.job.steps):
         return None
     step = entry.job.steps[name.step]
--- a/src/shallotworks/scheduling/_entries.py
+++ b/src/shallotworks/scheduling/_tracked_jobs.py
@@ -6,7 +6,7 @@
 
 from ._model import Run
 
-__all__ = ["JobEntry", "StepEntry"]
+__all__ = ["TrackedJob", "TrackedStep"]
 
 REFUSED_PAUSE_S = 1.0
 """After the first start that a worker refused as invalid; doubled with each further one ..."""
@@ -16,11 +16,11 @@
 """An answer later than this many objectives counts for nothing. Source: the platform's rules."""
 
 
-class StepEntry:
+class TrackedStep:
     """A step of one occurrence whose turn has come, until all its tasks are done.
 
     Args:
-        job_entry: Its job.
+        tracked_job: Its job.
         occurrence: Which occurrence.
         number: Its number in the job.
     """
@@ -29,7 +29,6 @@
         "advised_s",
         "chain_s",
         "is_asking",
-        "job_entry",
         "not_before_s",
         "number",
         "objective_ends_s",
@@ -38,19 +37,20 @@
         "rack",
         "refusals",
         "step",
+        "tracked_job",
         "use_ends_s",
         "waiting",
     )
 
-    def __init__(self, *, job_entry: JobEntry, occurrence: int, number: int) -> None:
-        job = job_entry.job
-        self.job_entry = job_entry
+    def __init__(self, *, tracked_job: TrackedJob, occurrence: int, number: int) -> None:
+        job = tracked_job.job
+        self.tracked_job = tracked_job
         self.occurrence = occurrence
         self.number = number
         self.step: Step = job.steps[number]
         self.waiting: list[int] = []
         self.rack = ""
-        self.chain_s = job_entry.chains_s[number]
+        self.chain_s = tracked_job.chains_s[number]
         self.objective_ends_s = job.due_s(occurrence) + job.objective_s()
         self.use_ends_s = job.due_s(occurrence) + job.objective_s() * USE_OBJECTIVES
         self.permits: dict[str, str] = {}
@@ -64,7 +64,7 @@
     @property
     def key(self) -> tuple[str, int, int]:
         """Names the step."""
-        return (self.job_entry.job.job_id, self.occurrence, self.number)
+        return (self.tracked_job.job.job_id, self.occurrence, self.number)
 
     def refused(self, now_s: float) -> None:
         """Take note that a start was refused as invalid: any worker would refuse the next one."""
@@ -82,10 +82,10 @@
 
     def name(self, index: int) -> TaskName:
         """Name one of its tasks."""
-        return TaskName(self.job_entry.job.job_id, self.occurrence, self.number, index)
+        return TaskName(self.tracked_job.job.job_id, self.occurrence, self.number, index)
 
 
-class JobEntry:
+class TrackedJob:
     """A job, its progress, and what of it the store has.
 
     Args:
@@ -121,7 +121,7 @@
         self.changes = 0
         self.stored_changes = 0
         self.next_occurrence = 0
-        self.steps: dict[tuple[int, int], StepEntry] = {}
+        self.steps: dict[tuple[int, int], TrackedStep] = {}
         self.runs: dict[TaskName, Run] = {}
         """The one run that counts of each task that has one."""
         self.live: dict[TaskName, set[Run]] = {}
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -15,9 +15,9 @@
 from shallotworks.logs import LogLines
 from shallotworks.metrics import Metrics
 
-from ._entries import StepEntry
 from ._placement import Placement
 from ._scheduler_state import SchedulerState
+from ._tracked_jobs import TrackedStep
 from ._wait_reason import WaitReason
 
 __all__ = [
@@ -131,7 +131,7 @@
 
 
 def waiting_reason(
-    scheduler_state: SchedulerState, step: StepEntry, *, now_s: float, wall_s: float
+    scheduler_state: SchedulerState, step: TrackedStep, *, now_s: float, wall_s: float
 ) -> WaitReason:
     """Return why the waiting tasks of a step that may be started wait.
 
@@ -159,11 +159,11 @@
     return closest
 
 
-def _reason_beside_room(step: StepEntry) -> WaitReason:
+def _reason_beside_room(step: TrackedStep) -> WaitReason:
     """Return why tasks wait though a worker may run one of them."""
     if step.step.is_gang:
         return WaitReason.GANG
-    return WaitReason.SUSPECT if step.job_entry.progress.lost else WaitReason.READY
+    return WaitReason.SUSPECT if step.tracked_job.progress.lost else WaitReason.READY
 
 
 def tasks_recovering(scheduler_state: SchedulerState) -> int:
@@ -181,7 +181,7 @@
     return sorted(worker_ids)[:most]
 
 
-def _held_steps(scheduler_state: SchedulerState) -> Iterator[StepEntry]:
+def _held_steps(scheduler_state: SchedulerState) -> Iterator[TrackedStep]:
     """Yield the steps with tasks that wait and that the board holds back."""
     if not scheduler_state.pending_recovery:
         return
@@ -212,7 +212,7 @@
         self._scheduler_state = scheduler_state
         self._metrics = metrics
         self._log = log
-        self._since_s: dict[StepEntry, dict[int, float]] = {}
+        self._since_s: dict[TrackedStep, dict[int, float]] = {}
         self._looked_s: float | None = None
 
     def report(self, *, now_s: float, wall_s: float) -> None:
@@ -261,13 +261,13 @@
             recovery=self._recovery(now_s) if held else None,
         )
 
-    def _remember(self, steps: list[StepEntry], now_s: float) -> None:
+    def _remember(self, steps: list[TrackedStep], now_s: float) -> None:
         earlier, self._since_s = self._since_s, {}
         for step in steps:
             known = earlier.get(step, {})
             self._since_s[step] = {index: known.get(index, now_s) for index in step.waiting}
 
-    def _oldest_s(self, step: StepEntry) -> float:
+    def _oldest_s(self, step: TrackedStep) -> float:
         return min(self._since_s[step].values())
 
     def _longest(self, waits: list[_StepWait], now_s: float) -> TaskWait | None:
@@ -301,7 +301,7 @@
 class _StepWait(NamedTuple):
     """The waiting tasks of one step, which have their reason in common."""
 
-    step: StepEntry
+    step: TrackedStep
     reason: WaitReason
     since_s: float
 
@@ -334,7 +334,7 @@
         self._left = MOST_EXAMINED
         self._by_kind: dict[_Kind, WaitReason] = {}
 
-    def reason(self, step: StepEntry) -> WaitReason:
+    def reason(self, step: TrackedStep) -> WaitReason:
         """Return why a step's tasks wait."""
         kind = self._kind(step)
         if kind is not None and kind in self._by_kind:
@@ -347,12 +347,12 @@
             self._by_kind[kind] = reason
         return reason
 
-    def _kind(self, entry: StepEntry) -> _Kind | None:
+    def _kind(self, entry: TrackedStep) -> _Kind | None:
         """Return a step's kind, or ``None`` if its reason depends on its own tasks or permits."""
         step = entry.step
-        if step.is_gang or step.most_per_worker or entry.job_entry.job.policy.is_advised:
+        if step.is_gang or step.most_per_worker or entry.tracked_job.job.policy.is_advised:
             return None
-        if entry.job_entry.progress.lost or entry.refusals:
+        if entry.tracked_job.progress.lost or entry.refusals:
             return None
         return _Kind(
             cpu_millicores=step.cpu_millicores,
