--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -48,7 +48,7 @@
     WorkerDirectory,
     WorkerOrders,
 )
-from ._scheduler_state import SchedulerState, Stored
+from ._scheduler_state import SchedulerState, StoredProgress
 from ._service_scheduler import SchedulerDependencies, ServiceScheduler
 from ._sizing import PoolSizer, SizingLimits
 from ._tracked_jobs import TrackedStep
@@ -91,7 +91,7 @@
     "StartOrder",
     "TrackedStep",
     "StopOrder",
-    "Stored",
+    "StoredProgress",
     "SchedulerDependencies",
     "MaintenanceWave",
     "MaintenanceSchedule",
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -13,7 +13,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.store import Commit, Committed, Condition, Conflicted, Holder, Store, Write
 
-from ._scheduler_state import SchedulerState, Stored
+from ._scheduler_state import SchedulerState, StoredProgress
 from ._tracked_jobs import TrackedJob
 
 __all__ = ["ProgressWriter"]
@@ -140,7 +140,7 @@
         if isinstance(result, Committed):
             for job_id, change in changes.items():
                 self._scheduler_state.stored(
-                    Stored(job_id=job_id, changes=change, revision=result.revision)
+                    StoredProgress(job_id=job_id, changes=change, revision=result.revision)
                 )
             self._metrics.count("scheduler.progress.stored", len(entries))
             self._on_stored()
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -26,7 +26,7 @@
 )
 from ._tracked_jobs import TrackedJob, TrackedStep
 
-__all__ = ["RUN_IDS_PER_EPOCH", "SchedulerState", "Stored", "WaitingTasks"]
+__all__ = ["RUN_IDS_PER_EPOCH", "SchedulerState", "StoredProgress", "WaitingTasks"]
 
 RUN_IDS_PER_EPOCH = 1_000_000
 """Run ids begin at the term's fencing token times this, so that a successor's are higher than all
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Stored:
+class StoredProgress:
     """Progress that the store has taken.
 
     Args:
@@ -257,7 +257,7 @@
         """Return the jobs whose latest progress the store lacks."""
         return [entry for entry in self.entries.values() if entry.is_dirty]
 
-    def stored(self, stored: Stored) -> None:
+    def stored(self, stored: StoredProgress) -> None:
         """Take note that progress was stored; ends that waited for it may be acknowledged."""
         entry = self.entries.get(stored.job_id)
         if entry is None:
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -12,7 +12,7 @@
     RunPhase,
     SchedulerState,
     StartOrder,
-    Stored,
+    StoredProgress,
     Worker,
     WorkerReport,
     WorkerView,
@@ -120,7 +120,7 @@
     def store(self) -> None:
         """Store all progress."""
         for entry in self.scheduler_state.dirty():
-            stored = Stored(
+            stored = StoredProgress(
                 job_id=entry.job.job_id, changes=entry.changes, revision=entry.revision + 1
             )
             self.scheduler_state.stored(stored)
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -21,7 +21,7 @@
     StartOrder,
     active_workers_key,
 )
-from shallotworks.scheduling._scheduler_state import Stored
+from shallotworks.scheduling._scheduler_state import StoredProgress
 from shallotworks.scheduling._worker_tracker import WorkerTracker
 from shallotworks.standins import OrdersView, RecordStore, StoreView, TaskWorkers
 from shallotworks.store import HolderTimes
@@ -202,7 +202,7 @@
             await workers.hand_over()
             self.assertEqual({"ended"}, set(record.active_workers))
             (dirty,) = bench.scheduler_state.dirty()
-            stored = Stored(job_id=JOB_ID, changes=dirty.changes, revision=2)
+            stored = StoredProgress(job_id=JOB_ID, changes=dirty.changes, revision=2)
             bench.scheduler_state.stored(stored)
             await workers.hand_over()
             self.assertEqual(set(), set(record.active_workers))
