--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -91,7 +91,7 @@
             cpu_millicores=WORKER_MILLICORES,
             memory_mb=1_000_000,
         )
-        scheduler_state.worker_learnt(view)
+        scheduler_state.update_worker(view)
         worker = scheduler_state.workers[view.worker_id]
         worker.lease_ends_s = 1e9
         worker.is_fenced = True
@@ -133,7 +133,7 @@
 
 
 def _accept(scheduler_state: SchedulerState, job: Job, now_s: float) -> None:
-    scheduler_state.job_learnt(job, JobProgress(queue="q"), revision=1, is_old=False, wall_s=now_s)
+    scheduler_state.add_job(job, JobProgress(queue="q"), revision=1, is_old=False, wall_s=now_s)
 
 
 def _end_some(
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -95,7 +95,7 @@
         """Stop lasting tasks on a worker that is to go, as many as their budgets allow now."""
         for run in list(worker.runs.values()):
             if run.step.is_lasting and self.may_disturb(run):
-                self._scheduler_state.want_stop(run, "evacuation")
+                self._scheduler_state.request_stop(run, "evacuation")
 
     def may_disturb(self, run: Run) -> bool:
         """Whether a lasting task may be taken away now.
@@ -104,7 +104,7 @@
         meet fewer of them than its budget says. A task counts as away until it is seen at work
         again. A step without a budget is moved a task at a time.
         """
-        if run.is_stop_wanted:
+        if run.is_stop_requested:
             return False
         entry = self._scheduler_state.entries.get(run.name.job_id)
         if entry is None or entry.progress.state.is_final:
@@ -138,7 +138,7 @@
         if worker.view.is_draining:
             self.evacuate(worker)
         for run in worker.runs.values():
-            if run.phase is RunPhase.RUNNING and not run.is_stop_wanted:
+            if run.phase is RunPhase.RUNNING and not run.is_stop_requested:
                 self._check_run(worker, run, now_s)
 
     def _check_run(self, worker: Worker, run: Run, now_s: float) -> None:
@@ -146,13 +146,13 @@
         if worker.view.is_draining and step.is_checkpointed and not step.is_lasting:
             left_s = step.estimated_s * (1 - run.percent / 100)
             if left_s > DRAIN_LEFT_S:
-                self._scheduler_state.want_stop(run, "worker-draining")
+                self._scheduler_state.request_stop(run, "worker-draining")
         if step.is_gang or step.is_lasting or run.pace_percent < 100:
             return
         limit_s = max(STANDSTILL_S, step.estimated_s * LEAST_STANDSTILL_PART)
         if worker.reported_s - run.progressed_s > limit_s:
             worker.avoid_until_s = now_s + limit_s
-            self._scheduler_state.want_stop(run, "stands-still")
+            self._scheduler_state.request_stop(run, "stands-still")
             entry = self._scheduler_state.entries.get(run.name.job_id)
             if entry is not None:
                 earlier = entry.avoid.get(run.name, frozenset())
@@ -161,7 +161,7 @@
     # ---- stops
 
     def _stops(self, now_s: float) -> Iterator[StopOrder]:
-        for run in list(self._scheduler_state.unwanted):
+        for run in list(self._scheduler_state.runs_to_stop):
             if run.phase in (RunPhase.RESERVED, RunPhase.STARTING, RunPhase.STOPPED):
                 continue
             if now_s - run.stop_sent_s >= STOP_RETRY_S:
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -145,7 +145,7 @@
             entry = self._entries.get(run.name.job_id)
             if worker is None or (run.name, run.run_id) not in worker.runs:
                 del self._reserved[run]
-            elif entry is None or run.is_stop_wanted:
+            elif entry is None or run.is_stop_requested:
                 del self._reserved[run]
                 yield run, False
             elif entry.stored_changes >= change and _is_settled(worker, run, since_s):
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -200,7 +200,7 @@
         "checkpoint",
         "confirmed_s",
         "figure",
-        "is_stop_wanted",
+        "is_stop_requested",
         "missing",
         "name",
         "pace_percent",
@@ -241,7 +241,7 @@
         self.figure = 0
         self.checkpoint = ""
         self.missing = 0
-        self.is_stop_wanted = False
+        self.is_stop_requested = False
         self.stop_reason = ""
         self.stop_sent_s = -1e9
         self.pace_percent = 100
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -158,10 +158,10 @@
         for key, entry in keys.items():
             item = current.get(key)
             if item is None:
-                self._scheduler_state.job_deleted(entry.job.job_id)
+                self._scheduler_state.delete_job(entry.job.job_id)
             elif item.revision != entry.revision:
                 self._log.line("progress-conflict", id=entry.job.job_id, revision=item.revision)
-                self._scheduler_state.progress_learnt(
+                self._scheduler_state.update_progress(
                     entry.job.job_id, decode_progress(item.value), item.revision
                 )
         self._on_stored()
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -89,13 +89,13 @@
         "arrivals",
         "crashes",
         "entries",
-        "finals",
+        "finished_jobs",
         "isolation",
         "pending_recovery",
+        "runs_to_stop",
         "service",
         "timed",
         "token",
-        "unwanted",
         "workers",
     )
 
@@ -106,10 +106,10 @@
         self._next_run = token * RUN_IDS_PER_EPOCH
         self.entries: dict[str, TrackedJob] = {}
         """Jobs that are open, or whose end is not stored yet, or of which a run may be alive."""
-        self.finals: dict[str, float] = {}
+        self.finished_jobs: dict[str, float] = {}
         """Jobs whose final state is stored, with the time of day at which they reached it."""
         self.workers: dict[str, Worker] = {}
-        self.unwanted: set[Run] = set()
+        self.runs_to_stop: set[Run] = set()
         """Runs that are to be stopped, until their end is certain."""
         self.timed: set[str] = set()
         """Jobs with occurrences that are not due yet."""
@@ -136,14 +136,14 @@
 
     # ---- jobs
 
-    def job_learnt(
+    def add_job(
         self, job: Job, progress: JobProgress, *, revision: int, is_old: bool, wall_s: float
     ) -> None:
         """Learn of a job and its progress."""
-        if job.job_id in self.entries or job.job_id in self.finals:
+        if job.job_id in self.entries or job.job_id in self.finished_jobs:
             return
         if progress.state.is_final:
-            self.final_learnt(job.job_id, progress)
+            self.add_finished_job(job.job_id, progress)
             return
         entry = TrackedJob(job=job, progress=progress, revision=revision, is_old=is_old)
         self.entries[job.job_id] = entry
@@ -152,7 +152,7 @@
         self.timed.add(job.job_id)
         self.open_due(entry, wall_s)
 
-    def progress_learnt(self, job_id: str, progress: JobProgress, revision: int) -> None:
+    def update_progress(self, job_id: str, progress: JobProgress, revision: int) -> None:
         """Learn that a job's progress was written, by this scheduler or by a caller's cancel."""
         entry = self.entries.get(job_id)
         if entry is None or revision <= entry.revision:
@@ -167,13 +167,13 @@
         self._settle(entry, entry.changes)
         self._retire(entry)
 
-    def final_learnt(self, job_id: str, progress: JobProgress) -> None:
+    def add_finished_job(self, job_id: str, progress: JobProgress) -> None:
         """Learn of a job that had ended before this scheduler began."""
-        self.finals[job_id] = progress.ended_s
+        self.finished_jobs[job_id] = progress.ended_s
 
-    def job_deleted(self, job_id: str) -> None:
+    def delete_job(self, job_id: str) -> None:
         """Forget a job that the store no longer has."""
-        self.finals.pop(job_id, None)
+        self.finished_jobs.pop(job_id, None)
         entry = self.entries.pop(job_id, None)
         if entry is not None:
             self._close(entry, "deleted")
@@ -249,7 +249,7 @@
         self.timed.discard(entry.job.job_id)
         for runs in entry.live.values():
             for run in runs:
-                self.want_stop(run, reason)
+                self.request_stop(run, reason)
 
     # ---- what the store has
 
@@ -272,7 +272,7 @@
         if entry.progress.state.is_final and not entry.is_dirty and not entry.live:
             self.entries.pop(job_id, None)
             self.isolation.forget(job_id)
-            self.finals[job_id] = entry.progress.ended_s
+            self.finished_jobs[job_id] = entry.progress.ended_s
 
     def _settle(self, entry: TrackedJob, changes: int) -> None:
         entry.stored_changes = max(entry.stored_changes, changes)
@@ -288,7 +288,7 @@
 
     # ---- workers
 
-    def worker_learnt(self, view: WorkerView) -> None:
+    def update_worker(self, view: WorkerView) -> None:
         """Learn of a worker, or that what is known of it has changed."""
         worker = self.workers.get(view.worker_id)
         if worker is None:
@@ -317,7 +317,7 @@
         else:
             worker.lasting_from_s = until_s
 
-    def worker_unlisted(self, worker_id: str) -> None:
+    def mark_unlisted(self, worker_id: str) -> None:
         """Learn that discovery no longer lists a worker; it may live and still run tasks."""
         worker = self.workers.get(worker_id)
         if worker is not None:
@@ -440,7 +440,7 @@
         if entry is not None:
             entry.add_run(run)
         if entry is None or step is None or not self._may_adopt(entry, run):
-            self.want_stop(run, "stray")
+            self.request_stop(run, "stray")
             return run
         step_entry = entry.steps.get((row.name.occurrence, row.name.step))
         if step_entry is not None and row.name.number in step_entry.waiting:
@@ -479,11 +479,11 @@
             self.crashes.survived(run)
             self._finish_run(worker, run, EndKind.STOPPED, "", now_s)
         elif run.phase is RunPhase.UNANSWERED:
-            self.want_stop(run, "start-unanswered")
+            self.request_stop(run, "start-unanswered")
         elif run.phase is RunPhase.RUNNING:
             run.missing += 1
             if run.missing >= MISSING_REPORTS:
-                self.want_stop(run, "not-listed")
+                self.request_stop(run, "not-listed")
 
     # ---- runs
 
@@ -524,12 +524,12 @@
             self.crashes.survived(run)
             self._finish_run(worker, run, EndKind.STOPPED, "", now_s)
 
-    def want_stop(self, run: Run, reason: str) -> None:
+    def request_stop(self, run: Run, reason: str) -> None:
         """Have a run stopped."""
-        if not run.is_stop_wanted:
-            run.is_stop_wanted = True
+        if not run.is_stop_requested:
+            run.is_stop_requested = True
             run.stop_reason = reason
-            self.unwanted.add(run)
+            self.runs_to_stop.add(run)
 
     def _end_learnt(self, worker: Worker, end: EndedTask, now_s: float, wall_s: float) -> None:
         run = worker.runs.get((end.name, end.run_id))
@@ -579,7 +579,7 @@
             return False
         current = entry.runs.get(name)
         if current is not None and current.run_id != run_id:
-            self.want_stop(current, "done-elsewhere")
+            self.request_stop(current, "done-elsewhere")
         entry.progress.note_done(entry.job, name, now_s=wall_s)
         entry.changes += 1
         step = entry.steps.get((name.occurrence, name.step))
@@ -601,7 +601,7 @@
         worker.remove(run)
         if worker.isolated is run:
             worker.isolated = None
-        self.unwanted.discard(run)
+        self.runs_to_stop.discard(run)
         entry = self.entries.get(run.name.job_id)
         if entry is None:
             return
@@ -654,7 +654,7 @@
         return sum(1 for name in others if not self._is_at_work(runs.get(name), now_s))
 
     def _is_at_work(self, run: Run | None, now_s: float) -> bool:
-        if run is None or not run.is_at_work or run.is_stop_wanted:
+        if run is None or not run.is_at_work or run.is_stop_requested:
             return False
         worker = self.workers.get(run.worker_id)
         if worker is None or now_s - worker.reported_s >= FRESH_S:
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -264,21 +264,21 @@
     def _progress_written(self, job_id: str, item: Item) -> None:
         progress = decode_progress(item.value)
         if job_id in self.scheduler_state.entries:
-            self.scheduler_state.progress_learnt(job_id, progress, item.revision)
+            self.scheduler_state.update_progress(job_id, progress, item.revision)
             return
-        if job_id in self.scheduler_state.finals:
+        if job_id in self.scheduler_state.finished_jobs:
             # Told late: an earlier state of a job whose end this scheduler has stored meanwhile.
             return
         record = self._pending_jobs.pop(job_id, None)
         if record is None and progress.state.is_final:
-            self.scheduler_state.final_learnt(job_id, progress)
+            self.scheduler_state.add_finished_job(job_id, progress)
             return
         if record is None:
             # A job's record is created with its progress and stands before it in key order; without
             # it there is nothing that could be run.
             self._log("job-without-record", id=job_id)
             return
-        self.scheduler_state.job_learnt(
+        self.scheduler_state.add_job(
             decode_job(record.value),
             progress,
             revision=item.revision,
@@ -297,7 +297,7 @@
             return
         job_id, is_progress = self._keys.parse(key)
         if is_progress:
-            self.scheduler_state.job_deleted(job_id)
+            self.scheduler_state.delete_job(job_id)
         else:
             self._pending_jobs.pop(job_id, None)
 
@@ -451,7 +451,7 @@
             )
             old = [
                 job_id
-                for job_id, ended_s in self.scheduler_state.finals.items()
+                for job_id, ended_s in self.scheduler_state.finished_jobs.items()
                 if ended_s < before_s
             ]
             for job_id in old[:MOST_CLEANED]:
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -81,8 +81,8 @@
             service=self._scheduler_state.service,
             address=active_worker.address,
         )
-        self._scheduler_state.worker_learnt(view)
-        self._scheduler_state.worker_unlisted(worker_id)
+        self._scheduler_state.update_worker(view)
+        self._scheduler_state.mark_unlisted(worker_id)
         self._scheduler_state.workers[worker_id].lease_ends_s = over_s
 
     async def follow(self, on_change: Callable[[], None]) -> None:
@@ -107,11 +107,11 @@
                 worker.is_listed = False
             elif listed[worker_id].is_draining:
                 # Known before the record leaves it out: nothing may start there from then on.
-                self._scheduler_state.worker_learnt(listed[worker_id])
+                self._scheduler_state.update_worker(listed[worker_id])
         is_kept = await self.keep_record()
         for worker_id, view in listed.items():
             if self._record.may_use(worker_id):
-                self._scheduler_state.worker_learnt(view)
+                self._scheduler_state.update_worker(view)
         return is_kept
 
     def _listed(self) -> dict[str, WorkerView]:
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -70,7 +70,7 @@
 
     def add(self, one: WorkerView) -> Worker:
         """Add a worker that has been seen, with nothing on it."""
-        self.scheduler_state.worker_learnt(one)
+        self.scheduler_state.update_worker(one)
         worker = self.worker(one.worker_id)
         worker.lease_ends_s = FAR_LEASE_S
         self.report(one.worker_id)
@@ -89,7 +89,7 @@
         wall_s: float = WALL_S,
     ) -> None:
         """Add a job, learnt at a time of day."""
-        self.scheduler_state.job_learnt(
+        self.scheduler_state.add_job(
             one,
             progress or JobProgress(queue=one.policy.queue),
             revision=1,
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -395,7 +395,7 @@
             due = sorted({run.worker_id for run in _runs(first)})
             last = list(frozenset(due))[-1]
             site.tell_due(last)
-            while not any(run.is_stop_wanted for run in _runs(first)):
+            while not any(run.is_stop_requested for run in _runs(first)):
                 await asyncio.sleep(0.005)
             site.tell_due(*due)
             first.cut_from_store()
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -172,7 +172,7 @@
         bench.learn(job("j", step(1)))
         bench.starts()
         bench.scheduler_state.crashes.connection_closed(bench.worker("a"), bench.now_s, WALL_S)
-        bench.scheduler_state.worker_learnt(view("a", is_draining=is_draining))
+        bench.scheduler_state.update_worker(view("a", is_draining=is_draining))
         bench.scheduler_state.worker_over("a", "gone", bench.now_s, WALL_S, is_planned=is_planned)
         self.assertEqual([], blames(bench))
 
@@ -343,7 +343,7 @@
         self.bench.decide()
         cancelled = JobProgress(queue="sweeps")
         cancelled.finish(JobState.CANCELLED, now_s=WALL_S)
-        self.bench.scheduler_state.progress_learnt("j", cancelled, 9)
+        self.bench.scheduler_state.update_progress("j", cancelled, 9)
         self.assertEqual([], self.bench.starts())
         workers = self.bench.scheduler_state.workers.values()
         self.assertEqual([None, None], [worker.isolated for worker in workers])
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -94,7 +94,7 @@
             running = asyncio.create_task(writer.run())
             await asyncio.sleep(1.0)
             running.cancel()
-            self.assertEqual(30, len(bench.scheduler_state.finals))
+            self.assertEqual(30, len(bench.scheduler_state.finished_jobs))
             self.assertLessEqual(largest, 32)
 
         run_story(story())
@@ -177,7 +177,7 @@
         bench.learn(job("j", step(1)))
         bench.report("a", ended=((DONE, 5, EndKind.DONE),))
         self.assertEqual({1}, bench.worker("a").unsettled)
-        bench.scheduler_state.job_deleted("j")
+        bench.scheduler_state.delete_job("j")
         self.assertEqual(set(), bench.worker("a").unsettled)
 
     def test_a_stored_cancel_stands(self) -> None:
@@ -192,9 +192,9 @@
         entry = bench.scheduler_state.entries["j"]
         self.assertTrue(entry.is_dirty)
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
-        bench.scheduler_state.progress_learnt("j", cancelled, 9)
+        bench.scheduler_state.update_progress("j", cancelled, 9)
         self.assertFalse(entry.is_dirty)
-        self.assertIn("j", bench.scheduler_state.finals)
+        self.assertIn("j", bench.scheduler_state.finished_jobs)
 
     def test_a_job_is_let_go_once_no_run_of_it_can_be_alive(self) -> None:
         """A cancelled job's run that works on, since nobody has it stopped any more."""
@@ -204,7 +204,7 @@
         row = RunningTask(name=DONE, run_id=start.run.run_id)
         bench.report("a", running=(row,))
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
-        bench.scheduler_state.progress_learnt("j", cancelled, 9)
+        bench.scheduler_state.update_progress("j", cancelled, 9)
         self.assertIn("j", bench.scheduler_state.entries)
         self.assertEqual([StopOrder], [type(one) for one in bench.decide()])
         bench.report("a", ended=((DONE, start.run.run_id, EndKind.STOPPED),))
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -308,7 +308,7 @@
         bench.add(view("b"))
         # What `OrderDispatcher` does when an order came too late.
         bench.worker("a").is_fenced = False
-        bench.scheduler_state.worker_unlisted("a")
+        bench.scheduler_state.mark_unlisted("a")
         bench.now_s += STARTED_AGAIN_S
         self.assertEqual(["b"], [one.run.worker_id for one in bench.starts()])
 
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -57,7 +57,7 @@
         bench.learn(job("f" * 16, step(4)))
         for order in bench.starts():
             run = order.run
-            bench.scheduler_state.want_stop(run, "cancelled")
+            bench.scheduler_state.request_stop(run, "cancelled")
             run.enter(run.phase.RUNNING, bench.now_s)
         for number in range(40):
             bench.learn(job(f"{number:016x}", step(8)))
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -147,7 +147,7 @@
         bench.learn(job("patient", step(1), policy=patient))
         bench.learn(job("urgent", step(1), policy=urgent))
         bench.learn(job("lasting", step(1, is_lasting=True)))
-        bench.scheduler_state.worker_learnt(view("a", cpu_millicores=9000))
+        bench.scheduler_state.update_worker(view("a", cpu_millicores=9000))
         order = [start.run.name.job_id for start in bench.starts()]
         self.assertEqual(["lasting", "urgent", "patient", "hopeless", "low"], order)
 
@@ -359,7 +359,7 @@
         progress = bench.scheduler_state.entries["j"].progress.__class__(
             queue="q", state=JobState.CANCELLED
         )
-        bench.scheduler_state.progress_learnt("j", progress, revision=2)
+        bench.scheduler_state.update_progress("j", progress, revision=2)
         self.assertEqual([run], [order.run for order in bench.decide()])
         bench.report("a", ended=((run.name, run.run_id, EndKind.STOPPED),))
         self.assertEqual([], bench.decide())
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -30,10 +30,10 @@
         bench = Bench(view("a"))
         bench.learn(job("j", step(1)))
         self.assertEqual(1, len(bench.starts()))
-        bench.scheduler_state.worker_learnt(view("a", **capacity))
+        bench.scheduler_state.update_worker(view("a", **capacity))
         bench.learn(job("k", step(1)))
         self.assertEqual([], bench.starts())
-        bench.scheduler_state.worker_learnt(view("a"))
+        bench.scheduler_state.update_worker(view("a"))
         self.assertEqual(1, len(bench.starts()))
 
     def test_what_is_being_stopped_still_counts(self) -> None:
@@ -42,8 +42,8 @@
         bench.learn(job("j", step(1, cpu_millicores=3000)))
         (order,) = bench.starts()
         order.run.enter(order.run.phase.RUNNING, bench.now_s)
-        bench.scheduler_state.worker_learnt(view("a", cpu_millicores=3500))
-        bench.scheduler_state.want_stop(order.run, "test")
+        bench.scheduler_state.update_worker(view("a", cpu_millicores=3500))
+        bench.scheduler_state.request_stop(order.run, "test")
         bench.learn(job("k", step(1)))
         stops = [one for one in bench.decide() if isinstance(one, StopOrder)]
         self.assertEqual([order.run], [one.run for one in stops])
@@ -62,7 +62,7 @@
         bench.learn(job("j", step(1)), progress=progress)
         bench.decide()
         bench.store()
-        bench.scheduler_state.worker_learnt(view("a", cpu_millicores=500))
+        bench.scheduler_state.update_worker(view("a", cpu_millicores=500))
         self.assertEqual([], bench.decide())
         self.assertEqual(0, bench.worker("a").cpu_used)
 
@@ -84,7 +84,7 @@
         bench.learn(job("j", step(1, cpu_millicores=2000)))
         (order,) = bench.starts()
         order.run.enter(order.run.phase.RUNNING, bench.now_s)
-        bench.scheduler_state.want_stop(order.run, "test")
+        bench.scheduler_state.request_stop(order.run, "test")
         bench.learn(job("k", step(1)))
         decisions = list(
             bench.decision_engine.decide(now_s=bench.now_s, wall_s=WALL_S, may_start=False)
