--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -97,7 +97,7 @@
         for run, blame in young:
             self._note(run, blame, is_certain=False, wall_s=wall_s)
 
-    def worker_over(self, worker: Worker, wall_s: float, *, is_replaced: bool) -> None:
+    def worker_ended(self, worker: Worker, wall_s: float, *, is_replaced: bool) -> None:
         """Blame runs for a worker that is over, also those that were given up before.
 
         Args:
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -133,7 +133,7 @@
             self._scheduler_state.lapse(worker, now_s, self._wall_s)
         if not worker.is_listed and not worker.runs and now_s > worker.lease_ends_s:
             reason = "no longer listed"
-            self._scheduler_state.worker_over(worker.worker_id, reason, now_s, self._wall_s)
+            self._scheduler_state.worker_ended(worker.worker_id, reason, now_s, self._wall_s)
             return
         if worker.view.is_draining:
             self.evacuate(worker)
@@ -282,7 +282,7 @@
             and worker.fits_beside_lasting(step.step)
         ]
         if fitting:
-            chosen = min(fitting, key=lambda worker: worker.lacks_for(step.step))
+            chosen = min(fitting, key=lambda worker: worker.shortfall_for(step.step))
             self._held.add(chosen.worker_id)
 
     def _start_gang(self, step: TrackedStep, now_s: float) -> Iterator[StartOrder]:
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -256,7 +256,7 @@
             self.confirmed_s = min(self.confirmed_s, now_s)
 
     @property
-    def is_at_work(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether a lasting task serves."""
         return self.phase is RunPhase.RUNNING and self.percent >= 100
 
@@ -365,7 +365,7 @@
                 alone.add(run)
         return alone.fits(step)
 
-    def lacks_for(self, step: Step) -> float:
+    def shortfall_for(self, step: Step) -> float:
         """Return the larger part of its processor and memory that is missing for a task."""
         cpu = self.cpu_used + step.cpu_millicores - self.view.cpu_millicores
         memory = self.memory_used + step.memory_mb - self.view.memory_mb
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -183,7 +183,7 @@
         finally:
             self._news.clear()
 
-    def notice_workers(self) -> None:
+    def sync_workers(self) -> None:
         """Begin to follow workers that are new on the board."""
         for worker_id, worker in self._scheduler_state.workers.items():
             task = self._followers.get(worker_id)
--- a/src/shallotworks/scheduling/_pacing.py
+++ b/src/shallotworks/scheduling/_pacing.py
@@ -44,7 +44,7 @@
         (
             run.figure / 1000 / run.step.target_s
             for run in worker.runs.values()
-            if run.step.target_s > 0 and run.is_at_work
+            if run.step.target_s > 0 and run.is_serving
         ),
         default=0.0,
     )
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -301,7 +301,7 @@
     def replaced(self, worker_id: str, now_s: float, wall_s: float) -> None:
         """Learn that another incarnation has answered at a worker's address."""
         self._replaced.add(worker_id)
-        self.worker_over(worker_id, "another incarnation", now_s, wall_s)
+        self.worker_ended(worker_id, "another incarnation", now_s, wall_s)
 
     def drop_replaced(self, listed: dict[str, WorkerView]) -> None:
         """Drop replaced workers from a list, on which they stand for seconds more."""
@@ -328,7 +328,7 @@
         if self.pending_recovery.pop(worker_id, None) is not None and not self.pending_recovery:
             self._log.line("recovery-over", last_worker=worker_id, how=how, token=self.token)
 
-    def worker_over(
+    def worker_ended(
         self, worker_id: str, reason: str, now_s: float, wall_s: float, *, is_planned: bool = False
     ) -> None:
         """Learn for certain that a worker is over, with all that it ran.
@@ -352,7 +352,7 @@
         if is_planned or worker.view.is_draining:
             self.crashes.worker_left(worker)
         else:
-            self.crashes.worker_over(worker, wall_s, is_replaced=worker_id in self._replaced)
+            self.crashes.worker_ended(worker, wall_s, is_replaced=worker_id in self._replaced)
         self._void_runs(worker, reason, now_s)
 
     def lapse(self, worker: Worker, now_s: float, wall_s: float) -> None:
@@ -654,7 +654,7 @@
         return sum(1 for name in others if not self._is_at_work(runs.get(name), now_s))
 
     def _is_at_work(self, run: Run | None, now_s: float) -> bool:
-        if run is None or not run.is_at_work or run.is_stop_requested:
+        if run is None or not run.is_serving or run.is_stop_requested:
             return False
         worker = self.workers.get(run.worker_id)
         if worker is None or now_s - worker.reported_s >= FRESH_S:
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -236,7 +236,7 @@
         self._dependencies.log.line(event, service=self.service, token=self._holder.token, **fields)
 
     def _workers_changed(self) -> None:
-        self._order_dispatcher.notice_workers()
+        self._order_dispatcher.sync_workers()
         self._order_dispatcher.wake()
 
     def _note_progress(self) -> None:
@@ -323,7 +323,7 @@
         now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
         if is_waiting and self._sizer.withdraw(now_s, wall_s=wall_s):
             self._decide_once()
-        self._order_dispatcher.notice_workers()
+        self._order_dispatcher.sync_workers()
         if any(entry.is_dirty for entry in self.scheduler_state.entries.values()):
             self._writer.wake.set()
         return self.decision_engine.is_cut_short
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -281,7 +281,7 @@
                 on_progress=lambda: None,
             )
             keep = asyncio.create_task(holder.keep())
-            order_dispatcher.notice_workers()
+            order_dispatcher.sync_workers()
             await asyncio.sleep(4.0)
             worker.pass_time()
             self.assertEqual(is_recorded, NAME in worker.names())
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -173,7 +173,7 @@
         bench.starts()
         bench.scheduler_state.crashes.connection_closed(bench.worker("a"), bench.now_s, WALL_S)
         bench.scheduler_state.update_worker(view("a", is_draining=is_draining))
-        bench.scheduler_state.worker_over("a", "gone", bench.now_s, WALL_S, is_planned=is_planned)
+        bench.scheduler_state.worker_ended("a", "gone", bench.now_s, WALL_S, is_planned=is_planned)
         self.assertEqual([], blames(bench))
 
     @parameterized.expand([("refused by another incarnation", False), ("no answer", True)])
@@ -229,7 +229,7 @@
         if is_replaced:
             bench.scheduler_state.replaced(worker.worker_id, bench.now_s, WALL_S)
         else:
-            bench.scheduler_state.worker_over(
+            bench.scheduler_state.worker_ended(
                 worker.worker_id, "no longer listed", bench.now_s, WALL_S
             )
         (runs,) = bench.scheduler_state.entries["j"].progress.lost.values()
