--- a/bench/jobs.py
+++ b/bench/jobs.py
@@ -14,7 +14,7 @@
 from tests.fleet_history import SERVICE, History
 from tests.scheduling_fakes import quiet_log, step, view
 
-from shallotworks.jobs import JobDesk
+from shallotworks.jobs import JobRequestHandler
 from shallotworks.metrics import Metrics
 from shallotworks.platform._configuration import decode_configuration
 from shallotworks.platform._http import HttpAnswer, HttpClient
@@ -49,7 +49,9 @@
     store = StoreView(store=RecordStore(rng=random.Random(1)))
     configuration = decode_configuration(CONFIGURATION)
     ingress = Ingress(
-        desk=JobDesk(store=store, metrics=Metrics(), log=quiet_log(), wall_clock=time.time),
+        job_handler=JobRequestHandler(
+            store=store, metrics=Metrics(), log=quiet_log(), wall_clock=time.time
+        ),
         configuration=lambda: configuration,
         is_store_lost=lambda: False,
         outage_s=lambda: 0.0,
--- a/src/shallotworks/jobs/__init__.py
+++ b/src/shallotworks/jobs/__init__.py
@@ -1,12 +1,11 @@
 """Jobs: what callers hand in to be run as tasks on workers, and what has become of it.
 
-`JobDesk` answers callers: accepted means stored. The scheduling package runs the tasks and
-writes progress. This package never talks to workers.
+`JobRequestHandler` answers callers: accepted means stored. The scheduling package runs the tasks
+and writes progress. This package never talks to workers.
 """
 
 from ._coming_back import retry_after_s
 from ._crashes import Blame, LostRun, is_crash_looping, is_suspect
-from ._desk import DeskAnswer, DeskEnding, JobDesk
 from ._progress import JobProgress, JobState
 from ._records import (
     JobKeys,
@@ -15,14 +14,15 @@
     encode_job,
     encode_progress,
 )
+from ._request_handler import JobRequestHandler, JobRequestStatus, JobResponse
 from ._spec import Job, QueuePolicy, Repeats, Step, TaskName, faults_of
 
 __all__ = [
     "Blame",
-    "DeskAnswer",
-    "DeskEnding",
+    "JobResponse",
+    "JobRequestStatus",
     "Job",
-    "JobDesk",
+    "JobRequestHandler",
     "JobKeys",
     "JobProgress",
     "JobState",
--- a/src/shallotworks/jobs/_desk.py
+++ b/src/shallotworks/jobs/_request_handler.py
@@ -19,7 +19,7 @@
 from ._records import JobKeys, decode_progress, encode_job, encode_progress
 from ._spec import Job, QueuePolicy
 
-__all__ = ["DeskAnswer", "DeskEnding", "JobDesk"]
+__all__ = ["JobResponse", "JobRequestStatus", "JobRequestHandler"]
 
 RETRY_PAUSE_S = 0.08
 """Between tries of one request: about twice a slow answer of the store when it is well."""
@@ -28,7 +28,7 @@
 
 
 @unique
-class DeskEnding(Enum):
+class JobRequestStatus(Enum):
     """What became of a caller's request."""
 
     ACCEPTED = "accepted"
@@ -41,21 +41,21 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class DeskAnswer:
+class JobResponse:
     """Answer to a caller.
 
     Args:
-        ending: What became of the request.
+        status: What became of the request.
         state: The job's state, where it was asked for and found.
         waiting: Jobs that have not begun, where that was asked.
     """
 
-    ending: DeskEnding
+    status: JobRequestStatus
     state: JobState | None = None
     waiting: int = 0
 
 
-class JobDesk:
+class JobRequestHandler:
     """Answers callers from the store, so that any instance answers alike.
 
     Args:
@@ -80,7 +80,7 @@
         self._log = log
         self._wall_clock = wall_clock
 
-    async def submit(self, job: Job, *, deadline_s: float) -> DeskAnswer:
+    async def submit(self, job: Job, *, deadline_s: float) -> JobResponse:
         """Store a job; a second one with its id is the same job.
 
         The failure it guards against: a commit whose answer was lost may be carried out seconds
@@ -108,40 +108,44 @@
             outcome = await self._store.commit(commit)
             if isinstance(outcome, Success):
                 repeated = isinstance(outcome.unwrap(), Conflicted)
-                return self._answer("submit", job.job_id, DeskEnding.ACCEPTED, repeated=repeated)
+                return self._answer(
+                    "submit", job.job_id, JobRequestStatus.ACCEPTED, repeated=repeated
+                )
             failure = outcome.failure()
             is_unknown |= failure.kind is not ErrorKind.STORE_UNAVAILABLE
             if not await self._may_try_again(deadline_s):
-                ending = DeskEnding.UNKNOWN if is_unknown else DeskEnding.REFUSED
-                return self._answer("submit", job.job_id, ending, failure=failure)
+                status = JobRequestStatus.UNKNOWN if is_unknown else JobRequestStatus.REFUSED
+                return self._answer("submit", job.job_id, status, failure=failure)
 
-    async def state(self, policy: QueuePolicy, job_id: str, *, deadline_s: float) -> DeskAnswer:
+    async def state(self, policy: QueuePolicy, job_id: str, *, deadline_s: float) -> JobResponse:
         """Tell a job's state."""
         key = JobKeys(service=policy.service).progress(job_id)
         item = await self._get(key, deadline_s)
         if isinstance(item, Failure):
-            return self._answer("state", job_id, DeskEnding.REFUSED, failure=item)
+            return self._answer("state", job_id, JobRequestStatus.REFUSED, failure=item)
         if item is None:
-            return self._answer("state", job_id, DeskEnding.NO_SUCH_JOB)
+            return self._answer("state", job_id, JobRequestStatus.NO_SUCH_JOB)
         progress = decode_progress(item.value)
         if progress.queue != policy.queue:
-            return self._answer("state", job_id, DeskEnding.NO_SUCH_JOB, queue=progress.queue)
+            return self._answer("state", job_id, JobRequestStatus.NO_SUCH_JOB, queue=progress.queue)
         self._metrics.count("desk.state.found")
-        return DeskAnswer(ending=DeskEnding.FOUND, state=progress.state)
+        return JobResponse(status=JobRequestStatus.FOUND, state=progress.state)
 
-    async def cancel(self, policy: QueuePolicy, job_id: str, *, deadline_s: float) -> DeskAnswer:
+    async def cancel(self, policy: QueuePolicy, job_id: str, *, deadline_s: float) -> JobResponse:
         """Cancel a job; acknowledged once stored. One that has ended stays as it is."""
         keys = JobKeys(service=policy.service)
         key = keys.progress(job_id)
         while True:
             item = await self._get(key, deadline_s)
             if isinstance(item, Failure):
-                return self._answer("cancel", job_id, DeskEnding.UNKNOWN, failure=item)
+                return self._answer("cancel", job_id, JobRequestStatus.UNKNOWN, failure=item)
             if item is None:
-                return self._answer("cancel", job_id, DeskEnding.NO_SUCH_JOB)
+                return self._answer("cancel", job_id, JobRequestStatus.NO_SUCH_JOB)
             progress = decode_progress(item.value)
             if progress.state.is_final:
-                return self._answer("cancel", job_id, DeskEnding.ACCEPTED, was=progress.state.value)
+                return self._answer(
+                    "cancel", job_id, JobRequestStatus.ACCEPTED, was=progress.state.value
+                )
             progress.finish(JobState.CANCELLED, now_s=self._wall_clock())
             outcome = await self._store.commit(
                 Commit(
@@ -151,17 +155,17 @@
                 )
             )
             if isinstance(outcome, Success) and not isinstance(outcome.unwrap(), Conflicted):
-                return self._answer("cancel", job_id, DeskEnding.ACCEPTED)
+                return self._answer("cancel", job_id, JobRequestStatus.ACCEPTED)
             if not await self._may_try_again(deadline_s):
-                return self._answer("cancel", job_id, DeskEnding.UNKNOWN)
+                return self._answer("cancel", job_id, JobRequestStatus.UNKNOWN)
 
-    async def waiting(self, policy: QueuePolicy, *, deadline_s: float) -> DeskAnswer:
+    async def waiting(self, policy: QueuePolicy, *, deadline_s: float) -> JobResponse:
         """Tell how many jobs of a queue have not begun, as its scheduler last wrote."""
         item = await self._get(JobKeys(service=policy.service).pending(), deadline_s)
         if isinstance(item, Failure):
-            return self._answer("waiting", policy.queue, DeskEnding.REFUSED, failure=item)
+            return self._answer("waiting", policy.queue, JobRequestStatus.REFUSED, failure=item)
         counts = json.loads(item.value) if item is not None else {}
-        return DeskAnswer(ending=DeskEnding.FOUND, waiting=counts.get(policy.queue, 0))
+        return JobResponse(status=JobRequestStatus.FOUND, waiting=counts.get(policy.queue, 0))
 
     async def _get(self, key: str, deadline_s: float) -> Item | Failure | None:
         while True:
@@ -179,7 +183,9 @@
         await asyncio.sleep(RETRY_PAUSE_S)
         return True
 
-    def _answer(self, call: str, subject: str, ending: DeskEnding, **inputs: object) -> DeskAnswer:
-        self._metrics.count(f"desk.{call}.{ending.value}")
-        self._log.line(f"job-{call}", id=subject, outcome=ending.value, **inputs)
-        return DeskAnswer(ending=ending)
+    def _answer(
+        self, call: str, subject: str, status: JobRequestStatus, **inputs: object
+    ) -> JobResponse:
+        self._metrics.count(f"desk.{call}.{status.value}")
+        self._log.line(f"job-{call}", id=subject, outcome=status.value, **inputs)
+        return JobResponse(status=status)
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -12,7 +12,7 @@
 from returns.result import Success
 
 from shallotworks.errors import answer_for
-from shallotworks.jobs import JobDesk, JobKeys
+from shallotworks.jobs import JobKeys, JobRequestHandler
 from shallotworks.logs import LogLines
 from shallotworks.metrics import LoadWatch, Metrics, summarise, to_exposition
 from shallotworks.scheduling import (
@@ -123,7 +123,7 @@
             strength=_strength_of(settings),
         )
         self._ingress = Ingress(
-            desk=JobDesk(
+            job_handler=JobRequestHandler(
                 store=self._store, metrics=self._metrics, log=self._log, wall_clock=time.time
             ),
             configuration=lambda: self._book.configuration,
--- a/src/shallotworks/platform/_ingress.py
+++ b/src/shallotworks/platform/_ingress.py
@@ -15,7 +15,13 @@
 from aiohttp import web
 from returns.result import Success
 
-from shallotworks.jobs import DeskAnswer, DeskEnding, JobDesk, JobState, retry_after_s
+from shallotworks.jobs import (
+    JobRequestHandler,
+    JobRequestStatus,
+    JobResponse,
+    JobState,
+    retry_after_s,
+)
 from shallotworks.logs import LogLines
 from shallotworks.metrics import Metrics
 
@@ -39,7 +45,7 @@
     """Answers callers.
 
     Args:
-        desk: Answers about jobs.
+        job_handler: Answers about jobs.
         configuration: Returns the configuration in force; ``None`` before the first.
         is_store_lost: Whether the store can't be reached at present.
         outage_s: How long the store has not answered, while calls to it fail.
@@ -49,8 +55,8 @@
 
     __slots__ = (
         "_configuration",
-        "_desk",
         "_is_store_lost",
+        "_job_handler",
         "_log",
         "_metrics",
         "_outage_s",
@@ -61,14 +67,14 @@
     def __init__(
         self,
         *,
-        desk: JobDesk,
+        job_handler: JobRequestHandler,
         configuration: Callable[[], Configuration | None],
         is_store_lost: Callable[[], bool],
         outage_s: Callable[[], float],
         log: LogLines,
         metrics: Metrics,
     ) -> None:
-        self._desk = desk
+        self._job_handler = job_handler
         self._configuration = configuration
         self._is_store_lost = is_store_lost
         self._outage_s = outage_s
@@ -158,8 +164,8 @@
     ) -> web.Response:
         if request.method != "GET":
             return _said(405, "a queue can only be looked at")
-        answer = await self._desk.waiting(queue.policy, deadline_s=deadline_s)
-        if answer.ending is not DeskEnding.FOUND:
+        answer = await self._job_handler.waiting(queue.policy, deadline_s=deadline_s)
+        if answer.status is not JobRequestStatus.FOUND:
             return self._store_refused()
         return _json(200, {"pending": answer.waiting})
 
@@ -174,10 +180,10 @@
         if request.method == "POST":
             return await self._submit(request, configuration, queue, job_id, deadline_s)
         if request.method == "GET":
-            answer = await self._desk.state(queue.policy, job_id, deadline_s=deadline_s)
+            answer = await self._job_handler.state(queue.policy, job_id, deadline_s=deadline_s)
             return self._state_response(answer)
         if request.method == "DELETE":
-            answer = await self._desk.cancel(queue.policy, job_id, deadline_s=deadline_s)
+            answer = await self._job_handler.cancel(queue.policy, job_id, deadline_s=deadline_s)
             return self._desk_response(answer)
         return _said(405, "a job can be handed in, looked at and cancelled")
 
@@ -206,20 +212,20 @@
             # Refused before anything is sent, so that it is certain not to be run.
             self._log.line("job-submit", id=job_id, outcome="refused", reason="store lost")
             return self._store_refused()
-        answer = await self._desk.submit(decoded.unwrap(), deadline_s=deadline_s)
+        answer = await self._job_handler.submit(decoded.unwrap(), deadline_s=deadline_s)
         return self._desk_response(answer)
 
-    def _state_response(self, answer: DeskAnswer) -> web.Response:
-        if answer.ending is DeskEnding.FOUND and answer.state is not None:
+    def _state_response(self, answer: JobResponse) -> web.Response:
+        if answer.status is JobRequestStatus.FOUND and answer.state is not None:
             return _json(200, {"state": _STATES[answer.state]})
         return self._desk_response(answer)
 
-    def _desk_response(self, answer: DeskAnswer) -> web.Response:
-        if answer.ending is DeskEnding.ACCEPTED:
+    def _desk_response(self, answer: JobResponse) -> web.Response:
+        if answer.status is JobRequestStatus.ACCEPTED:
             return _json(200, {})
-        if answer.ending is DeskEnding.NO_SUCH_JOB:
+        if answer.status is JobRequestStatus.NO_SUCH_JOB:
             return _said(410, "no such job")
-        if answer.ending is DeskEnding.REFUSED:
+        if answer.status is JobRequestStatus.REFUSED:
             return self._store_refused()
         return _said(504, "the outcome is not known; the same request may be sent again")
 
--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -8,7 +8,15 @@
 from returns.result import Result, Success
 
 from shallotworks.errors import Failure
-from shallotworks.jobs import Job, JobDesk, JobKeys, JobState, Step, TaskName, decode_progress
+from shallotworks.jobs import (
+    Job,
+    JobKeys,
+    JobRequestHandler,
+    JobState,
+    Step,
+    TaskName,
+    decode_progress,
+)
 from shallotworks.metrics import Metrics
 from shallotworks.scheduling import (
     LeaderElector,
@@ -47,7 +55,7 @@
         self._fleet = fleet
         self.directory: WorkerDirectory = fleet
         """Lists workers; a story may put another in its place before the instance starts."""
-        self.desk = JobDesk(
+        self.job_handler = JobRequestHandler(
             store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=self.now_s
         )
         self.elector = LeaderElector(
@@ -156,8 +164,8 @@
                 )
         for _ in range(20):
             instance = self.rng.choice(self.instances)
-            answer = await instance.desk.submit(one, deadline_s=instance.now_s() + 1.5)
-            if answer.ending.value == "accepted":
+            answer = await instance.job_handler.submit(one, deadline_s=instance.now_s() + 1.5)
+            if answer.status.value == "accepted":
                 self.accepted[job_id] = one
                 return
             await asyncio.sleep(0.3)
@@ -166,10 +174,10 @@
         """Cancel a job at drawn instances until that is acknowledged."""
         for _ in range(20):
             instance = self.rng.choice(self.instances)
-            answer = await instance.desk.cancel(
+            answer = await instance.job_handler.cancel(
                 policy(service=SERVICE), job_id, deadline_s=instance.now_s() + 1.5
             )
-            if answer.ending.value == "accepted":
+            if answer.status.value == "accepted":
                 self.fleet.cancelled.setdefault(job_id, instance.now_s())
                 return
             await asyncio.sleep(0.3)
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -15,7 +15,15 @@
 from dataclasses import replace
 from typing import Any
 
-from shallotworks.jobs import Job, JobDesk, JobKeys, JobState, Step, TaskName, decode_progress
+from shallotworks.jobs import (
+    Job,
+    JobKeys,
+    JobRequestHandler,
+    JobState,
+    Step,
+    TaskName,
+    decode_progress,
+)
 from shallotworks.logs import LogLines
 from shallotworks.metrics import Metrics
 from shallotworks.platform._workers import REGISTRY_PREFIX, WorkerRegistry
@@ -352,9 +360,9 @@
         one = Job(job_id=job_id, policy=policy(service=SERVICE), spec="x", steps=steps)
         self.fleet.lasting.add(job_id)
         for _ in range(HAND_IN_TRIES):
-            desk = await self._any_desk()
-            answer = await desk.submit(one, deadline_s=_now_s() + 1.5)
-            if answer.ending.value == "accepted":
+            job_handler = await self._any_job_handler()
+            answer = await job_handler.submit(one, deadline_s=_now_s() + 1.5)
+            if answer.status.value == "accepted":
                 self._accepted[job_id] = one
                 for number, part in enumerate(steps):
                     self.fleet.watch_step(frozenset(_names_of(job_id, number, part)), part.may_miss)
@@ -367,18 +375,20 @@
             return
         self._cancelled_s[job_id] = float("inf")
         for _ in range(HAND_IN_TRIES):
-            desk = await self._any_desk()
-            answer = await desk.cancel(policy(service=SERVICE), job_id, deadline_s=_now_s() + 1.5)
-            if answer.ending.value == "accepted":
+            job_handler = await self._any_job_handler()
+            answer = await job_handler.cancel(
+                policy(service=SERVICE), job_id, deadline_s=_now_s() + 1.5
+            )
+            if answer.status.value == "accepted":
                 self._cancelled_s[job_id] = _now_s()
                 self.fleet.cancelled[job_id] = _now_s()
                 return
             await asyncio.sleep(0.3)
 
-    async def _any_desk(self) -> JobDesk:
+    async def _any_job_handler(self) -> JobRequestHandler:
         while not self.instances:
             await asyncio.sleep(SAMPLE_S)
-        return self.rng.choice(self.instances).desk
+        return self.rng.choice(self.instances).job_handler
 
     # ---- instances
 
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -15,7 +15,7 @@
 from returns.result import Result, Success
 
 from shallotworks.errors import Failure
-from shallotworks.jobs import Job, JobDesk, JobKeys, TaskName
+from shallotworks.jobs import Job, JobKeys, JobRequestHandler, TaskName
 from shallotworks.metrics import Metrics
 from shallotworks.scheduling import (
     MACHINES_PREFIX,
@@ -305,14 +305,14 @@
 
     async def submit(self) -> None:
         """Hand the lasting job in."""
-        desk = JobDesk(
+        job_handler = JobRequestHandler(
             store=StoreView(store=self.store),
             metrics=Metrics(),
             log=quiet_log(),
             wall_clock=now_s,
         )
-        answer = await desk.submit(self.job, deadline_s=now_s() + 2)
-        assert answer.ending.value == "accepted"
+        answer = await job_handler.submit(self.job, deadline_s=now_s() + 2)
+        assert answer.status.value == "accepted"
 
     async def close(self) -> None:
         """End everything."""
--- a/tests/test_job_desk.py
+++ b/tests/test_job_request_handler.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.jobs.JobDesk`: what callers are told, through the store's faults."""
+"""Tests of `shallotworks.jobs.JobRequestHandler`: answers to callers during faults of the store."""
 
 import asyncio
 import random
@@ -6,7 +6,14 @@
 
 from parameterized import parameterized
 
-from shallotworks.jobs import DeskEnding, JobDesk, JobKeys, JobProgress, JobState, encode_progress
+from shallotworks.jobs import (
+    JobKeys,
+    JobProgress,
+    JobRequestHandler,
+    JobRequestStatus,
+    JobState,
+    encode_progress,
+)
 from shallotworks.metrics import Metrics
 from shallotworks.standins import RecordFaults, RecordStore, StoreView
 from tests.on_loop import run_story
@@ -23,38 +30,38 @@
     def __init__(self, **faults: object) -> None:
         self.store = RecordStore(rng=random.Random(1))
         self.view = StoreView(store=self.store, faults=RecordFaults(**faults))  # type: ignore[arg-type]
-        self.desk = JobDesk(
+        self.job_handler = JobRequestHandler(
             store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=lambda: 1.0
         )
 
-    async def submit(self) -> DeskEnding:
+    async def submit(self) -> JobRequestStatus:
         """Hand the job in."""
         ends_s = asyncio.get_running_loop().time() + PATIENCE_S
-        return (await self.desk.submit(JOB, deadline_s=ends_s)).ending
+        return (await self.job_handler.submit(JOB, deadline_s=ends_s)).status
 
-    async def cancel(self) -> DeskEnding:
+    async def cancel(self) -> JobRequestStatus:
         """Cancel it."""
         ends_s = asyncio.get_running_loop().time() + PATIENCE_S
-        return (await self.desk.cancel(policy(), JOB.job_id, deadline_s=ends_s)).ending
+        return (await self.job_handler.cancel(policy(), JOB.job_id, deadline_s=ends_s)).status
 
-    async def state(self) -> JobState | DeskEnding:
+    async def state(self) -> JobState | JobRequestStatus:
         """Ask for its state."""
         ends_s = asyncio.get_running_loop().time() + PATIENCE_S
-        answer = await self.desk.state(policy(), JOB.job_id, deadline_s=ends_s)
-        return answer.state or answer.ending
+        answer = await self.job_handler.state(policy(), JOB.job_id, deadline_s=ends_s)
+        return answer.state or answer.status
 
 
 class SubmitTests(unittest.TestCase):
     @parameterized.expand(
         [
-            ("well", {}, DeskEnding.ACCEPTED, True),
-            ("down", {"is_down": True}, DeskEnding.REFUSED, False),
-            ("each answer lost", {"lost_part": 1.0}, DeskEnding.UNKNOWN, True),
-            ("each done late", {"late_part": 1.0, "late_s": 5.0}, DeskEnding.UNKNOWN, True),
+            ("well", {}, JobRequestStatus.ACCEPTED, True),
+            ("down", {"is_down": True}, JobRequestStatus.REFUSED, False),
+            ("each answer lost", {"lost_part": 1.0}, JobRequestStatus.UNKNOWN, True),
+            ("each done late", {"late_part": 1.0, "late_s": 5.0}, JobRequestStatus.UNKNOWN, True),
         ]
     )
     def test_what_callers_are_told(
-        self, _name: str, faults: dict[str, object], expected: DeskEnding, is_stored: bool
+        self, _name: str, faults: dict[str, object], expected: JobRequestStatus, is_stored: bool
     ) -> None:
         """A refused job is never stored, an accepted one is; in between the outcome is unknown."""
 
@@ -79,7 +86,7 @@
             asyncio.get_running_loop().call_later(
                 0.5, lambda: setattr(world.view.faults, "is_down", True)
             )
-            self.assertIs(DeskEnding.UNKNOWN, await world.submit())
+            self.assertIs(JobRequestStatus.UNKNOWN, await world.submit())
             await asyncio.sleep(10)
             self.assertIn(KEYS.job(JOB.job_id), world.store.items)
 
@@ -93,7 +100,7 @@
             asyncio.get_running_loop().call_later(
                 0.5, lambda: setattr(world.view.faults, "lost_part", 0.0)
             )
-            self.assertIs(DeskEnding.ACCEPTED, await world.submit())
+            self.assertIs(JobRequestStatus.ACCEPTED, await world.submit())
 
         run_story(story())
 
@@ -106,7 +113,7 @@
             key = KEYS.progress(JOB.job_id)
             done = JobProgress(queue="sweeps", state=JobState.COMPLETED)
             world.store.put(key, encode_progress(done))
-            self.assertIs(DeskEnding.ACCEPTED, await world.submit())
+            self.assertIs(JobRequestStatus.ACCEPTED, await world.submit())
             self.assertIs(JobState.COMPLETED, await world.state())
 
         run_story(story())
@@ -118,11 +125,11 @@
 
         async def story() -> None:
             world = World()
-            self.assertIs(DeskEnding.NO_SUCH_JOB, await world.state())
+            self.assertIs(JobRequestStatus.NO_SUCH_JOB, await world.state())
             await world.submit()
             self.assertIs(JobState.QUEUED, await world.state())
             world.view.faults.is_down = True
-            self.assertIs(DeskEnding.REFUSED, await world.state())
+            self.assertIs(JobRequestStatus.REFUSED, await world.state())
 
         run_story(story())
 
@@ -133,9 +140,9 @@
 
         async def story() -> None:
             world = World()
-            self.assertIs(DeskEnding.NO_SUCH_JOB, await world.cancel())
+            self.assertIs(JobRequestStatus.NO_SUCH_JOB, await world.cancel())
             await world.submit()
-            self.assertIs(DeskEnding.ACCEPTED, await world.cancel())
+            self.assertIs(JobRequestStatus.ACCEPTED, await world.cancel())
             self.assertIs(JobState.CANCELLED, await world.state())
 
         run_story(story())
@@ -148,7 +155,7 @@
             await world.submit()
             done = JobProgress(queue="sweeps", state=JobState.COMPLETED)
             world.store.put(KEYS.progress(JOB.job_id), encode_progress(done))
-            self.assertIs(DeskEnding.ACCEPTED, await world.cancel())
+            self.assertIs(JobRequestStatus.ACCEPTED, await world.cancel())
             self.assertIs(JobState.COMPLETED, await world.state())
 
         run_story(story())
@@ -163,7 +170,7 @@
             running = JobProgress(queue="sweeps", state=JobState.RUNNING, done={(0, 0): 1})
             loop = asyncio.get_running_loop()
             loop.call_later(0.006, world.store.put, key, encode_progress(running))
-            self.assertIs(DeskEnding.ACCEPTED, await world.cancel())
+            self.assertIs(JobRequestStatus.ACCEPTED, await world.cancel())
             self.assertIn(b'"done"', world.store.items[key].value)
             self.assertIs(JobState.CANCELLED, await world.state())
 
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -12,7 +12,7 @@
 
 from parameterized import parameterized
 
-from shallotworks.jobs import JobDesk
+from shallotworks.jobs import JobRequestHandler
 from shallotworks.metrics import Metrics
 from shallotworks.platform._configuration import Configuration, decode_configuration
 from shallotworks.platform._http import HttpAnswer, HttpClient
@@ -47,7 +47,9 @@
         self.is_store_lost = False
         self.outage_s = 0.0
         self.ingress = Ingress(
-            desk=JobDesk(store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=time.time),
+            job_handler=JobRequestHandler(
+                store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=time.time
+            ),
             configuration=lambda: self.configuration,
             is_store_lost=lambda: self.is_store_lost,
             outage_s=lambda: self.outage_s,
