--- a/src/shallotworks/jobs/__init__.py
+++ b/src/shallotworks/jobs/__init__.py
@@ -15,7 +15,7 @@
     encode_progress,
 )
 from ._request_handler import JobRequestHandler, JobRequestStatus, JobResponse
-from ._spec import Job, QueuePolicy, Repeats, Step, TaskName, faults_of
+from ._spec import Job, QueuePolicy, Repeats, Step, TaskName, job_problems
 
 __all__ = [
     "Blame",
@@ -35,7 +35,7 @@
     "decode_progress",
     "encode_job",
     "encode_progress",
-    "faults_of",
+    "job_problems",
     "is_crash_looping",
     "is_suspect",
     "retry_after_s",
--- a/src/shallotworks/jobs/_spec.py
+++ b/src/shallotworks/jobs/_spec.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-__all__ = ["Job", "QueuePolicy", "Repeats", "Step", "TaskName", "faults_of"]
+__all__ = ["Job", "QueuePolicy", "Repeats", "Step", "TaskName", "job_problems"]
 
 MOST_TASKS = 10_000
 """Tasks of one occurrence of a job: ten times what the target size asks of the widest job."""
@@ -160,7 +160,7 @@
         return self.policy.stretch * self.longest_chain_s() + self.policy.target_latency_s
 
 
-def faults_of(job: Job) -> Iterator[str]:
+def job_problems(job: Job) -> Iterator[str]:
     """Say what is wrong with a job, a sentence each; nothing for a sound one."""
     if len(job.spec.encode()) > MOST_SPEC_BYTES:
         yield f"the spec is longer than {MOST_SPEC_BYTES} bytes"
@@ -169,7 +169,7 @@
     if sum(step.count for step in job.steps) > MOST_TASKS:
         yield f"a job has at most {MOST_TASKS} tasks"
     for number, step in enumerate(job.steps):
-        yield from (f"step {number}: {fault}" for fault in _faults_of_step(number, step))
+        yield from (f"step {number}: {problem}" for problem in _step_problems(number, step))
     repeats = job.repeats
     if repeats is not None and not (
         0 < repeats.count <= MOST_REPEATS and repeats.interval_s >= 0 and repeats.first_s >= 0
@@ -177,7 +177,7 @@
         yield "its repetition is out of range"
 
 
-def _faults_of_step(number: int, step: Step) -> Iterator[str]:
+def _step_problems(number: int, step: Step) -> Iterator[str]:
     if step.count < 1:
         yield "it needs a task"
     if any(earlier >= number or earlier < 0 for earlier in step.after):
--- a/src/shallotworks/platform/_job_requests.py
+++ b/src/shallotworks/platform/_job_requests.py
@@ -9,7 +9,7 @@
 from returns.result import Result, Success
 
 from shallotworks.errors import ErrorKind, Failure
-from shallotworks.jobs import Job, QueuePolicy, Repeats, Step, faults_of
+from shallotworks.jobs import Job, QueuePolicy, Repeats, Step, job_problems
 
 from ._fields import UNREADABLE, text, whole
 
@@ -45,7 +45,7 @@
             repeats=_decode_repeats(table),
             accepted_s=accepted_s,
         )
-        faults = "; ".join(faults_of(job))
+        faults = "; ".join(job_problems(job))
     except UNREADABLE as error:
         faults = f"the body is not a job: {error!r}"
     if faults:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -16,7 +16,7 @@
     decode_progress,
     encode_job,
     encode_progress,
-    faults_of,
+    job_problems,
 )
 from tests.scheduling_fakes import job, policy, step
 
@@ -48,13 +48,13 @@
     )
     def test_a_job_that_can_not_be_run_is_told_of(self, _name: str, one: Job) -> None:
         """Each fault gives a sentence."""
-        self.assertNotEqual([], list(faults_of(one)))
+        self.assertNotEqual([], list(job_problems(one)))
 
     def test_a_sound_job_has_no_fault(self) -> None:
         """Steps after earlier ones, and repeats."""
         repeats = Repeats(first_s=1.0, interval_s=0.0, count=3)
         self.assertEqual(
-            [], list(faults_of(job("j", step(2), step(1, after=(0,)), repeats=repeats)))
+            [], list(job_problems(job("j", step(2), step(1, after=(0,)), repeats=repeats)))
         )
 
 
