--- a/src/shallotworks/jobs/__init__.py
+++ b/src/shallotworks/jobs/__init__.py
@@ -4,7 +4,6 @@
 and writes progress. This package never talks to workers.
 """
 
-from ._coming_back import retry_after_s
 from ._crashes import Blame, LostRun, is_crash_looping, is_suspect
 from ._progress import JobProgress, JobState
 from ._records import (
@@ -15,6 +14,7 @@
     encode_progress,
 )
 from ._request_handler import JobRequestHandler, JobRequestStatus, JobResponse
+from ._retry_after import retry_after_s
 from ._spec import Job, QueuePolicy, Repeats, Step, TaskName, job_problems
 
 __all__ = [
