--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from shallotworks.jobs import Job, JobProgress, JobState, QueuePolicy, Step
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.scheduling import (
     DecisionEngine,
     EndedTask,
@@ -81,7 +81,9 @@
 def _play(seed: int, order: Order) -> tuple[float, float]:
     rng = random.Random(seed)
     arrivals = _arrivals(rng)
-    scheduler_state = SchedulerState(service="s", token=1, log=LogLines(process="bench", write=len))
+    scheduler_state = SchedulerState(
+        service="s", token=1, log=StructuredLog(process="bench", write=len)
+    )
     decision_engine = DecisionEngine(scheduler_state=scheduler_state, order=order)
     for number in range(WORKERS):
         view = WorkerView(
--- a/src/shallotworks/jobs/_request_handler.py
+++ b/src/shallotworks/jobs/_request_handler.py
@@ -11,7 +11,7 @@
 from returns.result import Success
 
 from shallotworks.errors import ErrorKind, Failure
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
 from shallotworks.store import Commit, Condition, Conflicted, Item, Store, Write
 
@@ -72,7 +72,7 @@
         *,
         store: Store,
         metrics: Metrics,
-        log: LogLines,
+        log: StructuredLog,
         wall_clock: Callable[[], float],
     ) -> None:
         self._store = store
--- a/src/shallotworks/logs/__init__.py
+++ b/src/shallotworks/logs/__init__.py
@@ -1,5 +1,5 @@
 """Structured log lines on standard output, bounded and never waited for."""
 
-from ._lines import LogLines
+from ._structured_log import StructuredLog
 
-__all__ = ["LogLines"]
+__all__ = ["StructuredLog"]
--- a/src/shallotworks/logs/_lines.py
+++ b/src/shallotworks/logs/_structured_log.py
@@ -14,7 +14,7 @@
 
 from shallotworks.json_codec import dump_json
 
-__all__ = ["LogLines"]
+__all__ = ["StructuredLog"]
 
 MOST_LINES = 4_000
 """Lines that wait to be written: about 1 MB, 10 s of the heaviest load measured."""
@@ -24,7 +24,7 @@
 STANDARD_OUTPUT = 1
 
 
-class LogLines:
+class StructuredLog:
     """Writes structured lines; when the reader is too slow, lines are dropped and counted.
 
     Args:
--- a/src/shallotworks/metrics/_load_watch.py
+++ b/src/shallotworks/metrics/_load_watch.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 
 from ._metrics import Metrics
 
@@ -51,7 +51,7 @@
         *,
         cores: float,
         metrics: Metrics,
-        log: LogLines,
+        log: StructuredLog,
         processor_clock: Callable[[], float],
         duties: Callable[[], list[str]],
     ) -> None:
--- a/src/shallotworks/platform/_configuration.py
+++ b/src/shallotworks/platform/_configuration.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from shallotworks.jobs import QueuePolicy
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.scheduling import MaintenanceWave
 from shallotworks.store import Item
 
@@ -82,7 +82,9 @@
 
     __slots__ = ("_log", "_on_configuration", "_waves", "configuration")
 
-    def __init__(self, *, on_configuration: Callable[[Configuration], None], log: LogLines) -> None:
+    def __init__(
+        self, *, on_configuration: Callable[[Configuration], None], log: StructuredLog
+    ) -> None:
         self._on_configuration = on_configuration
         self._log = log
         self._waves: dict[int, MaintenanceWave] = {}
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -13,7 +13,7 @@
 
 from shallotworks.errors import answer_for
 from shallotworks.jobs import JobKeys, JobRequestHandler
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import LoadWatch, Metrics, summarise, to_exposition
 from shallotworks.scheduling import (
     MACHINES_PREFIX,
@@ -98,7 +98,7 @@
     def __init__(self, *, settings: PlatformSettings, path: str | None) -> None:
         self._settings = settings
         self._path = path
-        self._log = LogLines(process=settings.instance)
+        self._log = StructuredLog(process=settings.instance)
         self._metrics = Metrics()
         self._store_client = HttpClient(address=settings.store_address)
         self._machines_client = HttpClient(address=settings.machines_address)
--- a/src/shallotworks/platform/_ingress.py
+++ b/src/shallotworks/platform/_ingress.py
@@ -22,7 +22,7 @@
     JobState,
     retry_after_s,
 )
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
 
 from ._configuration import Configuration, Queue
@@ -71,7 +71,7 @@
         configuration: Callable[[], Configuration | None],
         is_store_lost: Callable[[], bool],
         outage_s: Callable[[], float],
-        log: LogLines,
+        log: StructuredLog,
         metrics: Metrics,
     ) -> None:
         self._job_handler = job_handler
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -7,7 +7,7 @@
 from returns.result import Success
 
 from shallotworks.jobs import TaskName
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.scheduling import (
     EndedTask,
     EndKind,
@@ -224,7 +224,7 @@
 
     __slots__ = ("_faults", "_log", "_workers", "is_synced", "version")
 
-    def __init__(self, *, log: LogLines) -> None:
+    def __init__(self, *, log: StructuredLog) -> None:
         self._log = log
         self._workers: dict[str, WorkerView] = {}
         self._faults: dict[str, EntryFault] = {}
--- a/src/shallotworks/scheduling/_active_workers.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.store import HeldRecord, Holder, Store
 
 __all__ = ["ActiveWorker", "ActiveWorkersRecord", "active_workers_key"]
@@ -55,7 +55,7 @@
 
     __slots__ = ("_key", "_lock", "_log", "_record", "_stored", "active_workers")
 
-    def __init__(self, *, service: str, holder: Holder, store: Store, log: LogLines) -> None:
+    def __init__(self, *, service: str, holder: Holder, store: Store, log: StructuredLog) -> None:
         self._key = active_workers_key(service)
         self._log = log
         self._record = HeldRecord(key=self._key, holder=holder, store=store, log=log)
--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 
 from shallotworks.jobs import Blame, LostRun, TaskName
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 
 from ._model import Run, RunPhase, Worker
 from ._tracked_jobs import TrackedJob
@@ -59,7 +59,7 @@
         entries: dict[str, TrackedJob],
         workers: dict[str, Worker],
         first_run_id: int,
-        log: LogLines,
+        log: StructuredLog,
         close: Callable[[TrackedJob, str], None],
     ) -> None:
         self._entries = entries
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 
 from shallotworks.jobs import Blame, LostRun, TaskName, is_suspect
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 
 from ._crash_blame import PROBATION_S, CrashBlame
 from ._model import Run, RunPhase, Worker
@@ -43,7 +43,7 @@
         entries: dict[str, TrackedJob],
         workers: dict[str, Worker],
         blame: CrashBlame,
-        log: LogLines,
+        log: StructuredLog,
     ) -> None:
         self._entries = entries
         self._workers = workers
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -7,7 +7,7 @@
 import hashlib
 from collections.abc import Awaitable, Callable
 
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.store import Holder, HolderTimes, Item, Mirror, Store
 
 __all__ = ["LeaderElector"]
@@ -69,7 +69,7 @@
         run_epoch: Callable[[str, Holder], Awaitable[None]],
         clock: Callable[[], float],
         times: HolderTimes,
-        log: LogLines,
+        log: StructuredLog,
         strength: float = 1.0,
     ) -> None:
         self._store = store
--- a/src/shallotworks/scheduling/_machine_controller_dependencies.py
+++ b/src/shallotworks/scheduling/_machine_controller_dependencies.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.store import Store
 
 from ._machine_records import MachineRecords
@@ -38,5 +38,5 @@
     store: Store
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
-    log: LogLines
+    log: StructuredLog
     turns_apart_s: float = 3.0
--- a/src/shallotworks/scheduling/_machine_records.py
+++ b/src/shallotworks/scheduling/_machine_records.py
@@ -10,7 +10,7 @@
 import json
 from dataclasses import dataclass, field
 
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.store import Item
 
 __all__ = [
@@ -129,7 +129,7 @@
 
     __slots__ = ("_log", "controller", "demands")
 
-    def __init__(self, *, log: LogLines) -> None:
+    def __init__(self, *, log: StructuredLog) -> None:
         self._log = log
         self.demands: dict[str, PoolDemand] = {}
         self.controller = MachineControllerRecord()
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
 from shallotworks.store import Holder
 
@@ -131,7 +131,7 @@
         wall_clock: Callable[[], float],
         times: OrderTimes,
         may_use: Callable[[str], bool],
-        log: LogLines,
+        log: StructuredLog,
         metrics: Metrics,
         on_progress: Callable[[], None],
     ) -> None:
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -9,7 +9,7 @@
 from returns.result import Success
 
 from shallotworks.jobs import JobKeys, decode_progress, encode_progress
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
 from shallotworks.store import Commit, Committed, Condition, Conflicted, Holder, Store, Write
 
@@ -66,7 +66,7 @@
         scheduler_state: SchedulerState,
         holder: Holder,
         store: Store,
-        log: LogLines,
+        log: StructuredLog,
         metrics: Metrics,
         on_stored: Callable[[], None],
     ) -> None:
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from shallotworks.jobs import Job, JobProgress, JobState, Step, TaskName
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 
 from ._crash_blame import CrashBlame
 from ._demand import Arrival
@@ -99,7 +99,7 @@
         "workers",
     )
 
-    def __init__(self, *, service: str, token: int, log: LogLines) -> None:
+    def __init__(self, *, service: str, token: int, log: StructuredLog) -> None:
         self.service = service
         self.token = token
         self._log = log
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -11,7 +11,7 @@
 from returns.result import Success
 
 from shallotworks.jobs import JobKeys, decode_job, decode_progress
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
 from shallotworks.store import (
     Commit,
@@ -88,7 +88,7 @@
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
     times: OrderTimes
-    log: LogLines
+    log: StructuredLog
     metrics: Metrics
     final_state_told_s: float = 120.0
     is_capacity_known: Callable[[str], bool] = lambda _service: True
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from shallotworks.jobs import TaskName
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
 
 from ._placement import Placement
@@ -208,7 +208,9 @@
 
     __slots__ = ("_log", "_looked_s", "_metrics", "_scheduler_state", "_since_s")
 
-    def __init__(self, *, scheduler_state: SchedulerState, metrics: Metrics, log: LogLines) -> None:
+    def __init__(
+        self, *, scheduler_state: SchedulerState, metrics: Metrics, log: StructuredLog
+    ) -> None:
         self._scheduler_state = scheduler_state
         self._metrics = metrics
         self._log = log
--- a/src/shallotworks/store/_held_record.py
+++ b/src/shallotworks/store/_held_record.py
@@ -4,7 +4,7 @@
 
 from returns.result import Success
 
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 
 from ._holder import Holder
 from ._protocols import Commit, Condition, Conflicted, Item, Store, Write
@@ -32,7 +32,7 @@
 
     __slots__ = ("_holder", "_key", "_log", "_revision", "_store", "doubtful", "value")
 
-    def __init__(self, *, key: str, holder: Holder, store: Store, log: LogLines) -> None:
+    def __init__(self, *, key: str, holder: Holder, store: Store, log: StructuredLog) -> None:
         self._key = key
         self._holder = holder
         self._store = store
--- a/src/shallotworks/store/_holder.py
+++ b/src/shallotworks/store/_holder.py
@@ -9,7 +9,7 @@
 from returns.result import Success
 
 from shallotworks.errors import ErrorKind
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 
 from ._protocols import Commit, Committed, Condition, Store, Write
 
@@ -77,7 +77,7 @@
         sent_s: float,
         clock: Callable[[], float],
         times: HolderTimes,
-        log: LogLines,
+        log: StructuredLog,
     ) -> None:
         self._store = store
         self._lease_id = lease_id
@@ -99,7 +99,7 @@
         value: bytes,
         clock: Callable[[], float],
         times: HolderTimes,
-        log: LogLines,
+        log: StructuredLog,
     ) -> Holder | None:
         """Create the key, if it does not exist; ``None`` where that failed or may have failed.
 
--- a/src/shallotworks/store/_mirror.py
+++ b/src/shallotworks/store/_mirror.py
@@ -10,7 +10,7 @@
 from returns.result import Result, Success
 
 from shallotworks.errors import Failure
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 
 from ._protocols import Deletion, Item, Store
 
@@ -76,7 +76,7 @@
         store: Store,
         prefix: str,
         listener: MirrorListener,
-        log: LogLines,
+        log: StructuredLog,
         on_heard: Callable[[], None] | None = None,
         pause_s: float = 0.0,
     ) -> None:
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -24,7 +24,7 @@
     TaskName,
     decode_progress,
 )
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
 from shallotworks.platform._workers import REGISTRY_PREFIX, WorkerRegistry
 from shallotworks.scheduling import (
@@ -96,7 +96,7 @@
     return step(count, **(given | changes))
 
 
-class Journal(LogLines):
+class Journal(StructuredLog):
     """Keeps an instance's log lines, at the story's times.
 
     Args:
@@ -138,7 +138,7 @@
         faults: RecordFaults,
         fleet: TaskWorkers,
         silent: set[str],
-        log: LogLines,
+        log: StructuredLog,
     ) -> None:
         super().__init__(name=name, store=store, fleet=fleet)
         self.view.faults = faults
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from shallotworks.jobs import Job, JobProgress, QueuePolicy, Step, TaskName
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.scheduling import (
     DecisionEngine,
     EndedTask,
@@ -23,9 +23,9 @@
 FAR_LEASE_S = 1e9
 
 
-def quiet_log() -> LogLines:
+def quiet_log() -> StructuredLog:
     """Return a log that writes nothing."""
-    return LogLines(process="test", write=len)
+    return StructuredLog(process="test", write=len)
 
 
 def policy(**changes: object) -> QueuePolicy:
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -8,7 +8,7 @@
 from parameterized import parameterized
 
 from shallotworks.jobs import JobState, TaskName
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.scheduling import OrderOutcome, OrderStatus, StartOrder, WorkerView
 from tests.crash_history import ReturningWorkers
 from tests.fleet_history import History
@@ -43,7 +43,7 @@
             return len(data)
 
         bench = Bench(view("a"))
-        bench.scheduler_state._log = log = LogLines(process="test", write=take)
+        bench.scheduler_state._log = log = StructuredLog(process="test", write=take)
         bench.learn(job("j", step(1)))
         (start,) = bench.starts()
         bench.now_s += 0.25
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -22,7 +22,7 @@
 from returns.result import Failure, Success
 
 from shallotworks.errors import ErrorKind
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
 from shallotworks.platform._configuration import OperatorsBook
 from shallotworks.platform._http import HttpAnswer, HttpClient
@@ -168,7 +168,7 @@
 
     def __init__(self) -> None:
         self._written: list[bytes] = []
-        self._log = LogLines(process="test", write=self._take)
+        self._log = StructuredLog(process="test", write=self._take)
         self._revision = 0
         self.registry = WorkerRegistry(log=self._log)
         self.write("i-1", changed(address="10.0.0.2:1"))
--- a/tests/test_load_watch.py
+++ b/tests/test_load_watch.py
@@ -6,7 +6,7 @@
 
 from parameterized import parameterized
 
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import LoadWatch, Metrics
 from tests.on_loop import run_story
 
@@ -39,7 +39,7 @@
 
         async def story() -> None:
             used_s = 0.0
-            log = LogLines(process="n", write=write)
+            log = StructuredLog(process="n", write=write)
             watch = LoadWatch(
                 cores=cores,
                 metrics=Metrics(),
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from shallotworks.jobs import Step, TaskName
-from shallotworks.logs import LogLines
+from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
 from shallotworks.scheduling import (
     PoolSizer,
@@ -35,7 +35,7 @@
 
     def __init__(self) -> None:
         self._text = b""
-        self.log = LogLines(process="test", write=self._take)
+        self.log = StructuredLog(process="test", write=self._take)
 
     def _take(self, data: bytes) -> int:
         self._text += data
