--- a/src/shallotworks/metrics/__init__.py
+++ b/src/shallotworks/metrics/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from ._exposition import EXPOSITION_CONTENT_TYPE, to_exposition
-from ._load_watch import LoadWatch
+from ._load_monitor import LoadMonitor
 from ._metrics import FrozenLatency, FrozenMetrics, Metrics
 from ._snapshot import LatencySummary, MetricsSnapshot, summarise
 
@@ -15,7 +15,7 @@
     "FrozenLatency",
     "FrozenMetrics",
     "LatencySummary",
-    "LoadWatch",
+    "LoadMonitor",
     "Metrics",
     "MetricsSnapshot",
     "summarise",
--- a/src/shallotworks/metrics/_load_watch.py
+++ b/src/shallotworks/metrics/_load_monitor.py
@@ -9,7 +9,7 @@
 
 from ._metrics import Metrics
 
-__all__ = ["LoadWatch"]
+__all__ = ["LoadMonitor"]
 
 SAMPLE_S = 0.1
 WINDOW_SAMPLES = 10
@@ -21,7 +21,7 @@
 """A loop that is late by this on average holds up renewals and looks, whatever its use."""
 
 
-class LoadWatch:
+class LoadMonitor:
     """Measures the load of a process, and says when it saturates and when it no longer does.
 
     What it answers: a queue waits beside idle workers, and nothing shows whether its scheduler
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -14,7 +14,7 @@
 from shallotworks.errors import answer_for
 from shallotworks.jobs import JobKeys, JobRequestHandler
 from shallotworks.logs import StructuredLog
-from shallotworks.metrics import LoadWatch, Metrics, summarise, to_exposition
+from shallotworks.metrics import LoadMonitor, Metrics, summarise, to_exposition
 from shallotworks.scheduling import (
     MACHINES_PREFIX,
     LeaderElector,
@@ -132,7 +132,7 @@
             log=self._log,
             metrics=self._metrics,
         )
-        self._load = LoadWatch(
+        self._load = LoadMonitor(
             cores=settings.cores,
             metrics=self._metrics,
             log=self._log,
--- a/tests/test_load_watch.py
+++ b/tests/test_load_monitor.py
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from shallotworks.logs import StructuredLog
-from shallotworks.metrics import LoadWatch, Metrics
+from shallotworks.metrics import LoadMonitor, Metrics
 from tests.on_loop import run_story
 
 
@@ -40,7 +40,7 @@
         async def story() -> None:
             used_s = 0.0
             log = StructuredLog(process="n", write=write)
-            watch = LoadWatch(
+            watch = LoadMonitor(
                 cores=cores,
                 metrics=Metrics(),
                 log=log,
