--- a/src/shallotworks/cli/_failures.py
+++ b/src/shallotworks/cli/_failures.py
@@ -4,7 +4,7 @@
 
 from dataclasses import asdict
 
-from shallotworks.errors import ErrorKind, Failure, answer_for, failure_body
+from shallotworks.errors import ErrorKind, Failure, attributes_of, failure_body
 from shallotworks.operators import ErrorBody
 
 __all__ = ["exit_code_of", "own_error"]
@@ -21,4 +21,4 @@
         kind = ErrorKind(error.kind)
     except ValueError:
         kind = ErrorKind.INTERNAL
-    return answer_for(kind).exit_code
+    return attributes_of(kind).exit_code
--- a/src/shallotworks/cli/_main.py
+++ b/src/shallotworks/cli/_main.py
@@ -11,7 +11,7 @@
 from absl import logging
 
 from shallotworks import __version__
-from shallotworks.errors import ErrorKind, Failure, ShallotworksError, answer_for
+from shallotworks.errors import ErrorKind, Failure, ShallotworksError, attributes_of
 
 from ._fleet_commands import add_fleet_commands
 from ._observe_commands import add_observe_commands
@@ -69,7 +69,7 @@
 
 def _say(failure: Failure) -> int:
     print(one_line(str(failure)), file=sys.stderr)
-    return answer_for(failure.kind).exit_code
+    return attributes_of(failure.kind).exit_code
 
 
 def _print_version(wanted: bool) -> None:
--- a/src/shallotworks/cli/_process_commands.py
+++ b/src/shallotworks/cli/_process_commands.py
@@ -12,7 +12,7 @@
 from absl import flags, logging
 from returns.result import Failure as Err
 
-from shallotworks.errors import answer_for
+from shallotworks.errors import attributes_of
 from shallotworks.settings import Settings, SettingsFaults, load_settings
 
 from ._output import print_text
@@ -75,7 +75,7 @@
     checked = _import("shallotworks.platform").load_platform_settings(file)
     if isinstance(checked, Err):
         print(one_line(str(checked.failure())), file=sys.stderr)
-        raise typer.Exit(answer_for(checked.failure().kind).exit_code)
+        raise typer.Exit(attributes_of(checked.failure().kind).exit_code)
     print_text(f"{file}: settings of {checked.unwrap().instance} are right\n")
 
 
@@ -83,7 +83,7 @@
     loaded = load_settings(file)
     if isinstance(loaded, Err):
         _say_faults(loaded.failure())
-        raise typer.Exit(answer_for(loaded.failure().kind).exit_code)
+        raise typer.Exit(attributes_of(loaded.failure().kind).exit_code)
     return loaded.unwrap()
 
 
--- a/src/shallotworks/errors.py
+++ b/src/shallotworks/errors.py
@@ -13,13 +13,13 @@
 
 __all__ = [
     "Advice",
-    "Answer",
+    "ErrorAttributes",
     "ErrorKind",
     "Failure",
     "FailureBody",
     "Ran",
     "ShallotworksError",
-    "answer_for",
+    "attributes_of",
     "failure_body",
 ]
 
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Answer:
+class ErrorAttributes:
     """How one error kind is answered.
 
     Args:
@@ -112,7 +112,7 @@
     @property
     def ran(self) -> Ran:
         """Whether a target ran the request."""
-        return answer_for(self.kind).ran
+        return attributes_of(self.kind).ran
 
     def __str__(self) -> str:
         return f"{self.kind.value}: {self.reason}"
@@ -147,14 +147,14 @@
         self.failure = failure
 
 
-def answer_for(kind: ErrorKind) -> Answer:
+def attributes_of(kind: ErrorKind) -> ErrorAttributes:
     """Return the row of the table for one error kind."""
     return _ANSWERS[kind]
 
 
 def failure_body(failure: Failure) -> FailureBody:
     """Return how a failure is told as JSON; one never to be sent again has no time to come back."""
-    answer = answer_for(failure.kind)
+    answer = attributes_of(failure.kind)
     retry_after_s = None if answer.advice is Advice.NEVER else failure.retry_after_s
     return FailureBody(
         kind=failure.kind.value,
@@ -166,8 +166,8 @@
     )
 
 
-def _row(status: int, exit_code: int, advice: Advice, ran: Ran) -> Answer:
-    return Answer(status=status, exit_code=exit_code, advice=advice, ran=ran)
+def _row(status: int, exit_code: int, advice: Advice, ran: Ran) -> ErrorAttributes:
+    return ErrorAttributes(status=status, exit_code=exit_code, advice=advice, ran=ran)
 
 
 _ANSWERS = {
--- a/src/shallotworks/node/_serve.py
+++ b/src/shallotworks/node/_serve.py
@@ -7,7 +7,7 @@
 
 from absl import logging
 
-from shallotworks.errors import ShallotworksError, answer_for
+from shallotworks.errors import ShallotworksError, attributes_of
 from shallotworks.settings import Settings
 
 from ._node import Node
@@ -30,7 +30,7 @@
         asyncio.run(_run(settings))
     except ShallotworksError as error:
         logging.error("%s", error.failure)
-        return answer_for(error.failure.kind).exit_code
+        return attributes_of(error.failure.kind).exit_code
     return 0
 
 
--- a/src/shallotworks/operators/_application.py
+++ b/src/shallotworks/operators/_application.py
@@ -15,7 +15,7 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-from shallotworks.errors import ErrorKind, Failure, ShallotworksError, answer_for, failure_body
+from shallotworks.errors import ErrorKind, Failure, ShallotworksError, attributes_of, failure_body
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import EventKind, Subject, Timeline
 
@@ -188,7 +188,7 @@
 def _status(outcome: Result[Answered, Refused]) -> int:
     if isinstance(outcome, Success):
         return HTTPStatus.OK.value
-    return answer_for(outcome.failure().failure.kind).status
+    return attributes_of(outcome.failure().failure.kind).status
 
 
 def _write_answer(start_response: Callable[..., Any], answered: Answered) -> Iterable[bytes]:
@@ -203,7 +203,7 @@
         headers.append(("Retry-After", str(max(1, math.ceil(retry_after_s)))))
     if failure.kind is ErrorKind.UNAUTHORISED:
         headers.append(("WWW-Authenticate", "Bearer"))
-    status = answer_for(failure.kind).status
+    status = attributes_of(failure.kind).status
     return _write(start_response, status, JSON_CONTENT_TYPE, error_body(refused), headers)
 
 
--- a/src/shallotworks/operators/_openapi.py
+++ b/src/shallotworks/operators/_openapi.py
@@ -10,7 +10,7 @@
 from pydantic import TypeAdapter
 
 from shallotworks import __version__
-from shallotworks.errors import ErrorKind, answer_for
+from shallotworks.errors import ErrorKind, attributes_of
 
 from ._calls import ErrorBody
 from ._routes import PREFIX, Route
@@ -107,7 +107,7 @@
         "200": {"description": "Done.", "content": {"application/json": {"schema": answer}}}
     }
     for kind in (*EVERY_ROUTE_ERRORS, *route.errors):
-        status = str(answer_for(kind).status)
+        status = str(attributes_of(kind).status)
         told = responses.get(status)
         description = f"{told['description']}, {kind.value}" if told else kind.value
         content = {"application/json": {"schema": schemas.of(ErrorBody)}}
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -11,7 +11,7 @@
 from absl import logging
 from returns.result import Success
 
-from shallotworks.errors import answer_for
+from shallotworks.errors import attributes_of
 from shallotworks.jobs import JobKeys, JobRequestHandler
 from shallotworks.logs import StructuredLog
 from shallotworks.metrics import LoadMonitor, Metrics, summarise, to_exposition
@@ -73,7 +73,7 @@
     loaded = load_platform_settings(path)
     if not isinstance(loaded, Success):
         logging.error("%s", loaded.failure())
-        return answer_for(loaded.failure().kind).exit_code
+        return attributes_of(loaded.failure().kind).exit_code
     asyncio.run(_Daemon(settings=loaded.unwrap(), path=path).run())
     return 0
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -24,7 +24,7 @@
 from shallotworks.cli._failures import own_error
 from shallotworks.cli._main import _app
 from shallotworks.cli._plan_commands import plan_app
-from shallotworks.errors import ErrorKind, answer_for
+from shallotworks.errors import ErrorKind, attributes_of
 from shallotworks.operators import ChangesView
 from shallotworks.plans import (
     Drain,
@@ -234,7 +234,7 @@
             f"--address {address}" for address in (self.served.address, dead, other.address)
         )
         ending = self.run_one(f"timeline {addresses}")
-        self.assertEqual(ending.exit_code, answer_for(ErrorKind.UNREACHABLE).exit_code)
+        self.assertEqual(ending.exit_code, attributes_of(ErrorKind.UNREACHABLE).exit_code)
         self.assertIn(f"unreachable: no instance answers at {dead}", ending.errors)
         self.assertEqual(len(ending.errors.splitlines()), 1)
         self.assertIn("here", ending.output)
@@ -310,7 +310,7 @@
         """Of a change that was sent, only the instance itself may say that it was not made."""
         client = self.client(lambda connection: connection.sendall(answer))
         error = client.post("/changes", ChangesView, b"[]").failure()
-        self.assertEqual((error.kind, error.ran), (kind.value, answer_for(kind).ran.value))
+        self.assertEqual((error.kind, error.ran), (kind.value, attributes_of(kind).ran.value))
 
     def test_silent(self) -> None:
         """An instance that takes a change and falls silent leaves its outcome unknown."""
@@ -375,7 +375,7 @@
 
         self.with_module("shallotworks.demo", run_demo=run_demo)
         ending = run_command("demo", {})
-        self.assertEqual(ending.exit_code, answer_for(ErrorKind.INTERNAL).exit_code)
+        self.assertEqual(ending.exit_code, attributes_of(ErrorKind.INTERNAL).exit_code)
         self.assertEqual(ending.errors, "internal: RuntimeError: broken?in two\n")
 
     def test_demo(self) -> None:
@@ -428,8 +428,10 @@
         """Whatever is typed, the command ends with a code of the table and no traceback."""
         environment = {"SHALLOTWORKS_ADDRESS": f"127.0.0.1:{CLOSED_PORT}"}
         ending = run_command(words, environment)
-        known = {answer_for(kind).exit_code for kind in ErrorKind}
-        self.assertIn(ending.exit_code, {0, 1, *known} - {answer_for(ErrorKind.INTERNAL).exit_code})
+        known = {attributes_of(kind).exit_code for kind in ErrorKind}
+        self.assertIn(
+            ending.exit_code, {0, 1, *known} - {attributes_of(ErrorKind.INTERNAL).exit_code}
+        )
         self.assertNotIn("Traceback", ending.errors)
 
 
@@ -452,4 +454,4 @@
         """Each row of the page's table of codes is a row of the table of errors."""
         rows = re.findall(r"^\| (\d+) \| (`[^|]+`) \|", self.page, re.MULTILINE)
         told = {(int(code), name) for code, names in rows for name in re.findall("`(.+?)`", names)}
-        self.assertEqual(told, {(answer_for(kind).exit_code, kind.value) for kind in ErrorKind})
+        self.assertEqual(told, {(attributes_of(kind).exit_code, kind.value) for kind in ErrorKind})
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -4,21 +4,21 @@
 
 from parameterized import parameterized
 
-from shallotworks.errors import Advice, ErrorKind, Failure, Ran, answer_for
+from shallotworks.errors import Advice, ErrorKind, Failure, Ran, attributes_of
 
 
 class AnswerTableTests(unittest.TestCase):
     @parameterized.expand([(kind.value, kind) for kind in ErrorKind])
     def test_every_kind_has_a_row(self, _name: str, kind: ErrorKind) -> None:
         """Each kind answers with an HTTP error status and an exit code that is not success."""
-        answer = answer_for(kind)
+        answer = attributes_of(kind)
         self.assertGreaterEqual(answer.status, 400)
         self.assertGreater(answer.exit_code, 0)
 
     @parameterized.expand([(kind.value, kind) for kind in ErrorKind])
     def test_unsafe_kinds_never_advise_a_plain_retry(self, _name: str, kind: ErrorKind) -> None:
         """A request that may have run is only ever repeated under its idempotency key."""
-        answer = answer_for(kind)
+        answer = attributes_of(kind)
         if answer.ran is not Ran.NO:
             self.assertIsNot(answer.advice, Advice.LATER)
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -8,7 +8,7 @@
 from parameterized import parameterized
 from returns.result import Result, Success
 
-from shallotworks.errors import ErrorKind, Failure, Ran, answer_for
+from shallotworks.errors import ErrorKind, Failure, Ran, attributes_of
 from shallotworks.metrics import Metrics
 from shallotworks.requests import Claim, IdempotencyLimits, Request, Response, StoreIdempotencyGuard
 from shallotworks.standins import MemoryStore, StoreFaults
@@ -173,7 +173,7 @@
             site.store.set_faults(StoreFaults(down=True))
             kind = kind_of(await guard.claim(order()))
             self.assertIs(kind, ErrorKind.STORE_UNAVAILABLE)
-            self.assertIs(answer_for(kind).ran, Ran.NO)
+            self.assertIs(attributes_of(kind).ran, Ran.NO)
             site.store.set_faults(StoreFaults())
             self.assertTrue(is_claim_to_run(await guard.claim(order())))
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from parameterized import parameterized
 
-from shallotworks.errors import ErrorKind, ShallotworksError, answer_for
+from shallotworks.errors import ErrorKind, ShallotworksError, attributes_of
 from shallotworks.operators._application import BODY_LIMIT_BYTES
 from shallotworks.operators._hop import LoopHop
 from tests.fake_backend import TOKEN, ServedBackend
@@ -52,7 +52,7 @@
     def assert_refused(self, told: tuple[int, Any, Any], kind: ErrorKind) -> None:
         """Check that a call was refused, in the one form and by the one table."""
         status, body, _ = told
-        answer = answer_for(kind)
+        answer = attributes_of(kind)
         self.assertEqual((body["kind"], status), (kind.value, answer.status), body["reason"])
         self.assertEqual((body["ran"], body["advice"]), (answer.ran.value, answer.advice.value))
 
