--- a/src/shallotworks/cli/_process_commands.py
+++ b/src/shallotworks/cli/_process_commands.py
@@ -13,7 +13,7 @@
 from returns.result import Failure as Err
 
 from shallotworks.errors import attributes_of
-from shallotworks.settings import Settings, SettingsFaults, load_settings
+from shallotworks.settings import Settings, SettingsProblems, load_settings
 
 from ._output import print_text
 from ._printable import one_line
@@ -82,16 +82,16 @@
 def _load(file: str) -> Settings:
     loaded = load_settings(file)
     if isinstance(loaded, Err):
-        _say_faults(loaded.failure())
+        _say_problems(loaded.failure())
         raise typer.Exit(attributes_of(loaded.failure().kind).exit_code)
     return loaded.unwrap()
 
 
-def _say_faults(faults: SettingsFaults) -> None:
-    count = len(faults.faults)
-    head = f"{faults.kind.value}: {faults.path} has {count} fault{'s' if count > 1 else ''}"
+def _say_problems(invalid: SettingsProblems) -> None:
+    count = len(invalid.problems)
+    head = f"{invalid.kind.value}: {invalid.path} has {count} fault{'s' if count > 1 else ''}"
     print(one_line(head), file=sys.stderr)
-    for fault in faults.faults:
+    for fault in invalid.problems:
         print(f"  {one_line(str(fault))}", file=sys.stderr)
 
 
--- a/src/shallotworks/settings/__init__.py
+++ b/src/shallotworks/settings/__init__.py
@@ -1,12 +1,12 @@
 """The settings of one instance: an INI file, checked as a whole before anything starts.
 
 `load_settings` returns either `Settings`, in which every value is within its range and every file
-it names can be read, or `SettingsFaults`, which name every fault at once. Nothing here starts,
+it names can be read, or `SettingsProblems`, which name every fault at once. Nothing here starts,
 binds or writes anything, and no secret is ever kept in `Settings`: it holds the paths only.
 """
 
-from ._faults import SettingFault, SettingsFaults
 from ._load import load_settings, parse_settings
+from ._problems import SettingProblem, SettingsProblems
 from ._rules import parse_address
 from ._secrets import read_secret, read_token
 from ._sections import (
@@ -31,9 +31,9 @@
     "PlansSettings",
     "PlatformSettings",
     "RequestsSettings",
-    "SettingFault",
+    "SettingProblem",
     "Settings",
-    "SettingsFaults",
+    "SettingsProblems",
     "TimelineSettings",
     "load_settings",
     "parse_address",
--- a/src/shallotworks/settings/_load.py
+++ b/src/shallotworks/settings/_load.py
@@ -11,8 +11,8 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-from ._faults import SettingFault, SettingsFaults
 from ._keys import RULES, SECTIONS, default_of
+from ._problems import SettingProblem, SettingsProblems
 from ._relations import broken_relations
 from ._sections import Settings
 
@@ -34,14 +34,14 @@
         return optionstr
 
 
-def load_settings(path: str) -> Result[Settings, SettingsFaults]:
+def load_settings(path: str) -> Result[Settings, SettingsProblems]:
     """Read and check a settings file.
 
     Args:
         path: Path of the INI file; relative paths in it start from its folder.
 
     Returns:
-        The settings, or all faults at once.
+        The settings, or all problems at once.
     """
     try:
         with open(path, "rb") as file:
@@ -58,7 +58,7 @@
     return parse_settings(text, path=path)
 
 
-def parse_settings(text: str, *, path: str) -> Result[Settings, SettingsFaults]:
+def parse_settings(text: str, *, path: str) -> Result[Settings, SettingsProblems]:
     """Check settings that were read already.
 
     Args:
@@ -66,47 +66,47 @@
         path: Where it came from, for messages and relative paths.
 
     Returns:
-        The settings, or all faults at once.
+        The settings, or all problems at once.
     """
     parser = _Parser()
     try:
         parser.read_string(text, source=path)
     except configparser.Error as error:
         return _refuse_file(path, " ".join(str(error).split()))
-    faults = list(_unknown(parser))
+    problems = list(_unknown(parser))
     values: _Values = {}
     folder = Path(path).parent
     for section in SECTIONS:
         values[section] = {}
         for key in RULES[section]:
             outcome = _read_key(parser, section, key, folder)
-            if isinstance(outcome, SettingFault):
-                faults.append(outcome)
+            if isinstance(outcome, SettingProblem):
+                problems.append(outcome)
             else:
                 values[section][key] = outcome.unwrap()
-    if not faults:
+    if not problems:
         settings = _build(values)
-        faults.extend(broken_relations(settings))
-    if faults:
-        return Err(SettingsFaults(path=path, faults=tuple(faults)))
+        problems.extend(broken_relations(settings))
+    if problems:
+        return Err(SettingsProblems(path=path, problems=tuple(problems)))
     return Success(settings)
 
 
-def _refuse_file(path: str, problem: str) -> Result[Settings, SettingsFaults]:
-    fault = SettingFault(
+def _refuse_file(path: str, problem: str) -> Result[Settings, SettingsProblems]:
+    fault = SettingProblem(
         section="",
         key="",
         value=None,
         problem=problem,
         allowed="an INI file with the sections " + ", ".join(f"[{name}]" for name in SECTIONS),
     )
-    return Err(SettingsFaults(path=path, faults=(fault,)))
+    return Err(SettingsProblems(path=path, problems=(fault,)))
 
 
-def _unknown(parser: _Parser) -> Iterator[SettingFault]:
+def _unknown(parser: _Parser) -> Iterator[SettingProblem]:
     for section in parser.sections():
         if section not in SECTIONS:
-            yield SettingFault(
+            yield SettingProblem(
                 section=section,
                 key="",
                 value=None,
@@ -116,7 +116,7 @@
             continue
         for key, value in parser.items(section):
             if key not in RULES[section]:
-                yield SettingFault(
+                yield SettingProblem(
                     section=section,
                     key=key,
                     value=_told(value),
@@ -127,7 +127,7 @@
 
 def _read_key(
     parser: _Parser, section: str, key: str, folder: Path
-) -> Result[Any, str] | SettingFault:
+) -> Result[Any, str] | SettingProblem:
     rule = RULES[section][key]
     text = parser.get(section, key, fallback=None)
     if text is None:
@@ -140,7 +140,7 @@
         if isinstance(parsed, Success):
             return parsed
         problem = parsed.failure()
-    return SettingFault(
+    return SettingProblem(
         section=section,
         key=key,
         value=None if text is None else _told(text),
--- a/src/shallotworks/settings/_faults.py
+++ b/src/shallotworks/settings/_problems.py
@@ -6,11 +6,11 @@
 
 from shallotworks.errors import ErrorKind, Failure
 
-__all__ = ["SettingFault", "SettingsFaults"]
+__all__ = ["SettingProblem", "SettingsProblems"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SettingFault:
+class SettingProblem:
     """One fault.
 
     Args:
@@ -41,16 +41,16 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SettingsFaults:
-    """All faults of one file, of the kind ``INVALID_SETTINGS``.
+class SettingsProblems:
+    """All problems of one file, of the kind ``INVALID_SETTINGS``.
 
     Args:
         path: The file.
-        faults: At least one, in the order of the table of keys.
+        problems: At least one, in the order of the table of keys.
     """
 
     path: str
-    faults: tuple[SettingFault, ...]
+    problems: tuple[SettingProblem, ...]
 
     @property
     def kind(self) -> ErrorKind:
@@ -58,6 +58,6 @@
         return ErrorKind.INVALID_SETTINGS
 
     def failure(self) -> Failure:
-        """Return the faults as one failure, for the log and the exit code."""
-        told = " | ".join(str(fault) for fault in self.faults)
+        """Return the problems as one failure, for the log and the exit code."""
+        told = " | ".join(str(fault) for fault in self.problems)
         return Failure(kind=self.kind, reason=f"{self.path}: {told}")
--- a/src/shallotworks/settings/_relations.py
+++ b/src/shallotworks/settings/_relations.py
@@ -4,20 +4,20 @@
 
 from collections.abc import Iterator
 
-from ._faults import SettingFault
+from ._problems import SettingProblem
 from ._sections import Settings
 
 __all__ = ["broken_relations"]
 
 
-def broken_relations(settings: Settings) -> Iterator[SettingFault]:
+def broken_relations(settings: Settings) -> Iterator[SettingProblem]:
     """Return a fault for each pair of keys that contradict each other."""
     yield from _broken_times(settings)
     yield from _broken_parts(settings)
     yield from _shared_ports(settings)
 
 
-def _broken_times(settings: Settings) -> Iterator[SettingFault]:
+def _broken_times(settings: Settings) -> Iterator[SettingProblem]:
     peers, requests = settings.peers, settings.requests
     if peers.suspect_after_s < 2 * peers.heartbeat_interval_s:
         yield _fault(
@@ -49,7 +49,7 @@
         )
 
 
-def _broken_parts(settings: Settings) -> Iterator[SettingFault]:
+def _broken_parts(settings: Settings) -> Iterator[SettingProblem]:
     plans = settings.plans
     if plans.weight_buffer + plans.weight_rollout + plans.weight_moves <= 0:
         yield _fault(
@@ -57,7 +57,7 @@
         )
 
 
-def _shared_ports(settings: Settings) -> Iterator[SettingFault]:
+def _shared_ports(settings: Settings) -> Iterator[SettingProblem]:
     listeners = (
         ("callers", settings.callers.port),
         ("operators", settings.operators.port),
@@ -72,8 +72,8 @@
         holders.setdefault(port, section)
 
 
-def _fault(section: str, key: str, value: float, allowed: str) -> SettingFault:
-    return SettingFault(
+def _fault(section: str, key: str, value: float, allowed: str) -> SettingProblem:
+    return SettingProblem(
         section=section,
         key=key,
         value=f"{value:g}",
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,13 @@
 from returns.result import Success
 
 from shallotworks.errors import ErrorKind
-from shallotworks.settings import SettingFault, Settings, load_settings, parse_settings, read_secret
+from shallotworks.settings import (
+    SettingProblem,
+    Settings,
+    load_settings,
+    parse_settings,
+    read_secret,
+)
 from shallotworks.settings._keys import RULES, default_of
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -43,10 +49,10 @@
         (self.folder / "peers.key").write_text("k" * 32 + "\n")
         (self.folder / "empty").write_text("\n")
 
-    def faults(self, text: str) -> tuple[SettingFault, ...]:
+    def problems(self, text: str) -> tuple[SettingProblem, ...]:
         outcome = parse_settings(text, path=str(self.folder / "a.ini"))
         self.assertIsInstance(outcome, Err)
-        return outcome.failure().faults
+        return outcome.failure().problems
 
     def test_minimal_file_has_defaults(self) -> None:
         """A file with the required keys alone gives settings, with relative paths resolved."""
@@ -88,21 +94,21 @@
         self, _name: str, section: str, key: str, value: str | None, allowed: str
     ) -> None:
         """A wrong, missing or unknown key is named with its section, value and what is allowed."""
-        (fault,) = self.faults(_text({section: {key: value} if key else {}}))
+        (fault,) = self.problems(_text({section: {key: value} if key else {}}))
         self.assertEqual((fault.section, fault.key), (section, key))
         self.assertEqual(fault.value, value)
         self.assertIn(allowed, fault.allowed)
 
     def test_all_faults_at_once(self) -> None:
-        """Three faults in three sections are told in one go, under one error kind."""
+        """Three problems in three sections are told in one go, under one error kind."""
         text = _text(
             {"callers": {"port": "x"}, "log": {"verbose": "1"}, "platform": {"address": None}}
         )
         outcome = parse_settings(text, path=str(self.folder / "a.ini"))
-        faults = outcome.failure()
-        self.assertEqual(len(faults.faults), 3)
-        self.assertIs(faults.kind, ErrorKind.INVALID_SETTINGS)
-        self.assertIn("[callers] port = 'x': not a whole number", faults.failure().reason)
+        problems = outcome.failure()
+        self.assertEqual(len(problems.problems), 3)
+        self.assertIs(problems.kind, ErrorKind.INVALID_SETTINGS)
+        self.assertIn("[callers] port = 'x': not a whole number", problems.failure().reason)
 
     @parameterized.expand(
         [
@@ -114,7 +120,7 @@
     )
     def test_text_that_is_no_ini(self, _name: str, text: str) -> None:
         """A text that is not proper INI is one fault of the file, with the line told."""
-        (fault,) = self.faults(text)
+        (fault,) = self.problems(text)
         self.assertEqual((fault.section, fault.key), ("", ""))
         self.assertRegex(fault.problem, r"line|section headers")
 
@@ -126,7 +132,7 @@
         path = self.folder / "b.ini"
         if data is not None:
             path.write_bytes(data)
-        self.assertEqual(len(load_settings(str(path)).failure().faults), 1)
+        self.assertEqual(len(load_settings(str(path)).failure().problems), 1)
 
     @parameterized.expand([(path.stem, path) for path in sorted(EXAMPLES.glob("*/*.ini"))])
     def test_examples_are_valid(self, _name: str, path: Path) -> None:
@@ -175,7 +181,7 @@
         if isinstance(outcome, Success):
             self.assertIsInstance(outcome.unwrap(), Settings)
         else:
-            self.assertTrue(outcome.failure().faults)
+            self.assertTrue(outcome.failure().problems)
 
     @given(st.sampled_from([(s, k) for s, keys in RULES.items() for k in keys]), st.text())
     def test_any_value_is_parsed_or_refused(self, place: tuple[str, str], text: str) -> None:
