--- a/src/shallotworks/callers/__init__.py
+++ b/src/shallotworks/callers/__init__.py
@@ -4,6 +4,6 @@
 """
 
 from ._application import CallersApplication
-from ._reading import ReadingLimits, read_request
+from ._reading import RequestLimits, read_request
 
-__all__ = ["CallersApplication", "ReadingLimits", "read_request"]
+__all__ = ["CallersApplication", "RequestLimits", "read_request"]
--- a/src/shallotworks/callers/_application.py
+++ b/src/shallotworks/callers/_application.py
@@ -14,7 +14,7 @@
 from shallotworks.requests import Relay, Response
 from shallotworks.requests.headers import ERROR_KIND, RAN, REQUEST_ID
 
-from ._reading import ReadingLimits, read_request
+from ._reading import RequestLimits, read_request
 
 __all__ = ["CallersApplication"]
 
@@ -39,7 +39,7 @@
     __slots__ = ("_limits", "_loop", "_relay")
 
     def __init__(
-        self, *, loop: asyncio.AbstractEventLoop, relay: Relay, limits: ReadingLimits
+        self, *, loop: asyncio.AbstractEventLoop, relay: Relay, limits: RequestLimits
     ) -> None:
         self._loop = loop
         self._relay = relay
--- a/src/shallotworks/callers/_reading.py
+++ b/src/shallotworks/callers/_reading.py
@@ -25,7 +25,7 @@
     TEAM,
 )
 
-__all__ = ["ReadingLimits", "read_request"]
+__all__ = ["RequestLimits", "read_request"]
 
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 METHODS = SAFE_METHODS | {"POST", "PUT", "PATCH", "DELETE"}
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ReadingLimits:
+class RequestLimits:
     """Bounds on what a caller may ask.
 
     Args:
@@ -60,7 +60,7 @@
 
 
 def read_request(
-    environ: dict[str, Any], *, limits: ReadingLimits, now_s: float
+    environ: dict[str, Any], *, limits: RequestLimits, now_s: float
 ) -> Result[Request, Failure]:
     """Read a request from a WSGI environment.
 
@@ -83,7 +83,7 @@
 
 
 def _read(
-    environ: dict[str, Any], limits: ReadingLimits, now_s: float, length_bytes: int
+    environ: dict[str, Any], limits: RequestLimits, now_s: float, length_bytes: int
 ) -> Request:
     method = environ["REQUEST_METHOD"]
     if method not in METHODS:
@@ -131,7 +131,7 @@
     return _YES_NO[stated]
 
 
-def _time_allowed_s(environ: dict[str, Any], limits: ReadingLimits) -> float:
+def _time_allowed_s(environ: dict[str, Any], limits: RequestLimits) -> float:
     stated = _header(environ, DEADLINE_MS)
     if not stated:
         return limits.default_deadline_s
--- a/src/shallotworks/node/_limits.py
+++ b/src/shallotworks/node/_limits.py
@@ -4,7 +4,7 @@
 
 from datetime import timedelta
 
-from shallotworks.callers import ReadingLimits
+from shallotworks.callers import RequestLimits
 from shallotworks.kv import PlatformLimits
 from shallotworks.peers import PeerTiming
 from shallotworks.plans import ConductorPolicy, DisruptionModel, MaintenanceWindow, PlannerWeights
@@ -21,14 +21,14 @@
     "peer_timing",
     "planner_weights",
     "platform_limits",
-    "reading_limits",
+    "request_limits",
     "retry_limits",
 ]
 
 
-def reading_limits(settings: Settings) -> ReadingLimits:
+def request_limits(settings: Settings) -> RequestLimits:
     """Return the bounds on what a caller may ask."""
-    return ReadingLimits(
+    return RequestLimits(
         body_limit_bytes=settings.callers.body_limit_bytes,
         default_deadline_s=settings.requests.default_deadline_s,
         max_deadline_s=settings.requests.max_deadline_s,
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -223,7 +223,7 @@
             timeline=self.timeline,
             long_running_limit=_limits.long_running_limit(self._settings),
         )
-        reading = _limits.reading_limits(self._settings)
+        reading = _limits.request_limits(self._settings)
         callers = self._settings.callers
         self._callers = Listener(
             host=callers.host,
--- a/tests/entry.py
+++ b/tests/entry.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Sequence
 
-from shallotworks.callers import CallersApplication, ReadingLimits
+from shallotworks.callers import CallersApplication, RequestLimits
 from shallotworks.fleet import FleetState, Instance
 from shallotworks.kv import KeyValueStore
 from shallotworks.listener import Listener
@@ -118,7 +118,7 @@
             timeline=timeline,
             long_running_limit=THREADS // 2,
         )
-        limits_of_reading = ReadingLimits(
+        limits_of_reading = RequestLimits(
             body_limit_bytes=BODY_LIMIT_BYTES, default_deadline_s=deadline_s, max_deadline_s=60.0
         )
         self._listener = Listener(
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,7 +10,7 @@
 import urllib3
 from parameterized import parameterized
 
-from shallotworks.callers import CallersApplication, ReadingLimits
+from shallotworks.callers import CallersApplication, RequestLimits
 from shallotworks.listener import Listener
 from shallotworks.metrics import Metrics
 from shallotworks.requests import (
@@ -58,7 +58,7 @@
             timeline=Timeline(process="entry-1", wall_clock_s=lambda: 0.0),
             long_running_limit=THREADS // 2,
         )
-        limits = ReadingLimits(
+        limits = RequestLimits(
             body_limit_bytes=BODY_LIMIT_BYTES, default_deadline_s=5.0, max_deadline_s=60.0
         )
         application = CallersApplication(
