--- a/src/shallotworks/operators/_hop.py
+++ b/src/shallotworks/operators/_bridge.py
@@ -1,4 +1,4 @@
-"""The hop from a thread of the operators' port into the event loop and back."""
+"""The bridge from a thread of the operators' port into the event loop and back."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from shallotworks.errors import ErrorKind, Failure, ShallotworksError
 
-__all__ = ["LoopHop"]
+__all__ = ["EventLoopBridge"]
 
 READ_TIMEOUT_S = 5.0
 WRITE_TIMEOUT_S = 30.0
@@ -17,7 +17,7 @@
 _Value = TypeVar("_Value")
 
 
-class LoopHop:
+class EventLoopBridge:
     """Runs work of the backend on the event loop while a thread of the port waits for it.
 
     Args:
--- a/src/shallotworks/operators/_fleet_handlers.py
+++ b/src/shallotworks/operators/_fleet_handlers.py
@@ -19,8 +19,8 @@
     SetCondition,
 )
 
+from ._bridge import EventLoopBridge
 from ._calls import Call, Outcome, Refused, answer_json
-from ._hop import LoopHop
 from ._invalid import read_body
 from ._parameters import whole_number
 from ._protocols import OperatorBackend
@@ -49,18 +49,18 @@
 
     Args:
         backend: The instance.
-        hop: The way into its event loop.
+        bridge: The way into its event loop.
     """
 
-    __slots__ = ("_backend", "_hop")
+    __slots__ = ("_backend", "_bridge")
 
-    def __init__(self, *, backend: OperatorBackend, hop: LoopHop) -> None:
+    def __init__(self, *, backend: OperatorBackend, bridge: EventLoopBridge) -> None:
         self._backend = backend
-        self._hop = hop
+        self._bridge = bridge
 
     def instances(self, call: Call) -> Outcome:
         """Answer the instances, of one pool or data centre where that is asked."""
-        state = self._hop.read(self._backend.fleet())
+        state = self._bridge.read(self._backend.fleet())
         wanted = call.query
         chosen = [
             entry
@@ -73,25 +73,25 @@
 
     def pools(self, call: Call) -> Outcome:
         """Answer the pools with their budgets."""
-        state = self._hop.read(self._backend.fleet())
+        state = self._bridge.read(self._backend.fleet())
         view = PoolsView(revision=state.revision, pools=pool_views(state))
         return Success(answer_json(view))
 
     def services(self, call: Call) -> Outcome:
         """Answer the services."""
-        state = self._hop.read(self._backend.fleet())
+        state = self._bridge.read(self._backend.fleet())
         view = ServicesView(revision=state.revision, services=service_views(state))
         return Success(answer_json(view))
 
     def teams(self, call: Call) -> Outcome:
         """Answer the teams."""
-        state = self._hop.read(self._backend.fleet())
+        state = self._bridge.read(self._backend.fleet())
         teams = tuple(entry for _, entry in sorted(state.teams.items()))
         return Success(answer_json(TeamsView(revision=state.revision, teams=teams)))
 
     def data_centres(self, call: Call) -> Outcome:
         """Answer the data centres."""
-        state = self._hop.read(self._backend.fleet())
+        state = self._bridge.read(self._backend.fleet())
         centres = tuple(entry for _, entry in sorted(state.data_centres.items()))
         view = DataCentresView(revision=state.revision, data_centres=centres)
         return Success(answer_json(view))
@@ -100,14 +100,14 @@
         """Answer accepted changes."""
         after = whole_number(call, "after", default=0, most=2**53)
         limit = whole_number(call, "limit", default=HISTORY_DEFAULT, most=HISTORY_LIMIT)
-        entries = self._hop.read(self._backend.changes_after(after, limit=limit))
+        entries = self._bridge.read(self._backend.changes_after(after, limit=limit))
         return entries.map(lambda found: answer_json(HistoryView(entries=found))).alt(
             lambda failure: Refused(failure=failure)
         )
 
     def restore(self, call: Call) -> Outcome:
         """Write the state held here into a store that came back empty or older."""
-        restored = self._hop.write(self._backend.restore_store(operator=call.operator))
+        restored = self._bridge.write(self._backend.restore_store(operator=call.operator))
         return restored.map(lambda revision: answer_json(RestoredView(revision=revision))).alt(
             lambda failure: Refused(failure=failure)
         )
@@ -128,7 +128,7 @@
 
     def _propose(self, change: Change, operator: str) -> Result[Accepted, Failure]:
         try:
-            return self._hop.write(self._backend.propose_change(change, operator=operator))
+            return self._bridge.write(self._backend.propose_change(change, operator=operator))
         except ShallotworksError as error:
             # A list may be half accepted by now: its caller must learn which part.
             return Err(error.failure)
--- a/src/shallotworks/operators/_process_handlers.py
+++ b/src/shallotworks/operators/_process_handlers.py
@@ -11,8 +11,8 @@
 from shallotworks.metrics import EXPOSITION_CONTENT_TYPE, summarise, to_exposition
 from shallotworks.timeline import EventFilter, EventKind, Timeline
 
+from ._bridge import EventLoopBridge
 from ._calls import Answered, Call, Outcome, Refused, answer_json
-from ._hop import LoopHop
 from ._parameters import whole_number
 from ._protocols import OperatorBackend
 
@@ -26,32 +26,32 @@
 
     Args:
         backend: The instance.
-        hop: The way into its event loop.
+        bridge: The way into its event loop.
         timeline: Its events, which any thread may read.
         process: Its name.
         api_description: Returns the description of this API as JSON.
     """
 
-    __slots__ = ("_api_description", "_backend", "_hop", "_process", "_timeline")
+    __slots__ = ("_api_description", "_backend", "_bridge", "_process", "_timeline")
 
     def __init__(
         self,
         *,
         backend: OperatorBackend,
-        hop: LoopHop,
+        bridge: EventLoopBridge,
         timeline: Timeline,
         process: str,
         api_description: Callable[[], bytes],
     ) -> None:
         self._backend = backend
-        self._hop = hop
+        self._bridge = bridge
         self._timeline = timeline
         self._process = process
         self._api_description = api_description
 
     def status(self, call: Call) -> Outcome:
         """Answer how the instance is doing."""
-        return Success(answer_json(self._hop.read(self._backend.status())))
+        return Success(answer_json(self._bridge.read(self._backend.status())))
 
     def timeline(self, call: Call) -> Outcome:
         """Answer the events asked for, read from the ring in this thread."""
@@ -73,7 +73,7 @@
         if form not in ("json", "text"):
             reason = f"format = {form!r}; allowed: json, text"
             return Err(Refused(failure=Failure(kind=ErrorKind.INVALID_REQUEST, reason=reason)))
-        frozen = self._hop.read(self._backend.metrics())
+        frozen = self._bridge.read(self._backend.metrics())
         snapshot = summarise(frozen, process=self._process)
         if form == "json":
             return Success(Answered(body=snapshot.encode()))
--- a/src/shallotworks/operators/_server.py
+++ b/src/shallotworks/operators/_server.py
@@ -13,8 +13,8 @@
 from shallotworks.timeline import Timeline
 
 from ._application import BODY_LIMIT_BYTES, OperatorsApplication
+from ._bridge import EventLoopBridge
 from ._fleet_handlers import FleetHandlers
-from ._hop import LoopHop
 from ._openapi import describe_api
 from ._plan_handlers import PlanHandlers
 from ._process_handlers import ProcessHandlers
@@ -60,14 +60,14 @@
         token = read_token(settings.token_file)
         if isinstance(token, Err):
             raise ShallotworksError(token.failure())
-        hop = LoopHop(loop=loop)
+        bridge = EventLoopBridge(loop=loop)
         routes = build_routes(
             Handlers(
-                fleet=FleetHandlers(backend=backend, hop=hop),
-                plans=PlanHandlers(backend=backend, hop=hop),
+                fleet=FleetHandlers(backend=backend, bridge=bridge),
+                plans=PlanHandlers(backend=backend, bridge=bridge),
                 process=ProcessHandlers(
                     backend=backend,
-                    hop=hop,
+                    bridge=bridge,
                     timeline=timeline,
                     process=process,
                     api_description=lambda: describe_api(routes),
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,7 +14,7 @@
 
 from shallotworks.errors import ErrorKind, ShallotworksError, attributes_of
 from shallotworks.operators._application import BODY_LIMIT_BYTES
-from shallotworks.operators._hop import LoopHop
+from shallotworks.operators._bridge import EventLoopBridge
 from tests.fake_backend import TOKEN, ServedBackend
 from tests.fakes import LoopThread
 from tests.golden_files import assert_golden
@@ -246,7 +246,9 @@
     def setUp(self) -> None:
         self.thread = LoopThread()
         self.addCleanup(self.stop)
-        self.hop = LoopHop(loop=self.thread.loop, read_timeout_s=0.05, write_timeout_s=0.05)
+        self.bridge = EventLoopBridge(
+            loop=self.thread.loop, read_timeout_s=0.05, write_timeout_s=0.05
+        )
 
     def stop(self) -> None:
         """End the loop, where a test has not done so."""
@@ -261,12 +263,12 @@
 
     def test_slow_work(self) -> None:
         """A read that takes too long may be repeated; a change that does is of unknown outcome."""
-        self.assertIs(self.kind_of(self.hop.read), ErrorKind.DEADLINE_EXCEEDED)
-        self.assertIs(self.kind_of(self.hop.write), ErrorKind.OUTCOME_UNKNOWN)
+        self.assertIs(self.kind_of(self.bridge.read), ErrorKind.DEADLINE_EXCEEDED)
+        self.assertIs(self.kind_of(self.bridge.write), ErrorKind.OUTCOME_UNKNOWN)
 
     def test_given_up_work_is_cancelled(self) -> None:
         """Work that nobody waits for any more ends soon, so that it can't have its effect late."""
-        self.kind_of(self.hop.write)
+        self.kind_of(self.bridge.write)
 
         async def others() -> int:
             await asyncio.sleep(0)
@@ -277,7 +279,7 @@
     def test_closed_loop(self) -> None:
         """Work that was never begun is told as not done."""
         self.thread.stop()
-        self.assertIs(self.kind_of(self.hop.write), ErrorKind.STOPPING)
+        self.assertIs(self.kind_of(self.bridge.write), ErrorKind.STOPPING)
 
 
 class BodyFuzzTests(ServerCase):
