--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -35,7 +35,7 @@
     plans = [RunPlan(seed=seed, trouble_s=trouble_s, entries=entries) for seed in drawn]
     typer.echo(f"{len(plans)} runs, {jobs} at a time; logs in {root}")
     verdicts = asyncio.run(_play_all(plans, root, jobs))
-    broken = [one for one in verdicts if one.breaches]
+    broken = [one for one in verdicts if one.violations]
     settled = sorted(one.settled_s for one in verdicts)
     typer.echo(
         f"{len(verdicts)} runs, {sum(one.accepted for one in verdicts)} jobs, "
@@ -60,14 +60,14 @@
 
 
 def _tell(verdict: Verdict) -> None:
-    state = "BROKEN" if verdict.breaches else "kept"
+    state = "BROKEN" if verdict.violations else "kept"
     typer.echo(
         f"seed {verdict.seed}: {state}, {verdict.accepted} jobs, {verdict.starts} starts, "
         f"settled in {verdict.settled_s} s"
     )
-    for line in verdict.breaches:
+    for line in verdict.violations:
         typer.echo(f"  {line}")
-    if verdict.breaches:
+    if verdict.violations:
         for line in verdict.timeline:
             typer.echo(f"    {line}")
 
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -68,7 +68,7 @@
         fleet: The workers, which are told what each job's tasks are.
         rng: Draws.
         crash_rng: Draws the jobs that crash workers.
-        journal: Where breaches go, and what is under way.
+        journal: Where violations go, and what is under way.
     """
 
     def __init__(
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -74,7 +74,7 @@
         self.workers = _Workers(fleet=self, rng=rng)
         self.orders = OrdersView(fleet=self.workers)
         self.machines: dict[str, MachineRow] = {}
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
         self.waves: dict[int, tuple[frozenset[str], int]] = {}
         """The machines and the limit of each wave."""
         self.had_upkeep: dict[int, set[str]] = {}
@@ -148,7 +148,7 @@
         """Carry out a move or an upkeep; whether the machine took it."""
         row = order.machine
         if order.token < self._highest_token.get(row.name, 0):
-            self.breaches.append(f"{row.name}: order with token {order.token} after a higher one")
+            self.violations.append(f"{row.name}: order with token {order.token} after a higher one")
         self._highest_token[row.name] = max(order.token, self._highest_token.get(row.name, 0))
         if order.wave and not self._begin_upkeep(row.name, order.wave):
             return False
@@ -166,7 +166,7 @@
             return False
         down = self._in_upkeep.setdefault(wave, set())
         if len(down) >= most_at_once:
-            self.breaches.append(f"wave {wave}: {name} goes down while {len(down)} are down")
+            self.violations.append(f"wave {wave}: {name} goes down while {len(down)} are down")
         down.add(name)
         self.had_upkeep.setdefault(wave, set()).add(name)
         return True
--- a/soak/_journal.py
+++ b/soak/_journal.py
@@ -33,13 +33,13 @@
 
 
 class Journal:
-    """Collects troubles and breaches of one run."""
+    """Collects troubles and violations of one run."""
 
     def __init__(self) -> None:
         self._lags: deque[float] = deque(maxlen=LAGS_KEPT)
         self.began_s = time.monotonic()
         self.troubles: list[Trouble] = []
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
 
     async def watch_lag(self) -> None:
         """Measure how late the soak's own loop is, until cancelled."""
@@ -67,7 +67,7 @@
 
     def breach(self, text: str) -> None:
         """Note a broken promise."""
-        self.breaches.append(f"{time.monotonic() - self.began_s:.2f} s: {text}")
+        self.violations.append(f"{time.monotonic() - self.began_s:.2f} s: {text}")
 
     def is_calm(self, whom: str, *, since_s: float, but: str = "stop") -> bool:
         """Whether nothing but one kind of planned work has touched an instance of late.
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -47,7 +47,7 @@
 
     Args:
         seed: Its seed.
-        breaches: Broken promises.
+        violations: Broken promises.
         timeline: Its troubles.
         accepted: Jobs that were accepted.
         starts: Runs of tasks that workers began.
@@ -55,7 +55,7 @@
     """
 
     seed: int
-    breaches: tuple[str, ...]
+    violations: tuple[str, ...]
     timeline: tuple[str, ...]
     accepted: int
     starts: int
@@ -105,10 +105,10 @@
     await _judge_end(world)
     return Verdict(
         seed=plan.seed,
-        breaches=(
-            *world.journal.breaches,
-            *world.fleet.workers.breaches,
-            *world.fleet.breaches,
+        violations=(
+            *world.journal.violations,
+            *world.fleet.workers.violations,
+            *world.fleet.violations,
         ),
         timeline=tuple(world.journal.timeline()),
         accepted=sum(1 for job in world.callers.jobs.values() if job.accepted_s),
--- a/src/shallotworks/demo/_report.py
+++ b/src/shallotworks/demo/_report.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from shallotworks.plans import Measures
-from shallotworks.standins import Breaches, Ledger, WorkerStandIn, find_breaches
+from shallotworks.standins import Ledger, Violations, WorkerStandIn, count_violations
 
 __all__ = ["Report", "make_report", "print_report"]
 
@@ -25,7 +25,7 @@
         sent: Requests sent, repeats under the same key included.
         answered: Whole answers to the caller's own request.
         refused: Refusals as not run.
-        breaches: Broken promises, counted at the workers.
+        violations: Broken promises, counted at the workers.
         late_work: Requests that a drained worker began after it was drained.
         measures: The plan's three measures.
         took_s: How long the plan took.
@@ -36,7 +36,7 @@
     sent: int
     answered: int
     refused: int
-    breaches: Breaches
+    violations: Violations
     late_work: int
     measures: Measures
     took_s: float
@@ -46,7 +46,7 @@
     @property
     def promises_kept(self) -> bool:
         """Whether nothing was lost, doubled, cut off or given to the wrong caller."""
-        broken = sum(astuple(self.breaches)) + self.late_work
+        broken = sum(astuple(self.violations)) + self.late_work
         return broken == 0 and self.answered > 0
 
 
@@ -59,13 +59,13 @@
     took_s: float,
 ) -> Report:
     """Compare what callers have seen with what workers have run."""
-    breaches = find_breaches(ledger, workers)
+    violations = count_violations(ledger, workers)
     quantiles = statistics.quantiles(ledger.latencies_s or [0.0, 0.0], n=100)
     return Report(
         sent=sum(ledger.sent.values()),
         answered=sum(ledger.answered.values()),
         refused=sum(ledger.refused.values()),
-        breaches=breaches,
+        violations=violations,
         late_work=late_work,
         measures=measures,
         took_s=took_s,
@@ -83,12 +83,12 @@
         ("requests sent", f"{report.sent}"),
         ("answered whole, each to its own caller", f"{report.answered}"),
         ("refused, and not run", f"{report.refused}"),
-        ("lost (must be 0)", f"{report.breaches.lost}"),
-        ("doubled (must be 0)", f"{report.breaches.doubled}"),
-        ("cut off (must be 0)", f"{report.breaches.cut_off}"),
-        ("told as not run, and run (must be 0)", f"{report.breaches.untrue}"),
-        ("outcome unknown (must be 0 here)", f"{report.breaches.unknown}"),
-        ("given to the wrong caller (must be 0)", f"{report.breaches.foreign}"),
+        ("lost (must be 0)", f"{report.violations.lost}"),
+        ("doubled (must be 0)", f"{report.violations.doubled}"),
+        ("cut off (must be 0)", f"{report.violations.cut_off}"),
+        ("told as not run, and run (must be 0)", f"{report.violations.untrue}"),
+        ("outcome unknown (must be 0 here)", f"{report.violations.unknown}"),
+        ("given to the wrong caller (must be 0)", f"{report.violations.foreign}"),
         ("begun at a worker after it was drained (must be 0)", f"{report.late_work}"),
         ("interactive answers, median", f"{report.interactive_p50_s * MS_PER_S:.0f} ms"),
         ("interactive answers, p99", f"{report.interactive_p99_s * MS_PER_S:.0f} ms"),
--- a/src/shallotworks/standins/__init__.py
+++ b/src/shallotworks/standins/__init__.py
@@ -7,7 +7,6 @@
 the command line and the demo start it.
 """
 
-from ._breaches import Breaches, find_breaches
 from ._callers import Callers, Ledger
 from ._crashing_workers import CrashingWorkers
 from ._description import TEAM, describe_fleet, free_ports
@@ -19,6 +18,7 @@
 from ._record_store import RecordFaults, RecordStore, StoreView
 from ._store_http import StoreServer
 from ._task_workers import TaskWorker, TaskWorkers
+from ._violations import Violations, count_violations
 from ._worker import WorkerStandIn, serve_worker
 from ._worker_control import WorkerCounts, WorkerStatus
 from ._worker_faults import WorkerFault, WorkerFaults
@@ -27,7 +27,7 @@
 from ._worker_tasks import Task, TaskOrder, TaskState, TaskTable
 
 __all__ = [
-    "Breaches",
+    "Violations",
     "Callers",
     "CrashingWorkers",
     "Ledger",
@@ -59,7 +59,7 @@
     "WorkerStandIn",
     "WorkerStatus",
     "describe_fleet",
-    "find_breaches",
+    "count_violations",
     "free_ports",
     "serve_platform",
     "serve_worker",
--- a/src/shallotworks/standins/_crashing_workers.py
+++ b/src/shallotworks/standins/_crashing_workers.py
@@ -38,7 +38,7 @@
         if name not in self.crashing:
             return
         if self.starts_of[name] > MOST_STARTS:
-            self.breaches.append(f"{name} starts after {self.crashes[name]} workers have crashed")
+            self.violations.append(f"{name} starts after {self.crashes[name]} workers have crashed")
         asyncio.get_running_loop().call_later(CRASH_AFTER_S, self._crash_under, worker, name)
 
     def _crash_under(self, worker: TaskWorker, name: TaskName) -> None:
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -242,7 +242,7 @@
         self.unlisted: set[str] = set()
         self.changes = 0
         """Raised by tests that change a worker's view."""
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
         self.started = 0
         self.work_s: dict[str, float] = {}
         self.needs: dict[str | TaskName, int] = {}
@@ -317,21 +317,21 @@
             if other.is_alive:
                 other.pass_time()
             if other.is_alive and name in other.names():
-                self.breaches.append(f"{now_s:.3f} {name} runs twice at once")
+                self.violations.append(f"{now_s:.3f} {name} runs twice at once")
         if name in self.noted:
-            self.breaches.append(f"{now_s:.3f} {name} starts after its end was acknowledged")
+            self.violations.append(f"{now_s:.3f} {name} starts after its end was acknowledged")
         if any(earlier not in self.done for earlier in self.after.get(name, ())):
-            self.breaches.append(f"{now_s:.3f} {name} starts before its turn")
+            self.violations.append(f"{now_s:.3f} {name} starts before its turn")
         if self.most_attempts and self._failures_noted[name] >= self.most_attempts:
-            self.breaches.append(f"{now_s:.3f} {name} starts after its last attempt has failed")
+            self.violations.append(f"{now_s:.3f} {name} starts after its last attempt has failed")
         if now_s > self.cancelled.get(name.job_id, now_s) + 3.0:
-            self.breaches.append(f"{now_s:.3f} {name} starts after its job was cancelled")
+            self.violations.append(f"{now_s:.3f} {name} starts after its job was cancelled")
 
     def overfilled(self, worker: TaskWorker, name: TaskName) -> None:
         """Take note of a start that brings an unguarded worker over its capacity."""
         now_s = asyncio.get_running_loop().time()
         size = worker.view.cpu_millicores
-        self.breaches.append(f"{now_s:.3f} {name} brings a worker over its {size} millicores")
+        self.violations.append(f"{now_s:.3f} {name} brings a worker over its {size} millicores")
 
     def stops(self, worker: TaskWorker, name: TaskName) -> None:
         """Judge a stop of what runs; for judges that know more of the task."""
--- a/src/shallotworks/standins/_breaches.py
+++ b/src/shallotworks/standins/_violations.py
@@ -9,11 +9,11 @@
 from ._callers import Ledger
 from ._worker import WorkerStandIn
 
-__all__ = ["Breaches", "find_breaches"]
+__all__ = ["Violations", "count_violations"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Breaches:
+class Violations:
     """How often a promise to callers was broken.
 
     Source: the brief, "What must always hold".
@@ -35,7 +35,7 @@
     unknown: int
 
 
-def find_breaches(ledger: Ledger, workers: Sequence[WorkerStandIn]) -> Breaches:
+def count_violations(ledger: Ledger, workers: Sequence[WorkerStandIn]) -> Violations:
     """Count broken promises; to be called when no request is under way any more."""
     runs: Counter[str] = Counter()
     places: Counter[str] = Counter()
@@ -51,7 +51,7 @@
     # A worker counts what it has run twice itself; a key run at two workers shows only here. The
     # id of an idempotent request may be run at several: that is a retry.
     keys_at_two = sum(1 for key in ledger.keys if places[key] > 1)
-    return Breaches(
+    return Violations(
         lost=len(runs.keys() - ledger.answered_runs),
         doubled=doubled + keys_at_two,
         cut_off=cut_off,
--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -204,9 +204,9 @@
         item = self.store.items.get(JobKeys(service=SERVICE).progress(job_id))
         return decode_progress(item.value).state if item is not None else None
 
-    def breaches(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Return what broke a rule."""
-        found = list(self.fleet.breaches)
+        found = list(self.fleet.violations)
         for job_id, one in self.accepted.items():
             state = self.state(job_id)
             if state not in (JobState.COMPLETED, JobState.CANCELLED):
--- a/tests/history.py
+++ b/tests/history.py
@@ -75,15 +75,15 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Breach:
+class Violation:
     """One broken rule."""
 
     rule: Rule
     told: str
 
 
-def find_breaches(operations: Sequence[Operation], runs: Sequence[WorkerRun]) -> list[Breach]:
-    """Return every breach in a history; to be called when nothing is under way any more.
+def find_violations(operations: Sequence[Operation], runs: Sequence[WorkerRun]) -> list[Violation]:
+    """Return every violation in a history; to be called when nothing is under way any more.
 
     Args:
         operations: What the callers did and saw.
@@ -95,13 +95,13 @@
     ids_of_key: dict[str, set[str]] = defaultdict(set)
     for operation in operations:
         ids_of_key[operation.key].add(operation.request_id)
-    breaches = [
-        breach
+    violations = [
+        violation
         for operation in operations
-        for breach in _judge(operation, runs_of, ids_of_key[operation.key])
+        for violation in _judge(operation, runs_of, ids_of_key[operation.key])
     ]
     return [
-        *breaches,
+        *violations,
         *_doubled(runs),
         *_unheard(operations, runs),
         *_unequal(operations),
@@ -110,36 +110,36 @@
 
 def _judge(
     operation: Operation, runs_of: dict[str, list[WorkerRun]], ids_of_key: set[str]
-) -> Iterator[Breach]:
+) -> Iterator[Violation]:
     """Judge one operation by itself and the runs."""
     if operation.answer is AnswerKind.NOTHING:
-        yield Breach(rule=Rule.FINAL, told=str(operation))
+        yield Violation(rule=Rule.FINAL, told=str(operation))
     if operation.answer is AnswerKind.MALFORMED:
-        yield Breach(rule=Rule.WHOLE, told=str(operation))
+        yield Violation(rule=Rule.WHOLE, told=str(operation))
     if operation.answer is AnswerKind.WHOLE:
         # A repeat under a key receives the first run's answer, which names the first request.
         own_ids = ids_of_key if operation.key else {operation.request_id}
         own = operation.answered_id in own_ids and operation.answered_digest == operation.digest
         if not own:
-            yield Breach(rule=Rule.OWN, told=str(operation))
+            yield Violation(rule=Rule.OWN, told=str(operation))
         runs = runs_of.get(operation.answered_id, [])
         if not any(run.began_at_s <= operation.ended_at_s for run in runs):
-            yield Breach(rule=Rule.FROM_A_RUN, told=str(operation))
+            yield Violation(rule=Rule.FROM_A_RUN, told=str(operation))
     if operation.ran is Ran.NO and operation.request_id in runs_of:
-        yield Breach(rule=Rule.NOT_RUN, told=f"{operation}: {runs_of[operation.request_id]}")
+        yield Violation(rule=Rule.NOT_RUN, told=f"{operation}: {runs_of[operation.request_id]}")
 
 
-def _doubled(runs: Sequence[WorkerRun]) -> Iterator[Breach]:
+def _doubled(runs: Sequence[WorkerRun]) -> Iterator[Violation]:
     known: dict[str, list[WorkerRun]] = defaultdict(list)
     for run in runs:
         if not run.idempotent:
             known[f"key {run.key}" if run.key else f"request {run.request_id}"].append(run)
     for name, same in known.items():
         if len(same) > 1:
-            yield Breach(rule=Rule.ONCE, told=f"{name}: {same}")
+            yield Violation(rule=Rule.ONCE, told=f"{name}: {same}")
 
 
-def _unheard(operations: Sequence[Operation], runs: Sequence[WorkerRun]) -> Iterator[Breach]:
+def _unheard(operations: Sequence[Operation], runs: Sequence[WorkerRun]) -> Iterator[Violation]:
     """Find runs whose callers know nothing of them."""
     by_id = {operation.request_id: operation for operation in operations}
     # A caller that received nothing knows no request id; its key tells that it may be meant.
@@ -150,10 +150,10 @@
         operation = by_id.get(run.request_id)
         heard = run.key in keys_left_open if operation is None else operation.ran is not Ran.NO
         if not heard:
-            yield Breach(rule=Rule.HEARD, told=f"{run}: {operation}")
+            yield Violation(rule=Rule.HEARD, told=f"{run}: {operation}")
 
 
-def _unequal(operations: Sequence[Operation]) -> Iterator[Breach]:
+def _unequal(operations: Sequence[Operation]) -> Iterator[Violation]:
     answers: dict[str, set[tuple[AnswerKind, str, str]]] = defaultdict(set)
     for operation in operations:
         if operation.key and operation.answer in (AnswerKind.WHOLE, AnswerKind.TARGET_FAULT):
@@ -162,4 +162,4 @@
             )
     for key, several in answers.items():
         if len(several) > 1:
-            yield Breach(rule=Rule.SAME, told=f"key {key}: {sorted(map(str, several))}")
+            yield Violation(rule=Rule.SAME, told=f"key {key}: {sorted(map(str, several))}")
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -253,7 +253,7 @@
         """Take a worker away that its scheduler offered: no lasting task may be there."""
         now_s = asyncio.get_running_loop().time()
         for name in worker.at_work():
-            self.breaches.append(f"{now_s:.3f} {name} is at work on a worker that was offered")
+            self.violations.append(f"{now_s:.3f} {name} is at work on a worker that was offered")
             self._judge_end(name, "taken away")
         worker.crash()
 
@@ -270,7 +270,7 @@
         ]
         self._ordered_away.add(name)
         if may_miss and len(away) >= may_miss:
-            self.breaches.append(f"{now_s:.3f} {name} is {how} while {away} are away")
+            self.violations.append(f"{now_s:.3f} {name} is {how} while {away} are away")
 
 
 class LastingHistory:
@@ -289,7 +289,7 @@
         self.instances: list[LastingInstance] = []
         self._all_instances: list[LastingInstance] = []
         self.lines: list[str] = []
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
         self._last_missed_s = 0.0
         self._faults = RecordFaults()
         self._is_store_up = asyncio.Event()
@@ -732,14 +732,14 @@
         told = f"{breach} since {since}"
         if told not in self._reported:
             self._reported.add(told)
-            self.breaches.append(f"{_now_s():.3f} {told}")
+            self.violations.append(f"{_now_s():.3f} {told}")
 
     def _note(self, event: str, subject: str) -> None:
         self.lines.append(f"{_now_s():8.3f} story {subject} {event}")
 
     def judged(self) -> list[str]:
         """Return what broke a rule, with jobs whose stored state is wrong at the end."""
-        found = [*self.breaches, *self.fleet.breaches]
+        found = [*self.violations, *self.fleet.violations]
         for job_id in self._accepted:
             item = self.store.items.get(JobKeys(service=SERVICE).progress(job_id))
             state = decode_progress(item.value).state if item is not None else None
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -307,7 +307,7 @@
             busy.crash()
             await history.replace(scheduler)
             self.assertLess(await _until_it_runs(history), RUNS_AGAIN_S)
-            self.assertEqual([], history.fleet.breaches)
+            self.assertEqual([], history.fleet.violations)
             await _end(history)
 
         run_story(story())
@@ -335,7 +335,7 @@
                     await scheduler.elector.stop()
                     history.instances.remove(scheduler)
             self.assertLess(await waited, RUNS_AGAIN_S + 2.0)
-            self.assertEqual([], history.fleet.breaches)
+            self.assertEqual([], history.fleet.violations)
             await _end(history)
 
         run_story(story())
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -71,7 +71,7 @@
         self._fleet = fleet
         self._names = names
         self._may_miss = may_miss
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
 
     def at_work(self) -> set[TaskName]:
         """Return the tasks that are at work."""
@@ -89,7 +89,7 @@
         for name in sorted(names):
             away = [other for other in self._names if other not in working and other != name]
             if name in self._names and len(away) >= self._may_miss:
-                self.breaches.append(f"{now_s():.3f} {how} ends {name[3]}, {len(away)} are away")
+                self.violations.append(f"{now_s():.3f} {how} ends {name[3]}, {len(away)} are away")
             working.discard(name)
 
 
@@ -404,7 +404,7 @@
             await site.begin_term()
             await asyncio.sleep(3.0)
             await site.close()
-            return site.budget.breaches
+            return site.budget.violations
 
         for part in range(8):
             with self.subTest(successor_begins_after_s=part * 0.025):
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -69,7 +69,7 @@
             await asyncio.sleep(1.0)
             await one.submit(JOB_ID, step(2, estimated_s=0.8))
             await asyncio.sleep(GIVEN_UP_WITHIN_S)
-            self.assertEqual([], one.fleet.breaches)
+            self.assertEqual([], one.fleet.violations)
             self.assertIs(JobState.FAILED, one.state(JOB_ID))
             for instance in one.instances:
                 await instance.kill()
@@ -96,7 +96,7 @@
                 if scheduler is not None:
                     await one.replace(scheduler)
             await asyncio.sleep(GIVEN_UP_WITHIN_S)
-            self.assertEqual([], one.fleet.breaches)
+            self.assertEqual([], one.fleet.violations)
             self.assertIs(JobState.FAILED, one.state(JOB_ID))
             for instance in one.instances:
                 await instance.kill()
@@ -118,7 +118,7 @@
                 *(one.submit(other, step(3, estimated_s=0.8)) for other in others),
             )
             await asyncio.sleep(GIVEN_UP_WITHIN_S)
-            self.assertEqual([], one.fleet.breaches)
+            self.assertEqual([], one.fleet.violations)
             self.assertEqual({JobState.COMPLETED}, {one.state(other) for other in others})
             for instance in one.instances:
                 await instance.kill()
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -582,7 +582,7 @@
                 self.assertEqual(1, len(fleet.scheduler_state.workers[busy].runs))
             await asyncio.sleep(16.0)
             self.assertEqual(1 + 8 * 2, fleet.history.fleet.started)
-            self.assertEqual([], fleet.history.breaches())
+            self.assertEqual([], fleet.history.violations())
 
         run_story(RegisteredFleet().play(story))
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -11,7 +11,7 @@
 
 from shallotworks.errors import Ran
 from shallotworks.standins import WorkerFault, WorkerRun
-from tests.history import AnswerKind, Operation, Rule, find_breaches
+from tests.history import AnswerKind, Operation, Rule, find_violations
 from tests.history_run import CALLERS, WORKERS, ConcurrentRun, FaultPhase
 
 ANSWERED = Operation(
@@ -63,7 +63,7 @@
     )
     def test_good(self, _name: str, operations: list[Operation], runs: list[WorkerRun]) -> None:
         """A history that keeps every rule is passed."""
-        self.assertEqual(find_breaches(operations, runs), [])
+        self.assertEqual(find_violations(operations, runs), [])
 
     @parameterized.expand(
         [
@@ -95,7 +95,7 @@
     )
     def test_bad(self, rule: Rule, operations: list[Operation], runs: list[WorkerRun]) -> None:
         """A history that breaks a rule is found, by that rule."""
-        found = {breach.rule for breach in find_breaches(operations, runs)}
+        found = {violation.rule for violation in find_violations(operations, runs)}
         self.assertIn(rule, found)
 
 
@@ -134,8 +134,8 @@
         """Run a schedule and fail where a promise was broken or a slot is lost."""
         with run:
             run.run(schedule)
-        breaches = find_breaches(run.operations, run.runs())
-        told = [f"{breach.rule.value}: {breach.told}" for breach in breaches[:5]]
+        violations = find_violations(run.operations, run.runs())
+        told = [f"{violation.rule.value}: {violation.told}" for violation in violations[:5]]
         self.assertEqual("\n".join(told), "")
         self.assertEqual([entry.dispatcher.in_flight for entry in run.entries], [0, 0])
         self.assertEqual([entry.dispatcher.waiting for entry in run.entries], [0, 0])
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -123,7 +123,7 @@
             history.fleet.changes += 1
             await history.replace(scheduler)
             await asyncio.sleep(10.0)
-            self.assertEqual([], history.fleet.breaches)
+            self.assertEqual([], history.fleet.violations)
             for instance in history.instances:
                 await instance.kill()
 
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -75,7 +75,7 @@
             _set_silent(history, False)
             await asyncio.sleep(BACK_S)
             self.assertEqual(2, _running(history))
-            self.assertEqual([], history.fleet.breaches)
+            self.assertEqual([], history.fleet.violations)
             for instance in history.instances:
                 await instance.kill()
 
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -113,7 +113,7 @@
         async def story() -> None:
             history, fleet = history_of(seed)
             await play(history, replace_one_after_the_other(fleet))
-            self.assertEqual([], history.breaches())
+            self.assertEqual([], history.violations())
             self.assertEqual({}, {one: n for one, n in fleet.times_done.items() if n > 1})
 
         run_story(story())
@@ -131,7 +131,7 @@
             for instance in history.instances:
                 instance.orders.faults.lost_part = lost
             await play(history, take_away(history))
-            self.assertEqual([], history.breaches())
+            self.assertEqual([], history.violations())
 
         run_story(story())
 
@@ -185,7 +185,7 @@
             history.fleet.unlisted = set()
             await asyncio.sleep(3.0)
             self.assertEqual(started, history.fleet.started)
-            self.assertEqual([], history.fleet.breaches)
+            self.assertEqual([], history.fleet.violations)
             await instance.kill()
 
         run_story(story())
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -150,7 +150,7 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 history = play(seed, trouble)
-                self.assertEqual([], history.breaches())
+                self.assertEqual([], history.violations())
                 self.assertGreater(len(history.accepted), JOBS // 2)
                 self.assertGreater(history.fleet.started, JOBS)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -20,7 +20,7 @@
         plan = RunPlan(seed=SEED, jobs=25, trouble_s=8.0, settle_s=60.0)
         with tempfile.TemporaryDirectory() as folder:
             verdict = asyncio.run(play(plan, folder=pathlib.Path(folder)))
-        self.assertEqual((), verdict.breaches, verdict.timeline)
+        self.assertEqual((), verdict.violations, verdict.timeline)
         self.assertGreater(verdict.accepted, 10)
         self.assertGreater(verdict.starts, verdict.accepted)
 
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -15,7 +15,7 @@
 from shallotworks.kv import ListedInstance
 from shallotworks.operators import PlanView
 from shallotworks.plans import Drain, InPool, InRack, Intent, Maintain, Named
-from shallotworks.standins import Callers, Ledger, StoreFaults, find_breaches
+from shallotworks.standins import Callers, Ledger, StoreFaults, count_violations
 from tests.system import DATA_CENTRES, Entry, System, running_system, wait_for
 
 SEED = 11
@@ -48,13 +48,13 @@
 
     def check_promises(self, ledger: Ledger, *, unknown_allowed: bool) -> None:
         """Fail where a promise to a caller was broken."""
-        breaches = find_breaches(ledger, self.system.workers)
-        self.assertEqual(breaches.doubled, 0)
-        self.assertEqual(breaches.cut_off, 0)
-        self.assertEqual(breaches.foreign, 0)
-        self.assertEqual(breaches.untrue, 0)
+        violations = count_violations(ledger, self.system.workers)
+        self.assertEqual(violations.doubled, 0)
+        self.assertEqual(violations.cut_off, 0)
+        self.assertEqual(violations.foreign, 0)
+        self.assertEqual(violations.untrue, 0)
         # A run whose answer was lost on the way is one whose caller was told so.
-        self.assertLessEqual(breaches.lost, breaches.unknown)
+        self.assertLessEqual(violations.lost, violations.unknown)
         if not unknown_allowed:
             self.assertEqual(ledger.unknown, {})
         self.assertGreater(ledger.answered.total(), 100)
