--- a/bench/jobs.py
+++ b/bench/jobs.py
@@ -19,7 +19,7 @@
 from shallotworks.platform._configuration import decode_configuration
 from shallotworks.platform._http import HttpAnswer, HttpClient
 from shallotworks.platform._ingress import Ingress
-from shallotworks.standins import RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordStore
 
 CALLERS = 16
 JOBS = 1_600
@@ -46,7 +46,7 @@
 
 
 async def _accept_jobs() -> None:
-    store = StoreView(store=RecordStore(rng=random.Random(1)))
+    store = FaultInjectingStore(store=RecordStore(rng=random.Random(1)))
     configuration = decode_configuration(CONFIGURATION)
     ingress = Ingress(
         job_handler=JobRequestHandler(
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -12,9 +12,9 @@
 from shallotworks.scheduling import WorkerView
 from shallotworks.standins import (
     CrashingWorkers,
+    FaultInjectingOrders,
     MachineOrder,
     MachineRow,
-    OrdersView,
     RecordStore,
     TaskWorker,
     WorkerServer,
@@ -72,7 +72,7 @@
 
     def __init__(self, *, store: RecordStore, rng: random.Random, host: str) -> None:
         self.workers = _Workers(fleet=self, rng=rng)
-        self.orders = OrdersView(fleet=self.workers)
+        self.orders = FaultInjectingOrders(fleet=self.workers)
         self.machines: dict[str, MachineRow] = {}
         self.violations: list[str] = []
         self.waves: dict[int, tuple[frozenset[str], int]] = {}
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 
 from shallotworks.standins import (
+    FaultInjectingStore,
     MachinesServer,
     RecordStore,
     StoreServer,
-    StoreView,
 )
 from soak._callers import HOST, MOST_ATTEMPTS, QUEUES, Callers
 from soak._fleet import Fleet
@@ -40,7 +40,7 @@
 
     process: EntryProcess
     callers: Proxy
-    store: StoreView
+    store: FaultInjectingStore
     store_server: StoreServer
     store_link: Proxy
     machines_link: Proxy
@@ -153,7 +153,7 @@
     async def _make_entry(self, number: int, machines_address: str) -> Entry:
         ip = f"127.77.{self._slot}.{10 + number}"
         process = EntryProcess(name=f"entry-{number}", ip=ip, folder=self._folder)
-        view = StoreView(store=self.store)
+        view = FaultInjectingStore(store=self.store)
         server = StoreServer(view=view, host=self.host)
         await server.listener.start()
         entry = Entry(
--- a/src/shallotworks/standins/__init__.py
+++ b/src/shallotworks/standins/__init__.py
@@ -10,12 +10,12 @@
 from ._callers import Callers, Ledger
 from ._crashing_workers import CrashingWorkers
 from ._description import TEAM, describe_fleet, free_ports
+from ._fault_injecting_orders import FaultInjectingOrders, OrderFaults
 from ._machines_http import MachineOrder, MachineRow, MachinesServer
 from ._memory_instances import MemoryInstanceList
 from ._memory_store import MemoryStore, StoreFaults
-from ._orders_view import OrderFaults, OrdersView
 from ._platform import PlatformStandIn, serve_platform
-from ._record_store import RecordFaults, RecordStore, StoreView
+from ._record_store import FaultInjectingStore, RecordFaults, RecordStore
 from ._store_http import StoreServer
 from ._task_workers import TaskWorker, TaskWorkers
 from ._violations import Violations, count_violations
@@ -37,13 +37,13 @@
     "MemoryInstanceList",
     "MemoryStore",
     "OrderFaults",
-    "OrdersView",
+    "FaultInjectingOrders",
     "PlatformStandIn",
     "RecordFaults",
     "RecordStore",
     "StoreFaults",
     "StoreServer",
-    "StoreView",
+    "FaultInjectingStore",
     "TEAM",
     "Task",
     "TaskOrder",
--- a/src/shallotworks/standins/_orders_view.py
+++ b/src/shallotworks/standins/_fault_injecting_orders.py
@@ -16,7 +16,7 @@
 
 from ._task_workers import TaskWorker, TaskWorkers
 
-__all__ = ["OrderFaults", "OrdersView"]
+__all__ = ["OrderFaults", "FaultInjectingOrders"]
 
 CALL_S = 0.002
 TIMEOUT_S = 0.7
@@ -39,7 +39,7 @@
     cut: set[str] = field(default_factory=set)
 
 
-class OrdersView:
+class FaultInjectingOrders:
     """The workers as one instance reaches them; implements `WorkerOrders`.
 
     Args:
--- a/src/shallotworks/standins/_record_store.py
+++ b/src/shallotworks/standins/_record_store.py
@@ -23,7 +23,7 @@
     Write,
 )
 
-__all__ = ["RecordFaults", "RecordStore", "StoreView"]
+__all__ = ["RecordFaults", "RecordStore", "FaultInjectingStore"]
 
 PAGE_ITEMS = 500
 CALL_S = 0.004
@@ -59,7 +59,7 @@
 
 
 class RecordStore:
-    """The store itself, on the loop's clock; callers use a `StoreView` each.
+    """The store itself, on the loop's clock; callers use a `FaultInjectingStore` each.
 
     Args:
         rng: Draws which answers are lost.
@@ -232,7 +232,7 @@
         self._news = asyncio.Event()
 
 
-class StoreView:
+class FaultInjectingStore:
     """The store as one instance meets it; implements `Store`.
 
     Args:
--- a/src/shallotworks/standins/_store_http.py
+++ b/src/shallotworks/standins/_store_http.py
@@ -14,7 +14,7 @@
 from shallotworks.store import Commit, Condition, Conflicted, Deletion, Item, Write
 
 from ._http_listener import HttpListener, answer_json, drop_connection
-from ._record_store import StoreView
+from ._record_store import FaultInjectingStore
 
 __all__ = ["StoreServer"]
 
@@ -30,7 +30,7 @@
         host: Address to listen on; the port is any free one.
     """
 
-    def __init__(self, *, view: StoreView, host: str = "127.0.0.1") -> None:
+    def __init__(self, *, view: FaultInjectingStore, host: str = "127.0.0.1") -> None:
         self.view = view
         self.store = view.store
         self.status = 0
--- a/src/shallotworks/standins/_worker_http.py
+++ b/src/shallotworks/standins/_worker_http.py
@@ -18,8 +18,8 @@
     WorkerView,
 )
 
+from ._fault_injecting_orders import FaultInjectingOrders
 from ._http_listener import HttpListener, answer_json, drop_connection
-from ._orders_view import OrdersView
 
 __all__ = ["WorkerServer"]
 
@@ -42,7 +42,9 @@
         host: Address to listen on; the port is any free one.
     """
 
-    def __init__(self, *, orders: OrdersView, view: WorkerView, host: str = "127.0.0.1") -> None:
+    def __init__(
+        self, *, orders: FaultInjectingOrders, view: WorkerView, host: str = "127.0.0.1"
+    ) -> None:
         self._orders = orders
         self._view = view
         self.listener = HttpListener(handle=self._handle, host=host)
--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -27,7 +27,13 @@
     ServiceScheduler,
     WorkerDirectory,
 )
-from shallotworks.standins import OrderFaults, OrdersView, RecordStore, StoreView, TaskWorkers
+from shallotworks.standins import (
+    FaultInjectingOrders,
+    FaultInjectingStore,
+    OrderFaults,
+    RecordStore,
+    TaskWorkers,
+)
 from shallotworks.store import Holder, HolderTimes
 from tests.scheduling_fakes import policy, quiet_log, step, view
 
@@ -48,8 +54,8 @@
 
     def __init__(self, *, name: str, store: RecordStore, fleet: TaskWorkers) -> None:
         self.name = name
-        self.view = StoreView(store=store)
-        self.orders = OrdersView(fleet=fleet, faults=OrderFaults())
+        self.view = FaultInjectingStore(store=store)
+        self.orders = FaultInjectingOrders(fleet=fleet, faults=OrderFaults())
         self.service_schedulers: list[ServiceScheduler] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._fleet = fleet
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -23,7 +23,12 @@
 )
 from shallotworks.scheduling._scheduler_state import StoredProgress
 from shallotworks.scheduling._worker_tracker import WorkerTracker
-from shallotworks.standins import OrdersView, RecordStore, StoreView, TaskWorkers
+from shallotworks.standins import (
+    FaultInjectingOrders,
+    FaultInjectingStore,
+    RecordStore,
+    TaskWorkers,
+)
 from shallotworks.store import HolderTimes
 from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
@@ -110,7 +115,7 @@
 
         async def story() -> None:
             store = RecordStore(rng=random.Random(1))
-            late = StoreView(store=store)
+            late = FaultInjectingStore(store=store)
             holder = await acquire(late, times=LONG)
             record = ActiveWorkersRecord(
                 service=SERVICE, holder=holder, store=late, log=quiet_log()
@@ -133,7 +138,7 @@
 
         async def story() -> None:
             store = RecordStore(rng=random.Random(1))
-            caller = StoreView(store=store)
+            caller = FaultInjectingStore(store=store)
             holder = await acquire(caller, times=LONG)
             record = ActiveWorkersRecord(
                 service=SERVICE, holder=holder, store=caller, log=quiet_log()
@@ -181,9 +186,12 @@
         async def story() -> None:
             loop = asyncio.get_running_loop()
             store = RecordStore(rng=random.Random(1))
-            holder = await acquire(StoreView(store=store), times=LONG)
+            holder = await acquire(FaultInjectingStore(store=store), times=LONG)
             record = ActiveWorkersRecord(
-                service=SERVICE, holder=holder, store=StoreView(store=store), log=quiet_log()
+                service=SERVICE,
+                holder=holder,
+                store=FaultInjectingStore(store=store),
+                log=quiet_log(),
             )
             bench = Bench(view("ended"), view("idle"))
             workers = WorkerTracker(
@@ -267,11 +275,11 @@
                 since_s=loop.time(),
             )
             worker.start(StartOrder(run=run, spec="x"), 8, worker.clock_ms + 3000)
-            holder = await acquire(StoreView(store=RecordStore(rng=random.Random(1))))
+            holder = await acquire(FaultInjectingStore(store=RecordStore(rng=random.Random(1))))
             order_dispatcher = OrderDispatcher(
                 scheduler_state=scheduler_state,
                 holder=holder,
-                orders=OrdersView(fleet=fleet),
+                orders=FaultInjectingOrders(fleet=fleet),
                 clock=loop.time,
                 wall_clock=loop.time,
                 times=OrderTimes(),
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -36,7 +36,13 @@
     pool_demand_key,
 )
 from shallotworks.scheduling._machine_records import MachineControllerRecord, machine_controller_key
-from shallotworks.standins import OrderFaults, OrdersView, RecordStore, StoreView, TaskWorkers
+from shallotworks.standins import (
+    FaultInjectingOrders,
+    FaultInjectingStore,
+    OrderFaults,
+    RecordStore,
+    TaskWorkers,
+)
 from shallotworks.store import Holder, Mirror
 from tests.fleet_history import AllAllowed
 from tests.held_keys import acquire
@@ -113,8 +119,8 @@
         *,
         service_scheduler: ServiceScheduler,
         holder: Holder,
-        store: StoreView,
-        orders: OrdersView,
+        store: FaultInjectingStore,
+        orders: FaultInjectingOrders,
     ) -> None:
         self.service_scheduler = service_scheduler
         self.holder = holder
@@ -233,7 +239,7 @@
 
     async def begin_keeper(self) -> None:
         """Begin a term of the keeper, and let its wait before the first order pass."""
-        store = StoreView(store=self.store)
+        store = FaultInjectingStore(store=self.store)
         holder = await acquire(store, key="keeper", mark="keeper-mark")
         dependencies = MachineControllerDependencies(
             machines=self,
@@ -258,8 +264,8 @@
         Args:
             cut: Workers that it can't reach.
         """
-        store = StoreView(store=self.store)
-        orders = OrdersView(fleet=self.fleet, faults=OrderFaults(cut=cut or set()))
+        store = FaultInjectingStore(store=self.store)
+        orders = FaultInjectingOrders(fleet=self.fleet, faults=OrderFaults(cut=cut or set()))
         mark = JobKeys(service=SERVICE).holder_mark
         holder = await acquire(store, key=f"shallotworks/duty/scheduler/{SERVICE}", mark=mark)
         machine_records = MachineRecords(log=quiet_log())
@@ -306,7 +312,7 @@
     async def submit(self) -> None:
         """Hand the lasting job in."""
         job_handler = JobRequestHandler(
-            store=StoreView(store=self.store),
+            store=FaultInjectingStore(store=self.store),
             metrics=Metrics(),
             log=quiet_log(),
             wall_clock=now_s,
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -21,7 +21,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.scheduling import EndKind, LeaderElector, RunningTask, StopOrder
 from shallotworks.scheduling._progress_writer import ProgressWriter
-from shallotworks.standins import RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Commit, Holder, HolderTimes, Write
 from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
@@ -65,7 +65,7 @@
             largest = 0
             bench = Bench(view("a", cpu_millicores=90_000, memory_mb=90_000))
 
-            class Counting(StoreView):
+            class Counting(FaultInjectingStore):
                 async def commit(self, commit: Commit) -> object:  # type: ignore[override]
                     nonlocal largest
                     entries = (*commit.conditions, *commit.writes, *commit.deletes)
@@ -73,7 +73,7 @@
                     outcome = self.store.carry_out(commit)
                     return Success(outcome)
 
-            holder = await acquire(StoreView(store=store))
+            holder = await acquire(FaultInjectingStore(store=store))
             for number in range(30):
                 name = f"{number:04}"
                 one = job(name, step(1))
@@ -109,7 +109,7 @@
 
         async def story() -> None:
             loop = asyncio.get_running_loop()
-            store = StoreView(store=RecordStore(rng=random.Random(1)))
+            store = FaultInjectingStore(store=RecordStore(rng=random.Random(1)))
             bench = Bench(view("a", cpu_millicores=90_000, memory_mb=90_000))
             holder = await acquire(store)
             for number in range(60):
@@ -235,7 +235,7 @@
 
             electors = [
                 LeaderElector(
-                    store=StoreView(store=store),
+                    store=FaultInjectingStore(store=store),
                     root="duty/",
                     mark=lambda duty: f"mark/{duty}",
                     instance=f"n{number}",
@@ -271,7 +271,7 @@
 
         def elector(name: str, strength: float) -> LeaderElector:
             return LeaderElector(
-                store=StoreView(store=RecordStore(rng=random.Random(1))),
+                store=FaultInjectingStore(store=RecordStore(rng=random.Random(1))),
                 root="duty/",
                 mark=str,
                 instance=name,
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -30,7 +30,7 @@
 from shallotworks.platform._store import PlatformStore
 from shallotworks.platform._workers import WorkerRegistry, _outcome
 from shallotworks.scheduling import MachineState, OrderStatus, SchedulerState
-from shallotworks.standins import RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.standins._http_listener import HttpListener, answer_json
 from shallotworks.store import Item, Mirror
 from tests.fleet_history import SERVICE, History
@@ -543,7 +543,10 @@
             for number in range(1, 4):
                 store.put(f"a/{number}", b"")
             mirror = Mirror(
-                store=StoreView(store=store), prefix="a/", listener=listener, log=quiet_log()
+                store=FaultInjectingStore(store=store),
+                prefix="a/",
+                listener=listener,
+                log=quiet_log(),
             )
             task = asyncio.create_task(mirror.run())
             await asyncio.sleep(1)
@@ -622,7 +625,7 @@
     async def play(self, story: Callable[[RegisteredFleet], Awaitable[None]]) -> None:
         """Play a story once both workers are known."""
         mirror = Mirror(
-            store=StoreView(store=self.history.store),
+            store=FaultInjectingStore(store=self.history.store),
             prefix="servers/",
             listener=self._registry,
             log=quiet_log(),
--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -15,7 +15,7 @@
     encode_progress,
 )
 from shallotworks.metrics import Metrics
-from shallotworks.standins import RecordFaults, RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordFaults, RecordStore
 from tests.on_loop import run_story
 from tests.scheduling_fakes import job, policy, quiet_log, step
 
@@ -29,7 +29,7 @@
 
     def __init__(self, **faults: object) -> None:
         self.store = RecordStore(rng=random.Random(1))
-        self.view = StoreView(store=self.store, faults=RecordFaults(**faults))  # type: ignore[arg-type]
+        self.view = FaultInjectingStore(store=self.store, faults=RecordFaults(**faults))  # type: ignore[arg-type]
         self.job_handler = JobRequestHandler(
             store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=lambda: 1.0
         )
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -18,7 +18,7 @@
     machine_controller_key,
     pool_demand_key,
 )
-from shallotworks.standins import RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Holder, Item
 from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
@@ -38,7 +38,7 @@
 """A scheduler's call in flight times out after 0.8 s, and it writes its next need 0.2 s later."""
 
 
-class _Deaf(StoreView):
+class _Deaf(FaultInjectingStore):
     """A store that carries out what one instance asks, and whose answers to it are lost."""
 
     is_deaf = False
@@ -56,10 +56,10 @@
         return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason="the answer was lost"))
 
 
-async def _recorded() -> tuple[RecordStore, StoreView, ActiveWorkersRecord]:
+async def _recorded() -> tuple[RecordStore, FaultInjectingStore, ActiveWorkersRecord]:
     """Return a store in which the record names two workers."""
     store = RecordStore(rng=random.Random(1))
-    caller = StoreView(store=store)
+    caller = FaultInjectingStore(store=store)
     holder = await acquire(caller)
     asyncio.get_running_loop().create_task(holder.keep())
     record = ActiveWorkersRecord(service=SERVICE, holder=holder, store=caller, log=quiet_log())
@@ -167,7 +167,7 @@
             await asyncio.sleep(UNANSWERED_S)
             store.expire()
             self.assertFalse(holder.may_act)
-            await acquire(StoreView(store=store))
+            await acquire(FaultInjectingStore(store=store))
             keep.cancel()
 
         run_story(story())
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -25,7 +25,7 @@
     pool_demand_key,
 )
 from shallotworks.scheduling._machine_records import MachineControllerRecord
-from shallotworks.standins import RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Holder, Mirror
 from tests.held_keys import acquire
 from tests.on_loop import run_story
@@ -143,7 +143,7 @@
 
     async def start(self, *, answer_s: float = 0.0) -> Holder:
         """Start a keeper, whose store answers this much later."""
-        view = StoreView(store=self.store)
+        view = FaultInjectingStore(store=self.store)
         clock = asyncio.get_running_loop().time
         holder = await acquire(view, key="keeper", mark="mark")
         view.faults.delay_s = answer_s
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -16,7 +16,7 @@
     SizingLimits,
     pool_demand_key,
 )
-from shallotworks.standins import RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Changes, Holder, HolderTimes
 from tests.fleet_history import SERVICE, History
 from tests.on_loop import run_story
@@ -115,7 +115,7 @@
         run_story(story())
 
 
-class _SlowWatch(StoreView):
+class _SlowWatch(FaultInjectingStore):
     """A store whose watches are answered late while a test wants that."""
 
     is_late = False
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -17,7 +17,7 @@
 from shallotworks.platform._configuration import Configuration, decode_configuration
 from shallotworks.platform._http import HttpAnswer, HttpClient
 from shallotworks.platform._ingress import Ingress
-from shallotworks.standins import RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordStore
 from tests.scheduling_fakes import quiet_log
 
 STALLED_S = 0.5
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.store = RecordStore(rng=random.Random(1))
-        self.view = StoreView(store=self.store)
+        self.view = FaultInjectingStore(store=self.store)
         self.configuration: Configuration | None = decode_configuration(CONFIGURATION)
         self.is_store_lost = False
         self.outage_s = 0.0
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -13,7 +13,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.platform._http import HttpClient, HttpLost
 from shallotworks.platform._store import PlatformStore
-from shallotworks.standins import RecordStore, StoreServer, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordStore, StoreServer
 from shallotworks.store import Commit, Committed, Condition, Conflicted, Deletion, Item, Write
 
 Story = Callable[[StoreServer, PlatformStore], Awaitable[None]]
@@ -24,7 +24,7 @@
     """Run a story with a server and a client."""
 
     async def whole() -> None:
-        server = StoreServer(view=StoreView(store=RecordStore(rng=random.Random(1))))
+        server = StoreServer(view=FaultInjectingStore(store=RecordStore(rng=random.Random(1))))
         await server.listener.start()
         client = HttpClient(address=server.listener.address)
         try:
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -14,7 +14,7 @@
 
 from shallotworks.jobs import TaskName
 from shallotworks.scheduling import EndedTask, EndKind, OrderOutcome, OrderStatus, WorkerView
-from shallotworks.standins import OrdersView, TaskWorkers
+from shallotworks.standins import FaultInjectingOrders, TaskWorkers
 from tests.fleet_history import SERVICE, History
 from tests.on_loop import run_story
 from tests.scheduling_fakes import step, view
@@ -58,7 +58,7 @@
     return history, fleet
 
 
-def count_looks(orders: OrdersView, worker_id: str, looks: list[int]) -> None:
+def count_looks(orders: FaultInjectingOrders, worker_id: str, looks: list[int]) -> None:
     """Count an instance's looks at one worker."""
     poll = orders.poll
 
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -9,7 +9,7 @@
 from shallotworks.jobs import Blame, JobProgress, LostRun, TaskName
 from shallotworks.platform._workers import WorkerRegistry
 from shallotworks.scheduling import EndKind, RunningTask, StopOrder
-from shallotworks.standins import RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Mirror
 from tests.on_loop import run_story
 from tests.scheduling_fakes import WALL_S, Bench, job, quiet_log, step, view
@@ -97,7 +97,7 @@
 
         async def story() -> None:
             store = RecordStore(rng=random.Random(1))
-            one, heard = StoreView(store=store), []
+            one, heard = FaultInjectingStore(store=store), []
             mirror = Mirror(
                 store=one,
                 prefix="servers/",
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -8,7 +8,7 @@
 from returns.result import Result, Success
 
 from shallotworks.errors import Failure
-from shallotworks.standins import RecordFaults, RecordStore, StoreView
+from shallotworks.standins import FaultInjectingStore, RecordFaults, RecordStore
 from shallotworks.store import Changes, Item, Mirror, Page
 from tests.held_keys import acquire, try_acquire
 from tests.on_loop import run_story
@@ -77,7 +77,7 @@
 
         async def story() -> None:
             store, listener, _ = _mirror()
-            view = StoreView(store=store)
+            view = FaultInjectingStore(store=store)
             mirror = Mirror(store=view, prefix="a/", listener=listener, log=quiet_log())
             following = asyncio.create_task(mirror.run())
             await asyncio.sleep(1.0)
@@ -106,7 +106,7 @@
             task = asyncio.create_task(mirror.run())
             await mirror.synced.wait()
             mirror_view = mirror._store
-            assert isinstance(mirror_view, StoreView)
+            assert isinstance(mirror_view, FaultInjectingStore)
             mirror_view.faults.is_down = True
             await asyncio.sleep(1.2)
             store.delete("a/1")
@@ -188,7 +188,7 @@
 
         async def story() -> None:
             store = RecordStore(rng=random.Random(1))
-            view = StoreView(store=store)
+            view = FaultInjectingStore(store=store)
             first = await acquire(view)
             self.assertIsNone(await try_acquire(view))
             await first.release()
@@ -207,7 +207,7 @@
 
         async def story() -> None:
             store = RecordStore(rng=random.Random(1))
-            view = StoreView(store=store)
+            view = FaultInjectingStore(store=store)
             holder = await acquire(view, key="key", mark="mark")
             keep = asyncio.create_task(holder.keep())
             await asyncio.sleep(3)
@@ -239,7 +239,7 @@
 
         async def story() -> None:
             store = RecordStore(rng=random.Random(1))
-            view = StoreView(store=store)
+            view = FaultInjectingStore(store=store)
             holder = await acquire(view, key="key", mark="mark")
             keep = asyncio.create_task(holder.keep())
             await asyncio.sleep(1)
@@ -264,7 +264,7 @@
 
         async def story() -> None:
             store = RecordStore(rng=random.Random(1))
-            holder = await acquire(StoreView(store=store), key="key", mark="mark")
+            holder = await acquire(FaultInjectingStore(store=store), key="key", mark="mark")
             keep = asyncio.create_task(holder.keep())
             store.end_lease(1)
             await asyncio.sleep(0.6)
@@ -277,7 +277,7 @@
 def _mirror() -> tuple[RecordStore, Listener, Mirror]:
     store = RecordStore(rng=random.Random(1))
     listener = Listener()
-    view = StoreView(store=store)
+    view = FaultInjectingStore(store=store)
     return store, listener, Mirror(store=view, prefix="a/", listener=listener, log=quiet_log())
 
 
