--- a/soak/_troubles.py
+++ b/soak/_troubles.py
@@ -165,7 +165,7 @@
     trouble = world.journal.begin("store-forgets", EVERYONE)
     for _ in range(world.rng.randint(1, 3)):
         if world.rng.random() < 0.5:
-            world.store.forget_history()
+            world.store.compact_history()
         else:
             world.store.revoke("shallotworks/")
         await asyncio.sleep(world.rng.uniform(0.3, 2.0))
--- a/src/shallotworks/standins/_memory_store.py
+++ b/src/shallotworks/standins/_memory_store.py
@@ -17,7 +17,7 @@
 
 MAX_VALUE_BYTES = 1_000_000
 UNDO_LIMIT = 10_000
-"""Writes that `MemoryStore.come_back_at` can take back."""
+"""Writes that `MemoryStore.roll_back_to` can take back."""
 TOMBSTONE_LIMIT = 10_000
 """Deleted keys that a watch can still tell of."""
 
@@ -114,7 +114,7 @@
         self._faults = faults
         self._wake()
 
-    def come_back_empty(self) -> None:
+    def wipe(self) -> None:
         """Lose every key and lease, as a store that was set up anew."""
         self._version = 0
         self._records.clear()
@@ -123,7 +123,7 @@
         self._leases.clear()
         self._wake()
 
-    def come_back_at(self, version: int) -> None:
+    def roll_back_to(self, version: int) -> None:
         """Take back every write after a version, as a store restored from an older copy."""
         while self._undo and self._undo[-1].version > version:
             undo = self._undo.pop()
--- a/src/shallotworks/standins/_platform.py
+++ b/src/shallotworks/standins/_platform.py
@@ -139,13 +139,13 @@
         self._call(lambda: self._store.set_faults(faults))
         self._instances.down = faults.down
 
-    def come_back_empty(self) -> None:
+    def wipe(self) -> None:
         """Lose every key and lease."""
-        self._call(self._store.come_back_empty)
+        self._call(self._store.wipe)
 
-    def come_back_at(self, version: int) -> None:
+    def roll_back_to(self, version: int) -> None:
         """Take back every write after a version."""
-        self._call(lambda: self._store.come_back_at(version))
+        self._call(lambda: self._store.roll_back_to(version))
 
     def set_instances(self, instances: tuple[ListedInstance, ...]) -> None:
         """Change the list of instances; reads show it once the lag has passed."""
--- a/src/shallotworks/standins/_platform_routes.py
+++ b/src/shallotworks/standins/_platform_routes.py
@@ -178,9 +178,9 @@
     async def _come_back(self, call: HttpCall) -> HttpAnswer:
         version = _COME_BACK.validate_json(call.body).version
         if version == 0:
-            self.store.come_back_empty()
+            self.store.wipe()
         else:
-            self.store.come_back_at(version)
+            self.store.roll_back_to(version)
         return HttpAnswer()
 
     async def _set_instances(self, call: HttpCall) -> HttpAnswer:
--- a/src/shallotworks/standins/_record_store.py
+++ b/src/shallotworks/standins/_record_store.py
@@ -90,7 +90,7 @@
         self._delete(key)
         self._tell()
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drop all history: watches from earlier revisions are told so."""
         self._kept_from = self.revision
         self._history.clear()
@@ -131,7 +131,7 @@
         items = tuple(self.items[key] for key in keys[:PAGE_ITEMS])
         return Page(items=items, has_more=len(keys) > PAGE_ITEMS, revision=self.revision)
 
-    def carry_out(self, commit: Commit) -> Committed | Conflicted | None:
+    def apply_commit(self, commit: Commit) -> Committed | Conflicted | None:
         """Carry out a commit; ``None`` where a lease of it has ended."""
         self.expire()
         self.commits += 1
@@ -282,7 +282,7 @@
             task.add_done_callback(self._late.discard)
             await asyncio.sleep(self._timeout_s)
             return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="no answer"))
-        outcome = self.store.carry_out(commit)
+        outcome = self.store.apply_commit(commit)
         if self.store.rng.random() < self.faults.lost_part:
             await asyncio.sleep(self._timeout_s)
             return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="the answer was lost"))
@@ -314,7 +314,7 @@
 
     async def _carry_out_late(self, commit: Commit) -> None:
         await asyncio.sleep(self.faults.late_s)
-        self.store.carry_out(commit)
+        self.store.apply_commit(commit)
 
     async def _pass(self, silence_s: float | None = None) -> Failure | None:
         await asyncio.sleep(CALL_S + self.faults.delay_s)
--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -113,7 +113,7 @@
         """The store loses its last writes; every process has heard of the newest revision."""
         self._on_loop(self._tell_newest)
         self._set_faults(StoreFaults())
-        self._on_loop(lambda: self.store.come_back_at(max(0, self.store.version - lost_writes)))
+        self._on_loop(lambda: self.store.roll_back_to(max(0, self.store.version - lost_writes)))
         self.store_is_older = True
 
     @invariant()
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -373,9 +373,9 @@
                 task = asyncio.create_task(always(config))
                 await asyncio.sleep(1)
                 if version:
-                    store.come_back_at(version)
+                    store.roll_back_to(version)
                 else:
-                    store.come_back_empty()
+                    store.wipe()
                 await asyncio.sleep(10)
                 refused = await config.propose(put("d"), author="kari")
                 self.assertEqual(kind_of(refused), ErrorKind.STORE_REGRESSED)
@@ -408,7 +408,7 @@
             await laggard.load()
             await put_all(author, "b")
             laggard.confirm_newest(2)
-            store.come_back_at(1)
+            store.roll_back_to(1)
             refused = await laggard.propose(put("c"), author="kari")
             self.assertEqual(kind_of(refused), ErrorKind.STORE_REGRESSED)
             self.assertEqual(store.calls["create"], 2)
@@ -426,7 +426,7 @@
             older = store.version
             await put_all(config, "d", "e", "f")
             await asyncio.sleep(1)
-            store.come_back_at(older)
+            store.roll_back_to(older)
             self.assertEqual(kind_of(await config.load()), ErrorKind.STORE_REGRESSED)
             self.assertEqual((await config.restore_store()).unwrap(), 6)
             newcomer = process(store, "e2")
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -70,7 +70,7 @@
                     nonlocal largest
                     entries = (*commit.conditions, *commit.writes, *commit.deletes)
                     largest = max(largest, len(entries))
-                    outcome = self.store.carry_out(commit)
+                    outcome = self.store.apply_commit(commit)
                     return Success(outcome)
 
             holder = await acquire(FaultInjectingStore(store=store))
@@ -80,7 +80,7 @@
                 bench.learn(one)
                 bench.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
                 record = Write(key=KEYS.progress(name), value=b"")
-                store.carry_out(Commit(writes=(record,)))
+                store.apply_commit(Commit(writes=(record,)))
                 bench.scheduler_state.entries[name].revision = store.revision
             writer = ProgressWriter(
                 scheduler_state=bench.scheduler_state,
@@ -116,7 +116,9 @@
                 name = f"{number:04}"
                 bench.learn(job(name, step(2)))
                 bench.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
-                store.store.carry_out(Commit(writes=(Write(key=KEYS.progress(name), value=b""),)))
+                store.store.apply_commit(
+                    Commit(writes=(Write(key=KEYS.progress(name), value=b""),))
+                )
                 bench.scheduler_state.entries[name].revision = store.store.revision
             store.faults.delay_s = 0.05
             writer = ProgressWriter(
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -286,7 +286,7 @@
             before = site.store.version
             lost = await claim_while_store_goes_down(site, first)
             self.assertIs(kind_of(lost), ErrorKind.STORE_UNAVAILABLE)
-            site.store.come_back_at(before)
+            site.store.roll_back_to(before)
             self.assertTrue(is_claim_to_run(await second.claim(order())))
             await first.reconcile()
             self.assertIs(kind_of(await third.claim(order())), ErrorKind.IN_PROGRESS)
@@ -383,7 +383,7 @@
             site = Site()
             guard = site.process("e1")
             await guard.complete_claim((await guard.claim(order())).unwrap(), ORDERED)
-            site.store.come_back_empty()
+            site.store.wipe()
             self.assertIs(kind_of(await guard.claim(order())), ErrorKind.STORE_REGRESSED)
             await asyncio.sleep(DAY_S + 1)
             self.assertTrue(is_claim_to_run(await guard.claim(order())))
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -74,7 +74,7 @@
             server.store.delete("a/1")
             changes = (await store.watch("a/", after_revision=revision, wait_s=0.1)).unwrap()
             self.assertEqual([Item, Deletion], [type(event) for event in changes.events])
-            server.store.forget_history()
+            server.store.compact_history()
             lost = (await store.watch("a/", after_revision=revision, wait_s=0.1)).unwrap()
             self.assertTrue(lost.is_history_lost)
 
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -98,7 +98,7 @@
 async def history_forgotten(history: History) -> None:
     for _ in range(4):
         await asyncio.sleep(history.rng.uniform(0.5, 2))
-        history.store.forget_history()
+        history.store.compact_history()
 
 
 async def workers_crash_and_are_cut(history: History) -> None:
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -111,7 +111,7 @@
             await asyncio.sleep(1.2)
             store.delete("a/1")
             store.put("a/2", b"y")
-            store.forget_history()
+            store.compact_history()
             mirror_view.faults.is_down = False
             await asyncio.sleep(2)
             self.assertEqual({"a/2": b"y"}, listener.values)
