--- a/bench/crash_loops.py
+++ b/bench/crash_loops.py
@@ -61,7 +61,7 @@
     async def _hand_in(self, number: int) -> None:
         await asyncio.sleep(self.history.rng.uniform(0, TURN_S))
         job_id, fleet = _job_id(number), self.history.fleet
-        fleet.needs[job_id] = TASK_MILLICORES
+        fleet.cpu_millicores[job_id] = TASK_MILLICORES
         if job_id in self.culprits:
             fleet.crashing.add(TaskName(job_id, 0, 0, 0))
         self.handed_in_s[job_id] = asyncio.get_running_loop().time()
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -45,7 +45,7 @@
         self.ended: deque[EndedTask] = deque()
         self.count = 0
 
-    def pass_time(self, now_s: float) -> None:
+    def end_due_runs(self, now_s: float) -> None:
         """End the runs that are done."""
         while self.ends and self.ends[0][0] <= now_s:
             _, _, order = heapq.heappop(self.ends)
@@ -109,13 +109,13 @@
         one = self.workers[worker.worker_id]
         while one.ended and one.ended[0].number <= acknowledged:
             one.ended.popleft()
-        one.pass_time(time.monotonic())
+        one.end_due_runs(time.monotonic())
         if not one.ended and wait_s > 0:
             next_s = one.ends[0][0] - time.monotonic() if one.ends else wait_s
             await asyncio.sleep(max(0.0, min(wait_s, next_s)))
         await asyncio.sleep(ANSWER_S)
         now_s = time.monotonic()
-        one.pass_time(now_s)
+        one.end_due_runs(now_s)
         rows = tuple(
             RunningTask(
                 name=order.run.name,
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -237,6 +237,6 @@
             fleet.crashing.add(job.tasks[0])
         first = tuple(TaskName(job.job_id, 0, 0, index) for index in range(counts[0]))
         for task in job.tasks:
-            fleet.needs[task] = CPU_MILLICORES[task.step]
+            fleet.cpu_millicores[task] = CPU_MILLICORES[task.step]
             if task.step == 1:
                 fleet.after[task] = first
--- a/src/shallotworks/standins/_crashing_workers.py
+++ b/src/shallotworks/standins/_crashing_workers.py
@@ -31,9 +31,9 @@
         """Workers that each task in ``crashing`` has crashed."""
         self.starts_of: Counter[TaskName] = Counter()
 
-    def starts(self, worker: TaskWorker, name: TaskName) -> None:
+    def check_start(self, worker: TaskWorker, name: TaskName) -> None:
         """Judge a start; crash the worker shortly after it where the task is one that does."""
-        super().starts(worker, name)
+        super().check_start(worker, name)
         self.starts_of[name] += 1
         if name not in self.crashing:
             return
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -92,7 +92,7 @@
         """Return the tasks that run."""
         return {name for name, _ in self._runs}
 
-    def at_work(self) -> set[TaskName]:
+    def serving_tasks(self) -> set[TaskName]:
         """Return the lasting tasks that serve and are not being stopped."""
         now_s = self._now_s()
         staying = (run for run in self._runs.values() if run.is_lasting and isinf(run.stop_s))
@@ -113,7 +113,7 @@
             self._end(run, EndKind.FAILED)
         self._tell()
 
-    def pass_time(self) -> None:
+    def end_due_runs(self) -> None:
         """End runs whose time has come."""
         now_s = self._now_s()
         for run in list(self._runs.values()):
@@ -146,13 +146,13 @@
 
     def poll(self, token: int, acknowledged: int, lease_until_ms: int | None) -> OrderOutcome:
         """Carry out a look."""
-        self.pass_time()
+        self.end_due_runs()
         if token < self._token:
             return OrderOutcome(status=OrderStatus.FENCED, clock_ms=self.clock_ms)
         self._token = token
         for end in self._ended:
             if end.number <= acknowledged:
-                self._fleet.acknowledged(end)
+                self._fleet.note_acknowledged(end)
         self._ended = [end for end in self._ended if end.number > acknowledged]
         if lease_until_ms is not None:
             self._extend(lease_until_ms)
@@ -171,7 +171,7 @@
         self, order: StartOrder, token: int, lease_until_ms: int, *, is_late: bool = False
     ) -> OrderOutcome:
         """Carry out a start; one that was held up is not judged by the capacity."""
-        self.pass_time()
+        self.end_due_runs()
         run = order.run
         if token < self._token:
             return self._refuse(OrderStatus.FENCED)
@@ -183,20 +183,20 @@
         self._extend(lease_until_ms)
         if run.run_id <= self._highest.get(run.name, 0):
             return self._refuse(OrderStatus.STALE_RUN)
-        used = sum(self._fleet.need(name) for name, _ in self._runs)
-        if self._is_over_capacity(used + self._fleet.need(run.name)):
+        used = sum(self._fleet.cpu_millicores_of(name) for name, _ in self._runs)
+        if self._is_over_capacity(used + self._fleet.cpu_millicores_of(run.name)):
             if self.is_guarded:
                 return self._refuse(OrderStatus.NO_ROOM)
             if not is_late:
-                self._fleet.overfilled(self, run.name)
-        self._fleet.starts(self, run.name)
+                self._fleet.note_overfilled(self, run.name)
+        self._fleet.check_start(self, run.name)
         self._runs[(run.name, run.run_id)] = self._fleet.make_run(run.name, run.run_id)
         self._tell()
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms)
 
     def stop(self, order: StopOrder, token: int) -> OrderOutcome:
         """Carry out a stop."""
-        self.pass_time()
+        self.end_due_runs()
         if token < self._token:
             return self._refuse(OrderStatus.FENCED)
         self._token = token
@@ -204,7 +204,7 @@
         self._highest[name] = max(run_id, self._highest.get(name, 0))
         run = self._runs.get((name, run_id))
         if run is not None:
-            self._fleet.stops(self, name)
+            self._fleet.check_stop(self, name)
             run.stop_s = min(run.stop_s, self._now_s() + STOP_S)
             self._tell()
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms)
@@ -220,7 +220,7 @@
         self._count += 1
         end = EndedTask(number=self._count, name=run.name, run_id=run.run_id, kind=kind)
         self._ended.append(end)
-        self._fleet.ended(end)
+        self._fleet.note_end(end)
 
     def _refuse(self, status: OrderStatus) -> OrderOutcome:
         return OrderOutcome(status=status, clock_ms=self.clock_ms)
@@ -245,7 +245,7 @@
         self.violations: list[str] = []
         self.started = 0
         self.work_s: dict[str, float] = {}
-        self.needs: dict[str | TaskName, int] = {}
+        self.cpu_millicores: dict[str | TaskName, int] = {}
         """What tasks ask of the processor, by task, or by job where its tasks ask the same."""
         self.after: dict[TaskName, tuple[TaskName, ...]] = {}
         self.lasting: set[str] = set()
@@ -293,9 +293,9 @@
 
     # ---- the judge
 
-    def need(self, name: TaskName) -> int:
+    def cpu_millicores_of(self, name: TaskName) -> int:
         """Return what a task asks of the processor, in millicores."""
-        return self.needs.get(name, self.needs.get(name.job_id, 1000))
+        return self.cpu_millicores.get(name, self.cpu_millicores.get(name.job_id, 1000))
 
     def make_run(self, name: TaskName, run_id: int) -> _Run:
         """Return a run of a task."""
@@ -308,14 +308,14 @@
             fails=name in self.failing,
         )
 
-    def starts(self, worker: TaskWorker, name: TaskName) -> None:
+    def check_start(self, worker: TaskWorker, name: TaskName) -> None:
         """Judge a start."""
         self.started += 1
         self.begun.add(name)
         now_s = asyncio.get_running_loop().time()
         for other in self.workers.values():
             if other.is_alive:
-                other.pass_time()
+                other.end_due_runs()
             if other.is_alive and name in other.names():
                 self.violations.append(f"{now_s:.3f} {name} runs twice at once")
         if name in self.noted:
@@ -327,21 +327,21 @@
         if now_s > self.cancelled.get(name.job_id, now_s) + 3.0:
             self.violations.append(f"{now_s:.3f} {name} starts after its job was cancelled")
 
-    def overfilled(self, worker: TaskWorker, name: TaskName) -> None:
+    def note_overfilled(self, worker: TaskWorker, name: TaskName) -> None:
         """Take note of a start that brings an unguarded worker over its capacity."""
         now_s = asyncio.get_running_loop().time()
         size = worker.view.cpu_millicores
         self.violations.append(f"{now_s:.3f} {name} brings a worker over its {size} millicores")
 
-    def stops(self, worker: TaskWorker, name: TaskName) -> None:
+    def check_stop(self, worker: TaskWorker, name: TaskName) -> None:
         """Judge a stop of what runs; for judges that know more of the task."""
 
-    def ended(self, end: EndedTask) -> None:
+    def note_end(self, end: EndedTask) -> None:
         """Take note of an end."""
         if end.kind is EndKind.DONE:
             self.done.add(end.name)
 
-    def acknowledged(self, end: EndedTask) -> None:
+    def note_acknowledged(self, end: EndedTask) -> None:
         """Take note that an end was acknowledged."""
         if end.kind is EndKind.DONE:
             self.noted.add(end.name)
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -231,20 +231,20 @@
         now_s = asyncio.get_running_loop().time()
         for worker in self.workers.values():
             if worker.is_alive:
-                worker.pass_time()
-                for name in worker.at_work():
+                worker.end_due_runs()
+                for name in worker.serving_tasks():
                     self._at_work_s[name] = now_s
                     self._ordered_away.discard(name)
 
-    def stops(self, worker: TaskWorker, name: TaskName) -> None:
+    def check_stop(self, worker: TaskWorker, name: TaskName) -> None:
         """Judge a stop: as many others as may be away must not be away already."""
         is_sound = worker.view.worker_id not in self.silent and not worker.view.is_draining
-        if is_sound and name in worker.at_work():
+        if is_sound and name in worker.serving_tasks():
             self._judge_end(name, "stopped")
 
-    def ended(self, end: EndedTask) -> None:
+    def note_end(self, end: EndedTask) -> None:
         """Judge a lease that lapses in calm times as a stop."""
-        super().ended(end)
+        super().note_end(end)
         now_s = asyncio.get_running_loop().time()
         if end.kind is EndKind.LAPSED and now_s > self.calm_from_s + LEASE_S:
             self._judge_end(end.name, "left to lapse")
@@ -252,7 +252,7 @@
     def take_away(self, worker: TaskWorker) -> None:
         """Take a worker away that its scheduler offered: no lasting task may be there."""
         now_s = asyncio.get_running_loop().time()
-        for name in worker.at_work():
+        for name in worker.serving_tasks():
             self.violations.append(f"{now_s:.3f} {name} is at work on a worker that was offered")
             self._judge_end(name, "taken away")
         worker.crash()
@@ -725,7 +725,7 @@
         )
 
     def _free_millicores(self, worker: TaskWorker) -> int:
-        used = sum(self.fleet.need(name) for name in worker.names())
+        used = sum(self.fleet.cpu_millicores_of(name) for name in worker.names())
         return worker.view.cpu_millicores - used
 
     def _report(self, breach: str, since: str) -> None:
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -71,7 +71,7 @@
     while loop.time() - begun_s < 30.0:
         for worker in history.fleet.workers.values():
             if worker.is_alive:
-                worker.pass_time()
+                worker.end_due_runs()
                 if NAME in worker.names():
                     return loop.time() - begun_s
         await asyncio.sleep(0.05)
@@ -291,7 +291,7 @@
             keep = asyncio.create_task(holder.keep())
             order_dispatcher.sync_workers()
             await asyncio.sleep(4.0)
-            worker.pass_time()
+            worker.end_due_runs()
             self.assertEqual(is_recorded, NAME in worker.names())
             order_dispatcher.close()
             keep.cancel()
@@ -364,7 +364,7 @@
             begun_s = asyncio.get_running_loop().time()
             (worker,) = history.fleet.workers.values()
             while worker.names():
-                worker.pass_time()
+                worker.end_due_runs()
                 await asyncio.sleep(0.02)
             await _end(history)
             return asyncio.get_running_loop().time() - begun_s
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -79,19 +79,19 @@
         self._may_miss = may_miss
         self.violations: list[str] = []
 
-    def at_work(self) -> set[TaskName]:
+    def serving_tasks(self) -> set[TaskName]:
         """Return the tasks that are at work."""
         working = set()
         for worker in self._fleet.workers.values():
             if worker.is_alive:
-                worker.pass_time()
+                worker.end_due_runs()
                 runs = worker._runs.values()
                 working.update(run.name for run in runs if run.percent(now_s()) >= 100)
         return working
 
     def order_ends(self, names: set[TaskName], how: str) -> None:
         """Judge tasks at work that are ended by an order, all at one moment."""
-        working = self.at_work()
+        working = self.serving_tasks()
         for name in sorted(names):
             away = [other for other in self._names if other not in working and other != name]
             if name in self._names and len(away) >= self._may_miss:
@@ -104,9 +104,9 @@
 
     budget: Budget | None = None
 
-    def ended(self, end: EndedTask) -> None:
+    def note_end(self, end: EndedTask) -> None:
         """Take note of an end."""
-        super().ended(end)
+        super().note_end(end)
         if self.budget is not None and end.kind is EndKind.STOPPED:
             self.budget.order_ends({end.name}, "a stop")
 
@@ -160,7 +160,7 @@
             steps=(step(count, is_lasting=True, **step_fields),),
         )
         self.fleet.lasting.add(JOB)
-        self.fleet.needs[JOB] = self.job.steps[0].cpu_millicores
+        self.fleet.cpu_millicores[JOB] = self.job.steps[0].cpu_millicores
         names = [TaskName(JOB, 0, 0, index) for index in range(count)]
         self.budget = Budget(fleet=self.fleet, names=names, may_miss=self.job.steps[0].may_miss)
         self.fleet.budget = self.budget
@@ -193,7 +193,7 @@
         if self.machines[machine].state is not MachineState.UP:
             return MachineOrderStatus.BUSY
         worker = self.fleet.workers[self.machines[machine].worker_id]
-        ended = self.budget.at_work() & worker.names()
+        ended = self.budget.serving_tasks() & worker.names()
         self.taken += [f"{now_s():.3f} {state.value} ends {name[3]}" for name in sorted(ended)]
         self.budget.order_ends(ended, state.value)
         worker.crash()
@@ -516,9 +516,9 @@
             await asyncio.sleep(1.0)
             site.borrow(1)
             await asyncio.sleep(1.0)
-            at_work = len(site.budget.at_work())
+            serving_tasks = len(site.budget.serving_tasks())
             await site.close()
-            return site.taken, at_work
+            return site.taken, serving_tasks
 
         self.assertEqual(([], 2), run_story(story()))
 
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -37,7 +37,7 @@
 def _running(history: History) -> int:
     alive = [worker for worker in history.fleet.workers.values() if worker.is_alive]
     for worker in alive:
-        worker.pass_time()
+        worker.end_due_runs()
     return sum(len(worker.names()) for worker in alive)
 
 
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -40,8 +40,8 @@
         stale = {name: self.workers[name].view for name in self.listed_though_dead}
         return super().workers_of(service) | stale
 
-    def ended(self, end: EndedTask) -> None:
-        super().ended(end)
+    def note_end(self, end: EndedTask) -> None:
+        super().note_end(end)
         self.times_done[end.name] += end.kind is EndKind.DONE
 
 
