--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -13,8 +13,8 @@
 from shallotworks.standins import (
     CrashingWorkers,
     FaultInjectingOrders,
+    ListedMachine,
     MachineOrder,
-    MachineRow,
     RecordStore,
     TaskWorker,
     WorkerServer,
@@ -34,7 +34,7 @@
 class _Place:
     """A machine, and what serves its worker."""
 
-    row: MachineRow
+    row: ListedMachine
     rack: str
     proxy: Proxy
     server: WorkerServer | None = None
@@ -73,7 +73,7 @@
     def __init__(self, *, store: RecordStore, rng: random.Random, host: str) -> None:
         self.workers = _Workers(fleet=self, rng=rng)
         self.orders = FaultInjectingOrders(fleet=self.workers)
-        self.machines: dict[str, MachineRow] = {}
+        self.machines: dict[str, ListedMachine] = {}
         self.violations: list[str] = []
         self.waves: dict[int, tuple[frozenset[str], int]] = {}
         """The machines and the limit of each wave."""
@@ -90,7 +90,7 @@
         """Add a machine with a worker."""
         proxy = Proxy(host=self._host, target="")
         await proxy.start()
-        row = MachineRow(name=name, pool=pool)
+        row = ListedMachine(name=name, pool=pool)
         self.machines[name] = row
         self._places[name] = _Place(row=row, rack=rack, proxy=proxy)
         await self._begin(self._places[name])
@@ -144,7 +144,7 @@
         place.row.state = "down"
         self._spawn(self._return(place, old, down_s, LAPSE_S))
 
-    def obey(self, order: MachineOrder) -> bool:
+    def execute_order(self, order: MachineOrder) -> bool:
         """Carry out a move or an upkeep; whether the machine took it."""
         row = order.machine
         if order.token < self._highest_token.get(row.name, 0):
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -64,7 +64,7 @@
         self.fleet = Fleet(store=self.store, rng=random.Random(seed + 2), host=self.host)
         self.fleet.workers.most_attempts = MOST_ATTEMPTS
         self.machines = MachinesServer(
-            machines=self.fleet.machines, obey=self.fleet.obey, host=self.host
+            machines=self.fleet.machines, execute_order=self.fleet.execute_order, host=self.host
         )
         self.entries: dict[str, Entry] = {}
         self.version = 10
--- a/src/shallotworks/standins/__init__.py
+++ b/src/shallotworks/standins/__init__.py
@@ -11,7 +11,7 @@
 from ._crashing_workers import CrashingWorkers
 from ._description import TEAM, describe_fleet, free_ports
 from ._fault_injecting_orders import FaultInjectingOrders, OrderFaults
-from ._machines_http import MachineOrder, MachineRow, MachinesServer
+from ._machines_http import ListedMachine, MachineOrder, MachinesServer
 from ._memory_instances import MemoryInstanceList
 from ._memory_store import MemoryStore, StoreFaults
 from ._platform import PlatformStandIn, serve_platform
@@ -32,7 +32,7 @@
     "CrashingWorkers",
     "Ledger",
     "MachineOrder",
-    "MachineRow",
+    "ListedMachine",
     "MachinesServer",
     "MemoryInstanceList",
     "MemoryStore",
--- a/src/shallotworks/standins/_machines_http.py
+++ b/src/shallotworks/standins/_machines_http.py
@@ -10,11 +10,11 @@
 
 from ._http_listener import HttpListener, answer_json
 
-__all__ = ["MachineOrder", "MachineRow", "MachinesServer"]
+__all__ = ["MachineOrder", "ListedMachine", "MachinesServer"]
 
 
 @dataclass(slots=True, kw_only=True)
-class MachineRow:
+class ListedMachine:
     """A machine as the platform lists it.
 
     Args:
@@ -42,7 +42,7 @@
         wave: Whose upkeep it is; 0 for a move.
     """
 
-    machine: MachineRow
+    machine: ListedMachine
     holder: str
     token: int
     pool: str = ""
@@ -54,19 +54,19 @@
 
     Args:
         machines: All machines by name; changed in place.
-        obey: Carries out an order; returns whether the machine took it.
+        execute_order: Carries out an order; returns whether the machine took it.
         host: Address to listen on; the port is any free one.
     """
 
     def __init__(
         self,
         *,
-        machines: Mapping[str, MachineRow],
-        obey: Callable[[MachineOrder], bool],
+        machines: Mapping[str, ListedMachine],
+        execute_order: Callable[[MachineOrder], bool],
         host: str = "127.0.0.1",
     ) -> None:
         self._machines = machines
-        self._obey = obey
+        self._obey = execute_order
         self.listener = HttpListener(handle=self._handle, host=host)
         self.is_down = False
 
@@ -93,7 +93,7 @@
         return answer_json({})
 
 
-def _row(machine: MachineRow) -> dict[str, Any]:
+def _row(machine: ListedMachine) -> dict[str, Any]:
     row: dict[str, Any] = {
         "machine": machine.name,
         "pool": machine.pool,
