--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -10,7 +10,7 @@
 
 import typer
 
-from soak._kept import KEPT
+from soak._regression_seeds import REGRESSION_SEEDS
 from soak._run import RunPlan, Verdict, play
 
 app = typer.Typer(add_completion=False)
@@ -29,7 +29,7 @@
     """Play runs and say what broke; exits with 1 where a promise was broken."""
     first, _, last = seeds.partition("-")
     drawn = list(range(int(first), int(last or first) + 1)) if seeds != "none" else []
-    drawn += [seed for seed in KEPT if kept and seed not in drawn]
+    drawn += [seed for seed in REGRESSION_SEEDS if kept and seed not in drawn]
     drawn += [random.SystemRandom().randrange(1_000, 2**31) for _ in range(fresh)]
     root = pathlib.Path(folder or tempfile.mkdtemp(prefix="soak-"))
     plans = [RunPlan(seed=seed, trouble_s=trouble_s, entries=entries) for seed in drawn]
--- a/soak/_kept.py
+++ b/soak/_regression_seeds.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["KEPT"]
+__all__ = ["REGRESSION_SEEDS"]
 
 CUT_AT_A_STOP = (
     "open: at the end of a planned stop a request was cut off 0.21 to 0.38 s after it was sent, "
@@ -10,7 +10,7 @@
     "told since, and was not measured in those runs, so that the cause is not shown"
 )
 
-KEPT: dict[int, str] = {
+REGRESSION_SEEDS: dict[int, str] = {
     1: CUT_AT_A_STOP,
     2: "a process that stood still through half of its grace was judged for ending late; the trace "
     "shows the pause, so only stops beside nothing else are judged",
