--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -11,7 +11,7 @@
 
 from shallotworks.jobs import TaskName
 from shallotworks.standins import CrashingWorkers
-from soak._journal import Journal
+from soak._fault_log import FaultLog
 from soak._processes import EntryProcess
 from soak._proxy import Proxy
 
@@ -68,7 +68,7 @@
         fleet: The workers, which are told what each job's tasks are.
         rng: Draws.
         crash_rng: Draws the jobs that crash workers.
-        journal: Where violations go, and what is under way.
+        fault_log: Where violations go, and what is under way.
     """
 
     def __init__(
@@ -78,14 +78,14 @@
         fleet: CrashingWorkers,
         rng: random.Random,
         crash_rng: random.Random,
-        journal: Journal,
+        fault_log: FaultLog,
     ) -> None:
         self.jobs: dict[str, CalledJob] = {}
         self._entries = entries
         self._fleet = fleet
         self._rng = rng
         self._crash_rng = crash_rng
-        self._journal = journal
+        self._fault_log = fault_log
         self._session: aiohttp.ClientSession | None = None
 
     async def run(self, count: int, over_s: float) -> None:
@@ -106,9 +106,13 @@
             return None
         state = str(body.get("state"))
         if state == "completed" and not all(task in self._fleet.done for task in job.tasks):
-            self._journal.breach(f"{job.job_id} is shown as completed by {name} and is not")
+            self._fault_log.record_violation(
+                f"{job.job_id} is shown as completed by {name} and is not"
+            )
         if job.shown == "completed" and state != "completed":
-            self._journal.breach(f"{job.job_id} was completed and is shown as {state} by {name}")
+            self._fault_log.record_violation(
+                f"{job.job_id} was completed and is shown as {state} by {name}"
+            )
         job.shown = state
         return state
 
@@ -139,10 +143,10 @@
     def _judge_loss(self, name: str, incarnation: int, sent_s: float, error: str) -> None:
         """A stop that was announced must not cut off requests that it has read."""
         held_s = time.monotonic() - sent_s
-        lag_s = self._journal.lag_s()
-        if held_s < SLACK_S + lag_s or not self._journal.is_calm(name, since_s=sent_s):
+        lag_s = self._fault_log.lag_s()
+        if held_s < SLACK_S + lag_s or not self._fault_log.is_calm(name, since_s=sent_s):
             return
-        self._journal.breach(
+        self._fault_log.record_violation(
             f"{name} ({incarnation}) gave no answer after {held_s:.2f} s, with nothing wrong "
             f"(the soak's own loop was {lag_s:.2f} s late): {error}"
         )
@@ -171,7 +175,7 @@
                 job.accepted_s = job.accepted_s or time.monotonic()
                 return True
             if status in (400, 404, 405, 410, 413):
-                self._journal.breach(f"{job.job_id} is refused with {status} by {name}")
+                self._fault_log.record_violation(f"{job.job_id} is refused with {status} by {name}")
                 return False
             if status in (429, 503) and tries == 1:
                 return False
--- a/soak/_journal.py
+++ b/soak/_fault_log.py
@@ -1,4 +1,4 @@
-"""What a run has seen: troubles with their times, and broken promises."""
+"""What a run has seen: faults with their times, and broken promises."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 CONTACT_S = 3.0
-"""After a trouble, promises with a time bound hold again this much later."""
+"""After a fault, promises with a time bound hold again this much later."""
 EVERYONE = "*"
 LAG_EVERY_S = 0.05
 LAGS_KEPT = 60
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Trouble:
+class FaultRecord:
     """A fault that is or was in force.
 
     Args:
@@ -32,13 +32,13 @@
     ended_s: float = float("inf")
 
 
-class Journal:
-    """Collects troubles and violations of one run."""
+class FaultLog:
+    """Collects faults and violations of one run."""
 
     def __init__(self) -> None:
         self._lags: deque[float] = deque(maxlen=LAGS_KEPT)
         self.began_s = time.monotonic()
-        self.troubles: list[Trouble] = []
+        self.faults: list[FaultRecord] = []
         self.violations: list[str] = []
 
     async def watch_lag(self) -> None:
@@ -55,17 +55,17 @@
         """
         return max(self._lags, default=0.0)
 
-    def begin(self, kind: str, whom: str) -> Trouble:
+    def begin(self, kind: str, whom: str) -> FaultRecord:
         """Note that a fault begins."""
-        trouble = Trouble(kind=kind, whom=whom, began_s=time.monotonic())
-        self.troubles.append(trouble)
-        return trouble
+        fault = FaultRecord(kind=kind, whom=whom, began_s=time.monotonic())
+        self.faults.append(fault)
+        return fault
 
-    def end(self, trouble: Trouble) -> None:
+    def end(self, fault: FaultRecord) -> None:
         """Note that it has ended."""
-        trouble.ended_s = time.monotonic()
+        fault.ended_s = time.monotonic()
 
-    def breach(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Note a broken promise."""
         self.violations.append(f"{time.monotonic() - self.began_s:.2f} s: {text}")
 
@@ -74,20 +74,20 @@
 
         Args:
             whom: The instance.
-            since_s: From when on; the time in which a trouble still tells is taken off.
+            since_s: From when on; the time in which a fault still tells is taken off.
             but: The kind that doesn't count: a stop is announced.
         """
         return not any(
-            trouble.kind != but
-            and trouble.whom in (whom, EVERYONE)
-            and trouble.ended_s > since_s - CONTACT_S
-            for trouble in self.troubles
+            fault.kind != but
+            and fault.whom in (whom, EVERYONE)
+            and fault.ended_s > since_s - CONTACT_S
+            for fault in self.faults
         )
 
     def timeline(self) -> list[str]:
-        """Return the troubles as lines."""
+        """Return the faults as lines."""
         return [
             f"{one.began_s - self.began_s:6.2f} to {one.ended_s - self.began_s:6.2f} s  "
             f"{one.kind} {one.whom}"
-            for one in self.troubles
+            for one in self.faults
         ]
--- a/soak/_troubles.py
+++ b/soak/_fault_scenarios.py
@@ -8,16 +8,16 @@
 from dataclasses import replace
 
 from shallotworks.standins import OrderFaults, RecordFaults
-from soak._journal import EVERYONE
+from soak._fault_log import EVERYONE
 from soak._world import Entry, World
 
-__all__ = ["TROUBLES"]
+__all__ = ["FAULT_SCENARIOS"]
 
 GRACE_S = 6.0
 IN_FORCE_S = 2.0
 """A configuration is in force this long after it was written."""
 
-Trouble = Callable[[World], Awaitable[None]]
+FaultScenario = Callable[[World], Awaitable[None]]
 
 
 def _one(world: World) -> Entry:
@@ -37,29 +37,29 @@
     """Processes are killed, in a series."""
     for _ in range(world.rng.randint(1, 3)):
         entry = _one(world)
-        trouble = world.journal.begin("kill", entry.process.name)
+        fault = world.fault_log.begin("kill", entry.process.name)
         entry.process.send(signal.SIGKILL)
         await asyncio.sleep(world.rng.uniform(0.3, 2.0))
-        world.journal.end(trouble)
+        world.fault_log.end(fault)
 
 
 async def kill_all(world: World) -> None:
     """All processes are killed at once."""
-    trouble = world.journal.begin("kill-all", EVERYONE)
+    fault = world.fault_log.begin("kill-all", EVERYONE)
     for entry in world.entries.values():
         entry.process.send(signal.SIGKILL)
     await asyncio.sleep(2.0)
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def pause(world: World) -> None:
     """A process stands still and wakes again."""
     entry = _one(world)
-    trouble = world.journal.begin("pause", entry.process.name)
+    fault = world.fault_log.begin("pause", entry.process.name)
     entry.process.send(signal.SIGSTOP)
     await asyncio.sleep(world.rng.uniform(0.5, 7.0))
     entry.process.send(signal.SIGCONT)
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def stop_in_turn(world: World) -> None:
@@ -67,13 +67,13 @@
     names = sorted(world.entries)
     world.rng.shuffle(names)
     for name in names[: world.rng.randint(1, len(names))]:
-        trouble = world.journal.begin("stop", name)
+        fault = world.fault_log.begin("stop", name)
         is_in_time = await world.entries[name].process.terminate(GRACE_S)
         # One that stands still for half of its grace can't use it.
-        if not is_in_time and world.journal.is_calm(name, since_s=trouble.began_s):
-            world.journal.breach(f"{name} did not end within its grace")
+        if not is_in_time and world.fault_log.is_calm(name, since_s=fault.began_s):
+            world.fault_log.record_violation(f"{name} did not end within its grace")
         await asyncio.sleep(world.rng.uniform(0.5, 1.5))
-        world.journal.end(trouble)
+        world.fault_log.end(fault)
 
 
 async def reload_settings(world: World) -> None:
@@ -88,7 +88,7 @@
     entry = _one(world)
     proxy = entry.store_link
     how = world.rng.choice(["delay", "reset", "refuse", "cut-to", "cut-from", "cut", "silence"])
-    trouble = world.journal.begin(f"store-link-{how}", entry.process.name)
+    fault = world.fault_log.begin(f"store-link-{how}", entry.process.name)
     if how == "delay":
         proxy.delay_s = world.rng.uniform(0.05, 0.4)
     elif how == "silence":
@@ -100,7 +100,7 @@
     proxy.is_cut_from = how in ("cut-from", "cut")
     await asyncio.sleep(world.rng.uniform(1.0, 7.0))
     proxy.heal()
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def worker_links(world: World) -> None:
@@ -108,7 +108,7 @@
     proxies = world.fleet.proxies()
     chosen = world.rng.sample(proxies, world.rng.randint(1, 3))
     how = world.rng.choice(["delay", "reset", "cut-to", "cut-from", "cut", "silence"])
-    trouble = world.journal.begin(f"worker-links-{how}", EVERYONE)
+    fault = world.fault_log.begin(f"worker-links-{how}", EVERYONE)
     for proxy in chosen:
         if how == "delay":
             proxy.delay_s = world.rng.uniform(0.05, 0.5)
@@ -121,19 +121,19 @@
     await asyncio.sleep(world.rng.uniform(1.0, 7.0))
     for proxy in chosen:
         proxy.heal()
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def caller_links(world: World) -> None:
     """The way between callers and a process is harmed."""
     entry = _one(world)
-    trouble = world.journal.begin("caller-links", entry.process.name)
+    fault = world.fault_log.begin("caller-links", entry.process.name)
     entry.callers.silence()
     entry.callers.delay_s = world.rng.uniform(0.0, 0.3)
     await asyncio.sleep(world.rng.uniform(0.5, 3.0))
     entry.callers.reset()
     entry.callers.heal()
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def store_faults(world: World) -> None:
@@ -149,7 +149,7 @@
     )
     faults = world.rng.choice(draws)
     whom = EVERYONE if len(chosen) > 1 else chosen[0].process.name
-    trouble = world.journal.begin(f"store {faults}", whom)
+    fault = world.fault_log.begin(f"store {faults}", whom)
     world.store.are_leases_paused = len(chosen) > 1 and world.rng.random() < 0.5
     for entry in chosen:
         entry.store.faults = replace(faults)
@@ -157,35 +157,35 @@
     for entry in chosen:
         entry.store.faults = RecordFaults()
     world.store.are_leases_paused = False
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def store_forgets(world: World) -> None:
     """The store drops its history, and keys are taken away with no request that shows it."""
-    trouble = world.journal.begin("store-forgets", EVERYONE)
+    fault = world.fault_log.begin("store-forgets", EVERYONE)
     for _ in range(world.rng.randint(1, 3)):
         if world.rng.random() < 0.5:
             world.store.compact_history()
         else:
             world.store.revoke("shallotworks/")
         await asyncio.sleep(world.rng.uniform(0.3, 2.0))
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def workers_crash(world: World) -> None:
     """Workers end silently, alone or with their rack, and come back."""
     names = sorted(world.fleet.machines)
     count = world.rng.choice([1, 2, 3])
-    trouble = world.journal.begin("workers-crash", EVERYONE)
+    fault = world.fault_log.begin("workers-crash", EVERYONE)
     for name in world.rng.sample(names, count):
         world.fleet.crash(name, down_s=world.rng.uniform(0.3, 6.0))
     await asyncio.sleep(6.0)
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def orders_late(world: World) -> None:
     """Orders to workers are carried out late, or not answered."""
-    trouble = world.journal.begin("orders-late", EVERYONE)
+    fault = world.fault_log.begin("orders-late", EVERYONE)
     world.fleet.orders.faults = OrderFaults(
         late_part=0.1, lost_part=0.1, late_s=world.rng.uniform(1, 8)
     )
@@ -193,22 +193,22 @@
     world.fleet.orders.faults = OrderFaults()
     # What was late is carried out up to 8 s after its order.
     await asyncio.sleep(8.0)
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def machines_down(world: World) -> None:
     """The list of machines can't be read, and no order for a machine is taken."""
-    trouble = world.journal.begin("machines-down", EVERYONE)
+    fault = world.fault_log.begin("machines-down", EVERYONE)
     world.machines.is_down = True
     await asyncio.sleep(world.rng.uniform(1.0, 4.0))
     world.machines.is_down = False
-    world.journal.end(trouble)
+    world.fault_log.end(fault)
 
 
 async def add_and_drop_a_queue(world: World) -> None:
     """A queue is added, used and removed; all processes have each version in force in time.
 
-    Judged only for processes that nothing troubles: a new queue is known 2 s after it was written,
+    Judged only for processes without a fault: a new queue is known 2 s after it was written,
     never unknown again in the same process until it is removed, and unknown 2 s after that.
     """
     assert world.callers is not None
@@ -231,13 +231,17 @@
     assert world.callers is not None
     asked_s = asyncio.get_running_loop().time()
     status, _ = await world.callers.call("GET", name, prefix)
-    if status in (0, 503) or not world.journal.is_calm(name, since_s=asked_s - IN_FORCE_S, but=""):
+    if status in (0, 503) or not world.fault_log.is_calm(
+        name, since_s=asked_s - IN_FORCE_S, but=""
+    ):
         return
     if (status == 404) is is_there:
-        world.journal.breach(f"{name} answers {status} on a queue: there is one = {is_there}")
+        world.fault_log.record_violation(
+            f"{name} answers {status} on a queue: there is one = {is_there}"
+        )
 
 
-TROUBLES: tuple[Trouble, ...] = (
+FAULT_SCENARIOS: tuple[FaultScenario, ...] = (
     kill,
     kill_all,
     pause,
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run: a world, callers, troubles that overlap, and the verdict."""
+"""One run: a world, callers, faults that overlap, and the verdict."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 from soak._callers import CalledJob
-from soak._journal import EVERYONE
+from soak._fault_log import EVERYONE
+from soak._fault_scenarios import FAULT_SCENARIOS
 from soak._slots import Slot
-from soak._troubles import TROUBLES
 from soak._world import World
 
 __all__ = ["RunPlan", "Verdict", "play"]
@@ -28,9 +28,9 @@
         seed: Draws it.
         entries: Entry processes.
         jobs: Jobs that callers hand in.
-        trouble_s: How long troubles begin.
+        trouble_s: How long faults begin.
         series: Troubles that go on side by side, one after the other in each series.
-        settle_s: Time for accepted jobs to end once all troubles are over.
+        settle_s: Time for accepted jobs to end once all faults are over.
     """
 
     seed: int
@@ -48,10 +48,10 @@
     Args:
         seed: Its seed.
         violations: Broken promises.
-        timeline: Its troubles.
+        timeline: Its faults.
         accepted: Jobs that were accepted.
         starts: Runs of tasks that workers began.
-        settled_s: Time from the end of the troubles until all accepted jobs had ended.
+        settled_s: Time from the end of the faults until all accepted jobs had ended.
     """
 
     seed: int
@@ -83,7 +83,7 @@
     assert world.callers is not None
     loop = asyncio.get_running_loop()
     watching = asyncio.create_task(_watch_states(world))
-    lag = asyncio.create_task(world.journal.watch_lag())
+    lag = asyncio.create_task(world.fault_log.watch_lag())
     machines = len(world.fleet.machines)
     if world.rng.random() < 0.7:
         world.ask_for_wave(1, count=int(machines * WAVE_PART), most_at_once=2)
@@ -91,7 +91,7 @@
     series = [_trouble_on(world, ends_s) for _ in range(plan.series)]
     await asyncio.gather(world.callers.run(plan.jobs, plan.trouble_s), *series)
     began_s = loop.time()
-    settling = world.journal.begin("settling", EVERYONE)
+    settling = world.fault_log.begin("settling", EVERYONE)
     await _cancel_lasting(world)
     while loop.time() - began_s < plan.settle_s and _open_jobs(world):
         await asyncio.sleep(SETTLE_POLL_S)
@@ -101,16 +101,16 @@
     for task in (watching, lag):
         task.cancel()
     await asyncio.gather(watching, lag, return_exceptions=True)
-    world.journal.end(settling)
+    world.fault_log.end(settling)
     await _judge_end(world)
     return Verdict(
         seed=plan.seed,
         violations=(
-            *world.journal.violations,
+            *world.fault_log.violations,
             *world.fleet.workers.violations,
             *world.fleet.violations,
         ),
-        timeline=tuple(world.journal.timeline()),
+        timeline=tuple(world.fault_log.timeline()),
         accepted=sum(1 for job in world.callers.jobs.values() if job.accepted_s),
         starts=world.fleet.workers.started,
         settled_s=round(settled_s, 1),
@@ -121,7 +121,7 @@
     loop = asyncio.get_running_loop()
     await asyncio.sleep(world.rng.uniform(0.0, 3.0))
     while loop.time() < ends_s:
-        await world.rng.choice(TROUBLES)(world)
+        await world.rng.choice(FAULT_SCENARIOS)(world)
         await asyncio.sleep(world.rng.uniform(0.0, 3.0))
 
 
@@ -158,32 +158,32 @@
         if all(item is not None and b"completed" in item.value for item in states):
             return
         await asyncio.sleep(SETTLE_POLL_S)
-    world.journal.breach("a wave was not completed 30 s after the last trouble")
+    world.fault_log.record_violation("a wave was not completed 30 s after the last trouble")
 
 
 async def _judge_end(world: World) -> None:
     assert world.callers is not None
-    breach = world.journal.breach
+    record_violation = world.fault_log.record_violation
     begun = {name.job_id for name in world.fleet.workers.begun}
     for job in world.callers.jobs.values():
         if not job.accepted_s:
             is_refused = bool(job.answers) and all(status in (429, 503) for status in job.answers)
             if is_refused and job.job_id in begun:
-                breach(f"{job.job_id} was refused each time, and runs")
+                record_violation(f"{job.job_id} was refused each time, and runs")
             continue
         states = {await world.callers.state(job, name) for name in world.entries} - {None}
         if len(states) != 1:
-            breach(f"{job.job_id} is shown as {sorted(map(str, states))} at the end")
+            record_violation(f"{job.job_id} is shown as {sorted(map(str, states))} at the end")
             continue
         _judge_state(world, job, str(states.pop()))
     for wave, (machines, _) in world.fleet.waves.items():
         missed = machines - world.fleet.had_upkeep.get(wave, set())
         item = world.store.items.get(f"status/wave/{wave}")
         if missed and item is not None and b"completed" in item.value:
-            breach(f"wave {wave} is said to be completed without {sorted(missed)}")
+            record_violation(f"wave {wave} is said to be completed without {sorted(missed)}")
     for entry in world.entries.values():
         for text in entry.process.own_ends:
-            breach(text)
+            record_violation(text)
 
 
 def _judge_state(world: World, job: CalledJob, state: str) -> None:
@@ -196,4 +196,6 @@
     if job.fails or job.crashes:
         allowed = {"failed"} | (allowed - {"completed"})
     if state not in allowed:
-        world.journal.breach(f"{job.job_id} is {state} at the end; allowed: {sorted(allowed)}")
+        world.fault_log.record_violation(
+            f"{job.job_id} is {state} at the end; allowed: {sorted(allowed)}"
+        )
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -15,8 +15,8 @@
     StoreServer,
 )
 from soak._callers import HOST, MOST_ATTEMPTS, QUEUES, Callers
+from soak._fault_log import EVERYONE, FaultLog
 from soak._fleet import Fleet
-from soak._journal import EVERYONE, Journal
 from soak._processes import EntryProcess
 from soak._proxy import Proxy
 
@@ -58,7 +58,7 @@
 
     def __init__(self, *, seed: int, entries: int, folder: pathlib.Path, slot: int) -> None:
         self.rng = random.Random(seed)
-        self.journal = Journal()
+        self.fault_log = FaultLog()
         self.store = RecordStore(rng=random.Random(seed + 1))
         self.host = f"127.77.{slot}.1"
         self.fleet = Fleet(store=self.store, rng=random.Random(seed + 2), host=self.host)
@@ -99,12 +99,12 @@
             fleet=self.fleet.workers,
             rng=self.rng,
             crash_rng=random.Random(self._seed + 4),
-            journal=self.journal,
+            fault_log=self.fault_log,
         )
-        starting = self.journal.begin("start", EVERYONE)
+        starting = self.fault_log.begin("start", EVERYONE)
         for name in self.entries:
             await self._await_answer(name)
-        self.journal.end(starting)
+        self.fault_log.end(starting)
 
     async def stop(self) -> None:
         """End everything."""
@@ -176,4 +176,4 @@
             if status == 200:
                 return
             await asyncio.sleep(0.1)
-        self.journal.breach(f"{name} did not answer within 20 s of its start")
+        self.fault_log.record_violation(f"{name} did not answer within 20 s of its start")
