--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -11,7 +11,7 @@
 import typer
 
 from soak._regression_seeds import REGRESSION_SEEDS
-from soak._run import RunPlan, Verdict, play
+from soak._run import RunPlan, RunResult, run_soak
 
 app = typer.Typer(add_completion=False)
 
@@ -34,41 +34,41 @@
     root = pathlib.Path(folder or tempfile.mkdtemp(prefix="soak-"))
     plans = [RunPlan(seed=seed, trouble_s=trouble_s, entries=entries) for seed in drawn]
     typer.echo(f"{len(plans)} runs, {jobs} at a time; logs in {root}")
-    verdicts = asyncio.run(_play_all(plans, root, jobs))
-    broken = [one for one in verdicts if one.violations]
-    settled = sorted(one.settled_s for one in verdicts)
+    results = asyncio.run(_play_all(plans, root, jobs))
+    broken = [one for one in results if one.violations]
+    settled = sorted(one.settled_s for one in results)
     typer.echo(
-        f"{len(verdicts)} runs, {sum(one.accepted for one in verdicts)} jobs, "
-        f"{sum(one.starts for one in verdicts)} starts; settled in {settled[len(settled) // 2]} s "
+        f"{len(results)} runs, {sum(one.accepted for one in results)} jobs, "
+        f"{sum(one.starts for one in results)} starts; settled in {settled[len(settled) // 2]} s "
         f"(half), {settled[-1]} s (worst); {len(broken)} with breaches"
     )
     raise typer.Exit(1 if broken else 0)
 
 
-async def _play_all(plans: list[RunPlan], root: pathlib.Path, jobs: int) -> list[Verdict]:
+async def _play_all(plans: list[RunPlan], root: pathlib.Path, jobs: int) -> list[RunResult]:
     limit = asyncio.Semaphore(jobs)
 
-    async def one(plan: RunPlan) -> Verdict:
+    async def one(plan: RunPlan) -> RunResult:
         async with limit:
             folder = root / f"seed-{plan.seed}"
             folder.mkdir(parents=True, exist_ok=True)
-            verdict = await play(plan, folder=folder)
-            _tell(verdict)
-            return verdict
+            result = await run_soak(plan, folder=folder)
+            _tell(result)
+            return result
 
     return await asyncio.gather(*(one(plan) for plan in plans))
 
 
-def _tell(verdict: Verdict) -> None:
-    state = "BROKEN" if verdict.violations else "kept"
+def _tell(result: RunResult) -> None:
+    state = "BROKEN" if result.violations else "kept"
     typer.echo(
-        f"seed {verdict.seed}: {state}, {verdict.accepted} jobs, {verdict.starts} starts, "
-        f"settled in {verdict.settled_s} s"
+        f"seed {result.seed}: {state}, {result.accepted} jobs, {result.starts} starts, "
+        f"settled in {result.settled_s} s"
     )
-    for line in verdict.violations:
+    for line in result.violations:
         typer.echo(f"  {line}")
-    if verdict.violations:
-        for line in verdict.timeline:
+    if result.violations:
+        for line in result.timeline:
             typer.echo(f"    {line}")
 
 
--- a/soak/_fault_scenarios.py
+++ b/soak/_fault_scenarios.py
@@ -9,7 +9,7 @@
 
 from shallotworks.standins import OrderFaults, RecordFaults
 from soak._fault_log import EVERYONE
-from soak._world import Entry, World
+from soak._testbed import Entry, Testbed
 
 __all__ = ["FAULT_SCENARIOS"]
 
@@ -17,80 +17,80 @@
 IN_FORCE_S = 2.0
 """A configuration is in force this long after it was written."""
 
-FaultScenario = Callable[[World], Awaitable[None]]
+FaultScenario = Callable[[Testbed], Awaitable[None]]
 
 
-def _one(world: World) -> Entry:
+def _one(testbed: Testbed) -> Entry:
     """Draw an entry process, more often one that holds a duty."""
     holders = {
         item.value.decode()
-        for key, item in world.store.items.items()
+        for key, item in testbed.store.items.items()
         if key.startswith("shallotworks/duty/")
     }
-    names = sorted(world.entries)
+    names = sorted(testbed.entries)
     busy = [name for name in names if name in holders]
-    chosen = world.rng.choice(busy if busy and world.rng.random() < 0.7 else names)
-    return world.entries[chosen]
+    chosen = testbed.rng.choice(busy if busy and testbed.rng.random() < 0.7 else names)
+    return testbed.entries[chosen]
 
 
-async def kill(world: World) -> None:
+async def kill(testbed: Testbed) -> None:
     """Processes are killed, in a series."""
-    for _ in range(world.rng.randint(1, 3)):
-        entry = _one(world)
-        fault = world.fault_log.begin("kill", entry.process.name)
+    for _ in range(testbed.rng.randint(1, 3)):
+        entry = _one(testbed)
+        fault = testbed.fault_log.begin("kill", entry.process.name)
         entry.process.send(signal.SIGKILL)
-        await asyncio.sleep(world.rng.uniform(0.3, 2.0))
-        world.fault_log.end(fault)
+        await asyncio.sleep(testbed.rng.uniform(0.3, 2.0))
+        testbed.fault_log.end(fault)
 
 
-async def kill_all(world: World) -> None:
+async def kill_all(testbed: Testbed) -> None:
     """All processes are killed at once."""
-    fault = world.fault_log.begin("kill-all", EVERYONE)
-    for entry in world.entries.values():
+    fault = testbed.fault_log.begin("kill-all", EVERYONE)
+    for entry in testbed.entries.values():
         entry.process.send(signal.SIGKILL)
     await asyncio.sleep(2.0)
-    world.fault_log.end(fault)
+    testbed.fault_log.end(fault)
 
 
-async def pause(world: World) -> None:
+async def pause(testbed: Testbed) -> None:
     """A process stands still and wakes again."""
-    entry = _one(world)
-    fault = world.fault_log.begin("pause", entry.process.name)
+    entry = _one(testbed)
+    fault = testbed.fault_log.begin("pause", entry.process.name)
     entry.process.send(signal.SIGSTOP)
-    await asyncio.sleep(world.rng.uniform(0.5, 7.0))
+    await asyncio.sleep(testbed.rng.uniform(0.5, 7.0))
     entry.process.send(signal.SIGCONT)
-    world.fault_log.end(fault)
+    testbed.fault_log.end(fault)
 
 
-async def stop_in_turn(world: World) -> None:
+async def stop_in_turn(testbed: Testbed) -> None:
     """Processes are asked to stop, one after the other, and start again."""
-    names = sorted(world.entries)
-    world.rng.shuffle(names)
-    for name in names[: world.rng.randint(1, len(names))]:
-        fault = world.fault_log.begin("stop", name)
-        is_in_time = await world.entries[name].process.terminate(GRACE_S)
+    names = sorted(testbed.entries)
+    testbed.rng.shuffle(names)
+    for name in names[: testbed.rng.randint(1, len(names))]:
+        fault = testbed.fault_log.begin("stop", name)
+        is_in_time = await testbed.entries[name].process.terminate(GRACE_S)
         # One that stands still for half of its grace can't use it.
-        if not is_in_time and world.fault_log.is_calm(name, since_s=fault.began_s):
-            world.fault_log.record_violation(f"{name} did not end within its grace")
-        await asyncio.sleep(world.rng.uniform(0.5, 1.5))
-        world.fault_log.end(fault)
+        if not is_in_time and testbed.fault_log.is_calm(name, since_s=fault.began_s):
+            testbed.fault_log.record_violation(f"{name} did not end within its grace")
+        await asyncio.sleep(testbed.rng.uniform(0.5, 1.5))
+        testbed.fault_log.end(fault)
 
 
-async def reload_settings(world: World) -> None:
+async def reload_settings(testbed: Testbed) -> None:
     """Processes are told that their settings have changed."""
-    for entry in world.entries.values():
+    for entry in testbed.entries.values():
         entry.process.send(signal.SIGHUP)
-        await asyncio.sleep(world.rng.uniform(0.0, 0.3))
+        await asyncio.sleep(testbed.rng.uniform(0.0, 0.3))
 
 
-async def store_link(world: World) -> None:
+async def store_link(testbed: Testbed) -> None:
     """The way between a process and the store is harmed."""
-    entry = _one(world)
+    entry = _one(testbed)
     proxy = entry.store_link
-    how = world.rng.choice(["delay", "reset", "refuse", "cut-to", "cut-from", "cut", "silence"])
-    fault = world.fault_log.begin(f"store-link-{how}", entry.process.name)
+    how = testbed.rng.choice(["delay", "reset", "refuse", "cut-to", "cut-from", "cut", "silence"])
+    fault = testbed.fault_log.begin(f"store-link-{how}", entry.process.name)
     if how == "delay":
-        proxy.delay_s = world.rng.uniform(0.05, 0.4)
+        proxy.delay_s = testbed.rng.uniform(0.05, 0.4)
     elif how == "silence":
         proxy.silence()
     elif how in ("reset", "refuse"):
@@ -98,145 +98,145 @@
         proxy.reset()
     proxy.is_cut_to = how in ("cut-to", "cut")
     proxy.is_cut_from = how in ("cut-from", "cut")
-    await asyncio.sleep(world.rng.uniform(1.0, 7.0))
+    await asyncio.sleep(testbed.rng.uniform(1.0, 7.0))
     proxy.heal()
-    world.fault_log.end(fault)
+    testbed.fault_log.end(fault)
 
 
-async def worker_links(world: World) -> None:
+async def worker_links(testbed: Testbed) -> None:
     """The ways to some workers are harmed."""
-    proxies = world.fleet.proxies()
-    chosen = world.rng.sample(proxies, world.rng.randint(1, 3))
-    how = world.rng.choice(["delay", "reset", "cut-to", "cut-from", "cut", "silence"])
-    fault = world.fault_log.begin(f"worker-links-{how}", EVERYONE)
+    proxies = testbed.fleet.proxies()
+    chosen = testbed.rng.sample(proxies, testbed.rng.randint(1, 3))
+    how = testbed.rng.choice(["delay", "reset", "cut-to", "cut-from", "cut", "silence"])
+    fault = testbed.fault_log.begin(f"worker-links-{how}", EVERYONE)
     for proxy in chosen:
         if how == "delay":
-            proxy.delay_s = world.rng.uniform(0.05, 0.5)
+            proxy.delay_s = testbed.rng.uniform(0.05, 0.5)
         elif how == "silence":
             proxy.silence()
         elif how == "reset":
             proxy.reset()
         proxy.is_cut_to = how in ("cut-to", "cut")
         proxy.is_cut_from = how in ("cut-from", "cut")
-    await asyncio.sleep(world.rng.uniform(1.0, 7.0))
+    await asyncio.sleep(testbed.rng.uniform(1.0, 7.0))
     for proxy in chosen:
         proxy.heal()
-    world.fault_log.end(fault)
+    testbed.fault_log.end(fault)
 
 
-async def caller_links(world: World) -> None:
+async def caller_links(testbed: Testbed) -> None:
     """The way between callers and a process is harmed."""
-    entry = _one(world)
-    fault = world.fault_log.begin("caller-links", entry.process.name)
+    entry = _one(testbed)
+    fault = testbed.fault_log.begin("caller-links", entry.process.name)
     entry.callers.silence()
-    entry.callers.delay_s = world.rng.uniform(0.0, 0.3)
-    await asyncio.sleep(world.rng.uniform(0.5, 3.0))
+    entry.callers.delay_s = testbed.rng.uniform(0.0, 0.3)
+    await asyncio.sleep(testbed.rng.uniform(0.5, 3.0))
     entry.callers.reset()
     entry.callers.heal()
-    world.fault_log.end(fault)
+    testbed.fault_log.end(fault)
 
 
-async def store_faults(world: World) -> None:
+async def store_faults(testbed: Testbed) -> None:
     """The store is down, silent, slow, or loses answers, for all processes or for some."""
-    entries = list(world.entries.values())
-    chosen = entries if world.rng.random() < 0.6 else [_one(world)]
+    entries = list(testbed.entries.values())
+    chosen = entries if testbed.rng.random() < 0.6 else [_one(testbed)]
     draws = (
         RecordFaults(is_down=True),
         RecordFaults(is_silent=True),
-        RecordFaults(delay_s=world.rng.uniform(0.1, 0.35)),
+        RecordFaults(delay_s=testbed.rng.uniform(0.1, 0.35)),
         RecordFaults(lost_part=0.3),
-        RecordFaults(late_part=0.3, late_s=world.rng.uniform(1, 6)),
+        RecordFaults(late_part=0.3, late_s=testbed.rng.uniform(1, 6)),
     )
-    faults = world.rng.choice(draws)
+    faults = testbed.rng.choice(draws)
     whom = EVERYONE if len(chosen) > 1 else chosen[0].process.name
-    fault = world.fault_log.begin(f"store {faults}", whom)
-    world.store.are_leases_paused = len(chosen) > 1 and world.rng.random() < 0.5
+    fault = testbed.fault_log.begin(f"store {faults}", whom)
+    testbed.store.are_leases_paused = len(chosen) > 1 and testbed.rng.random() < 0.5
     for entry in chosen:
         entry.store.faults = replace(faults)
-    await asyncio.sleep(world.rng.uniform(1.0, 6.0))
+    await asyncio.sleep(testbed.rng.uniform(1.0, 6.0))
     for entry in chosen:
         entry.store.faults = RecordFaults()
-    world.store.are_leases_paused = False
-    world.fault_log.end(fault)
+    testbed.store.are_leases_paused = False
+    testbed.fault_log.end(fault)
 
 
-async def store_forgets(world: World) -> None:
+async def store_forgets(testbed: Testbed) -> None:
     """The store drops its history, and keys are taken away with no request that shows it."""
-    fault = world.fault_log.begin("store-forgets", EVERYONE)
-    for _ in range(world.rng.randint(1, 3)):
-        if world.rng.random() < 0.5:
-            world.store.compact_history()
+    fault = testbed.fault_log.begin("store-forgets", EVERYONE)
+    for _ in range(testbed.rng.randint(1, 3)):
+        if testbed.rng.random() < 0.5:
+            testbed.store.compact_history()
         else:
-            world.store.revoke("shallotworks/")
-        await asyncio.sleep(world.rng.uniform(0.3, 2.0))
-    world.fault_log.end(fault)
+            testbed.store.revoke("shallotworks/")
+        await asyncio.sleep(testbed.rng.uniform(0.3, 2.0))
+    testbed.fault_log.end(fault)
 
 
-async def workers_crash(world: World) -> None:
+async def workers_crash(testbed: Testbed) -> None:
     """Workers end silently, alone or with their rack, and come back."""
-    names = sorted(world.fleet.machines)
-    count = world.rng.choice([1, 2, 3])
-    fault = world.fault_log.begin("workers-crash", EVERYONE)
-    for name in world.rng.sample(names, count):
-        world.fleet.crash(name, down_s=world.rng.uniform(0.3, 6.0))
+    names = sorted(testbed.fleet.machines)
+    count = testbed.rng.choice([1, 2, 3])
+    fault = testbed.fault_log.begin("workers-crash", EVERYONE)
+    for name in testbed.rng.sample(names, count):
+        testbed.fleet.crash(name, down_s=testbed.rng.uniform(0.3, 6.0))
     await asyncio.sleep(6.0)
-    world.fault_log.end(fault)
+    testbed.fault_log.end(fault)
 
 
-async def orders_late(world: World) -> None:
+async def orders_late(testbed: Testbed) -> None:
     """Orders to workers are carried out late, or not answered."""
-    fault = world.fault_log.begin("orders-late", EVERYONE)
-    world.fleet.orders.faults = OrderFaults(
-        late_part=0.1, lost_part=0.1, late_s=world.rng.uniform(1, 8)
+    fault = testbed.fault_log.begin("orders-late", EVERYONE)
+    testbed.fleet.orders.faults = OrderFaults(
+        late_part=0.1, lost_part=0.1, late_s=testbed.rng.uniform(1, 8)
     )
-    await asyncio.sleep(world.rng.uniform(2.0, 5.0))
-    world.fleet.orders.faults = OrderFaults()
+    await asyncio.sleep(testbed.rng.uniform(2.0, 5.0))
+    testbed.fleet.orders.faults = OrderFaults()
     # What was late is carried out up to 8 s after its order.
     await asyncio.sleep(8.0)
-    world.fault_log.end(fault)
+    testbed.fault_log.end(fault)
 
 
-async def machines_down(world: World) -> None:
+async def machines_down(testbed: Testbed) -> None:
     """The list of machines can't be read, and no order for a machine is taken."""
-    fault = world.fault_log.begin("machines-down", EVERYONE)
-    world.machines.is_down = True
-    await asyncio.sleep(world.rng.uniform(1.0, 4.0))
-    world.machines.is_down = False
-    world.fault_log.end(fault)
+    fault = testbed.fault_log.begin("machines-down", EVERYONE)
+    testbed.machines.is_down = True
+    await asyncio.sleep(testbed.rng.uniform(1.0, 4.0))
+    testbed.machines.is_down = False
+    testbed.fault_log.end(fault)
 
 
-async def add_and_drop_a_queue(world: World) -> None:
+async def add_and_drop_a_queue(testbed: Testbed) -> None:
     """A queue is added, used and removed; all processes have each version in force in time.
 
     Judged only for processes without a fault: a new queue is known 2 s after it was written,
     never unknown again in the same process until it is removed, and unknown 2 s after that.
     """
-    assert world.callers is not None
-    prefix = f"/extra-{world.version}/"
-    world.extra_queues[prefix] = f"extra-{world.version}"
-    world.write_configuration()
+    assert testbed.callers is not None
+    prefix = f"/extra-{testbed.version}/"
+    testbed.extra_queues[prefix] = f"extra-{testbed.version}"
+    testbed.write_configuration()
     await asyncio.sleep(IN_FORCE_S)
     for _ in range(4):
-        for name in list(world.entries):
-            await _expect(world, name, prefix, is_there=True)
+        for name in list(testbed.entries):
+            await _expect(testbed, name, prefix, is_there=True)
         await asyncio.sleep(0.5)
-    del world.extra_queues[prefix]
-    world.write_configuration()
+    del testbed.extra_queues[prefix]
+    testbed.write_configuration()
     await asyncio.sleep(IN_FORCE_S)
-    for name in list(world.entries):
-        await _expect(world, name, prefix, is_there=False)
+    for name in list(testbed.entries):
+        await _expect(testbed, name, prefix, is_there=False)
 
 
-async def _expect(world: World, name: str, prefix: str, *, is_there: bool) -> None:
-    assert world.callers is not None
+async def _expect(testbed: Testbed, name: str, prefix: str, *, is_there: bool) -> None:
+    assert testbed.callers is not None
     asked_s = asyncio.get_running_loop().time()
-    status, _ = await world.callers.call("GET", name, prefix)
-    if status in (0, 503) or not world.fault_log.is_calm(
+    status, _ = await testbed.callers.call("GET", name, prefix)
+    if status in (0, 503) or not testbed.fault_log.is_calm(
         name, since_s=asked_s - IN_FORCE_S, but=""
     ):
         return
     if (status == 404) is is_there:
-        world.fault_log.record_violation(
+        testbed.fault_log.record_violation(
             f"{name} answers {status} on a queue: there is one = {is_there}"
         )
 
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run: a world, callers, faults that overlap, and the verdict."""
+"""One run: a testbed, callers, faults that overlap, and the result."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from soak._fault_log import EVERYONE
 from soak._fault_scenarios import FAULT_SCENARIOS
 from soak._slots import Slot
-from soak._world import World
+from soak._testbed import Testbed
 
-__all__ = ["RunPlan", "Verdict", "play"]
+__all__ = ["RunPlan", "RunResult", "run_soak"]
 
 WAVE_PART = 0.4
 SETTLE_POLL_S = 0.5
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Verdict:
+class RunResult:
     """What a run has shown.
 
     Args:
@@ -62,7 +62,7 @@
     settled_s: float
 
 
-async def play(plan: RunPlan, *, folder: pathlib.Path) -> Verdict:
+async def run_soak(plan: RunPlan, *, folder: pathlib.Path) -> RunResult:
     """Play one run.
 
     Args:
@@ -70,132 +70,136 @@
         folder: Where logs and settings go.
     """
     slot = Slot()
-    world = World(seed=plan.seed, entries=plan.entries, folder=folder, slot=slot.number)
+    testbed = Testbed(seed=plan.seed, entries=plan.entries, folder=folder, slot=slot.number)
     try:
-        await world.start()
-        return await _play_in(world, plan)
+        await testbed.start()
+        return await _play_in(testbed, plan)
     finally:
-        await world.stop()
+        await testbed.stop()
         slot.close()
 
 
-async def _play_in(world: World, plan: RunPlan) -> Verdict:
-    assert world.callers is not None
+async def _play_in(testbed: Testbed, plan: RunPlan) -> RunResult:
+    assert testbed.callers is not None
     loop = asyncio.get_running_loop()
-    watching = asyncio.create_task(_watch_states(world))
-    lag = asyncio.create_task(world.fault_log.watch_lag())
-    machines = len(world.fleet.machines)
-    if world.rng.random() < 0.7:
-        world.ask_for_wave(1, count=int(machines * WAVE_PART), most_at_once=2)
+    watching = asyncio.create_task(_watch_states(testbed))
+    lag = asyncio.create_task(testbed.fault_log.watch_lag())
+    machines = len(testbed.fleet.machines)
+    if testbed.rng.random() < 0.7:
+        testbed.ask_for_wave(1, count=int(machines * WAVE_PART), most_at_once=2)
     ends_s = loop.time() + plan.trouble_s
-    series = [_trouble_on(world, ends_s) for _ in range(plan.series)]
-    await asyncio.gather(world.callers.run(plan.jobs, plan.trouble_s), *series)
+    series = [_trouble_on(testbed, ends_s) for _ in range(plan.series)]
+    await asyncio.gather(testbed.callers.run(plan.jobs, plan.trouble_s), *series)
     began_s = loop.time()
-    settling = world.fault_log.begin("settling", EVERYONE)
-    await _cancel_lasting(world)
-    while loop.time() - began_s < plan.settle_s and _open_jobs(world):
+    settling = testbed.fault_log.begin("settling", EVERYONE)
+    await _cancel_lasting(testbed)
+    while loop.time() - began_s < plan.settle_s and _open_jobs(testbed):
         await asyncio.sleep(SETTLE_POLL_S)
-        await _ask_states(world, _open_jobs(world))
+        await _ask_states(testbed, _open_jobs(testbed))
     settled_s = loop.time() - began_s
-    await _await_waves(world)
+    await _await_waves(testbed)
     for task in (watching, lag):
         task.cancel()
     await asyncio.gather(watching, lag, return_exceptions=True)
-    world.fault_log.end(settling)
-    await _judge_end(world)
-    return Verdict(
+    testbed.fault_log.end(settling)
+    await _judge_end(testbed)
+    return RunResult(
         seed=plan.seed,
         violations=(
-            *world.fault_log.violations,
-            *world.fleet.workers.violations,
-            *world.fleet.violations,
+            *testbed.fault_log.violations,
+            *testbed.fleet.workers.violations,
+            *testbed.fleet.violations,
         ),
-        timeline=tuple(world.fault_log.timeline()),
-        accepted=sum(1 for job in world.callers.jobs.values() if job.accepted_s),
-        starts=world.fleet.workers.started,
+        timeline=tuple(testbed.fault_log.timeline()),
+        accepted=sum(1 for job in testbed.callers.jobs.values() if job.accepted_s),
+        starts=testbed.fleet.workers.started,
         settled_s=round(settled_s, 1),
     )
 
 
-async def _trouble_on(world: World, ends_s: float) -> None:
+async def _trouble_on(testbed: Testbed, ends_s: float) -> None:
     loop = asyncio.get_running_loop()
-    await asyncio.sleep(world.rng.uniform(0.0, 3.0))
+    await asyncio.sleep(testbed.rng.uniform(0.0, 3.0))
     while loop.time() < ends_s:
-        await world.rng.choice(FAULT_SCENARIOS)(world)
-        await asyncio.sleep(world.rng.uniform(0.0, 3.0))
+        await testbed.rng.choice(FAULT_SCENARIOS)(testbed)
+        await asyncio.sleep(testbed.rng.uniform(0.0, 3.0))
 
 
-async def _watch_states(world: World) -> None:
+async def _watch_states(testbed: Testbed) -> None:
     """Ask for states all the while, each time at any instance."""
     while True:
-        await _ask_states(world, _open_jobs(world)[:5])
+        await _ask_states(testbed, _open_jobs(testbed)[:5])
         await asyncio.sleep(SETTLE_POLL_S)
 
 
-async def _ask_states(world: World, jobs: list[CalledJob]) -> None:
-    assert world.callers is not None
+async def _ask_states(testbed: Testbed, jobs: list[CalledJob]) -> None:
+    assert testbed.callers is not None
     for job in jobs:
-        await world.callers.state(job, world.rng.choice(list(world.entries)))
+        await testbed.callers.state(job, testbed.rng.choice(list(testbed.entries)))
 
 
-def _open_jobs(world: World) -> list[CalledJob]:
-    assert world.callers is not None
+def _open_jobs(testbed: Testbed) -> list[CalledJob]:
+    assert testbed.callers is not None
     final = ("completed", "failed", "cancelled")
-    return [job for job in world.callers.jobs.values() if job.accepted_s and job.shown not in final]
+    return [
+        job for job in testbed.callers.jobs.values() if job.accepted_s and job.shown not in final
+    ]
 
 
-async def _cancel_lasting(world: World) -> None:
-    assert world.callers is not None
-    for job in world.callers.jobs.values():
+async def _cancel_lasting(testbed: Testbed) -> None:
+    assert testbed.callers is not None
+    for job in testbed.callers.jobs.values():
         if job.is_lasting and job.accepted_s:
-            await world.callers.cancel(job)
+            await testbed.callers.cancel(job)
 
 
-async def _await_waves(world: World) -> None:
+async def _await_waves(testbed: Testbed) -> None:
     """Wait for waves; a machine that was away may take a while, a lie none."""
     for _ in range(60):
-        states = [world.store.items.get(f"status/wave/{number}") for number in world.fleet.waves]
+        states = [
+            testbed.store.items.get(f"status/wave/{number}") for number in testbed.fleet.waves
+        ]
         if all(item is not None and b"completed" in item.value for item in states):
             return
         await asyncio.sleep(SETTLE_POLL_S)
-    world.fault_log.record_violation("a wave was not completed 30 s after the last trouble")
+    testbed.fault_log.record_violation("a wave was not completed 30 s after the last trouble")
 
 
-async def _judge_end(world: World) -> None:
-    assert world.callers is not None
-    record_violation = world.fault_log.record_violation
-    begun = {name.job_id for name in world.fleet.workers.begun}
-    for job in world.callers.jobs.values():
+async def _judge_end(testbed: Testbed) -> None:
+    assert testbed.callers is not None
+    record_violation = testbed.fault_log.record_violation
+    begun = {name.job_id for name in testbed.fleet.workers.begun}
+    for job in testbed.callers.jobs.values():
         if not job.accepted_s:
             is_refused = bool(job.answers) and all(status in (429, 503) for status in job.answers)
             if is_refused and job.job_id in begun:
                 record_violation(f"{job.job_id} was refused each time, and runs")
             continue
-        states = {await world.callers.state(job, name) for name in world.entries} - {None}
+        states = {await testbed.callers.state(job, name) for name in testbed.entries} - {None}
         if len(states) != 1:
             record_violation(f"{job.job_id} is shown as {sorted(map(str, states))} at the end")
             continue
-        _judge_state(world, job, str(states.pop()))
-    for wave, (machines, _) in world.fleet.waves.items():
-        missed = machines - world.fleet.had_upkeep.get(wave, set())
-        item = world.store.items.get(f"status/wave/{wave}")
+        _judge_state(testbed, job, str(states.pop()))
+    for wave, (machines, _) in testbed.fleet.waves.items():
+        missed = machines - testbed.fleet.had_upkeep.get(wave, set())
+        item = testbed.store.items.get(f"status/wave/{wave}")
         if missed and item is not None and b"completed" in item.value:
             record_violation(f"wave {wave} is said to be completed without {sorted(missed)}")
-    for entry in world.entries.values():
+    for entry in testbed.entries.values():
         for text in entry.process.own_ends:
             record_violation(text)
 
 
-def _judge_state(world: World, job: CalledJob, state: str) -> None:
+def _judge_state(testbed: Testbed, job: CalledJob, state: str) -> None:
     allowed = {"completed"}
     if job.is_cancel_sent:
         allowed.add("cancelled")
-    crashed_under = world.fleet.workers.crashed_under
+    crashed_under = testbed.fleet.workers.crashed_under
     if any(crashed_under[task] >= MOST_CRASHES for task in job.tasks):
         allowed.add("failed")
     if job.fails or job.crashes:
         allowed = {"failed"} | (allowed - {"completed"})
     if state not in allowed:
-        world.fault_log.record_violation(
+        testbed.fault_log.record_violation(
             f"{job.job_id} is {state} at the end; allowed: {sorted(allowed)}"
         )
--- a/soak/_world.py
+++ b/soak/_testbed.py
@@ -1,4 +1,4 @@
-"""One run's whole world: the platform, the workers, the entry processes and the ways between."""
+"""One run's whole testbed: the platform, the workers, the entry processes and the ways between."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     machines_link: Proxy
 
 
-class World:
+class Testbed:
     """Everything of one run.
 
     Args:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 import tempfile
 import unittest
 
-from soak._run import RunPlan, play
+from soak._run import RunPlan, run_soak
 
 SEED = 1
 
@@ -19,10 +19,10 @@
         """Jobs are accepted and end, and nothing breaks, through troubles drawn by a fixed seed."""
         plan = RunPlan(seed=SEED, jobs=25, trouble_s=8.0, settle_s=60.0)
         with tempfile.TemporaryDirectory() as folder:
-            verdict = asyncio.run(play(plan, folder=pathlib.Path(folder)))
-        self.assertEqual((), verdict.violations, verdict.timeline)
-        self.assertGreater(verdict.accepted, 10)
-        self.assertGreater(verdict.starts, verdict.accepted)
+            result = asyncio.run(run_soak(plan, folder=pathlib.Path(folder)))
+        self.assertEqual((), result.violations, result.timeline)
+        self.assertGreater(result.accepted, 10)
+        self.assertGreater(result.starts, result.accepted)
 
 
 if __name__ == "__main__":
