--- a/bench/crash_loops.py
+++ b/bench/crash_loops.py
@@ -11,8 +11,8 @@
 
 from tests.crash_history import ReturningWorkers
 from tests.fleet_history import SERVICE, History
-from tests.on_loop import run_story
 from tests.scheduling_fakes import step, view
+from tests.virtual_clock import run_scenario
 
 from shallotworks.jobs import JobState, TaskName
 
@@ -114,5 +114,5 @@
     for crashing_part in CRASHING_PARTS:
         for seed in SEEDS:
             turn = _Turn(seed=seed, crashing_part=crashing_part)
-            run_story(turn.play())
+            run_scenario(turn.play())
             print(f"{seed:>4}{turn.row()}", flush=True)
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, replace
 
-from tests.dispatch_fakes import fleet, instances, make_bench, make_request, run_on_stopped_clock
+from tests.dispatch_fakes import fleet, instances, make_bench, make_request, run_on_virtual_clock
 
 from bench._dispatch_baselines import EveryRetry, FirstCome, LeastInFlight, RandomChoice
 from bench._dispatch_load import Entry, FakeTarget, Load, Tally, offer
@@ -134,7 +134,7 @@
 
 def medians(measure: Callable[[int], Awaitable[list[float]]]) -> list[float]:
     """Return the median of each figure over the seeds."""
-    rows = [run_on_stopped_clock(lambda seed=seed: measure(seed)) for seed in SEEDS]
+    rows = [run_on_virtual_clock(lambda seed=seed: measure(seed)) for seed in SEEDS]
     return [sorted(column)[len(column) // 2] for column in zip(*rows, strict=True)]
 
 
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -12,8 +12,8 @@
 import statistics
 
 from tests.fleet_history import History
-from tests.on_loop import run_story
 from tests.scheduling_fakes import step
+from tests.virtual_clock import run_scenario
 
 from shallotworks.jobs import TaskName
 
@@ -68,7 +68,7 @@
 def main() -> None:
     """Print the times, median and worst over seeds."""
     for is_planned in (False, True):
-        rows = [run_story(_measure(seed, is_planned=is_planned)) for seed in SEEDS]
+        rows = [run_scenario(_measure(seed, is_planned=is_planned)) for seed in SEEDS]
         for kind, label in enumerate(("a job from before", "a job since")):
             times = sorted(row[kind] for row in rows if row[kind] < float("inf"))
             print(
--- a/tests/dispatch_fakes.py
+++ b/tests/dispatch_fakes.py
@@ -28,7 +28,7 @@
 _Value = TypeVar("_Value")
 
 
-def run_on_stopped_clock(main: Callable[[], Awaitable[_Value]]) -> _Value:
+def run_on_virtual_clock(main: Callable[[], Awaitable[_Value]]) -> _Value:
     """Run a coroutine on a loop whose clock jumps to the next timer."""
     # Nothing but timers moves here, so that no empty rounds are needed before each jump.
     with asyncio.Runner(loop_factory=lambda: looptime.new_event_loop(noop_cycles=0)) as runner:
--- a/tests/fleet_history.py
+++ b/tests/fleet_history.py
@@ -60,7 +60,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._fleet = fleet
         self.directory: WorkerDirectory = fleet
-        """Lists workers; a story may put another in its place before the instance starts."""
+        """Lists workers; a scenario may put another in its place before the instance starts."""
         self.job_handler = JobRequestHandler(
             store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=self.now_s
         )
@@ -119,7 +119,7 @@
         seed: Draws everything.
         workers: Number of workers.
         instances: Number of instances.
-        fleet: The workers' type, for stories in which they judge or do more.
+        fleet: The workers' type, for scenarios in which they judge or do more.
     """
 
     def __init__(
--- a/tests/lasting_history.py
+++ b/tests/lasting_history.py
@@ -1,4 +1,4 @@
-"""Lasting tasks on the stand-ins, through troubles that stories bring about, judged all the while.
+"""Lasting tasks on the stand-ins, through troubles that scenarios cause, judged all the while.
 
 Instances, terms, bidders, their mirrors and the list of workers are the product's own; the store,
 the workers and the keeper of machines are stand-ins. Workers register in the store as the
@@ -97,7 +97,7 @@
 
 
 class Journal(StructuredLog):
-    """Keeps an instance's log lines, at the story's times.
+    """Keeps an instance's log lines, at the scenario's times.
 
     Args:
         process: The instance.
@@ -309,7 +309,7 @@
             self.add_worker()
         self._first_instances = instances
 
-    # ---- the story's frame
+    # ---- the scenario's frame
 
     def start(self) -> None:
         """Start the instances and the judge."""
--- a/tests/peer_fakes.py
+++ b/tests/peer_fakes.py
@@ -24,7 +24,7 @@
 _Value = TypeVar("_Value")
 
 
-def run_on_stopped_clock(main: Coroutine[Any, Any, _Value]) -> _Value:
+def run_on_virtual_clock(main: Coroutine[Any, Any, _Value]) -> _Value:
     """Run a coroutine on a loop whose clock jumps to the next timer."""
     with asyncio.Runner(loop_factory=lambda: looptime.new_event_loop(start=0)) as runner:
         return runner.run(main)
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -33,8 +33,8 @@
 from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
 from tests.lasting_history import RUNS_AGAIN_S
-from tests.on_loop import run_story
 from tests.scheduling_fakes import Bench, job, quiet_log, step, view
+from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000ab"
 NAME = TaskName(JOB_ID, 0, 0, 0)
@@ -86,7 +86,7 @@
         took over waited for them; a drained one may leave while there is no scheduler.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = await _begun(workers=4, instances=1)
             busy = next(one for one in history.fleet.workers.values() if one.names())
             crashed, drained, kept = (
@@ -104,7 +104,7 @@
             self.assertIn(drained.view.worker_id, _recorded(history))
             await _end(history)
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_write_carried_out_late_takes_no_worker_out(self) -> None:
         """Two runs of one task at once, one on a worker that the successor has never heard of.
@@ -113,7 +113,7 @@
         was entered, and a task started there; the late write took the worker out again.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             late = FaultInjectingStore(store=store)
             holder = await acquire(late, times=LONG)
@@ -131,12 +131,12 @@
             self.assertEqual({"one": one, "two": two}, ActiveWorkersRecord.decode(item.value))
             self.assertFalse(holder.lost.is_set())
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_write_that_met_its_own_earlier_one_is_made_again(self) -> None:
         """A worker is entered though an earlier write was carried out without an answer."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             caller = FaultInjectingStore(store=store)
             holder = await acquire(caller, times=LONG)
@@ -152,12 +152,12 @@
             self.assertTrue(record.may_use("two"))
             self.assertFalse(holder.lost.is_set())
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_record_that_can_not_be_read_holds_earlier_jobs_back(self) -> None:
         """A scheduler that can't read whom its predecessor used waits, and then goes on."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=4, workers=1, instances=1)
             history.fleet.lasting.add(JOB_ID)
             await history.submit(JOB_ID, step(1, is_lasting=True))
@@ -170,7 +170,7 @@
             self.assertEqual({"w0"}, _recorded(history))
             await _end(history)
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class HandOverTests(unittest.TestCase):
@@ -183,7 +183,7 @@
         elsewhere before it has asked the worker, which still tells the end.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             loop = asyncio.get_running_loop()
             store = RecordStore(rng=random.Random(1))
             holder = await acquire(FaultInjectingStore(store=store), times=LONG)
@@ -215,7 +215,7 @@
             await workers.hand_over()
             self.assertEqual(set(), set(record.active_workers))
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_scheduler_that_is_stopped_stores_what_it_has_learnt(self) -> None:
         """A successor waits for workers on which nothing runs, or runs ended tasks again.
@@ -224,7 +224,7 @@
         one is to be stored before its key is given back.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=5, workers=8, instances=1)
             job_ids = [f"{number:016x}" for number in range(1, 9)]
             for number, job_id in enumerate(job_ids):
@@ -243,7 +243,7 @@
             self.assertEqual([], scheduler_state.dirty())
             await _end(history)
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class LeaseTests(unittest.TestCase):
@@ -256,7 +256,7 @@
         the third waited for the time that the first had left.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             loop = asyncio.get_running_loop()
             fleet = TaskWorkers(rng=random.Random(1))
             fleet.lasting.add(JOB_ID)
@@ -296,7 +296,7 @@
             order_dispatcher.close()
             keep.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class WaitTests(unittest.TestCase):
@@ -307,7 +307,7 @@
         and waited for the longest leases that a predecessor which still lived could have granted.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = await _begun(workers=2, instances=2)
             busy = next(one for one in history.fleet.workers.values() if one.names())
             scheduler = history.scheduler()
@@ -318,7 +318,7 @@
             self.assertEqual([], history.fleet.violations)
             await _end(history)
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_schedulers_that_take_turns_wait_once(self) -> None:
         """A lasting task stood still for as long as instances were stopped in turn.
@@ -327,7 +327,7 @@
         worker to its successor, which waited for it from the start.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = await _begun(workers=2, instances=5)
             busy = next(one for one in history.fleet.workers.values() if one.names())
             scheduler = history.scheduler()
@@ -346,7 +346,7 @@
             self.assertEqual([], history.fleet.violations)
             await _end(history)
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_nothing_outlives_the_time_that_a_successor_waits(self) -> None:
         """Two runs of one task at once, since a successor did not wait long enough.
@@ -356,7 +356,7 @@
         """
         times = OrderTimes()
 
-        async def story() -> float:
+        async def scenario() -> float:
             history = await _begun(workers=1, instances=1)
             scheduler = history.instances[0]
             # The key's last renewal may have been confirmed just now.
@@ -369,7 +369,7 @@
             await _end(history)
             return asyncio.get_running_loop().time() - begun_s
 
-        lasted_s = run_story(story())
+        lasted_s = run_scenario(scenario())
         self.assertLess(lasted_s, times.recovery_s)
         self.assertGreater(lasted_s, times.recovery_s - 1.5)
 
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -46,8 +46,8 @@
 from shallotworks.store import Holder, Mirror
 from tests.fleet_history import AllAllowed
 from tests.held_keys import acquire
-from tests.on_loop import run_story
 from tests.scheduling_fakes import policy, quiet_log, step, view
+from tests.virtual_clock import run_scenario
 
 SERVICE = "antenna"
 BORROWER = "coverage"
@@ -339,7 +339,7 @@
         the keeper has ordered their upkeep meanwhile.
         """
 
-        async def story(wait_s: float) -> list[str]:
+        async def scenario(wait_s: float) -> list[str]:
             site = Site("w0", "w1", "w2", "w3", count=3, may_miss=1, cpu_millicores=3000)
             first = await site.begin_term()
             await site.submit()
@@ -357,7 +357,7 @@
 
         for part in range(8):
             with self.subTest(successor_begins_after_s=part * 0.025):
-                self.assertEqual([], run_story(story(part * 0.025)))
+                self.assertEqual([], run_scenario(scenario(part * 0.025)))
 
     def test_a_worker_that_the_successor_cannot_reach_is_not_lent(self) -> None:
         """Users meet one of a service's three tasks, of which one may be away.
@@ -366,7 +366,7 @@
         seen nothing run there, so they count as idle, and the keeper lends them to another service.
         """
 
-        async def story() -> list[str]:
+        async def scenario() -> list[str]:
             site = Site("w0", "w1", "w2", "w3", count=3, may_miss=1, cpu_millicores=3000)
             first = await site.begin_term()
             await site.submit()
@@ -379,7 +379,7 @@
             await site.close()
             return site.taken
 
-        self.assertEqual([], run_story(story()))
+        self.assertEqual([], run_scenario(scenario()))
 
 
 class AdoptedRunTests(unittest.TestCase):
@@ -391,7 +391,7 @@
         the service over, counts the task as at work and stops the next one.
         """
 
-        async def story(wait_s: float) -> list[str]:
+        async def scenario(wait_s: float) -> list[str]:
             site = Site("w0", "w1", "w2", "w3", count=3, may_miss=1, cpu_millicores=3000)
             first = await site.begin_term()
             await site.submit()
@@ -414,7 +414,7 @@
 
         for part in range(8):
             with self.subTest(successor_begins_after_s=part * 0.025):
-                self.assertEqual([], run_story(story(part * 0.025)))
+                self.assertEqual([], run_scenario(scenario(part * 0.025)))
 
 
 class EarlierWordTests(unittest.TestCase):
@@ -428,7 +428,7 @@
         offer, starts a waiting task there, and the order ends it.
         """
 
-        async def story() -> list[str]:
+        async def scenario() -> list[str]:
             site = Site("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
             first = await site.begin_term()
             await site.begin_keeper()
@@ -442,7 +442,7 @@
             await site.close()
             return site.taken
 
-        self.assertEqual([], run_story(story()))
+        self.assertEqual([], run_scenario(scenario()))
 
     def test_a_lasting_task_keeps_off_what_the_store_still_offers(self) -> None:
         """A service's task is taken away at work, with no look at its budget.
@@ -452,7 +452,7 @@
         the service's next one is slow to begin. The keeper still reads the offer and takes it.
         """
 
-        async def story() -> list[str]:
+        async def scenario() -> list[str]:
             site = Site("w0", "w1", "w2", "w3", "w4", count=3, may_miss=1, cpu_millicores=3000)
             first = await site.begin_term()
             await site.submit()
@@ -465,7 +465,7 @@
             await site.close()
             return site.taken
 
-        self.assertEqual([], run_story(story()))
+        self.assertEqual([], run_scenario(scenario()))
 
     def test_an_offer_that_the_store_takes_late_does_not_outlive_its_withdrawal(self) -> None:
         """A service's task is taken away at work, with no look at its budget.
@@ -475,7 +475,7 @@
         last answered word for the one that stands, and does not tell it again.
         """
 
-        async def story() -> list[str]:
+        async def scenario() -> list[str]:
             site = Site("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
             first = await site.begin_term()
             await site.submit()
@@ -493,7 +493,7 @@
             await site.close()
             return site.taken
 
-        self.assertEqual([], run_story(story()))
+        self.assertEqual([], run_scenario(scenario()))
 
     def test_an_offer_that_was_taken_without_an_answer_is_taken_back(self) -> None:
         """A service's task is taken away at work, with no look at its budget.
@@ -503,7 +503,7 @@
         nothing, and the offer stands.
         """
 
-        async def story() -> tuple[list[str], int]:
+        async def scenario() -> tuple[list[str], int]:
             site = Site("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
             first = await site.begin_term()
             await site.submit()
@@ -520,7 +520,7 @@
             await site.close()
             return site.taken, serving_tasks
 
-        self.assertEqual(([], 2), run_story(story()))
+        self.assertEqual(([], 2), run_scenario(scenario()))
 
 
 def _runs(handle: SchedulerHandle) -> list[Run]:
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -12,8 +12,8 @@
 from shallotworks.scheduling import OrderOutcome, OrderStatus, StartOrder, WorkerView
 from tests.crash_history import ReturningWorkers
 from tests.fleet_history import History
-from tests.on_loop import run_story
 from tests.scheduling_fakes import WALL_S, Bench, job, step, view
+from tests.virtual_clock import run_scenario
 
 CRASHES = [("refused", False), ("silent", True)]
 JOB_ID = "00000000000000aa"
@@ -64,7 +64,7 @@
     def test_a_task_that_crashes_its_workers_is_given_up(self, _how: str, is_silent: bool) -> None:
         """A task was started without end, and each start cost a worker with all that it ran."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             one = history(seed=1, is_silent=is_silent)
             await asyncio.sleep(1.0)
             await one.submit(JOB_ID, step(2, estimated_s=0.8))
@@ -74,13 +74,13 @@
             for instance in one.instances:
                 await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
     @parameterized.expand(CRASHES)
     def test_the_count_of_crashes_survives_the_scheduler(self, _how: str, is_silent: bool) -> None:
         """Each scheduler was killed before it knew of a crash, and its successor counted anew."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             one = history(seed=2, is_silent=is_silent)
             await asyncio.sleep(1.0)
             await one.submit(JOB_ID, step(1, estimated_s=0.8))
@@ -101,7 +101,7 @@
             for instance in one.instances:
                 await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
     @parameterized.expand(CRASHES)
     def test_tasks_that_were_lost_beside_the_culprit_are_done(
@@ -109,7 +109,7 @@
     ) -> None:
         """Tasks that only stood on the same workers as one that crashes them were lost with it."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             one = history(seed=3, workers=8, is_silent=is_silent)
             await asyncio.sleep(1.0)
             others = [f"{number:016x}" for number in range(1, 9)]
@@ -123,12 +123,12 @@
             for instance in one.instances:
                 await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_starts_that_another_incarnation_refuses_are_no_crashes(self) -> None:
         """A sound job was failed for starts to workers that had died unseen before."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             one = History(seed=4, workers=1, instances=1, fleet=ReturningWorkers)
             orders = one.instances[0].orders
             start, refused = orders.start, []
@@ -153,7 +153,7 @@
             self.assertIs(JobState.COMPLETED, one.state(JOB_ID))
             await one.instances[0].kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 if __name__ == "__main__":
--- a/tests/test_dispatch_history.py
+++ b/tests/test_dispatch_history.py
@@ -11,7 +11,7 @@
 from shallotworks.errors import Ran
 from shallotworks.fleet import Condition
 from shallotworks.requests import AttemptOutcome, DispatchLimits, Grant, Request, RequestClass
-from tests.dispatch_fakes import Bench, fleet, instances, make_bench, run_on_stopped_clock, settle
+from tests.dispatch_fakes import Bench, fleet, instances, make_bench, run_on_virtual_clock, settle
 
 SLOTS = 2
 WORKERS = 3
@@ -184,7 +184,7 @@
         entry instances in any order.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             await History(self).run(steps)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -13,7 +13,7 @@
     instances,
     kind_of,
     make_bench,
-    run_on_stopped_clock,
+    run_on_virtual_clock,
     settle,
 )
 
@@ -22,7 +22,7 @@
     def test_grants_up_to_the_slots_and_no_further(self) -> None:
         """As many grants as there are slots are given; the next waits for a release."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(2, slots=2)))
             grants = [await bench.grant() for _ in range(4)]
             self.assertEqual(Counter(g.target.instance for g in grants), {"w0": 2, "w1": 2})
@@ -36,12 +36,12 @@
             self.assertEqual(bench.dispatcher.in_flight, 4)
             self.assertEqual(bench.metrics.counters()["dispatch.released-twice"], 1)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_entries_divide_the_slots_exactly(self) -> None:
         """Entry instances that agree on their ranks hold all slots together, and none twice."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             held: Counter[str] = Counter()
             for rank in range(3):
                 bench = make_bench(fleet(instances(5)), entries=3, rank=rank)
@@ -50,7 +50,7 @@
                 held.update(t.result().unwrap().target.instance for t in tasks if granted(t))
             self.assertEqual(held, {f"w{number}": 8 for number in range(5)})
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_idle_part_of_other_entries_is_used(self) -> None:
         """Interactive work goes beyond its part while the targets allow, and back when they don't.
@@ -59,7 +59,7 @@
         full and requests are refused, while the other half idles and nobody says so.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1)), entries=2, rank=0)
             tasks = [bench.start(within_s=1000) for _ in range(64)]
             await settle()
@@ -74,12 +74,12 @@
             seen.append(len(_running(tasks)))
             self.assertEqual((seen[0], max(seen), seen[-1]), (4, 8, 4))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_unknown_names_are_refused(self) -> None:
         """A service or team that does not exist is NOT_FOUND; an empty pool is NO_TARGET."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet({}))
             tasks = [bench.start("none"), bench.start(team="x"), bench.start()]
             await asyncio.wait(tasks)
@@ -87,12 +87,12 @@
             wanted = [ErrorKind.NOT_FOUND, ErrorKind.NOT_FOUND, ErrorKind.NO_TARGET]
             self.assertEqual(kinds, wanted)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_stopping(self) -> None:
         """After the stop nothing new is admitted; waiting requests and retries are."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1, slots=1)))
             first = await bench.grant()
             waiting = bench.start()
@@ -109,14 +109,14 @@
             await settle()
             self.assertIs(kind_of(retry), ErrorKind.STOPPING)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
 
 class ClassTests(unittest.TestCase):
     def test_interactive_goes_ahead(self) -> None:
         """A slot that comes free goes to interactive work, however long others have waited."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1, slots=4)))
             grants = [await bench.grant(request_class=LONG_RUNNING) for _ in range(3)]
             grants.append(await bench.grant())
@@ -128,19 +128,19 @@
             self.assertTrue(granted(quick))
             self.assertFalse(slow.done())
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_long_running_leaves_room(self) -> None:
         """Long-running work alone fills all slots but one, which an interactive arrival finds."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(2)))
             tasks = [bench.start(request_class=LONG_RUNNING) for _ in range(30)]
             await settle()
             self.assertEqual(sum(map(granted, tasks)), 15)
             self.assertTrue(granted(await _ended(bench.start())))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_long_running_progresses(self) -> None:
         """A stated minimum of slots goes to long-running work while interactive work floods.
@@ -149,7 +149,7 @@
         would not start until they sleep, and would miss the opening.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             limits = DispatchLimits(long_running_min_part=0.25, waiting_min=10_000)
             bench = make_bench(fleet(instances(1)), limits=limits)
             flood = [bench.start(within_s=1000) for _ in range(200)]
@@ -165,14 +165,14 @@
                     (nightly if task in nightly else flood).remove(task)
             self.assertEqual(answered, 20)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
 
 class ShareTests(unittest.TestCase):
     def test_unused_share_is_lent_and_taken_back(self) -> None:
         """A service uses what others leave; when they want it, it comes back as slots free."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1), shares={"trace": 0.75, "parts": 0.25}))
             lent = [await bench.grant("parts") for _ in range(8)]
             tasks = [bench.start(name) for name in ("parts", "trace") for _ in range(8)]
@@ -182,12 +182,12 @@
             names = Counter("parts" if task in tasks[:8] else "trace" for task in _running(tasks))
             self.assertEqual(names, {"trace": 6, "parts": 2})
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_team_quota(self) -> None:
         """A team holds its quota at the most, waits a little above it, and is then refused."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             limits = DispatchLimits(team_waiting_per_slot=2)
             bench = make_bench(fleet(instances(1), quotas={"crew": 2, "none": 0}), limits=limits)
             tasks = [bench.start(team="crew") for _ in range(7)]
@@ -201,12 +201,12 @@
             self.assertEqual([granted(task) for task in tasks[2:4]], [True, False])
             self.assertIs(kind_of(await _ended(bench.start(team="none"))), ErrorKind.OVER_QUOTA)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_team_quota_when_slots_free_at_once(self) -> None:
         """Requests that queued while their team had room still start within its quota only."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1, slots=4), quotas={"crew": 1}))
             held = [await bench.grant() for _ in range(4)]
             tasks = [bench.start(team="crew", within_s=30) for _ in range(3)]
@@ -219,7 +219,7 @@
             await settle()
             self.assertEqual(sum(map(granted, tasks)), 2)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
 
 class OverloadTests(unittest.TestCase):
@@ -230,7 +230,7 @@
         while a thousand archive jobs stand in line.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             limits = DispatchLimits(waiting_min=4, waiting_per_slot=0)
             state = fleet(instances(1, slots=2), shares={"trace": 0.5, "parts": 0.5})
             bench = make_bench(state, limits=limits)
@@ -250,24 +250,24 @@
             self.assertIs(kind_of(more), ErrorKind.OVERLOADED)
             self.assertGreater(more.result().failure().retry_after_s, 0)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_bound_over_all_pools(self) -> None:
         """No more requests wait in one process than stated, whatever its pools would allow."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1, slots=1)), limits=DispatchLimits(waiting_max=5))
             tasks = [bench.start() for _ in range(10)]
             await settle()
             self.assertEqual(bench.dispatcher.waiting, 5)
             self.assertIs(kind_of(tasks[9]), ErrorKind.OVERLOADED)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_hopeless_requests_are_refused_at_once(self) -> None:
         """What can't be answered by its deadline is told so on arrival, not at the deadline."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1, slots=1)))
             for _ in range(20):
                 bench.done(await bench.grant(), duration_s=1.0)
@@ -281,12 +281,12 @@
             self.assertIs(kind_of(tasks[0]), ErrorKind.DEADLINE_EXCEEDED)
             bench.done(held)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_short_deadline_may_wait_a_part_of_it(self) -> None:
         """A deadline below the usual duration is no reason to refuse: this one may be quick."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(8)))
             for _ in range(20):
                 bench.done(await bench.grant(), duration_s=1.0)
@@ -299,12 +299,12 @@
             await asyncio.sleep(10.0)
             self.assertNotIn("dispatch.refused.deadline-exceeded", bench.metrics.counters())
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_estimates_far_off_are_corrected(self) -> None:
         """Estimates that say "never in time" don't refuse for ever: free slots are always used."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1, slots=1)))
             bench.done(await bench.grant(), duration_s=1000.0)
             for _ in range(200):
@@ -316,7 +316,7 @@
             await settle()
             self.assertTrue(granted(waiting))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
 
 class CancelTests(unittest.TestCase):
@@ -327,7 +327,7 @@
         the next interactive request must not pay for what they leave behind.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             limits = DispatchLimits(waiting_min=10_000)
             bench = make_bench(fleet(instances(1, slots=2)), limits=limits)
             held = [await bench.grant(), await bench.grant()]
@@ -346,7 +346,7 @@
             await settle()
             self.assertTrue(granted(last))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_task_cancelled_with_its_grant_decided(self) -> None:
         """A slot given to a task that is cancelled before it wakes comes back.
@@ -355,7 +355,7 @@
         receives it, and without care one slot is lost for good with every such instant.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1, slots=1)))
             first = await bench.grant()
             unlucky, queued, next_one = bench.start(), bench.start(), bench.start()
@@ -368,14 +368,14 @@
             self.assertTrue(granted(next_one))
             self.assertEqual((bench.dispatcher.in_flight, bench.dispatcher.waiting), (1, 0))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
 
 class LeavingTests(unittest.TestCase):
     def test_cordoned_and_leaving_targets_get_nothing_new(self) -> None:
         """From the moment the state or the list says so, only the other target is used."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(3)))
             running = [await bench.grant() for _ in range(6)]
             bench.config.cordon("w0")
@@ -387,12 +387,12 @@
             more = [await bench.grant() for _ in range(2)]
             self.assertEqual({grant.target.instance for grant in more}, {"w2"})
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_last_target_leaves_while_requests_wait(self) -> None:
         """Waiting requests are told at once that there is no target, not at their deadline."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(1, slots=1)))
             await bench.grant()
             waiting = bench.start(within_s=1000)
@@ -401,12 +401,12 @@
             await asyncio.sleep(0.2)
             self.assertIs(kind_of(waiting), ErrorKind.NO_TARGET)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_returning_target_starts_slowly(self) -> None:
         """A target that comes back is given its slots one by one over the slow start."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             limits = DispatchLimits(slow_start_s=8.0)
             bench = make_bench(fleet(instances(1)), limits=limits)
             bench.config.set_instances(["w0"], healthy=False)
@@ -424,12 +424,12 @@
             await asyncio.sleep(5.0)
             self.assertEqual(sum(map(granted, tasks)), 8)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_other_data_centres_help_when_the_local_part_is_full(self) -> None:
         """Interactive work spills over when no local slot is free; long-running work does not."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             members = instances(1, slots=2)
             members |= instances(1, slots=2, data_centre="there", prefix="far")
             bench = make_bench(fleet(members))
@@ -445,7 +445,7 @@
             await settle()
             self.assertEqual(slow.result().unwrap().target.instance, "far0")
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
 
 async def _ended(task: asyncio.Task) -> asyncio.Task:
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -14,7 +14,7 @@
     granted,
     instances,
     make_bench,
-    run_on_stopped_clock,
+    run_on_virtual_clock,
     settle,
 )
 
@@ -42,7 +42,7 @@
         millisecond. It always has free slots, so every rule that looks at load sends it more.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(8)))
             busy = [await bench.grant() for _ in range(40)]
             seen = await attempts(bench, 200, {"w3"}, outcome)  # type: ignore[arg-type]
@@ -51,12 +51,12 @@
             for grant in busy:
                 bench.done(grant)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_probes_bring_it_back(self) -> None:
         """One request at a time probes an ejected target, ever more rarely, until one succeeds."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             limits = DispatchLimits(probe_after_s=4.0, slow_start_s=8.0)
             bench = make_bench(fleet(instances(2)), limits=limits)
             await attempts(bench, 20, {"w0"}, ERROR)
@@ -75,12 +75,12 @@
             held += [await bench.grant() for _ in range(7)]
             self.assertEqual(Counter(g.target.instance for g in held)["w0"], 8)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_non_idempotent_requests_do_not_probe(self) -> None:
         """A booking is not spent on a probe while an idempotent request may come instead."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(2)))
             await attempts(bench, 20, {"w0"}, ERROR)
             await asyncio.sleep(10.0)
@@ -88,12 +88,12 @@
             self.assertEqual(booking.target.instance, "w1")
             self.assertEqual((await bench.grant()).target.instance, "w0")
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_no_more_than_the_set_part(self) -> None:
         """Of eight targets of which five fail, four are ejected and the fifth stays in service."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(8)))
             bad = {f"w{number}" for number in range(5)}
             await attempts(bench, 200, bad, ERROR)
@@ -103,7 +103,7 @@
             held = [await bench.grant() for _ in range(32)]
             self.assertEqual(len({grant.target.instance for grant in held}), 4)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_all_look_bad(self) -> None:
         """When nearly all look bad, none is ejected, and it is said; it ends when they answer.
@@ -112,7 +112,7 @@
         broken, and ejecting them one by one would end with nothing left to send to.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(8)))
             everyone = set(instances(8))
             await attempts(bench, 200, everyone, AttemptOutcome.TIMED_OUT)
@@ -128,7 +128,7 @@
             seen = await attempts(bench, 100, {"w3"}, ERROR)
             self.assertEqual(seen["w3"], 3)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_other_data_centres_are_cut_off(self) -> None:
         """Targets of a data centre that is cut off are all ejected, and count against nothing.
@@ -137,7 +137,7 @@
         work, so this process is not at fault, and a local one that breaks must still be ejected.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             members = instances(2, slots=2)
             far = instances(6, slots=2, data_centre="there", prefix="far")
             bench = make_bench(fleet(members | far))
@@ -157,7 +157,7 @@
             seen = await attempts(bench, 50, {"w0"}, ERROR)
             self.assertEqual(seen["w0"], 3)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_refusals_rest_a_target_briefly(self) -> None:
         """A full target is left alone for an instant and is no outlier; one that only refuses is.
@@ -166,7 +166,7 @@
         failure would eject healthy targets exactly when all slots are needed.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(2)))
             refused = AttemptOutcome.REFUSED
             seen = await attempts(bench, 50, {"w0"}, refused)
@@ -179,19 +179,19 @@
                 await attempts(bench, 5, {"w0"}, refused)
             self.assertEqual(bench.metrics.counters()["targets.ejected"], 1)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_replaced_under_its_old_name(self) -> None:
         """Another machine under an ejected name starts without that judgement."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(2)))
             await attempts(bench, 20, {"w0"}, ERROR)
             bench.config.set_instances(["w0"], address="127.0.0.1:1")
             seen = await attempts(bench, 40, set(), OK)
             self.assertGreater(seen["w0"], 5)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
 
 class ChoiceTests(unittest.TestCase):
@@ -202,7 +202,7 @@
         the budget; others must meanwhile not wait behind the retry.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(2, slots=1)))
             held = {(g := await bench.grant()).target.instance: g for _ in range(2)}
             retry = bench.ask(bench.request(within_s=5.0), tried=frozenset({"w0"}))
@@ -216,18 +216,18 @@
             await settle()
             self.assertEqual(retry.result().unwrap().target.instance, "w1")
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_all_tried(self) -> None:
         """Where every target was tried, any will do."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(2)))
             task = bench.ask(bench.request(), tried=frozenset({"w0", "w1"}))
             await settle()
             self.assertTrue(granted(task))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_processes_do_not_herd(self) -> None:
         """Six processes that don't see each other's load fill idle targets about evenly.
@@ -236,19 +236,19 @@
         same one, which then has 6 requests while its neighbours idle.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             seen: Counter[str] = Counter()
             for seed in range(60):
                 bench = make_bench(fleet(instances(8)), seed=seed)
                 seen[(await bench.grant()).target.instance] += 1
             self.assertLessEqual(max(seen.values()), 16)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_events_name_the_instance(self) -> None:
         """Ejections are on the time line with the instance, for operators."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             bench = make_bench(fleet(instances(3)))
             await attempts(bench, 30, {"w1"}, ERROR)
             kinds = [
@@ -258,4 +258,4 @@
             ]
             self.assertEqual(kinds, [(EventKind.TARGET_EJECTED, "w1")])
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -25,8 +25,8 @@
 from shallotworks.store import Commit, Holder, HolderTimes, Write
 from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
-from tests.on_loop import run_story
 from tests.scheduling_fakes import Bench, job, quiet_log, step, view
+from tests.virtual_clock import run_scenario
 
 KEYS = JobKeys(service=SERVICE)
 DONE = TaskName("j", 0, 0, 0)
@@ -40,7 +40,7 @@
         thousand finished jobs with 3 KB each. Only a job that is still to be run needs that.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=1)
             for instance in history.instances:
                 instance.start()
@@ -55,12 +55,12 @@
             for instance in history.instances:
                 await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_batch_keeps_within_the_entries_of_a_commit(self) -> None:
         """Progress of many finished jobs that is never stored, since the commit is too large."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             largest = 0
             bench = Bench(view("a", cpu_millicores=90_000, memory_mb=90_000))
@@ -97,7 +97,7 @@
             self.assertEqual(30, len(bench.scheduler_state.finished_jobs))
             self.assertLessEqual(largest, 32)
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_turn_of_ended_tasks_is_stored_in_a_moment(self) -> None:
         """Workers are full of ended tasks that their scheduler has not looked at for long.
@@ -107,7 +107,7 @@
         and a worker with ends that are not stored is not looked at meanwhile.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             loop = asyncio.get_running_loop()
             store = FaultInjectingStore(store=RecordStore(rng=random.Random(1)))
             bench = Bench(view("a", cpu_millicores=90_000, memory_mb=90_000))
@@ -137,7 +137,7 @@
             self.assertLess(loop.time() - began_s, 0.15)
             running.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class HandOverTests(unittest.TestCase):
@@ -148,7 +148,7 @@
         those among them that were gone.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=2)
             for instance in history.instances:
                 instance.start()
@@ -165,7 +165,7 @@
             for instance in history.instances:
                 await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class BoardTests(unittest.TestCase):
@@ -229,7 +229,7 @@
         The instance was the first one up, and bid for all duties side by side.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
 
             async def hold(_duty: str, holder: Holder) -> None:
@@ -261,7 +261,7 @@
             for task in following:
                 task.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
     @parameterized.expand(
         [("that has a slow link", 0.1, 0), ("though it has a duty already", 0.516, 1)]
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,6 +1,6 @@
 """Tests of entries and records that another writer has left where workers register themselves.
 
-The story: jobs of every service are accepted, and no task of theirs starts any more. Somebody wrote
+Scenario: jobs of every service are accepted, and no task of theirs starts any more. Somebody wrote
 one entry beside those of the workers, with a list for a table or a text for its capacity. Decoding
 it raised an error that nobody expected, the task that follows the entries ended without a word, and
 the scheduler heard of no worker again. Less visible: a state that nobody knows was taken for a
@@ -34,8 +34,8 @@
 from shallotworks.standins._http_listener import HttpListener, answer_json
 from shallotworks.store import Item, Mirror
 from tests.fleet_history import SERVICE, History
-from tests.on_loop import run_story
 from tests.scheduling_fakes import quiet_log, step
+from tests.virtual_clock import run_scenario
 
 FUZZ_ENTRIES = 600
 FUZZ_SEED = 20
@@ -441,11 +441,11 @@
     def test_an_answer_of_another_shape_is_a_failure(self, _name: str, items: Any) -> None:
         """What only the store itself writes: the call has failed, and may be tried again."""
 
-        async def story(store: PlatformStore) -> None:
+        async def scenario(store: PlatformStore) -> None:
             read = await store.read_page("servers/")
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, read.failure().kind)
 
-        asyncio.run(_served(RawStore(items=items).handle, story))
+        asyncio.run(_served(RawStore(items=items).handle, scenario))
 
     def test_an_answer_too_deep_to_decode_is_a_failure(self) -> None:
         """The follower ended on an error that nobody expected."""
@@ -455,17 +455,17 @@
             answer.body = b"[" * DEEP
             return answer
 
-        async def story(store: PlatformStore) -> None:
+        async def scenario(store: PlatformStore) -> None:
             read = await store.read_page("servers/")
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, read.failure().kind)
 
-        asyncio.run(_served(handle, story))
+        asyncio.run(_served(handle, scenario))
 
     def _follow(self, raw: RawStore) -> list[set[str]]:
         """Return the sets of workers that were listed one after another."""
         recorder = Recorder()
 
-        async def story(store: PlatformStore) -> None:
+        async def scenario(store: PlatformStore) -> None:
             mirror = Mirror(store=store, prefix="servers/", listener=recorder, log=quiet_log())
             task = asyncio.create_task(mirror.run())
             async with asyncio.timeout(FOLLOW_S):
@@ -475,7 +475,7 @@
             self.assertFalse(task.done())
             task.cancel()
 
-        asyncio.run(_served(raw.handle, story))
+        asyncio.run(_served(raw.handle, scenario))
         return recorder.seen
 
 
@@ -501,13 +501,13 @@
 
 
 async def _served(
-    handle: Callable[[Any], Awaitable[Any]], story: Callable[[PlatformStore], Awaitable[None]]
+    handle: Callable[[Any], Awaitable[Any]], scenario: Callable[[PlatformStore], Awaitable[None]]
 ) -> None:
     listener = HttpListener(handle=handle, host="127.0.0.1")
     await listener.start()
     client = HttpClient(address=listener.address)
     try:
-        await story(PlatformStore(client=client, metrics=Metrics()))
+        await scenario(PlatformStore(client=client, metrics=Metrics()))
     finally:
         await client.close()
         await listener.stop()
@@ -538,7 +538,7 @@
         started that task does not look at it.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store, listener = RecordStore(rng=random.Random(1)), FaultyListener()
             for number in range(1, 4):
                 store.put(f"a/{number}", b"")
@@ -558,7 +558,7 @@
             self.assertFalse(task.done())
             task.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 # ---- a worker that runs tasks
@@ -574,7 +574,7 @@
         lease extended, its end counted, and nothing new started there.
         """
 
-        async def story(fleet: RegisteredFleet) -> None:
+        async def scenario(fleet: RegisteredFleet) -> None:
             busy = await fleet.run_long_task(14.0)
             fleet.write(busy, value)
             await asyncio.sleep(SETTLE_S)
@@ -587,7 +587,7 @@
             self.assertEqual(1 + 8 * 2, fleet.history.fleet.started)
             self.assertEqual([], fleet.history.violations())
 
-        run_story(RegisteredFleet().play(story))
+        run_scenario(RegisteredFleet().play(scenario))
 
     @parameterized.expand([("while it runs a task", 4.0), ("when it has let go of it", 24.0)])
     def test_it_is_used_again_when_its_entry_is_good_again(
@@ -600,7 +600,7 @@
         newcomer is.
         """
 
-        async def story(fleet: RegisteredFleet) -> None:
+        async def scenario(fleet: RegisteredFleet) -> None:
             spoilt = await fleet.run_long_task(14.0)
             fleet.write(spoilt, b"\xff")
             await asyncio.sleep(bad_for_s)
@@ -609,7 +609,7 @@
             self.assertIn(spoilt, fleet.scheduler_state.workers)
             self.assertTrue(fleet.scheduler_state.workers[spoilt].is_listed)
 
-        run_story(RegisteredFleet().play(story))
+        run_scenario(RegisteredFleet().play(scenario))
 
 
 class RegisteredFleet:
@@ -622,8 +622,8 @@
         self._instance = self.history.instances[0]
         self._instance.directory = self._registry
 
-    async def play(self, story: Callable[[RegisteredFleet], Awaitable[None]]) -> None:
-        """Play a story once both workers are known."""
+    async def play(self, scenario: Callable[[RegisteredFleet], Awaitable[None]]) -> None:
+        """Play a scenario once both workers are known."""
         mirror = Mirror(
             store=FaultInjectingStore(store=self.history.store),
             prefix="servers/",
@@ -635,7 +635,7 @@
             self.register(worker_id)
         self._instance.start()
         await asyncio.sleep(SETTLE_S)
-        await story(self)
+        await scenario(self)
         await self._instance.kill()
         follower.cancel()
 
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -16,7 +16,7 @@
 
 
 class Server:
-    """A server that answers as a story wants, and keeps what it was sent."""
+    """A server that answers as a scenario wants, and keeps what it was sent."""
 
     def __init__(self, serve: Serve) -> None:
         self._serve = serve
@@ -61,14 +61,14 @@
         writer.write(OK)
 
 
-def play(serve: Serve, story: Callable[[Server, HttpClient], Awaitable[None]]) -> None:
-    """Run a story against a server."""
+def play(serve: Serve, scenario: Callable[[Server, HttpClient], Awaitable[None]]) -> None:
+    """Run a scenario against a server."""
 
     async def whole() -> None:
         server = await Server(serve).start()
         client = HttpClient(address=server.address)
         try:
-            await story(server, client)
+            await scenario(server, client)
         finally:
             await client.close()
             await server.stop()
@@ -105,11 +105,11 @@
             writer.write(sent)
             await writer.drain()
 
-        async def story(_server: Server, client: HttpClient) -> None:
+        async def scenario(_server: Server, client: HttpClient) -> None:
             answer = await client.call("GET", "/", timeout_s=2.0)
             self.assertEqual(HttpAnswer(status=status, body=body), answer)
 
-        play(serve, story)
+        play(serve, scenario)
 
     @parameterized.expand(
         [
@@ -129,24 +129,24 @@
             writer.write(sent)
             await writer.drain()
 
-        async def story(_server: Server, client: HttpClient) -> None:
+        async def scenario(_server: Server, client: HttpClient) -> None:
             answer = await client.call("GET", "/", timeout_s=2.0)
             assert isinstance(answer, HttpLost), answer
             self.assertFalse(answer.is_unsent)
 
-        play(serve, story)
+        play(serve, scenario)
 
 
 class ConnectionTests(unittest.TestCase):
     def test_one_connection_serves_many_calls(self) -> None:
         """New connections are paid for, so one is used again."""
 
-        async def story(server: Server, client: HttpClient) -> None:
+        async def scenario(server: Server, client: HttpClient) -> None:
             for _ in range(5):
                 self.assertIsInstance(await client.call("GET", "/", timeout_s=2.0), HttpAnswer)
             self.assertEqual(1, server.connections)
 
-        play(answer_all, story)
+        play(answer_all, scenario)
 
     def test_a_connection_that_the_other_side_closed_is_not_used_again(self) -> None:
         """An order counts as possibly carried out though it was written into a closed connection.
@@ -159,13 +159,13 @@
             writer.write(OK)
             await writer.drain()
 
-        async def story(server: Server, client: HttpClient) -> None:
+        async def scenario(server: Server, client: HttpClient) -> None:
             for _ in range(3):
                 self.assertIsInstance(await client.call("GET", "/", timeout_s=2.0), HttpAnswer)
                 await asyncio.sleep(0.02)
             self.assertEqual(3, server.connections)
 
-        play(serve, story)
+        play(serve, scenario)
 
     def test_a_connection_that_fell_silent_is_left(self) -> None:
         """Every order to a worker times out though the worker is well.
@@ -184,7 +184,7 @@
                 await asyncio.sleep(0.05)
                 writer.write(OK)
 
-        async def story(server: Server, client: HttpClient) -> None:
+        async def scenario(server: Server, client: HttpClient) -> None:
             both = [client.call("GET", "/", timeout_s=2.0) for _ in range(2)]
             await asyncio.gather(*both)
             silent.update((0, 1))
@@ -194,7 +194,7 @@
             self.assertIsInstance(await client.call("GET", "/", timeout_s=0.5), HttpAnswer)
             self.assertEqual(3, server.connections)
 
-        play(serve, story)
+        play(serve, scenario)
 
     def test_an_answer_that_stops_coming_is_given_up(self) -> None:
         """A page that comes slowly is waited for, one that stands still is not."""
@@ -207,14 +207,14 @@
                 await asyncio.sleep(0.05)
             await asyncio.sleep(2.0)
 
-        async def story(_server: Server, client: HttpClient) -> None:
+        async def scenario(_server: Server, client: HttpClient) -> None:
             loop = asyncio.get_running_loop()
             began_s = loop.time()
             answer = await client.call("GET", "/", timeout_s=5.0, silence_s=0.3)
             self.assertIsInstance(answer, HttpLost)
             self.assertTrue(0.4 < loop.time() - began_s < 1.5)
 
-        play(serve, story)
+        play(serve, scenario)
 
     def test_a_call_that_is_given_up_leaves_nothing_to_the_next(self) -> None:
         """A caller gets the answer to an earlier request.
@@ -233,7 +233,7 @@
                 await asyncio.sleep(0.1)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n" + body)
 
-        async def story(_server: Server, client: HttpClient) -> None:
+        async def scenario(_server: Server, client: HttpClient) -> None:
             call = asyncio.create_task(client.call("GET", "/", timeout_s=2.0))
             await asyncio.sleep(0.05)
             call.cancel()
@@ -241,18 +241,18 @@
             answer = await client.call("GET", "/", timeout_s=2.0)
             self.assertEqual(HttpAnswer(status=200, body={"n": 2}), answer)
 
-        play(serve, story)
+        play(serve, scenario)
 
     def test_nobody_listens(self) -> None:
         """A refused connection is certain: nothing was sent."""
 
-        async def story(server: Server, client: HttpClient) -> None:
+        async def scenario(server: Server, client: HttpClient) -> None:
             await server.stop()
             answer = await client.call("GET", "/", timeout_s=1.0)
             assert isinstance(answer, HttpLost), answer
             self.assertTrue(answer.is_unsent)
 
-        play(answer_all, story)
+        play(answer_all, scenario)
 
     def test_more_calls_than_connections_wait_for_one(self) -> None:
         """Calls beyond the connections of an address are answered in their turn."""
@@ -263,14 +263,14 @@
                 await asyncio.sleep(0.02)
                 writer.write(OK)
 
-        async def story(server: Server, client: HttpClient) -> None:
+        async def scenario(server: Server, client: HttpClient) -> None:
             answers = await asyncio.gather(
                 *(client.call("GET", "/", timeout_s=3.0) for _ in range(100))
             )
             self.assertTrue(all(isinstance(answer, HttpAnswer) for answer in answers))
             self.assertLessEqual(server.connections, 24)
 
-        play(serve, story)
+        play(serve, scenario)
 
 
 class TimeTests(unittest.TestCase):
@@ -285,7 +285,7 @@
             await reader.readuntil(b"\r\n\r\n")
             await asyncio.sleep(30.0)
 
-        async def story(_server: Server, client: HttpClient) -> None:
+        async def scenario(_server: Server, client: HttpClient) -> None:
             loop = asyncio.get_running_loop()
             began_s = loop.time()
             answers = await asyncio.gather(
@@ -294,7 +294,7 @@
             self.assertTrue(all(isinstance(answer, HttpLost) for answer in answers))
             self.assertLess(loop.time() - began_s, 1.0)
 
-        play(serve, story)
+        play(serve, scenario)
 
     def test_time_that_has_run_out_ends_an_exchange(self) -> None:
         """The same, where the time is over at the moment at which the request is sent."""
@@ -303,7 +303,7 @@
             await reader.readuntil(b"\r\n\r\n")
             await asyncio.sleep(30.0)
 
-        async def story(server: Server, _client: HttpClient) -> None:
+        async def scenario(server: Server, _client: HttpClient) -> None:
             loop = asyncio.get_running_loop()
             host, port = server.address.split(":")
             _, connection = await loop.create_connection(
@@ -318,7 +318,7 @@
             self.assertLess(loop.time() - began_s, 0.5)
             self.assertFalse(connection.is_open)
 
-        play(serve, story)
+        play(serve, scenario)
 
 
 class RequestTests(unittest.TestCase):
@@ -334,13 +334,13 @@
     ) -> None:
         """A worker's id that another wrote into the registry adds a header of its own to orders."""
 
-        async def story(server: Server, client: HttpClient) -> None:
+        async def scenario(server: Server, client: HttpClient) -> None:
             answer = await client.call("GET", path, timeout_s=1.0, headers=headers)
             assert isinstance(answer, HttpLost), answer
             self.assertTrue(answer.is_unsent)
             self.assertEqual(0, server.connections)
 
-        play(answer_all, story)
+        play(answer_all, scenario)
 
     def test_an_odd_text_is_sent_as_it_came(self) -> None:
         """A scheduler loses its duty again and again over one job, whose text is no valid Unicode.
@@ -356,13 +356,13 @@
             writer.write(OK)
             await writer.drain()
 
-        async def story(_server: Server, client: HttpClient) -> None:
+        async def scenario(_server: Server, client: HttpClient) -> None:
             body = {"spec": "a\ud800b", "n": 2**70}
             answer = await client.call("POST", "/", timeout_s=1.0, body=body)
             self.assertIsInstance(answer, HttpAnswer)
             self.assertEqual([b'{"spec":"a\\ud800b","n":1180591620717411303424}'], heads)
 
-        play(serve, story)
+        play(serve, scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -12,7 +12,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.requests import Claim, IdempotencyLimits, Request, Response, StoreIdempotencyGuard
 from shallotworks.standins import MemoryStore, StoreFaults
-from tests.dispatch_fakes import make_request, run_on_stopped_clock
+from tests.dispatch_fakes import make_request, run_on_virtual_clock
 
 DAY_S = 86_400.0
 ORDERED = Response(status=201, headers=(("x", "1"),), body=b"two tubes")
@@ -84,7 +84,7 @@
         another instance. Two calls to the store for the first, two for the repeat.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             first, second = site.process("e1"), site.process("e2")
             claim = (await first.claim(order())).unwrap()
@@ -95,12 +95,12 @@
             again = (await second.claim(order())).unwrap()
             self.assertEqual(again.stored, ORDERED)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_same_key_at_once_runs_once(self) -> None:
         """Of many claims at the same moment through two instances, one may run."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             guards = [site.process("e1"), site.process("e2")]
             outcomes = await asyncio.gather(*(guards[n % 2].claim(order()) for n in range(20)))
@@ -108,18 +108,18 @@
             others = {kind_of(o) for o in outcomes if not isinstance(o, Success)}
             self.assertEqual(others, {ErrorKind.IN_PROGRESS})
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_different_request_under_the_key_is_refused(self) -> None:
         """A key that comes with another body is a conflict, and nothing runs."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             guard = site.process("e1")
             await guard.claim(order())
             self.assertIs(kind_of(await guard.claim(order(b"other"))), ErrorKind.CONFLICT)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_lost_answer_to_the_claim(self) -> None:
         """The claim holds: the process finds its own id in the record.
@@ -128,7 +128,7 @@
         a request that may run; taking it for success without looking could let two run.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             site.store.set_faults(StoreFaults(lost_answers=0))
             guard = site.process("e1")
@@ -139,7 +139,7 @@
             await guard.complete_claim(claim.unwrap(), ORDERED)
             self.assertEqual((await guard.claim(order())).unwrap().stored, ORDERED)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     @parameterized.expand([("running", None), ("marked", "mark_outcome_unknown")])
     def test_owner_died(self, _name: str, last_act: str | None) -> None:
@@ -149,7 +149,7 @@
         through another instance, which can't know whether the tubes are ordered.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             first, second = site.process("e1"), site.process("e2")
             claim = (await first.claim(order())).unwrap()
@@ -162,12 +162,12 @@
                 self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
                 await asyncio.sleep(DAY_S / 4)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_store_is_down(self) -> None:
         """A claim is refused as not run, and once the store is back the key may run."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             guard = site.process("e1")
             site.store.set_faults(StoreFaults(down=True))
@@ -177,7 +177,7 @@
             site.store.set_faults(StoreFaults())
             self.assertTrue(is_claim_to_run(await guard.claim(order())))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_store_goes_down_with_the_answer_to_the_claim(self) -> None:
         """The request is refused as not run, and that stays true: the key may run later, once.
@@ -186,7 +186,7 @@
         record left behind belongs to nobody and must not block the key.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             first, second = site.process("e1"), site.process("e2")
             await warm_up(first)
@@ -196,7 +196,7 @@
             outcomes = await asyncio.gather(first.claim(order()), second.claim(order()))
             self.assertEqual(sum(map(is_claim_to_run, outcomes)), 1)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_leftover_that_only_a_stale_read_shows(self) -> None:
         """A key that another process holds by now is not taken over.
@@ -205,7 +205,7 @@
         and runs. After a failover reads are old: to the first its own record seems to stand.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             first, second = site.process("e1"), site.process("e2")
             claim = (await first.claim(order())).unwrap()
@@ -215,7 +215,7 @@
             self.assertTrue(is_claim_to_run(await second.claim(order())))
             self.assertIs(kind_of(await first.claim(order())), ErrorKind.IN_PROGRESS)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_own_leftover_is_taken_over(self) -> None:
         """A process that left a record behind may run its key itself, before it has tidied up.
@@ -224,7 +224,7 @@
         the record left behind is older than the newest write this process has seen.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             guard = site.process("e1")
             await warm_up(guard)
@@ -234,7 +234,7 @@
             self.assertTrue(is_claim_to_run(await guard.claim(order())))
             self.assertIs(kind_of(await guard.claim(order())), ErrorKind.IN_PROGRESS)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     @parameterized.expand(
         [
@@ -252,7 +252,7 @@
         the claim is under way, before or after the write has taken effect.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             first, second = site.process("e1"), site.process("e2")
             await warm_up(first)
@@ -269,7 +269,7 @@
             await first.reconcile()
             self.assertTrue(is_claim_to_run(await second.claim(order())))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_late_tidying_spares_the_next_claim(self) -> None:
         """A claim that never took effect is not tidied away from under the next one.
@@ -279,7 +279,7 @@
         third run it again.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             first, second, third = (site.process(name) for name in ("e1", "e2", "e3"))
             await warm_up(first)
@@ -291,7 +291,7 @@
             await first.reconcile()
             self.assertIs(kind_of(await third.claim(order())), ErrorKind.IN_PROGRESS)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_store_is_down_when_the_run_ends(self) -> None:
         """The caller's repeat gets the answer from the process that has it, later from any.
@@ -299,7 +299,7 @@
         The order ran; storing its answer fails. Until the store is back only this process knows.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             first, second = site.process("e1"), site.process("e2")
             claim = (await first.claim(order())).unwrap()
@@ -313,7 +313,7 @@
             await first.reconcile()
             self.assertEqual((await second.claim(order())).unwrap().stored, ORDERED)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_store_is_down_when_the_end_gets_lost(self) -> None:
         """A key whose run has no known end stays so, also while only this process knows of it.
@@ -322,7 +322,7 @@
         "claimed". Nothing may take that for a claim under which nothing ran.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             guard = site.process("e1")
             claim = (await guard.claim(order())).unwrap()
@@ -333,35 +333,35 @@
             await guard.reconcile()
             self.assertIs(kind_of(await guard.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_abandoned_key_is_free(self) -> None:
         """A claim under which surely nothing ran leaves the key to the next, whoever that is."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             first, second = site.process("e1"), site.process("e2")
             await first.release_claim((await first.claim(order())).unwrap())
             self.assertTrue(is_claim_to_run(await second.claim(order())))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_large_answer_is_not_kept(self) -> None:
         """A repeat of a request with an answer over the bound says so and does not run."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             guard = site.process("e1")
             claim = (await guard.claim(order())).unwrap()
             await guard.complete_claim(claim, Response(status=200, headers=(), body=b"x" * 101))
             self.assertIs(kind_of(await guard.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_records_end_with_the_window(self) -> None:
         """A key is kept for the whole window and gone soon after, without a sweep."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             guard = site.process("e1")
             await guard.complete_claim((await guard.claim(order())).unwrap(), ORDERED)
@@ -370,7 +370,7 @@
             await asyncio.sleep(3_700)
             self.assertTrue(is_claim_to_run(await guard.claim(order())))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_store_that_went_back_is_not_trusted(self) -> None:
         """Claims are refused as not run until a window has passed.
@@ -379,7 +379,7 @@
         sends the order again. A claim would succeed and order two more tubes.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             guard = site.process("e1")
             await guard.complete_claim((await guard.claim(order())).unwrap(), ORDERED)
@@ -388,12 +388,12 @@
             await asyncio.sleep(DAY_S + 1)
             self.assertTrue(is_claim_to_run(await guard.claim(order())))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_claim_that_nobody_ends(self) -> None:
         """A claim whose request ended without a word is marked unknown after its deadline."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             site = Site()
             first, second = site.process("e1"), site.process("e2")
             await first.claim(order())
@@ -401,4 +401,4 @@
             await first.reconcile()
             self.assertIs(kind_of(await second.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
--- a/tests/test_idempotency_history.py
+++ b/tests/test_idempotency_history.py
@@ -11,7 +11,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.requests import Claim, IdempotencyLimits, Response, StoreIdempotencyGuard
 from shallotworks.standins import MemoryStore, StoreFaults
-from tests.dispatch_fakes import make_request, run_on_stopped_clock
+from tests.dispatch_fakes import make_request, run_on_virtual_clock
 
 PROCESSES = 3
 WHICH = st.integers(0, PROCESSES - 1)
@@ -162,7 +162,7 @@
         down, slow, stale, or loses the answers to writes that took effect.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             await KeyHistory(self).run(steps)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -16,8 +16,8 @@
 )
 from shallotworks.metrics import Metrics
 from shallotworks.standins import FaultInjectingStore, RecordFaults, RecordStore
-from tests.on_loop import run_story
 from tests.scheduling_fakes import job, policy, quiet_log, step
+from tests.virtual_clock import run_scenario
 
 JOB = job("00000000000000aa", step(1))
 KEYS = JobKeys(service="antenna")
@@ -65,13 +65,13 @@
     ) -> None:
         """A refused job is never stored, an accepted one is; in between the outcome is unknown."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(**faults)
             self.assertIs(expected, await world.submit())
             await asyncio.sleep(10)
             self.assertEqual(is_stored, KEYS.job(JOB.job_id) in world.store.items)
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_no_refusal_after_a_try_with_unknown_outcome(self) -> None:
         """A caller is told that its job was refused, and it runs.
@@ -81,7 +81,7 @@
         or give it up, and it would run all the same.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(late_part=1.0, late_s=4.0)
             asyncio.get_running_loop().call_later(
                 0.5, lambda: setattr(world.view.faults, "is_down", True)
@@ -90,24 +90,24 @@
             await asyncio.sleep(10)
             self.assertIn(KEYS.job(JOB.job_id), world.store.items)
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_lost_answer_is_found_out(self) -> None:
         """The second try meets the first one's records, and the job is accepted."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(lost_part=1.0)
             asyncio.get_running_loop().call_later(
                 0.5, lambda: setattr(world.view.faults, "lost_part", 0.0)
             )
             self.assertIs(JobRequestStatus.ACCEPTED, await world.submit())
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_the_same_job_again_is_one_job(self) -> None:
         """Also after it was completed."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             await world.submit()
             key = KEYS.progress(JOB.job_id)
@@ -116,14 +116,14 @@
             self.assertIs(JobRequestStatus.ACCEPTED, await world.submit())
             self.assertIs(JobState.COMPLETED, await world.state())
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class StateTests(unittest.TestCase):
     def test_no_such_job_only_when_the_store_says_so(self) -> None:
         """An accepted job is never denied: not while the store is down either."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             self.assertIs(JobRequestStatus.NO_SUCH_JOB, await world.state())
             await world.submit()
@@ -131,26 +131,26 @@
             world.view.faults.is_down = True
             self.assertIs(JobRequestStatus.REFUSED, await world.state())
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class CancelTests(unittest.TestCase):
     def test_acknowledged_once_stored(self) -> None:
         """And the job stays cancelled."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             self.assertIs(JobRequestStatus.NO_SUCH_JOB, await world.cancel())
             await world.submit()
             self.assertIs(JobRequestStatus.ACCEPTED, await world.cancel())
             self.assertIs(JobState.CANCELLED, await world.state())
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_completed_job_stays_completed(self) -> None:
         """A cancel that comes late is acknowledged and changes nothing."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             await world.submit()
             done = JobProgress(queue="sweeps", state=JobState.COMPLETED)
@@ -158,12 +158,12 @@
             self.assertIs(JobRequestStatus.ACCEPTED, await world.cancel())
             self.assertIs(JobState.COMPLETED, await world.state())
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_progress_that_is_written_meanwhile_is_kept(self) -> None:
         """A scheduler's write between the cancel's reading and writing is not lost."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
             await world.submit()
             key = KEYS.progress(JOB.job_id)
@@ -174,7 +174,7 @@
             self.assertIn(b'"done"', world.store.items[key].value)
             self.assertIs(JobState.CANCELLED, await world.state())
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 if __name__ == "__main__":
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -1,7 +1,7 @@
 """Lasting tasks run again soon after each trouble, never twice at once, never too few by our doing.
 
 A task that is to last and has room must run again within `RUNS_AGAIN_S` of the last trouble. A
-breach tells the story's time; `LastingHistory.lines` holds what the instances logged.
+breach tells the scenario's time; `LastingHistory.lines` holds what the instances logged.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 from shallotworks.scheduling import OrderStatus
 from tests.lasting_history import RUNS_AGAIN_S, LastingHistory, lasting
-from tests.on_loop import run_story
+from tests.virtual_clock import run_scenario
 
 SETTLED_S = 4.0
 """Jobs run by then, also on workers that were offered and taken back, and idle ones are offered."""
@@ -35,7 +35,7 @@
 
 
 def play(trouble: Trouble, *, seed: int = 1, before: Trouble | None = None) -> LastingHistory:
-    """Play one story: two jobs that run, a trouble, and a while in which to recover.
+    """Play one scenario: two jobs that run, a trouble, and a while in which to recover.
 
     Args:
         trouble: What happens; over when it returns.
@@ -43,7 +43,7 @@
         before: What happened well before.
     """
 
-    async def story() -> LastingHistory:
+    async def scenario() -> LastingHistory:
         history = LastingHistory(seed=seed)
         history.start()
         await history.hand_in(JOB, lasting(3))
@@ -57,7 +57,7 @@
         await history.close()
         return history
 
-    return run_story(story())
+    return run_scenario(scenario())
 
 
 def used_worker(history: LastingHistory) -> str:
@@ -92,7 +92,7 @@
     return both
 
 
-class StoryTests(unittest.TestCase):
+class ScenarioTests(unittest.TestCase):
     def assert_recovered(self, history: LastingHistory) -> None:
         """Nothing broke a rule, and all tasks ran soon after the last trouble."""
         self.assertEqual([], history.judged())
@@ -117,7 +117,7 @@
     await history.kill_all(restart_s=1.0)
 
 
-class AllKilledTests(StoryTests):
+class AllKilledTests(ScenarioTests):
     @parameterized.expand(
         [
             ("alone", all_killed, None),
@@ -183,7 +183,7 @@
 EVERY_S = (1.0, 2.0, 3.0)
 
 
-class RenewedDutyTests(StoryTests):
+class RenewedDutyTests(ScenarioTests):
     @parameterized.expand([(name, make) for name, make in TURNS_OF])
     def test_tasks_run_again(self, _name: str, make: Callable[[float], Trouble]) -> None:
         """A job's tasks stay away while its scheduler changes again and again, and after it.
@@ -194,14 +194,14 @@
         """
         for every_s in EVERY_S:
             trouble = make(every_s)
-            stories: tuple[tuple[str, Trouble], ...] = (
+            scenarios: tuple[tuple[str, Trouble], ...] = (
                 ("all workers stay", trouble),
                 ("a worker leaves", together(one_leaves, trouble, after_s=0.2)),
                 ("a worker crashes", together(trouble, a_worker_crashes, after_s=0.6)),
             )
-            for case, story in stories:
+            for case, scenario in scenarios:
                 with self.subTest(every_s=every_s, case=case):
-                    self.assert_recovered(play(story))
+                    self.assert_recovered(play(scenario))
 
 
 # ---- outages of the store
@@ -242,7 +242,7 @@
 ANSWERS = (("refusing", False), ("silent", True))
 
 
-class OutageTests(StoryTests):
+class OutageTests(ScenarioTests):
     @parameterized.expand(
         [
             (f"{leases}_{answers}", are_paused, is_silent)
@@ -260,15 +260,15 @@
         """
         for for_s in OUTAGES_S:
             trouble = outage(for_s, is_silent=is_silent, are_leases_paused=are_paused)
-            stories: tuple[tuple[str, Trouble, Trouble | None], ...] = (
+            scenarios: tuple[tuple[str, Trouble, Trouble | None], ...] = (
                 ("all workers stay", trouble, None),
                 ("a worker left", trouble, one_leaves),
                 ("a worker leaves during it", together(one_leaves, trouble, after_s=0.2), None),
                 ("a worker leaves after it", leaving_after(trouble), None),
             )
-            for case, story, before in stories:
+            for case, scenario, before in scenarios:
                 with self.subTest(for_s=for_s, case=case):
-                    self.assert_recovered(play(story, before=before))
+                    self.assert_recovered(play(scenario, before=before))
 
     def test_entries_of_workers_that_were_lost(self) -> None:
         """A job's tasks stay away after an outage in which the list of workers ran out.
@@ -410,7 +410,7 @@
 )
 
 
-class WorkerTests(StoryTests):
+class WorkerTests(ScenarioTests):
     @parameterized.expand([(one.__name__, one) for one in WORKER_TROUBLES])
     def test_tasks_run_again(self, _name: str, trouble: Trouble) -> None:
         """A task stays away, or runs twice, after trouble with its worker.
@@ -469,7 +469,7 @@
     await asyncio.gather(*running)
 
 
-class MixTests(StoryTests):
+class MixTests(ScenarioTests):
     def test_tasks_run_again(self) -> None:
         """A lasting task is missed, or runs twice, after troubles that came on top of each other.
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -22,9 +22,9 @@
 from shallotworks.store import Holder, Item
 from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
-from tests.on_loop import run_story
 from tests.scheduling_fakes import Bench, job, quiet_log, step, view
 from tests.test_machine_controller import World
+from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000ab"
 NAME = TaskName(JOB_ID, 0, 0, 0)
@@ -77,7 +77,7 @@
         was written, and a task was started there. Then the store carried out the first write.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store, caller, record = await _recorded()
             caller.faults.late_part = 1.0
             self.assertFalse(await record.keep(lambda: {"one": ONE}))
@@ -88,16 +88,16 @@
             stored = ActiveWorkersRecord.decode(store.items[active_workers_key(SERVICE)].value)
             self.assertIn("two", stored)
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_task_on_a_worker_that_came_back_does_not_run_twice(self) -> None:
-        """The story before, played to its end: all workers can be reached all the while.
+        """The scenario before, played to its end: all workers can be reached all the while.
 
         The process that had scheduled was killed; its successor had one worker to see, saw it and
         started the task there, while the other one ran it under a lease that was still good.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=3, workers=2, instances=2)
             history.fleet.lasting.add(JOB_ID)
             for instance in history.instances:
@@ -127,7 +127,7 @@
             for instance in history.instances:
                 await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_no_task_starts_on_a_worker_that_is_being_taken_out(self) -> None:
         """Two runs of one task at once, one on a worker that the successor has never heard of.
@@ -137,7 +137,7 @@
         that had just written was killed.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             _, caller, record = await _recorded()
             caller.faults.delay_s = 0.2
             taken_out = asyncio.create_task(record.keep(lambda: {"one": ONE}))
@@ -146,7 +146,7 @@
             self.assertTrue(record.may_use("one"))
             await taken_out
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class RestTests(unittest.TestCase):
@@ -157,7 +157,7 @@
         that nobody else could win it.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             deaf = _Deaf(store=store)
             holder = await acquire(deaf)
@@ -170,7 +170,7 @@
             await acquire(FaultInjectingStore(store=store))
             keep.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class NeedTests(unittest.TestCase):
@@ -182,7 +182,7 @@
         reads the store's word before it takes a machine.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=1, workers=1, instances=1)
             history.instances[0].start()
             await asyncio.sleep(2.0)
@@ -202,7 +202,7 @@
             self.assertEqual((), stored.free)
             await history.instances[0].kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class KeeperTests(unittest.TestCase):
@@ -222,7 +222,7 @@
         with its first look, which a new keeper does not.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=4, radar=2, spare=0)
             holder = await world.start()
             world.tell("antenna", free=True)
@@ -237,7 +237,7 @@
             self.assertEqual([], world.moves())
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_keeper_that_wakes_goes_on_by_words_from_after_the_outage(self) -> None:
         """A turn that began in an outage got no machines for three seconds after it.
@@ -247,7 +247,7 @@
         again. What it has not heard of since, it still leaves alone.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=4, radar=2, sonar=3, spare=2)
             holder = await world.start()
             world.tell("antenna", free=True)
@@ -264,7 +264,7 @@
             self.assertTrue({"m6", "m7", "m8"} & taken, "a pool that has spoken again")
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_word_that_was_taken_without_an_answer_is_taken_back(self) -> None:
         """A worker was emptied for good, though its upkeep was over.
@@ -273,7 +273,7 @@
         any more, that was what the keeper had been answered last, and nothing was written.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2)
             holder = await world.start()
             faults = holder._store.faults
@@ -289,7 +289,7 @@
             self.assertEqual(frozenset(), stored.due)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class LapseTests(unittest.TestCase):
--- a/tests/test_load_monitor.py
+++ b/tests/test_load_monitor.py
@@ -8,7 +8,7 @@
 
 from shallotworks.logs import StructuredLog
 from shallotworks.metrics import LoadMonitor, Metrics
-from tests.on_loop import run_story
+from tests.virtual_clock import run_scenario
 
 
 class LoadWatchTests(unittest.TestCase):
@@ -37,7 +37,7 @@
             lines.extend(data.decode().splitlines())
             return len(data)
 
-        async def story() -> None:
+        async def scenario() -> None:
             used_s = 0.0
             log = StructuredLog(process="n", write=write)
             watch = LoadMonitor(
@@ -56,7 +56,7 @@
             task.cancel()
             log.flush()
 
-        run_story(story())
+        run_scenario(scenario())
         self.assertEqual(expected, [json.loads(line)["event"] for line in lines])
 
 
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -28,8 +28,8 @@
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Holder, Mirror
 from tests.held_keys import acquire
-from tests.on_loop import run_story
 from tests.scheduling_fakes import quiet_log
+from tests.virtual_clock import run_scenario
 
 UPKEEP_S = 2.0
 MOVE_S = 1.5
@@ -203,7 +203,7 @@
         rounds of the keeper, also where the store takes a tenth of a second for each call.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=30, sweeps=180, kept=100, spare=90)
             world.tell("antenna", lacking=120)
             world.tell("sweeps", free=True)
@@ -216,14 +216,14 @@
             self.assertEqual([], world.unnamed)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class WaveTests(unittest.TestCase):
     def test_each_machine_once_and_never_too_many_down(self) -> None:
         """Free workers go down, machines that are off too; then the wave is completed."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=4, spare=2)
             world.platform.asked = (wave(world, most=2),)
             await world.start()
@@ -235,12 +235,12 @@
             self.assertEqual(b"completed", world.store.items["status/1"].value)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_worker_with_lasting_tasks_is_waited_for(self) -> None:
         """Nothing is taken down that its scheduler does not give; it is told what is due."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2)
             world.platform.asked = (wave(world, most=1),)
             await world.start()
@@ -251,7 +251,7 @@
             self.assertEqual(b"running", world.store.items["status/1"].value)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_machine_that_is_not_listed_for_a_while_is_waited_for(self) -> None:
         """A wave told to be completed while machines of it never had their upkeep.
@@ -260,7 +260,7 @@
         is back, eight seconds later. They were taken for machines that had left.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=3)
             world.platform.asked = (wave(world, most=1),)
             dark = world.platform.machines.pop("m2")
@@ -277,12 +277,12 @@
             self.assertEqual(3, len({order[1] for order in world.platform.orders}))
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_machine_that_left_for_good_does_not_hold_the_wave_for_ever(self) -> None:
         """Once the wave's time is over it is completed without it."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2)
             world.platform.asked = (wave(world, most=1),)
             world.platform.machines.pop("m1")
@@ -293,7 +293,7 @@
             self.assertEqual(b"completed", world.store.items["status/1"].value)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_worker_that_crashed_is_no_upkeep(self) -> None:
         """A wave told to be completed, and a machine of it has not had its upkeep.
@@ -302,7 +302,7 @@
         worker crashes, and another one is seen on the machine, as after an upkeep.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=3)
             world.platform.asked = (wave(world, most=1),)
             world.platform.busy = {"m0"}
@@ -322,7 +322,7 @@
             self.assertEqual(1, world.platform.most_down)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_worker_on_a_machine_asked_for_again_is_not_told_to_be_over(self) -> None:
         """A task that runs twice at once.
@@ -332,7 +332,7 @@
         its scheduler was told that it is over, and started its tasks again.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=1)
             world.platform.asked = (wave(world, most=1),)
             world.platform.busy = {"m0"}
@@ -350,12 +350,12 @@
             self.assertEqual((), world.machine_records.controller.over)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_new_keeper_leaves_machines_alone_whose_upkeep_has_begun(self) -> None:
         """Workers emptied and asked for again, for an upkeep that their machines have had."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2)
             world.platform.asked = (wave(world, most=1),)
             first = await world.start()
@@ -380,12 +380,12 @@
             self.assertEqual(2, len(world.platform.orders))
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_second_wave_takes_nothing_over_from_the_first(self) -> None:
         """The same for a machine that has had its upkeep in an earlier wave."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=1)
             world.platform.asked = (wave(world, most=1),)
             await world.start()
@@ -404,7 +404,7 @@
             self.assertEqual(b"running", world.store.items["status/2"].value)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_machine_is_asked_for_again_only_when_it_is_given(self) -> None:
         """Lasting tasks that end with a machine which its scheduler had taken back.
@@ -412,7 +412,7 @@
         The order was refused at first, and repeated without asking the scheduler again.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2)
             world.platform.asked = (wave(world, most=1),)
             world.platform.busy = {"m0", "m1"}
@@ -427,7 +427,7 @@
             self.assertTrue(world.machine_records.controller.due)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     @parameterized.expand([("a wave with time", 30.0, 0), ("a wave in haste", 8.0, 2)])
     def test_a_wave_lets_a_turn_pass(self, _name: str, duration_s: float, begun: int) -> None:
@@ -438,7 +438,7 @@
         and goes on when the turn is over; a wave whose own time runs short goes on beside it.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=4, coverage=2)
             machines = tuple(name for name in world.platform.machines)[:4]
             maintenance_wave = MaintenanceWave(
@@ -461,7 +461,7 @@
             self.assertEqual(b"completed", world.store.items["status/1"].value)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_lost_answer_is_no_second_slot(self) -> None:
         """More machines down than the wave allows, after an order without an answer.
@@ -470,7 +470,7 @@
         stays taken until another worker is seen on it.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=4)
             world.platform.lose_answers = True
             world.platform.asked = (wave(world, most=1),)
@@ -482,12 +482,12 @@
             self.assertEqual(b"completed", world.store.items["status/1"].value)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_new_keeper_waits_before_its_first_order(self) -> None:
         """Two holders that take turns on a machine within the time that is allowed apart."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2)
             world.platform.asked = (wave(world, most=1),)
             world.tell("antenna", free=True)
@@ -497,7 +497,7 @@
             self.assertGreater(world.platform.orders[0][2] - begun_s, 3.0)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_new_keeper_orders_at_once_what_its_predecessor_left_alone(self) -> None:
         """Callers waited three seconds for machines whenever the keeper changed in their turn.
@@ -507,7 +507,7 @@
         store may have been ordered.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2, spare=3)
             world.follow_keeper("m2")
             begun_s = asyncio.get_running_loop().time()
@@ -520,7 +520,7 @@
             self.assertGreater(moved_s["m2"], 3.0)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_machines_that_were_ordered_long_ago_are_not_named(self) -> None:
         """A turn's machines stayed out of reach for three seconds after the keeper had changed.
@@ -528,7 +528,7 @@
         They were ordered in the turn before, and the keeper had had nothing to do since.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=1, spare=2)
             world.follow_keeper()
             world.tell("antenna", lacking=2)
@@ -540,13 +540,13 @@
             self.assertEqual((), world.named())
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     @parameterized.expand([("move",), ("upkeep",)])
     def test_a_machine_is_named_in_the_store_before_it_is_ordered(self, order: str) -> None:
         """Two holders that take turns on a machine, since the second did not know of an order."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2, spare=2)
             if order == "upkeep":
                 world.platform.asked = (wave(world, most=2),)
@@ -559,12 +559,12 @@
             self.assertEqual([], world.unnamed)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_no_order_is_given_that_the_store_has_not_taken(self) -> None:
         """A keeper whose key is another's by now orders a machine that it can't name."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2, spare=2)
             world.follow_keeper()
             holder = await world.start()
@@ -575,7 +575,7 @@
             self.assertEqual([], world.moves())
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_word_taken_back_is_heard_before_the_order(self) -> None:
         """Lasting tasks ended by upkeep on a worker that its scheduler had taken back.
@@ -583,7 +583,7 @@
         The keeper's copy of the scheduler's word is old; it reads the word once more.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=1)
             world.platform.asked = (wave(world, most=1),)
             await world.start()
@@ -596,14 +596,14 @@
             self.assertEqual([], world.platform.orders)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class MoveTests(unittest.TestCase):
     def test_a_turn_borrows_and_gives_back(self) -> None:
         """Machines go where callers wait, from the standby pool first, and home afterwards."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2, coverage=3, spare=2)
             await world.start()
             world.tell("antenna", lacking=4)
@@ -620,12 +620,12 @@
             self.assertEqual({"antenna": 2, "coverage": 3, "spare": 2}, sizes)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_machines_on_their_way_are_counted(self) -> None:
         """A need that is told again and again is met once."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=1, spare=5)
             await world.start()
             for _ in range(22):
@@ -634,7 +634,7 @@
             self.assertEqual(2, len(world.moves()))
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_machine_that_has_come_is_not_counted_twice(self) -> None:
         """A turn's callers wait for machines, since those that came still count as on their way.
@@ -643,7 +643,7 @@
         it lacks two more.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=1, spare=5)
             world.follow_keeper()
             world.tell("antenna", lacking=2)
@@ -654,7 +654,7 @@
             self.assertEqual(4, len(world.moves()))
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_slow_store_delays_a_turns_machines_once(self) -> None:
         """A turn waits for seconds for machines that are idle, while the store is slow.
@@ -662,7 +662,7 @@
         Before each order the lender's word is read once more, which takes 0.3 s here.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2, coverage=16)
             world.follow_keeper()
             world.tell("coverage", free=True)
@@ -672,7 +672,7 @@
             self.assertEqual(8, len(world.moves()))
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_late_work_is_kept_off_for_all_that_a_turn_lacks(self) -> None:
         """A turn is lost while the one before it works off jobs that are late anyway.
@@ -681,7 +681,7 @@
         lacks three times as many; the borrower is asked to keep late work off all that it borrowed.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=1, coverage=1, spare=4)
             world.follow_keeper()
             world.tell("antenna", lacking=4)
@@ -697,7 +697,7 @@
             self.assertEqual({"antenna": 4}, world.machine_records.controller.recalls)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_the_next_turn_takes_machines_where_they_stand(self) -> None:
         """A queue's turn waits 1.5 s longer, as the machines of the last one were just sent away.
@@ -706,7 +706,7 @@
         first had borrowed go to the second straight, and home only when none asks for them.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=1, coverage=1, spare=4)
             world.follow_keeper()
             world.tell("antenna", lacking=4)
@@ -725,12 +725,12 @@
             self.assertEqual(4, world.size("spare"))
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_taken_workers_are_told_at_once(self) -> None:
         """Tasks that wait five seconds for the lease of a worker that was taken away."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=1, coverage=1)
             await world.start()
             world.tell("coverage", free=True)
@@ -741,7 +741,7 @@
             self.assertEqual(["w2"], record["over"])
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_new_keeper_tells_on_what_the_last_one_took(self) -> None:
         """Jobs stand still for 10 s after a scheduler and the keeper were killed together.
@@ -750,7 +750,7 @@
         new keeper's first word did not name them any more.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World(antenna=2, coverage=3)
             before = MachineControllerRecord(over=("w0",))
             world.store.put(MACHINES_PREFIX + "keeper", before.encode())
@@ -766,7 +766,7 @@
             self.assertNotIn("w0", world.machine_records.controller.over)
             world.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 if __name__ == "__main__":
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -19,8 +19,8 @@
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Changes, Holder, HolderTimes
 from tests.fleet_history import SERVICE, History
-from tests.on_loop import run_story
 from tests.scheduling_fakes import WALL_S, Bench, job, quiet_log, step, view
+from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000aa"
 OUTAGE_S = 9.0
@@ -63,7 +63,7 @@
         leases of a worker that nobody can reach had surely run out.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = await _begun(workers=3)
             idle = [one for one in history.fleet.workers.values() if not one.names()]
             self.assertEqual(1, len(idle))
@@ -79,7 +79,7 @@
             for instance in history.instances:
                 await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class ShortOutageTests(unittest.TestCase):
@@ -96,7 +96,7 @@
         the key of the scheduler that had given up stood for two seconds more.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = await _begun(workers=3)
             started = history.fleet.started
             if are_leases_paused:
@@ -112,7 +112,7 @@
             for instance in history.instances:
                 await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class _SlowWatch(FaultInjectingStore):
@@ -137,7 +137,7 @@
         of the keys was answered later, and told that the key was gone: the one from before.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             watched = _SlowWatch(store=store)
             holders: list[Holder] = []
@@ -172,7 +172,7 @@
             follow.cancel()
             await elector.stop()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class WakeTests(unittest.TestCase):
@@ -183,7 +183,7 @@
         before it. What a pool can do without had not changed, so that nothing was written.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=3, workers=2, instances=1)
             (instance,) = history.instances
             instance.start()
@@ -201,7 +201,7 @@
             self.assertEqual(before.woke + 1, after.woke)
             await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class RecoveringPoolTests(unittest.TestCase):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,7 @@
 from shallotworks.protocol import FleetKeys, ServiceLoad
 from shallotworks.timeline import EventKind
 
-from .peer_fakes import Fleet, HeldReplica, run_on_stopped_clock
+from .peer_fakes import Fleet, HeldReplica, run_on_virtual_clock
 
 IN_FORCE_S = 8.0
 
@@ -34,7 +34,7 @@
             await fleet.stop()
 
         def run(case: unittest.TestCase, *given_values: Any) -> None:
-            run_on_stopped_clock(main(case, *given_values))
+            run_on_virtual_clock(main(case, *given_values))
 
         run.__name__, run.__doc__ = test.__name__, test.__doc__
         return run
@@ -399,7 +399,7 @@
         connections lost in any order while changes go on. Revisions only ever grow at each
         process, and 8 s after the last fault's end all hold the newest.
         """
-        run_on_stopped_clock(self.play(steps))
+        run_on_virtual_clock(self.play(steps))
 
     async def play(self, steps: list[tuple[str, int, float]]) -> None:
         fleet = Fleet(sizes={"a": 3, "b": 2, "c": 1})
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -74,14 +74,14 @@
         return answer
 
 
-def run(story: Callable[[World], Awaitable[None]]) -> None:
-    """Run a story."""
+def run(scenario: Callable[[World], Awaitable[None]]) -> None:
+    """Run a scenario."""
 
     async def whole() -> None:
         world = World()
         await world.ingress.listen(world.address)
         try:
-            await story(world)
+            await scenario(world)
         finally:
             await world.client.close()
             await world.ingress.close()
@@ -93,7 +93,7 @@
     def test_a_job_is_accepted_told_of_and_cancelled(self) -> None:
         """Once it is stored."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             self.assertEqual(410, (await world.call("GET", f"/stock/{ID}")).status)
             self.assertEqual(200, (await world.call("POST", f"/stock/{ID}", JOB)).status)
             self.assertEqual(200, (await world.call("POST", f"/stock/{ID}", JOB)).status)
@@ -104,17 +104,17 @@
             self.assertEqual({"state": "cancelled"}, answer.body)
             self.assertEqual(0, (await world.call("GET", "/stock/")).body["pending"])
 
-        run(story)
+        run(scenario)
 
     def test_the_longest_prefix_names_the_queue(self) -> None:
         """A job of one queue is none of another's."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await world.call("POST", f"/stock/long/{ID}", JOB)
             self.assertEqual(410, (await world.call("GET", f"/stock/{ID}")).status)
             self.assertEqual(200, (await world.call("GET", f"/stock/long/{ID}")).status)
 
-        run(story)
+        run(scenario)
 
     @parameterized.expand(
         [
@@ -133,39 +133,39 @@
     ) -> None:
         """It gets a clear error."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             answer = await world.call("POST", path, body)
             self.assertEqual(status, answer.status)
             self.assertTrue(answer.body["error"])
             self.assertEqual({}, world.store.items)
 
-        run(story)
+        run(scenario)
 
     def test_wrong_methods(self) -> None:
         """Neither a job nor a queue can be put."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             self.assertEqual(405, (await world.call("PUT", f"/stock/{ID}", JOB)).status)
             self.assertEqual(405, (await world.call("POST", "/stock/", JOB)).status)
 
-        run(story)
+        run(scenario)
 
 
 class RefusalTests(unittest.TestCase):
     def test_without_a_configuration(self) -> None:
         """Refused with a time to come back, and not ready."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             world.configuration = None
             self.assertEqual(503, (await world.call("POST", f"/stock/{ID}", JOB)).status)
             self.assertFalse(world.ingress.is_ready)
 
-        run(story)
+        run(scenario)
 
     def test_while_the_store_is_lost(self) -> None:
         """Refused at once, truly: nothing is sent to the store."""
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             world.is_store_lost = True
             began_s = time.monotonic()
             self.assertEqual(503, (await world.call("POST", f"/stock/{ID}", JOB)).status)
@@ -173,7 +173,7 @@
             self.assertEqual(0, world.store.commits)
             self.assertFalse(world.ingress.is_ready)
 
-        run(story)
+        run(scenario)
 
 
 class ListenerTests(unittest.TestCase):
@@ -184,7 +184,7 @@
         connection none was left, and every other request timed out.
         """
 
-        async def story(world: World) -> None:
+        async def scenario(world: World) -> None:
             await _slowest_of(world, 40)
             silent = [await _connect(world.address, b"") for _ in range(500)]
             halves = [await _connect(world.address, b"POST /stock/1 HT") for _ in range(200)]
@@ -193,7 +193,7 @@
             for _, writer in (*silent, *halves):
                 writer.close()
 
-        run(story)
+        run(scenario)
 
 
 async def _slowest_of(world: World, count: int) -> float:
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -20,15 +20,15 @@
 PUT = Commit(writes=(Write(key="a/1", value=b"\x00x"),))
 
 
-def run(story: Story) -> None:
-    """Run a story with a server and a client."""
+def run(scenario: Story) -> None:
+    """Run a scenario with a server and a client."""
 
     async def whole() -> None:
         server = StoreServer(view=FaultInjectingStore(store=RecordStore(rng=random.Random(1))))
         await server.listener.start()
         client = HttpClient(address=server.listener.address)
         try:
-            await story(server, PlatformStore(client=client, metrics=Metrics()))
+            await scenario(server, PlatformStore(client=client, metrics=Metrics()))
         finally:
             await client.close()
             await server.listener.stop()
@@ -40,7 +40,7 @@
     def test_what_is_written_is_read(self) -> None:
         """Bytes come back as they were, with their revisions."""
 
-        async def story(server: StoreServer, store: PlatformStore) -> None:
+        async def scenario(server: StoreServer, store: PlatformStore) -> None:
             self.assertIsNone((await store.get("a/1")).unwrap())
             committed = (await store.commit(PUT)).unwrap()
             assert isinstance(committed, Committed)
@@ -48,12 +48,12 @@
             assert item is not None
             self.assertEqual((b"\x00x", committed.revision), (item.value, item.revision))
 
-        run(story)
+        run(scenario)
 
     def test_pages(self) -> None:
         """Keys in order, page by page."""
 
-        async def story(server: StoreServer, store: PlatformStore) -> None:
+        async def scenario(server: StoreServer, store: PlatformStore) -> None:
             for number in range(510):
                 server.store.put(f"a/{number:04d}", b"")
             first = (await store.read_page("a/")).unwrap()
@@ -62,12 +62,12 @@
             self.assertEqual((500, 10), (len(first.items), len(second.items)))
             self.assertFalse(second.has_more)
 
-        run(story)
+        run(scenario)
 
     def test_watch(self) -> None:
         """Writes and deletions after a revision; a lost history is told apart."""
 
-        async def story(server: StoreServer, store: PlatformStore) -> None:
+        async def scenario(server: StoreServer, store: PlatformStore) -> None:
             server.store.put("a/1", b"x")
             revision = server.store.revision
             server.store.put("a/2", b"y")
@@ -78,24 +78,24 @@
             lost = (await store.watch("a/", after_revision=revision, wait_s=0.1)).unwrap()
             self.assertTrue(lost.is_history_lost)
 
-        run(story)
+        run(scenario)
 
     def test_conflict_tells_what_is_there(self) -> None:
         """The current items of the conditions, without those that don't exist."""
 
-        async def story(server: StoreServer, store: PlatformStore) -> None:
+        async def scenario(server: StoreServer, store: PlatformStore) -> None:
             server.store.put("a/1", b"x")
             conditions = tuple(Condition(key=key, revision=5) for key in ("a/1", "a/2"))
             outcome = (await store.commit(Commit(conditions=conditions))).unwrap()
             assert isinstance(outcome, Conflicted)
             self.assertEqual(["a/1"], [item.key for item in outcome.current])
 
-        run(story)
+        run(scenario)
 
     def test_leases(self) -> None:
         """Keys go with their lease; a lease that has ended is told so."""
 
-        async def story(server: StoreServer, store: PlatformStore) -> None:
+        async def scenario(server: StoreServer, store: PlatformStore) -> None:
             lease = (await store.grant_lease(ttl_s=5.0)).unwrap()
             write = Write(key="a/1", value=b"", lease_id=lease)
             await store.commit(Commit(writes=(write,)))
@@ -106,7 +106,7 @@
             late = await store.commit(Commit(writes=(write,)))
             self.assertIs(ErrorKind.LEASE_LOST, late.failure().kind)
 
-        run(story)
+        run(scenario)
 
 
 class FaultTests(unittest.TestCase):
@@ -114,17 +114,17 @@
     def test_refusals_are_certain(self, status: int) -> None:
         """Nothing was done, for writes too."""
 
-        async def story(server: StoreServer, store: PlatformStore) -> None:
+        async def scenario(server: StoreServer, store: PlatformStore) -> None:
             server.status = status
             kind = (await store.commit(PUT)).failure().kind
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, kind)
 
-        run(story)
+        run(scenario)
 
     def test_a_lost_answer_leaves_the_outcome_open(self) -> None:
         """A write may have been done; a read surely did nothing."""
 
-        async def story(server: StoreServer, store: PlatformStore) -> None:
+        async def scenario(server: StoreServer, store: PlatformStore) -> None:
             server.lose_answers = True
             self.assertIs(ErrorKind.OUTCOME_UNKNOWN, (await store.commit(PUT)).failure().kind)
             self.assertIn("a/1", server.store.items)
@@ -134,18 +134,18 @@
             self.assertIsInstance(await store.get("a/1"), Success)
             self.assertFalse(store.is_lost)
 
-        run(story)
+        run(scenario)
 
     def test_no_connection_is_certain(self) -> None:
         """A store that is gone has done nothing."""
 
-        async def story(server: StoreServer, store: PlatformStore) -> None:
+        async def scenario(server: StoreServer, store: PlatformStore) -> None:
             await server.listener.stop()
             kind = (await store.commit(PUT)).failure().kind
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, kind)
             await server.listener.start()
 
-        run(story)
+        run(scenario)
 
 
 SLOW_CHUNKS = 12
@@ -171,7 +171,7 @@
                 writer.write(page[start : start + part].encode())
             writer.close()
 
-        async def story() -> None:
+        async def scenario() -> None:
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             host, port = server.sockets[0].getsockname()
             client = HttpClient(address=f"{host}:{port}")
@@ -180,12 +180,12 @@
             await client.close()
             server.close()
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
     def test_closing_ends_a_call_without_a_fault(self) -> None:
         """A fault at each stop: a call that is under way when its client is closed."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             writers: list[asyncio.StreamWriter] = []
             server = await asyncio.start_server(
                 lambda _reader, writer: writers.append(writer), "127.0.0.1", 0
@@ -201,7 +201,7 @@
             server.close()
             await server.wait_closed()
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
 
 if __name__ == "__main__":
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -38,7 +38,7 @@
     negotiate,
 )
 
-from .peer_fakes import KEYS, MemoryNetwork, MemoryStream, run_on_stopped_clock
+from .peer_fakes import KEYS, MemoryNetwork, MemoryStream, run_on_virtual_clock
 
 MEMBER = MemberRecord(
     name="bergen1",
@@ -182,7 +182,7 @@
                 return_exceptions=True,
             )
 
-        return run_on_stopped_clock(main())
+        return run_on_virtual_clock(main())
 
     def test_both_ends_learn_who_is_there(self) -> None:
         """With the same key each end knows the other's record."""
@@ -230,7 +230,7 @@
                 await listener.reader.read()
             return caught.exception.failure.kind
 
-        self.assertIs(run_on_stopped_clock(main()), ErrorKind.UNAUTHORISED)
+        self.assertIs(run_on_virtual_clock(main()), ErrorKind.UNAUTHORISED)
 
 
 class FrameTests(unittest.TestCase):
@@ -252,4 +252,4 @@
                 await FrameReader(stream=there).read()
             return caught.exception.failure.kind
 
-        self.assertIs(run_on_stopped_clock(main()), kind)
+        self.assertIs(run_on_virtual_clock(main()), kind)
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -16,8 +16,8 @@
 from shallotworks.scheduling import EndedTask, EndKind, OrderOutcome, OrderStatus, WorkerView
 from shallotworks.standins import FaultInjectingOrders, TaskWorkers
 from tests.fleet_history import SERVICE, History
-from tests.on_loop import run_story
 from tests.scheduling_fakes import step, view
+from tests.virtual_clock import run_scenario
 
 SEEDS = range(1, 9)
 WORKERS = 12
@@ -110,13 +110,13 @@
         while, and leaves, and another comes in its place.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history, fleet = history_of(seed)
             await play(history, replace_one_after_the_other(fleet))
             self.assertEqual([], history.violations())
             self.assertEqual({}, {one: n for one, n in fleet.times_done.items() if n > 1})
 
-        run_story(story())
+        run_scenario(scenario())
 
     @parameterized.expand([(seed, lost) for seed in SEEDS for lost in (0.0, 0.2)])
     def test_jobs_come_back_whose_workers_are_taken_away(self, seed: int, lost: float) -> None:
@@ -126,19 +126,19 @@
         without an answer; their tasks have to run elsewhere, and none twice at once.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history, _ = history_of(seed)
             for instance in history.instances:
                 instance.orders.faults.lost_part = lost
             await play(history, take_away(history))
             self.assertEqual([], history.violations())
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_crashed_worker_is_looked_at_no_more_once_another_has_answered(self) -> None:
         """A dead worker was looked at again and again for as long as its entry stood listed."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             history, fleet = history_of(1)
             for instance in history.instances:
                 instance.start()
@@ -159,7 +159,7 @@
             for instance in history.instances:
                 await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_list_that_loses_all_workers_for_a_while_ends_nothing(self) -> None:
         """All tasks of a service end and start anew, though their workers are well.
@@ -168,7 +168,7 @@
         at once, and written again three seconds later.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=1, workers=200, instances=1)
             (instance,) = history.instances
             instance.start()
@@ -188,7 +188,7 @@
             self.assertEqual([], history.fleet.violations)
             await instance.kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 if __name__ == "__main__":
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -8,7 +8,7 @@
 
 from shallotworks.metrics import Metrics
 from shallotworks.requests import AttemptOutcome, BudgetedRetryPolicy, RetryLimits
-from tests.dispatch_fakes import make_request, run_on_stopped_clock
+from tests.dispatch_fakes import make_request, run_on_virtual_clock
 
 LIMITS = RetryLimits(max_attempts=3, retry_ratio=0.1, min_retries_per_s=0.5, burst=4.0)
 
@@ -37,12 +37,12 @@
     ) -> None:
         """A request is sent again only where that can't run it twice."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             request = make_request("r", "trace", idempotent=idempotent)
             delay_s = policy().next_delay_s(request, attempts=1, outcome=outcome)
             self.assertEqual(delay_s is not None, retried)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_storm(self) -> None:
         """Retries stay a tenth of first attempts though every attempt fails.
@@ -51,7 +51,7 @@
         and soon the retries alone fill the targets that still work.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             retries = policy()
             allowed = 0
             for number in range(1_000):
@@ -65,12 +65,12 @@
             self.assertLessEqual(allowed, 1_000 * LIMITS.retry_ratio + LIMITS.burst)
             self.assertGreaterEqual(allowed, 1_000 * LIMITS.retry_ratio)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_floor_deadline_and_attempts(self) -> None:
         """A quiet service may still retry; never past the deadline or the number of attempts."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             retries = policy()
             request = make_request("r", "trace", deadline_s=1e9)
             broken = AttemptOutcome.BROKEN
@@ -86,12 +86,12 @@
             late = make_request("late", "trace", deadline_s=asyncio.get_running_loop().time())
             self.assertIsNone(retries.next_delay_s(late, attempts=1, outcome=broken))
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
 
     def test_jitter(self) -> None:
         """Delays are spread over the whole backoff: failed requests do not return together."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             retries = BudgetedRetryPolicy(
                 limits=RetryLimits(burst=1e6), metrics=Metrics(), rng=random.Random(1)
             )
@@ -104,4 +104,4 @@
             self.assertGreater(max(delays), 0.09)
             self.assertLessEqual(max(delays), 0.1)
 
-        run_on_stopped_clock(story)
+        run_on_virtual_clock(scenario)
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -14,8 +14,8 @@
 from shallotworks.scheduling._decisions import MOST_STARTS, Decision
 from shallotworks.scheduling._placement import Candidates, Placement
 from tests.fleet_history import History, Instance
-from tests.on_loop import run_story
 from tests.scheduling_fakes import TOKEN, Bench, job, step, view
+from tests.virtual_clock import run_scenario
 
 
 def bench_of(workers: int) -> Bench:
@@ -151,7 +151,7 @@
         was to follow at once; but a scheduler that rests decides nothing, and asked for ever.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=1, workers=4, instances=1)
             (instance,) = history.instances
             instance.start()
@@ -174,7 +174,7 @@
             await instance.kill()
 
         # On a real clock: a paused one stands still for ever beside a loop that never waits.
-        asyncio.run(story())
+        asyncio.run(scenario())
 
     def test_costly_decisions_leave_most_of_the_process_to_others(self) -> None:
         """Nothing but decisions is done in a turn: each answered order led to another one.
@@ -193,7 +193,7 @@
         def clock() -> float:
             return asyncio.get_running_loop().time() + spent_s
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=1, workers=2, instances=1)
             (instance,) = history.instances
             instance.start()
@@ -212,7 +212,7 @@
             mock.patch.object(DecisionEngine, "decide", costly),
             mock.patch.object(Instance, "now_s", staticmethod(clock)),
         ):
-            run_story(story())
+            run_scenario(scenario())
 
 
 if __name__ == "__main__":
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -1,6 +1,6 @@
 """Histories of schedulers through faults, judged by what workers and callers see.
 
-Each story is one of the users' promises: nothing runs twice at once or again, nothing starts before
+Each scenario is a promise to users: nothing runs twice at once or again, nothing starts before
 its turn or after its cancelling, what was accepted is completed, what is completed was done.
 """
 
@@ -11,7 +11,7 @@
 from parameterized import parameterized
 
 from tests.fleet_history import History
-from tests.on_loop import run_story
+from tests.virtual_clock import run_scenario
 
 SEEDS = range(1, 9)
 JOBS = 25
@@ -128,7 +128,7 @@
 def play(seed: int, trouble: Trouble | None) -> History:
     """Play one history on a clock of its own."""
 
-    async def story() -> History:
+    async def scenario() -> History:
         history = History(seed=seed)
         for instance in history.instances:
             instance.start()
@@ -140,7 +140,7 @@
             await instance.kill()
         return history
 
-    return run_story(story())
+    return run_scenario(scenario())
 
 
 class HistoryTests(unittest.TestCase):
--- a/tests/test_scheduling_orders.py
+++ b/tests/test_scheduling_orders.py
@@ -6,8 +6,8 @@
 from shallotworks.jobs import JobState
 from shallotworks.scheduling import OrderOutcome, OrderStatus, StartOrder, WorkerView
 from tests.fleet_history import History
-from tests.on_loop import run_story
 from tests.scheduling_fakes import step
+from tests.virtual_clock import run_scenario
 
 REFUSED_ID = "00000000000000aa"
 
@@ -21,7 +21,7 @@
         must run elsewhere once the lease that was surely granted has run out.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=1, workers=2, instances=1)
             history.fleet.work_s["0000000000000001"] = 3.0
             history.instances[0].start()
@@ -35,14 +35,14 @@
             self.assertTrue(any(one.names() for one in others))
             await history.instances[0].kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class RefusedStartTests(unittest.TestCase):
     def test_a_start_that_is_invalid_is_repeated_less_and_less(self) -> None:
         """A job that no worker takes was sent to each of them every second, and paused them all."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=1, workers=1, instances=1)
             orders = history.instances[0].orders
             start, tries = orders.start, []
@@ -67,7 +67,7 @@
             self.assertLessEqual(len(tries), 5)
             await history.instances[0].kill()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 if __name__ == "__main__":
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -11,8 +11,8 @@
 from shallotworks.scheduling import EndKind, RunningTask, StopOrder
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Mirror
-from tests.on_loop import run_story
 from tests.scheduling_fakes import WALL_S, Bench, job, quiet_log, step, view
+from tests.virtual_clock import run_scenario
 
 
 class ShrunkCapacityTests(unittest.TestCase):
@@ -95,7 +95,7 @@
     def test_a_mirror_tells_that_it_has_heard_only_while_the_store_answers(self) -> None:
         """A copy that is ten seconds old passes for a new one."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             one, heard = FaultInjectingStore(store=store), []
             mirror = Mirror(
@@ -118,7 +118,7 @@
             self.assertGreater(len(heard), before)
             following.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 if __name__ == "__main__":
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -11,8 +11,8 @@
 from shallotworks.standins import FaultInjectingStore, RecordFaults, RecordStore
 from shallotworks.store import Changes, Item, Mirror, Page
 from tests.held_keys import acquire, try_acquire
-from tests.on_loop import run_story
 from tests.scheduling_fakes import quiet_log
+from tests.virtual_clock import run_scenario
 
 TOLD_S = 1.2
 """A watch without a wait times out after 0.65 s, and is sent again 0.4 s later at the latest."""
@@ -38,7 +38,7 @@
     def test_follows_writes_and_deletions(self) -> None:
         """Each change is told once, in order, and only under the prefix."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             store, listener, mirror = _mirror()
             store.put("a/1", b"x")
             store.put("b/1", b"x")
@@ -51,12 +51,12 @@
             self.assertEqual(["a/1=x", "a/2=y", "a/1 gone"], listener.told)
             task.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_more_keys_than_a_page(self) -> None:
         """All of them are read."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             store, listener, mirror = _mirror()
             for number in range(1203):
                 store.put(f"a/{number:05d}", b"x")
@@ -65,7 +65,7 @@
             self.assertEqual(1203, len(listener.values))
             task.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_what_happened_in_an_outage_is_told_soon_after_it(self) -> None:
         """Duties stood still for two seconds after the store was back.
@@ -75,7 +75,7 @@
         free.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store, listener, _ = _mirror()
             view = FaultInjectingStore(store=store)
             mirror = Mirror(store=view, prefix="a/", listener=listener, log=quiet_log())
@@ -91,7 +91,7 @@
                 self.assertIn(key, listener.values)
             following.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_nothing_is_missed_when_history_is_forgotten(self) -> None:
         """A configuration that never comes into force, after the store dropped its history.
@@ -100,7 +100,7 @@
         forgets both. The watch would go on from later; all must be read anew.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store, listener, mirror = _mirror()
             store.put("a/1", b"x")
             task = asyncio.create_task(mirror.run())
@@ -117,7 +117,7 @@
             self.assertEqual({"a/2": b"y"}, listener.values)
             task.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class BusyStore:
@@ -158,7 +158,7 @@
         the next changes 0.4 s after each answer, which held a part of what had come meanwhile.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store, listener = BusyStore(), Listener()
             latest = 0
 
@@ -179,14 +179,14 @@
             self.assertLess(store.revision - latest, store.CHANGES_A_SECOND)
             task.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 class HolderTests(unittest.TestCase):
     def test_one_holder_at_a_time_and_tokens_rise(self) -> None:
         """A second bid fails until the key is free; its token is higher."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
             first = await acquire(view)
@@ -195,7 +195,7 @@
             second = await acquire(view)
             self.assertGreater(second.token, first.token)
 
-        run_story(story())
+        run_scenario(scenario())
 
     @parameterized.expand([("down", {"is_down": True}), ("silent", {"is_silent": True})])
     def test_no_orders_after_the_grace(self, _name: str, faults: dict[str, bool]) -> None:
@@ -205,7 +205,7 @@
         its successor reckons with.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
             holder = await acquire(view, key="key", mark="mark")
@@ -224,7 +224,7 @@
             self.assertTrue(holder.lost.is_set())
             keep.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
     @parameterized.expand([("kept", False, True), ("revoked", True, False)])
     def test_a_duty_goes_on_where_leases_stood_still(
@@ -237,7 +237,7 @@
         key, if that is still there.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
             holder = await acquire(view, key="key", mark="mark")
@@ -257,12 +257,12 @@
             self.assertEqual(not goes_on, holder.lost.is_set())
             keep.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
     def test_a_lapsed_lease_is_noticed(self) -> None:
         """The duty ends with the first renewal that finds the lease gone."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             holder = await acquire(FaultInjectingStore(store=store), key="key", mark="mark")
             keep = asyncio.create_task(holder.keep())
@@ -271,7 +271,7 @@
             self.assertTrue(holder.lost.is_set())
             keep.cancel()
 
-        run_story(story())
+        run_scenario(scenario())
 
 
 def _mirror() -> tuple[RecordStore, Listener, Mirror]:
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -24,8 +24,8 @@
 from shallotworks.scheduling._waiting import MOST_EXAMINED, MOST_NAMED
 from tests import fleet_history
 from tests.fleet_history import History
-from tests.on_loop import run_story
 from tests.scheduling_fakes import TOKEN, WALL_S, Bench, job, policy, step, view
+from tests.virtual_clock import run_scenario
 
 LATE_S = WALL_S - 60
 
@@ -453,7 +453,7 @@
         """
         lines = Lines()
 
-        async def story() -> None:
+        async def scenario() -> None:
             history = History(seed=1, workers=3, instances=2)
             history.fleet.lasting.add("serves")
             for instance in history.instances:
@@ -473,7 +473,7 @@
                 await instance.kill()
 
         with mock.patch.object(fleet_history, "quiet_log", lambda: lines.log):
-            run_story(story())
+            run_scenario(scenario())
         self.assertEqual(["w0", "w1", "w2"], lines.of("term-prepared")[-1]["awaited"])
         told = [row for row in lines.of("tasks-waiting") if row["reason"] == "recovery"]
         self.assertGreaterEqual(len(told), 5)
--- a/tests/on_loop.py
+++ b/tests/virtual_clock.py
@@ -9,7 +9,7 @@
 _Value = TypeVar("_Value")
 
 
-def run_story(story: Coroutine[Any, Any, _Value]) -> _Value:
-    """Run a story; waiting takes no time."""
+def run_scenario(scenario: Coroutine[Any, Any, _Value]) -> _Value:
+    """Run a scenario; waiting takes no time."""
     with asyncio.Runner(loop_factory=lambda: looptime.new_event_loop(noop_cycles=0)) as runner:
-        return runner.run(story)
+        return runner.run(scenario)
