--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -10,7 +10,7 @@
 import statistics
 import time
 
-from tests.scheduling_fakes import WALL_S, Bench, job, step, view
+from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, step, view
 
 from shallotworks.scheduling import EndKind, StartOrder
 
@@ -39,22 +39,22 @@
 
 def _play(workers: int) -> tuple[list[float], int]:
     rng = random.Random(workers)
-    bench = _full(workers, rng)
+    harness = _full(workers, rng)
     spent_s: list[float] = []
     started = 0
     for _ in range(ROUNDS):
-        bench.now_s += 0.02
-        _end_some(bench, rng)
+        harness.now_s += 0.02
+        _end_some(harness, rng)
         began_s = time.process_time()
-        decisions = bench.decide()
+        decisions = harness.decide()
         spent_s.append(time.process_time() - began_s)
         started += sum(isinstance(one, StartOrder) for one in decisions)
     return spent_s, started
 
 
-def _full(workers: int, rng: random.Random) -> Bench:
+def _full(workers: int, rng: random.Random) -> SchedulingHarness:
     """Return a board whose workers are full, with thousands of tasks that wait."""
-    bench = Bench(
+    harness = SchedulingHarness(
         *(
             view(f"w{n:04}", cpu_millicores=64_000, memory_mb=131_072, rack=f"r{n // RACK}")
             for n in range(workers)
@@ -62,30 +62,30 @@
     )
     number = 0
     while True:
-        _hand_in(bench, number, rng)
+        _hand_in(harness, number, rng)
         number += 1
-        while bench.starts():
+        while harness.starts():
             pass
-        if any(True for _ in bench.scheduler_state.open_steps()):
+        if any(True for _ in harness.scheduler_state.open_steps()):
             break
     for _ in range(WAITING_TASKS // TASKS_A_JOB):
-        _hand_in(bench, number, rng)
+        _hand_in(harness, number, rng)
         number += 1
-    return bench
+    return harness
 
 
-def _hand_in(bench: Bench, number: int, rng: random.Random) -> None:
+def _hand_in(harness: SchedulingHarness, number: int, rng: random.Random) -> None:
     wanted = step(
         TASKS_A_JOB,
         cpu_millicores=rng.choice(CORES_A_TASK),
         memory_mb=rng.randrange(4_000, 30_000),
         estimated_s=rng.uniform(0.5, 2.0),
     )
-    bench.learn(job(f"{number:016x}", wanted, accepted_s=WALL_S + number / 1_000))
+    harness.learn(job(f"{number:016x}", wanted, accepted_s=WALL_S + number / 1_000))
 
 
-def _end_some(bench: Bench, rng: random.Random) -> None:
-    busy = [worker for worker in bench.scheduler_state.workers.values() if worker.runs]
+def _end_some(harness: SchedulingHarness, rng: random.Random) -> None:
+    busy = [worker for worker in harness.scheduler_state.workers.values() if worker.runs]
     for worker in rng.sample(busy, min(ENDS_A_ROUND, len(busy))):
         run = rng.choice(list(worker.runs.values()))
-        bench.report(worker.worker_id, ended=((run.name, run.run_id, EndKind.DONE),), sent_s=-1.0)
+        harness.report(worker.worker_id, ended=((run.name, run.run_id, EndKind.DONE),), sent_s=-1.0)
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, replace
 
-from tests.dispatch_fakes import fleet, instances, make_bench, make_request, run_on_virtual_clock
+from tests.dispatch_fakes import fleet, instances, make_harness, make_request, run_on_virtual_clock
 
 from bench._dispatch_baselines import EveryRetry, FirstCome, LeastInFlight, RandomChoice
 from bench._dispatch_load import Entry, FakeTarget, Load, Tally, offer
@@ -83,7 +83,7 @@
         if setup.first_come:
             dispatcher = FirstCome(members=members, live_entries=lambda: setup.entries, rng=rng)
             return Entry(dispatcher=dispatcher, retry=retry)
-        made = make_bench(
+        made = make_harness(
             fleet(members),
             limits=setup.limits,
             seed=seed * 100 + rank,
@@ -291,7 +291,7 @@
 
 
 async def _cost(state: FleetState, seed: int) -> float:
-    made = make_bench(state, seed=seed)
+    made = make_harness(state, seed=seed)
     rng = random.Random(seed)
     services = list(state.services)
     deadline_s = asyncio.get_running_loop().time() + 1000
@@ -308,7 +308,7 @@
 
 
 async def _cost_of_waiting(waiting: int) -> tuple[float, float]:
-    made = make_bench(fleet(instances(1)), limits=DispatchLimits(waiting_min=NEVER))
+    made = make_harness(fleet(instances(1)), limits=DispatchLimits(waiting_min=NEVER))
     for _ in range(8):
         await made.grant(within_s=1000)
     requests = [made.request(within_s=1000) for _ in range(waiting)]
--- a/tests/dispatch_fakes.py
+++ b/tests/dispatch_fakes.py
@@ -109,7 +109,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Bench:
+class DispatchHarness:
     """A dispatcher over a small fleet."""
 
     config: HeldConfig
@@ -191,7 +191,7 @@
     )
 
 
-def make_bench(
+def make_harness(
     state: FleetState,
     *,
     limits: DispatchLimits | None = None,
@@ -199,7 +199,7 @@
     selector: TargetSelector | None = None,
     entries: int = 1,
     rank: int = 0,
-) -> Bench:
+) -> DispatchHarness:
     """Return a dispatcher over a fleet."""
     config = HeldConfig(state)
     metrics = Metrics()
@@ -216,7 +216,7 @@
         rng=random.Random(seed),
         selector=selector,
     )
-    return Bench(
+    return DispatchHarness(
         config=config, dispatcher=dispatcher, metrics=metrics, timeline=timeline, entries=live
     )
 
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -57,7 +57,7 @@
     return WorkerView(worker_id=worker_id, **(given | changes))  # type: ignore[arg-type]
 
 
-class Bench:
+class SchedulingHarness:
     """A board with its decider and a clock that tests advance."""
 
     def __init__(self, *workers: WorkerView) -> None:
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -33,7 +33,7 @@
 from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
 from tests.lasting_history import RUNS_AGAIN_S
-from tests.scheduling_fakes import Bench, job, quiet_log, step, view
+from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
 from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000ab"
@@ -193,9 +193,9 @@
                 store=FaultInjectingStore(store=store),
                 log=quiet_log(),
             )
-            bench = Bench(view("ended"), view("idle"))
+            harness = SchedulingHarness(view("ended"), view("idle"))
             workers = WorkerTracker(
-                scheduler_state=bench.scheduler_state,
+                scheduler_state=harness.scheduler_state,
                 record=record,
                 directory=TaskWorkers(rng=random.Random(1)),
                 machine_records=MachineRecords(log=quiet_log()),
@@ -203,15 +203,15 @@
                 wall_clock=loop.time,
                 recovery_s=OrderTimes().recovery_s,
             )
-            bench.learn(job(JOB_ID, step(1)))
-            (order,) = bench.starts()
+            harness.learn(job(JOB_ID, step(1)))
+            (order,) = harness.starts()
             self.assertEqual("ended", order.run.worker_id)
-            bench.report("ended", ended=((NAME, order.run.run_id, EndKind.DONE),))
+            harness.report("ended", ended=((NAME, order.run.run_id, EndKind.DONE),))
             await workers.hand_over()
             self.assertEqual({"ended"}, set(record.active_workers))
-            (dirty,) = bench.scheduler_state.dirty()
+            (dirty,) = harness.scheduler_state.dirty()
             stored = StoredProgress(job_id=JOB_ID, changes=dirty.changes, revision=2)
-            bench.scheduler_state.stored(stored)
+            harness.scheduler_state.stored(stored)
             await workers.hand_over()
             self.assertEqual(set(), set(record.active_workers))
 
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -17,7 +17,7 @@
     is_suspect,
 )
 from shallotworks.scheduling import EndKind, RunningTask, StartOrder, WaitReason, waiting_reason
-from tests.scheduling_fakes import WALL_S, Bench, job, step, view
+from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, step, view
 
 SOLE, SHARED, LATE = Blame.SOLE, Blame.SHARED, Blame.LATE
 NAME = TaskName("j", 0, 0, 0)
@@ -33,21 +33,23 @@
     )
 
 
-def confirm(bench: Bench, *orders: StartOrder) -> None:
+def confirm(harness: SchedulingHarness, *orders: StartOrder) -> None:
     """Let workers answer starts."""
     for order in orders:
-        order.run.enter(order.run.phase.RUNNING, bench.now_s)
+        order.run.enter(order.run.phase.RUNNING, harness.now_s)
 
 
-def crash(bench: Bench, worker_id: str) -> None:
+def crash(harness: SchedulingHarness, worker_id: str) -> None:
     """Crash a worker: its connections are closed, later another incarnation answers."""
-    bench.scheduler_state.crashes.connection_closed(bench.worker(worker_id), bench.now_s, WALL_S)
-    bench.scheduler_state.replaced(worker_id, bench.now_s, WALL_S)
+    harness.scheduler_state.crashes.connection_closed(
+        harness.worker(worker_id), harness.now_s, WALL_S
+    )
+    harness.scheduler_state.replaced(worker_id, harness.now_s, WALL_S)
 
 
-def blames(bench: Bench, job_id: str = "j") -> list[list[Blame]]:
+def blames(harness: SchedulingHarness, job_id: str = "j") -> list[list[Blame]]:
     """Return the blames of a job's tasks, by task."""
-    progress = bench.scheduler_state.entries[job_id].progress
+    progress = harness.scheduler_state.entries[job_id].progress
     return [[one.blame for one in runs] for _, runs in sorted(progress.lost.items())]
 
 
@@ -99,140 +101,146 @@
 class BlameTests(unittest.TestCase):
     def test_young_runs_share_the_blame_and_others_are_late(self) -> None:
         """A task that had run for long is suspected beside the one that was just started."""
-        bench = Bench(view("a"))
-        bench.learn(job("old", step(1)))
-        confirm(bench, *bench.starts())
-        bench.now_s += AGED_S
-        bench.learn(job("j", step(2)))
-        confirm(bench, *bench.starts())
-        crash(bench, "a")
-        self.assertEqual([[LATE]], blames(bench, "old"))
-        self.assertEqual([[SHARED], [SHARED]], blames(bench))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("old", step(1)))
+        confirm(harness, *harness.starts())
+        harness.now_s += AGED_S
+        harness.learn(job("j", step(2)))
+        confirm(harness, *harness.starts())
+        crash(harness, "a")
+        self.assertEqual([[LATE]], blames(harness, "old"))
+        self.assertEqual([[SHARED], [SHARED]], blames(harness))
 
     def test_a_start_that_was_not_answered_is_young(self) -> None:
         """The start during which the worker died is not suspected."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        (order,) = bench.starts()
-        order.run.enter(order.run.phase.UNANSWERED, bench.now_s)
-        bench.now_s += 3.0
-        crash(bench, "a")
-        self.assertEqual([[SOLE]], blames(bench))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        (order,) = harness.starts()
+        order.run.enter(order.run.phase.UNANSWERED, harness.now_s)
+        harness.now_s += 3.0
+        crash(harness, "a")
+        self.assertEqual([[SOLE]], blames(harness))
 
     def test_a_worker_that_dies_silently_is_blamed_on_runs_of_its_last_report(self) -> None:
         """Nobody is suspected, since a silent death is known only seconds later."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        (order,) = bench.starts()
-        bench.now_s += 0.1
-        bench.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
-        bench.now_s += 5.0
-        bench.scheduler_state.replaced("a", bench.now_s, WALL_S)
-        self.assertEqual([[SOLE]], blames(bench))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        (order,) = harness.starts()
+        harness.now_s += 0.1
+        harness.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
+        harness.now_s += 5.0
+        harness.scheduler_state.replaced("a", harness.now_s, WALL_S)
+        self.assertEqual([[SOLE]], blames(harness))
 
     def test_lasting_tasks_that_have_run_for_long_are_not_blamed(self) -> None:
         """A lasting task is given up for the crashes of all the workers that it has seen."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1, is_lasting=True)))
-        (order,) = bench.starts()
-        confirm(bench, order)
-        bench.now_s += AGED_S
-        bench.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
-        crash(bench, "a")
-        self.assertEqual([], blames(bench))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1, is_lasting=True)))
+        (order,) = harness.starts()
+        confirm(harness, order)
+        harness.now_s += AGED_S
+        harness.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
+        crash(harness, "a")
+        self.assertEqual([], blames(harness))
 
     def test_a_culprit_is_young_however_late_its_crash_is_noticed(self) -> None:
         """A lasting task that crashes its workers is never blamed, as their links hang on."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1, is_lasting=True)))
-        confirm(bench, *bench.starts())
-        bench.now_s += 1.0
-        crash(bench, "a")
-        self.assertEqual([[SOLE]], blames(bench))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1, is_lasting=True)))
+        confirm(harness, *harness.starts())
+        harness.now_s += 1.0
+        crash(harness, "a")
+        self.assertEqual([[SOLE]], blames(harness))
 
     def test_many_workers_lost_at_once_are_blamed_on_nobody_in_particular(self) -> None:
         """A rack loses power, and all that was just started there is started in isolation."""
         workers = ["a", "b", "c", "d"]
-        bench = Bench(*(view(one, cpu_millicores=1000) for one in workers))
-        bench.learn(job("j", step(4)))
-        confirm(bench, *bench.starts())
+        harness = SchedulingHarness(*(view(one, cpu_millicores=1000) for one in workers))
+        harness.learn(job("j", step(4)))
+        confirm(harness, *harness.starts())
         for one in workers:
-            bench.scheduler_state.crashes.connection_closed(bench.worker(one), bench.now_s, WALL_S)
-        bench.now_s += 3.0
+            harness.scheduler_state.crashes.connection_closed(
+                harness.worker(one), harness.now_s, WALL_S
+            )
+        harness.now_s += 3.0
         for one in workers:
-            bench.scheduler_state.replaced(one, bench.now_s, WALL_S)
-        self.assertEqual([[LATE]] * 4, blames(bench))
+            harness.scheduler_state.replaced(one, harness.now_s, WALL_S)
+        self.assertEqual([[LATE]] * 4, blames(harness))
 
     @parameterized.expand([("taken away", True, False), ("drained", False, True)])
     def test_a_worker_that_leaves_as_planned_blames_nobody(
         self, _name: str, is_planned: bool, is_draining: bool
     ) -> None:
         """A task is suspected since its machine was moved."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        bench.starts()
-        bench.scheduler_state.crashes.connection_closed(bench.worker("a"), bench.now_s, WALL_S)
-        bench.scheduler_state.update_worker(view("a", is_draining=is_draining))
-        bench.scheduler_state.worker_ended("a", "gone", bench.now_s, WALL_S, is_planned=is_planned)
-        self.assertEqual([], blames(bench))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        harness.starts()
+        harness.scheduler_state.crashes.connection_closed(
+            harness.worker("a"), harness.now_s, WALL_S
+        )
+        harness.scheduler_state.update_worker(view("a", is_draining=is_draining))
+        harness.scheduler_state.worker_ended(
+            "a", "gone", harness.now_s, WALL_S, is_planned=is_planned
+        )
+        self.assertEqual([], blames(harness))
 
     @parameterized.expand([("refused by another incarnation", False), ("no answer", True)])
     def test_a_start_under_way_is_blamed_once_it_is_known_to_have_arrived(
         self, _name: str, may_have_run: bool
     ) -> None:
         """A task is blamed for the death of a worker that was dead before the start was sent."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        (order,) = bench.starts()
-        bench.scheduler_state.replaced("a", bench.now_s, WALL_S)
-        self.assertEqual([], blames(bench))
-        bench.scheduler_state.crashes.start_answered(order.run, WALL_S, may_have_run=may_have_run)
-        self.assertEqual([[SOLE]] if may_have_run else [], blames(bench))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        (order,) = harness.starts()
+        harness.scheduler_state.replaced("a", harness.now_s, WALL_S)
+        self.assertEqual([], blames(harness))
+        harness.scheduler_state.crashes.start_answered(order.run, WALL_S, may_have_run=may_have_run)
+        self.assertEqual([[SOLE]] if may_have_run else [], blames(harness))
 
     def test_a_worker_that_answers_again_clears_its_runs(self) -> None:
         """Reset connections count as crashes, and a sound task is given up."""
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("j", step(1)))
-        (order,) = bench.starts()
-        confirm(bench, order)
-        worker = bench.worker(order.run.worker_id)
-        bench.scheduler_state.crashes.connection_closed(worker, bench.now_s, WALL_S)
-        self.assertEqual([[SOLE]], blames(bench))
-        bench.report(worker.worker_id, ended=((NAME, order.run.run_id, EndKind.FAILED),))
-        self.assertEqual([], blames(bench))
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("j", step(1)))
+        (order,) = harness.starts()
+        confirm(harness, order)
+        worker = harness.worker(order.run.worker_id)
+        harness.scheduler_state.crashes.connection_closed(worker, harness.now_s, WALL_S)
+        self.assertEqual([[SOLE]], blames(harness))
+        harness.report(worker.worker_id, ended=((NAME, order.run.run_id, EndKind.FAILED),))
+        self.assertEqual([], blames(harness))
         self.assertIsNone(worker.closed_s)
 
     def test_a_lapsed_run_is_cleared_when_its_worker_is_back(self) -> None:
         """A worker was cut off for a while; its tasks are started in isolation for ever."""
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("j", step(1)))
-        (order,) = bench.starts()
-        worker = bench.worker(order.run.worker_id)
-        confirm(bench, order)
-        bench.scheduler_state.lapse(worker, bench.now_s, WALL_S)
-        self.assertEqual([[SOLE]], blames(bench))
-        bench.report(worker.worker_id)
-        (again,) = bench.starts()
-        self.assertEqual([], blames(bench))
-        self.assertIsNone(bench.worker(again.run.worker_id).isolated)
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("j", step(1)))
+        (order,) = harness.starts()
+        worker = harness.worker(order.run.worker_id)
+        confirm(harness, order)
+        harness.scheduler_state.lapse(worker, harness.now_s, WALL_S)
+        self.assertEqual([[SOLE]], blames(harness))
+        harness.report(worker.worker_id)
+        (again,) = harness.starts()
+        self.assertEqual([], blames(harness))
+        self.assertIsNone(harness.worker(again.run.worker_id).isolated)
 
     @parameterized.expand([("another incarnation", True, SOLE), ("unlisted", False, SHARED)])
     def test_a_lapsed_run_is_counted_when_its_worker_is_over(
         self, _how: str, is_replaced: bool, blame: Blame
     ) -> None:
         """A worker is back as another incarnation only after its lease is out, and not counted."""
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("j", step(1)))
-        (order,) = bench.starts()
-        worker = bench.worker(order.run.worker_id)
-        bench.scheduler_state.lapse(worker, bench.now_s, WALL_S)
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("j", step(1)))
+        (order,) = harness.starts()
+        worker = harness.worker(order.run.worker_id)
+        harness.scheduler_state.lapse(worker, harness.now_s, WALL_S)
         if is_replaced:
-            bench.scheduler_state.replaced(worker.worker_id, bench.now_s, WALL_S)
+            harness.scheduler_state.replaced(worker.worker_id, harness.now_s, WALL_S)
         else:
-            bench.scheduler_state.worker_ended(
-                worker.worker_id, "no longer listed", bench.now_s, WALL_S
+            harness.scheduler_state.worker_ended(
+                worker.worker_id, "no longer listed", harness.now_s, WALL_S
             )
-        (runs,) = bench.scheduler_state.entries["j"].progress.lost.values()
+        (runs,) = harness.scheduler_state.entries["j"].progress.lost.values()
         self.assertEqual([(blame, True)], [(one.blame, one.is_certain) for one in runs])
 
 
@@ -240,126 +248,126 @@
     """A task of job j was lost on worker c, and is to be started in isolation."""
 
     def setUp(self) -> None:
-        self.bench = Bench(view("a"), view("b"))
+        self.harness = SchedulingHarness(view("a"), view("b"))
 
     def suspect(self, *steps: Step, **changes: object) -> None:
         """Learn of a job whose first task has lost a run."""
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): lost(SHARED)})
-        self.bench.learn(job("j", *steps, **changes), progress=progress)
+        self.harness.learn(job("j", *steps, **changes), progress=progress)
 
     def test_the_start_is_stored_before_it_is_sent(self) -> None:
         """A scheduler dies with the worker, and its successor does not know of the start."""
         self.suspect(step(1))
         for _ in range(2):
-            self.assertEqual([], self.bench.decide())
-        self.assertEqual([[SHARED, SOLE]], blames(self.bench))
-        self.bench.store()
-        (order,) = self.bench.decide()
+            self.assertEqual([], self.harness.decide())
+        self.assertEqual([[SHARED, SOLE]], blames(self.harness))
+        self.harness.store()
+        (order,) = self.harness.decide()
         assert isinstance(order, StartOrder)
         self.assertEqual(NAME, order.run.name)
 
     def test_it_is_started_only_on_a_worker_that_has_answered_since(self) -> None:
         """A sound task is failed for its start on a worker that was dead, and not known to be."""
         self.suspect(step(1))
-        self.bench.now_s += 1.0
-        self.bench.decide()
-        self.bench.store()
-        self.assertEqual([], self.bench.decide())
+        self.harness.now_s += 1.0
+        self.harness.decide()
+        self.harness.store()
+        self.assertEqual([], self.harness.decide())
         for worker_id in ("a", "b"):
-            self.bench.report(worker_id)
-        (order,) = self.bench.decide()
+            self.harness.report(worker_id)
+        (order,) = self.harness.decide()
         assert isinstance(order, StartOrder)
         self.assertEqual(NAME, order.run.name)
 
     def test_a_worker_that_does_not_answer_is_given_up_for_another_at_once(self) -> None:
         """A lasting task was away for ten seconds, waiting for idle workers that had left."""
         self.suspect(step(1, is_lasting=True))
-        self.bench.now_s += 1.0
-        self.bench.decide()
+        self.harness.now_s += 1.0
+        self.harness.decide()
         (kept,) = [
-            one for one in self.bench.scheduler_state.workers.values() if one.isolated is not None
+            one for one in self.harness.scheduler_state.workers.values() if one.isolated is not None
         ]
         # What a failed look does.
-        kept.pause_until_s = self.bench.now_s + 0.5
-        self.bench.now_s += 0.1
-        (order,) = self.bench.starts()
+        kept.pause_until_s = self.harness.now_s + 0.5
+        self.harness.now_s += 0.1
+        (order,) = self.harness.starts()
         self.assertNotEqual(kept.worker_id, order.run.worker_id)
 
     def test_nothing_else_is_started_beside_it(self) -> None:
         """Tasks of other jobs are lost with a worker on which a suspect was tried."""
         self.suspect(step(1))
-        self.bench.starts()
+        self.harness.starts()
         (isolated,) = [
-            w for w in self.bench.scheduler_state.workers.values() if w.isolated is not None
+            w for w in self.harness.scheduler_state.workers.values() if w.isolated is not None
         ]
-        self.bench.learn(job("k", step(8)))
-        others = self.bench.starts()
+        self.harness.learn(job("k", step(8)))
+        others = self.harness.starts()
         self.assertEqual(4, len(others))
         self.assertNotIn(isolated.worker_id, {one.run.worker_id for one in others})
-        (waiting,) = self.bench.scheduler_state.open_steps()
+        (waiting,) = self.harness.scheduler_state.open_steps()
         reason = waiting_reason(
-            self.bench.scheduler_state, waiting, now_s=self.bench.now_s, wall_s=WALL_S
+            self.harness.scheduler_state, waiting, now_s=self.harness.now_s, wall_s=WALL_S
         )
         self.assertIs(WaitReason.QUARANTINED, reason)
 
     def test_it_waits_for_young_runs_beside_it(self) -> None:
         """A sound task that was started a moment before shares the blame of the crash."""
         for worker_id in ("a", "b"):
-            self.bench.learn(job(f"k{worker_id}", step(1, estimated_s=9.0, cpu_millicores=2500)))
-        confirm(self.bench, *self.bench.starts())
+            self.harness.learn(job(f"k{worker_id}", step(1, estimated_s=9.0, cpu_millicores=2500)))
+        confirm(self.harness, *self.harness.starts())
         self.suspect(step(1))
-        self.assertEqual([], self.bench.starts())
-        self.bench.now_s += AGED_S
-        self.assertEqual([NAME], [one.run.name for one in self.bench.starts()])
+        self.assertEqual([], self.harness.starts())
+        self.harness.now_s += AGED_S
+        self.assertEqual([NAME], [one.run.name for one in self.harness.starts()])
 
     def test_other_tasks_of_the_job_wait_until_it_has_proved_harmless(self) -> None:
         """Each task of a job crashes a worker, and all are started again at once."""
         self.suspect(step(3))
-        (order,) = self.bench.starts()
-        confirm(self.bench, order)
-        worker = self.bench.worker(order.run.worker_id)
+        (order,) = self.harness.starts()
+        confirm(self.harness, order)
+        worker = self.harness.worker(order.run.worker_id)
         running = (RunningTask(name=order.run.name, run_id=order.run.run_id),)
-        self.bench.report(worker.worker_id, running=running)
-        self.assertEqual([], self.bench.starts())
-        self.bench.now_s += 1.0
-        self.bench.report(worker.worker_id, running=running)
+        self.harness.report(worker.worker_id, running=running)
+        self.assertEqual([], self.harness.starts())
+        self.harness.now_s += 1.0
+        self.harness.report(worker.worker_id, running=running)
         self.assertIsNone(worker.isolated)
-        self.assertEqual([1, 2], sorted(one.run.name.number for one in self.bench.starts()))
+        self.assertEqual([1, 2], sorted(one.run.name.number for one in self.harness.starts()))
 
     def test_a_crash_under_it_fails_the_job(self) -> None:
         """A task is started in isolation, crashes that worker too, and is started once more."""
         self.suspect(step(1))
-        (order,) = self.bench.starts()
-        confirm(self.bench, order)
-        self.bench.now_s += 3.0
-        crash(self.bench, order.run.worker_id)
-        entry = self.bench.scheduler_state.entries["j"]
+        (order,) = self.harness.starts()
+        confirm(self.harness, order)
+        self.harness.now_s += 3.0
+        crash(self.harness, order.run.worker_id)
+        entry = self.harness.scheduler_state.entries["j"]
         self.assertIs(JobState.FAILED, entry.progress.state)
-        self.assertEqual([], self.bench.starts())
+        self.assertEqual([], self.harness.starts())
 
     def test_a_cancelled_job_gives_its_worker_back(self) -> None:
         """A worker stays kept for a start that is never sent."""
         self.suspect(step(1))
-        self.bench.decide()
+        self.harness.decide()
         cancelled = JobProgress(queue="sweeps")
         cancelled.finish(JobState.CANCELLED, now_s=WALL_S)
-        self.bench.scheduler_state.update_progress("j", cancelled, 9)
-        self.assertEqual([], self.bench.starts())
-        workers = self.bench.scheduler_state.workers.values()
+        self.harness.scheduler_state.update_progress("j", cancelled, 9)
+        self.assertEqual([], self.harness.starts())
+        workers = self.harness.scheduler_state.workers.values()
         self.assertEqual([None, None], [worker.isolated for worker in workers])
         self.assertEqual([0, 0], [len(worker.runs) for worker in workers])
 
     def test_a_start_that_cannot_be_stored_is_given_back(self) -> None:
         """While the store is away a worker is kept for a start that can't be sent."""
         self.suspect(step(1))
-        self.bench.decide()
-        self.bench.now_s += 2.5
-        self.bench.report("a")
-        self.bench.report("b")
-        self.bench.decide()
-        self.assertEqual([[SHARED, SOLE]], blames(self.bench))
+        self.harness.decide()
+        self.harness.now_s += 2.5
+        self.harness.report("a")
+        self.harness.report("b")
+        self.harness.decide()
+        self.assertEqual([[SHARED, SOLE]], blames(self.harness))
         self.assertEqual(
-            1, sum(len(one.runs) for one in self.bench.scheduler_state.workers.values())
+            1, sum(len(one.runs) for one in self.harness.scheduler_state.workers.values())
         )
 
     @parameterized.expand(
@@ -375,9 +383,9 @@
         """A start under way when its scheduler died is forgotten, or taken for the only cause."""
         row = LostRun(run_id=5, worker_id="a" if lives else "z", blame=SOLE, is_certain=False)
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (*lost(*earlier), row)})
-        self.bench.learn(job("j", step(1)), progress=progress, is_old=True)
-        self.bench.decide()
-        entry = self.bench.scheduler_state.entries["j"]
+        self.harness.learn(job("j", step(1)), progress=progress, is_old=True)
+        self.harness.decide()
+        entry = self.harness.scheduler_state.entries["j"]
         known = entry.progress.lost_runs(entry.job, NAME)
         self.assertEqual(crashes, sum(one.is_certain for one in known))
         self.assertEqual(is_given_up, entry.progress.state is JobState.FAILED)
@@ -389,22 +397,22 @@
         self, _name: str, crashes: int, expected: str
     ) -> None:
         """Each crash in a series took the tasks of five jobs with it, packed on one worker."""
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("k", step(1, estimated_s=9.0)))
-        bench.starts()
-        (first,) = [one for one in bench.scheduler_state.workers.values() if one.runs]
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("k", step(1, estimated_s=9.0)))
+        harness.starts()
+        (first,) = [one for one in harness.scheduler_state.workers.values() if one.runs]
         self.assertEqual("a", first.worker_id)
         for number in range(crashes):
-            worker = bench.add(view(f"x{number}"))
-            bench.learn(job(f"c{number}", step(1, label="none", is_lasting=True)))
-            entry = bench.scheduler_state.entries[f"c{number}"]
+            worker = harness.add(view(f"x{number}"))
+            harness.learn(job(f"c{number}", step(1, label="none", is_lasting=True)))
+            entry = harness.scheduler_state.entries[f"c{number}"]
             (lost_step,) = entry.steps.values()
-            bench.scheduler_state.new_run(
-                lost_step, 0, worker, bench.scheduler_state.next_run_id(), bench.now_s
+            harness.scheduler_state.new_run(
+                lost_step, 0, worker, harness.scheduler_state.next_run_id(), harness.now_s
             )
-            crash(bench, worker.worker_id)
-        bench.learn(job("j", step(2)))
-        workers = {one.run.worker_id for one in bench.starts() if one.run.name.job_id == "j"}
+            crash(harness, worker.worker_id)
+        harness.learn(job("j", step(2)))
+        workers = {one.run.worker_id for one in harness.starts() if one.run.name.job_id == "j"}
         self.assertEqual({expected}, workers)
 
 
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -12,7 +12,7 @@
 from shallotworks.scheduling import OrderOutcome, OrderStatus, StartOrder, WorkerView
 from tests.crash_history import ReturningWorkers
 from tests.fleet_history import History
-from tests.scheduling_fakes import WALL_S, Bench, job, step, view
+from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, step, view
 from tests.virtual_clock import run_scenario
 
 CRASHES = [("refused", False), ("silent", True)]
@@ -42,14 +42,14 @@
             lines.append(data)
             return len(data)
 
-        bench = Bench(view("a"))
-        bench.scheduler_state._log = log = StructuredLog(process="test", write=take)
-        bench.learn(job("j", step(1)))
-        (start,) = bench.starts()
-        bench.now_s += 0.25
-        bench.report("a")
-        bench.now_s += 3.0
-        bench.scheduler_state.replaced("a", bench.now_s, WALL_S)
+        harness = SchedulingHarness(view("a"))
+        harness.scheduler_state._log = log = StructuredLog(process="test", write=take)
+        harness.learn(job("j", step(1)))
+        (start,) = harness.starts()
+        harness.now_s += 0.25
+        harness.report("a")
+        harness.now_s += 3.0
+        harness.scheduler_state.replaced("a", harness.now_s, WALL_S)
         log.flush()
         records = [json.loads(line) for line in b"".join(lines).splitlines()]
         lost = [record for record in records if record["event"] == "run-lost"]
--- a/tests/test_dispatch_history.py
+++ b/tests/test_dispatch_history.py
@@ -11,7 +11,14 @@
 from shallotworks.errors import Ran
 from shallotworks.fleet import Condition
 from shallotworks.requests import AttemptOutcome, DispatchLimits, Grant, Request, RequestClass
-from tests.dispatch_fakes import Bench, fleet, instances, make_bench, run_on_virtual_clock, settle
+from tests.dispatch_fakes import (
+    DispatchHarness,
+    fleet,
+    instances,
+    make_harness,
+    run_on_virtual_clock,
+    settle,
+)
 
 SLOTS = 2
 WORKERS = 3
@@ -58,7 +65,7 @@
             quotas={"crew": QUOTA},
         )
         limits = DispatchLimits(waiting_min=6, waiting_per_slot=0, failures_to_eject=2)
-        self.bench: Bench = make_bench(state, limits=limits)
+        self.harness: DispatchHarness = make_harness(state, limits=limits)
         self.tasks: dict[str, asyncio.Task] = {}
         self.requests: dict[str, Request] = {}
         self.held: dict[int, Grant] = {}
@@ -78,20 +85,20 @@
         await self.finish()
 
     def ask(self, service: str, cls: RequestClass, team: str, idem: bool, within: float) -> None:
-        request = self.bench.request(
+        request = self.harness.request(
             service, request_class=cls, team=team, idempotent=idem, within_s=within
         )
         self.begin(request, frozenset())
 
     def begin(self, request: Request, tried: frozenset[str]) -> None:
         self.requests[request.request_id] = request
-        self.tasks[request.request_id] = self.bench.ask(request, tried)
+        self.tasks[request.request_id] = self.harness.ask(request, tried)
 
     def end(self, number: int, outcome: AttemptOutcome, retry: bool) -> None:
         if not self.held:
             return
         grant = self.held.pop(sorted(self.held)[number % len(self.held)])
-        self.bench.dispatcher.release(grant, outcome, duration_s=0.3)
+        self.harness.dispatcher.release(grant, outcome, duration_s=0.3)
         request = self.requests[grant.request_id]
         if retry and (request.idempotent or outcome.known_not_run):
             self.answers[request.request_id] -= 1
@@ -101,8 +108,8 @@
         waiting = sorted(self.tasks)
         if waiting:
             name = waiting[number % len(waiting)]
-            self.case.assertTrue(self.bench.dispatcher.cancel(name))
-            self.case.assertFalse(self.bench.dispatcher.cancel(name))
+            self.case.assertTrue(self.harness.dispatcher.cancel(name))
+            self.case.assertFalse(self.harness.dispatcher.cancel(name))
 
     def hang_up(self, number: int) -> None:
         waiting = sorted(self.tasks)
@@ -120,13 +127,13 @@
         if what in ("moved", "back") and not drained:
             return  # A plan moves an instance only once it is drained.
         if what in facts:
-            self.bench.config.set_instances([name], **facts[what])
+            self.harness.config.set_instances([name], **facts[what])
         else:
             self.leaving ^= {name}
-            self.bench.dispatcher.set_leaving(frozenset(self.leaving))
+            self.harness.dispatcher.set_leaving(frozenset(self.leaving))
 
     def entries(self, count: int) -> None:
-        self.bench.entries[0] = count
+        self.harness.entries[0] = count
 
     def collect(self) -> None:
         for name, task in list(self.tasks.items()):
@@ -148,7 +155,7 @@
         self.held[grant.grant_id] = grant
 
     def barred(self) -> set[str]:
-        known = self.bench.config.state().instances.values()
+        known = self.harness.config.state().instances.values()
         return self.leaving | {e.name for e in known if not e.available or e.pool != "pool"}
 
     def check(self) -> None:
@@ -157,21 +164,21 @@
         crew = [g for g in self.held.values() if self.requests[g.request_id].team == "crew"]
         self.case.assertLessEqual(len(crew), QUOTA, "over the quota")
         self.case.assertLessEqual(max(self.answers.values(), default=0), 1, "answered twice")
-        self.case.assertEqual(self.bench.dispatcher.in_flight, len(self.held), "a slot is lost")
-        self.case.assertEqual(self.bench.dispatcher.waiting, len(self.tasks), "lost in the queue")
+        self.case.assertEqual(self.harness.dispatcher.in_flight, len(self.held), "a slot is lost")
+        self.case.assertEqual(self.harness.dispatcher.waiting, len(self.tasks), "lost in the queue")
 
     async def finish(self) -> None:
         """Let all targets work: every request gets its answer and every slot comes back."""
         while self.held or self.tasks:
             for number in list(self.held):
                 grant = self.held.pop(number)
-                self.bench.dispatcher.release(grant, AttemptOutcome.ANSWERED, duration_s=0.01)
+                self.harness.dispatcher.release(grant, AttemptOutcome.ANSWERED, duration_s=0.01)
             await asyncio.sleep(1.0)
             await settle()
             self.collect()
             self.check()
         self.case.assertEqual(set(self.answers.values()) | {1}, {1})
-        self.case.assertEqual(self.bench.dispatcher.in_flight, 0)
+        self.case.assertEqual(self.harness.dispatcher.in_flight, 0)
 
 
 class HistoryTests(unittest.TestCase):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -12,7 +12,7 @@
     granted,
     instances,
     kind_of,
-    make_bench,
+    make_harness,
     run_on_virtual_clock,
     settle,
 )
@@ -23,18 +23,18 @@
         """As many grants as there are slots are given; the next waits for a release."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(2, slots=2)))
-            grants = [await bench.grant() for _ in range(4)]
+            harness = make_harness(fleet(instances(2, slots=2)))
+            grants = [await harness.grant() for _ in range(4)]
             self.assertEqual(Counter(g.target.instance for g in grants), {"w0": 2, "w1": 2})
-            fifth = bench.start()
+            fifth = harness.start()
             await settle()
             self.assertFalse(fifth.done())
-            bench.done(grants[0])
-            bench.done(grants[0])
+            harness.done(grants[0])
+            harness.done(grants[0])
             await settle()
             self.assertTrue(granted(fifth))
-            self.assertEqual(bench.dispatcher.in_flight, 4)
-            self.assertEqual(bench.metrics.counters()["dispatch.released-twice"], 1)
+            self.assertEqual(harness.dispatcher.in_flight, 4)
+            self.assertEqual(harness.metrics.counters()["dispatch.released-twice"], 1)
 
         run_on_virtual_clock(scenario)
 
@@ -44,8 +44,8 @@
         async def scenario() -> None:
             held: Counter[str] = Counter()
             for rank in range(3):
-                bench = make_bench(fleet(instances(5)), entries=3, rank=rank)
-                tasks = [bench.start() for _ in range(40)]
+                harness = make_harness(fleet(instances(5)), entries=3, rank=rank)
+                tasks = [harness.start() for _ in range(40)]
                 await settle()
                 held.update(t.result().unwrap().target.instance for t in tasks if granted(t))
             self.assertEqual(held, {f"w{number}": 8 for number in range(5)})
@@ -60,15 +60,15 @@
         """
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1)), entries=2, rank=0)
-            tasks = [bench.start(within_s=1000) for _ in range(64)]
+            harness = make_harness(fleet(instances(1)), entries=2, rank=0)
+            tasks = [harness.start(within_s=1000) for _ in range(64)]
             await settle()
             seen = []
             for outcome in [AttemptOutcome.ANSWERED] * 4 + [AttemptOutcome.REFUSED]:
                 seen.append(len(_running(tasks)))
                 for task in _running(tasks):
                     tasks.remove(task)
-                    bench.dispatcher.release(task.result().unwrap(), outcome, duration_s=0.0)
+                    harness.dispatcher.release(task.result().unwrap(), outcome, duration_s=0.0)
                 await settle()
             await asyncio.sleep(0.3)
             seen.append(len(_running(tasks)))
@@ -80,8 +80,8 @@
         """A service or team that does not exist is NOT_FOUND; an empty pool is NO_TARGET."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet({}))
-            tasks = [bench.start("none"), bench.start(team="x"), bench.start()]
+            harness = make_harness(fleet({}))
+            tasks = [harness.start("none"), harness.start(team="x"), harness.start()]
             await asyncio.wait(tasks)
             kinds = [kind_of(task) for task in tasks]
             wanted = [ErrorKind.NOT_FOUND, ErrorKind.NOT_FOUND, ErrorKind.NO_TARGET]
@@ -93,19 +93,19 @@
         """After the stop nothing new is admitted; waiting requests and retries are."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1, slots=1)))
-            first = await bench.grant()
-            waiting = bench.start()
+            harness = make_harness(fleet(instances(1, slots=1)))
+            first = await harness.grant()
+            waiting = harness.start()
             await settle()
-            bench.dispatcher.stop_admitting()
-            late = bench.start()
-            retry = bench.ask(bench.request(), tried=frozenset({"w9"}))
+            harness.dispatcher.stop_admitting()
+            late = harness.start()
+            retry = harness.ask(harness.request(), tried=frozenset({"w9"}))
             await settle()
             self.assertIs(kind_of(late), ErrorKind.STOPPING)
-            bench.done(first)
+            harness.done(first)
             await settle()
             self.assertTrue(granted(waiting))
-            bench.dispatcher.refuse_waiting()
+            harness.dispatcher.refuse_waiting()
             await settle()
             self.assertIs(kind_of(retry), ErrorKind.STOPPING)
 
@@ -117,13 +117,13 @@
         """A slot that comes free goes to interactive work, however long others have waited."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1, slots=4)))
-            grants = [await bench.grant(request_class=LONG_RUNNING) for _ in range(3)]
-            grants.append(await bench.grant())
-            slow = bench.start(request_class=LONG_RUNNING)
-            quick = bench.start()
+            harness = make_harness(fleet(instances(1, slots=4)))
+            grants = [await harness.grant(request_class=LONG_RUNNING) for _ in range(3)]
+            grants.append(await harness.grant())
+            slow = harness.start(request_class=LONG_RUNNING)
+            quick = harness.start()
             await settle()
-            bench.done(grants[0])
+            harness.done(grants[0])
             await settle()
             self.assertTrue(granted(quick))
             self.assertFalse(slow.done())
@@ -134,11 +134,11 @@
         """Long-running work alone fills all slots but one, which an interactive arrival finds."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(2)))
-            tasks = [bench.start(request_class=LONG_RUNNING) for _ in range(30)]
+            harness = make_harness(fleet(instances(2)))
+            tasks = [harness.start(request_class=LONG_RUNNING) for _ in range(30)]
             await settle()
             self.assertEqual(sum(map(granted, tasks)), 15)
-            self.assertTrue(granted(await _ended(bench.start())))
+            self.assertTrue(granted(await _ended(harness.start())))
 
         run_on_virtual_clock(scenario)
 
@@ -151,16 +151,16 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(long_running_min_part=0.25, waiting_min=10_000)
-            bench = make_bench(fleet(instances(1)), limits=limits)
-            flood = [bench.start(within_s=1000) for _ in range(200)]
-            nightly = [bench.start(request_class=LONG_RUNNING, within_s=1000) for _ in range(20)]
+            harness = make_harness(fleet(instances(1)), limits=limits)
+            flood = [harness.start(within_s=1000) for _ in range(200)]
+            nightly = [harness.start(request_class=LONG_RUNNING, within_s=1000) for _ in range(20)]
             answered = 0
             for _ in range(30):
                 await settle()
                 running = [t for t in flood + nightly if granted(t)]
                 self.assertLessEqual(sum(t in nightly for t in running), 2)
                 for task in running:
-                    bench.done(task.result().unwrap())
+                    harness.done(task.result().unwrap())
                     answered += task in nightly
                     (nightly if task in nightly else flood).remove(task)
             self.assertEqual(answered, 20)
@@ -173,11 +173,11 @@
         """A service uses what others leave; when they want it, it comes back as slots free."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1), shares={"trace": 0.75, "parts": 0.25}))
-            lent = [await bench.grant("parts") for _ in range(8)]
-            tasks = [bench.start(name) for name in ("parts", "trace") for _ in range(8)]
+            harness = make_harness(fleet(instances(1), shares={"trace": 0.75, "parts": 0.25}))
+            lent = [await harness.grant("parts") for _ in range(8)]
+            tasks = [harness.start(name) for name in ("parts", "trace") for _ in range(8)]
             for grant in lent:
-                bench.done(grant)
+                harness.done(grant)
                 await settle()
             names = Counter("parts" if task in tasks[:8] else "trace" for task in _running(tasks))
             self.assertEqual(names, {"trace": 6, "parts": 2})
@@ -189,17 +189,19 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(team_waiting_per_slot=2)
-            bench = make_bench(fleet(instances(1), quotas={"crew": 2, "none": 0}), limits=limits)
-            tasks = [bench.start(team="crew") for _ in range(7)]
-            other = bench.start()
+            harness = make_harness(
+                fleet(instances(1), quotas={"crew": 2, "none": 0}), limits=limits
+            )
+            tasks = [harness.start(team="crew") for _ in range(7)]
+            other = harness.start()
             await settle()
             self.assertEqual([granted(task) for task in tasks[:3]], [True, True, False])
             self.assertIs(kind_of(tasks[6]), ErrorKind.OVER_QUOTA)
             self.assertTrue(granted(other))
-            bench.done(tasks[0].result().unwrap())
+            harness.done(tasks[0].result().unwrap())
             await settle()
             self.assertEqual([granted(task) for task in tasks[2:4]], [True, False])
-            self.assertIs(kind_of(await _ended(bench.start(team="none"))), ErrorKind.OVER_QUOTA)
+            self.assertIs(kind_of(await _ended(harness.start(team="none"))), ErrorKind.OVER_QUOTA)
 
         run_on_virtual_clock(scenario)
 
@@ -207,15 +209,15 @@
         """Requests that queued while their team had room still start within its quota only."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1, slots=4), quotas={"crew": 1}))
-            held = [await bench.grant() for _ in range(4)]
-            tasks = [bench.start(team="crew", within_s=30) for _ in range(3)]
+            harness = make_harness(fleet(instances(1, slots=4), quotas={"crew": 1}))
+            held = [await harness.grant() for _ in range(4)]
+            tasks = [harness.start(team="crew", within_s=30) for _ in range(3)]
             await settle()
             for grant in held:
-                bench.done(grant)
+                harness.done(grant)
             await settle()
             self.assertEqual(sum(map(granted, tasks)), 1)
-            bench.done(tasks[0].result().unwrap())
+            harness.done(tasks[0].result().unwrap())
             await settle()
             self.assertEqual(sum(map(granted, tasks)), 2)
 
@@ -233,19 +235,19 @@
         async def scenario() -> None:
             limits = DispatchLimits(waiting_min=4, waiting_per_slot=0)
             state = fleet(instances(1, slots=2), shares={"trace": 0.5, "parts": 0.5})
-            bench = make_bench(state, limits=limits)
+            harness = make_harness(state, limits=limits)
             for _ in range(2):
-                await bench.grant("parts")
-            archive = [bench.start("trace", request_class=LONG_RUNNING) for _ in range(2)]
-            greedy = [bench.start("parts") for _ in range(4)]
+                await harness.grant("parts")
+            archive = [harness.start("trace", request_class=LONG_RUNNING) for _ in range(2)]
+            greedy = [harness.start("parts") for _ in range(4)]
             await settle()
             self.assertEqual([kind_of(task) for task in archive], [ErrorKind.OVERLOADED] * 2)
             self.assertFalse(any(task.done() for task in greedy))
-            modest = bench.start("trace")
+            modest = harness.start("trace")
             await settle()
             self.assertIs(kind_of(greedy[3]), ErrorKind.OVERLOADED)
             self.assertFalse(modest.done())
-            more = bench.start("parts")
+            more = harness.start("parts")
             await settle()
             self.assertIs(kind_of(more), ErrorKind.OVERLOADED)
             self.assertGreater(more.result().failure().retry_after_s, 0)
@@ -256,10 +258,12 @@
         """No more requests wait in one process than stated, whatever its pools would allow."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1, slots=1)), limits=DispatchLimits(waiting_max=5))
-            tasks = [bench.start() for _ in range(10)]
+            harness = make_harness(
+                fleet(instances(1, slots=1)), limits=DispatchLimits(waiting_max=5)
+            )
+            tasks = [harness.start() for _ in range(10)]
             await settle()
-            self.assertEqual(bench.dispatcher.waiting, 5)
+            self.assertEqual(harness.dispatcher.waiting, 5)
             self.assertIs(kind_of(tasks[9]), ErrorKind.OVERLOADED)
 
         run_on_virtual_clock(scenario)
@@ -268,18 +272,18 @@
         """What can't be answered by its deadline is told so on arrival, not at the deadline."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1, slots=1)))
+            harness = make_harness(fleet(instances(1, slots=1)))
             for _ in range(20):
-                bench.done(await bench.grant(), duration_s=1.0)
-            held = await bench.grant()
-            tasks = [bench.start(within_s=3.0) for _ in range(5)]
+                harness.done(await harness.grant(), duration_s=1.0)
+            held = await harness.grant()
+            tasks = [harness.start(within_s=3.0) for _ in range(5)]
             await settle()
             refused = [task for task in tasks if task.done()]
             self.assertEqual(len(refused), 4)
             self.assertIs(kind_of(refused[0]), ErrorKind.OVERLOADED)
             await asyncio.sleep(2.9)
             self.assertIs(kind_of(tasks[0]), ErrorKind.DEADLINE_EXCEEDED)
-            bench.done(held)
+            harness.done(held)
 
         run_on_virtual_clock(scenario)
 
@@ -287,17 +291,17 @@
         """A deadline below the usual duration is no reason to refuse: this one may be quick."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(8)))
+            harness = make_harness(fleet(instances(8)))
             for _ in range(20):
-                bench.done(await bench.grant(), duration_s=1.0)
-            held = [await bench.grant() for _ in range(64)]
-            waiting = bench.start(within_s=0.9)
+                harness.done(await harness.grant(), duration_s=1.0)
+            held = [await harness.grant() for _ in range(64)]
+            waiting = harness.start(within_s=0.9)
             await asyncio.sleep(0.1)
-            bench.done(held[0])
+            harness.done(held[0])
             await settle()
             self.assertTrue(granted(waiting))
             await asyncio.sleep(10.0)
-            self.assertNotIn("dispatch.refused.deadline-exceeded", bench.metrics.counters())
+            self.assertNotIn("dispatch.refused.deadline-exceeded", harness.metrics.counters())
 
         run_on_virtual_clock(scenario)
 
@@ -305,14 +309,14 @@
         """Estimates that say "never in time" don't refuse for ever: free slots are always used."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1, slots=1)))
-            bench.done(await bench.grant(), duration_s=1000.0)
+            harness = make_harness(fleet(instances(1, slots=1)))
+            harness.done(await harness.grant(), duration_s=1000.0)
             for _ in range(200):
-                bench.done(await bench.grant(within_s=1.0), duration_s=0.01)
-            held = await bench.grant()
-            waiting = bench.start(within_s=1.0)
+                harness.done(await harness.grant(within_s=1.0), duration_s=0.01)
+            held = await harness.grant()
+            waiting = harness.start(within_s=1.0)
             await settle()
-            bench.done(held)
+            harness.done(held)
             await settle()
             self.assertTrue(granted(waiting))
 
@@ -329,20 +333,20 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(waiting_min=10_000)
-            bench = make_bench(fleet(instances(1, slots=2)), limits=limits)
-            held = [await bench.grant(), await bench.grant()]
-            requests = [bench.request(request_class=LONG_RUNNING) for _ in range(5_000)]
-            tasks = [bench.ask(request) for request in requests]
+            harness = make_harness(fleet(instances(1, slots=2)), limits=limits)
+            held = [await harness.grant(), await harness.grant()]
+            requests = [harness.request(request_class=LONG_RUNNING) for _ in range(5_000)]
+            tasks = [harness.ask(request) for request in requests]
             await settle()
-            last = bench.start()
+            last = harness.start()
             await settle()
-            cancelled = [bench.dispatcher.cancel(request.request_id) for request in requests]
+            cancelled = [harness.dispatcher.cancel(request.request_id) for request in requests]
             self.assertTrue(all(cancelled))
-            self.assertFalse(bench.dispatcher.cancel(requests[0].request_id))
+            self.assertFalse(harness.dispatcher.cancel(requests[0].request_id))
             await settle()
             self.assertEqual({kind_of(task) for task in tasks}, {ErrorKind.CANCELLED})
-            self.assertEqual(bench.dispatcher.waiting, 1)
-            bench.done(held[0])
+            self.assertEqual(harness.dispatcher.waiting, 1)
+            harness.done(held[0])
             await settle()
             self.assertTrue(granted(last))
 
@@ -356,17 +360,17 @@
         """
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1, slots=1)))
-            first = await bench.grant()
-            unlucky, queued, next_one = bench.start(), bench.start(), bench.start()
+            harness = make_harness(fleet(instances(1, slots=1)))
+            first = await harness.grant()
+            unlucky, queued, next_one = harness.start(), harness.start(), harness.start()
             await settle()
             queued.cancel()
-            bench.done(first)
+            harness.done(first)
             unlucky.cancel()
             await settle()
             self.assertTrue(unlucky.cancelled() and queued.cancelled())
             self.assertTrue(granted(next_one))
-            self.assertEqual((bench.dispatcher.in_flight, bench.dispatcher.waiting), (1, 0))
+            self.assertEqual((harness.dispatcher.in_flight, harness.dispatcher.waiting), (1, 0))
 
         run_on_virtual_clock(scenario)
 
@@ -376,15 +380,15 @@
         """From the moment the state or the list says so, only the other target is used."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(3)))
-            running = [await bench.grant() for _ in range(6)]
-            bench.config.cordon("w0")
-            bench.dispatcher.set_leaving(frozenset({"w1"}))
-            names = {(await bench.grant()).target.instance for _ in range(6)}
+            harness = make_harness(fleet(instances(3)))
+            running = [await harness.grant() for _ in range(6)]
+            harness.config.cordon("w0")
+            harness.dispatcher.set_leaving(frozenset({"w1"}))
+            names = {(await harness.grant()).target.instance for _ in range(6)}
             self.assertEqual(names, {"w2"})
             for grant in running:
-                bench.done(grant)
-            more = [await bench.grant() for _ in range(2)]
+                harness.done(grant)
+            more = [await harness.grant() for _ in range(2)]
             self.assertEqual({grant.target.instance for grant in more}, {"w2"})
 
         run_on_virtual_clock(scenario)
@@ -393,11 +397,11 @@
         """Waiting requests are told at once that there is no target, not at their deadline."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(1, slots=1)))
-            await bench.grant()
-            waiting = bench.start(within_s=1000)
+            harness = make_harness(fleet(instances(1, slots=1)))
+            await harness.grant()
+            waiting = harness.start(within_s=1000)
             await settle()
-            bench.config.cordon("w0")
+            harness.config.cordon("w0")
             await asyncio.sleep(0.2)
             self.assertIs(kind_of(waiting), ErrorKind.NO_TARGET)
 
@@ -408,15 +412,15 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(slow_start_s=8.0)
-            bench = make_bench(fleet(instances(1)), limits=limits)
-            bench.config.set_instances(["w0"], healthy=False)
-            self.assertIs(kind_of(await _ended(bench.start())), ErrorKind.NO_TARGET)
-            bench.config.set_instances(["w0"], healthy=True)
-            tasks = [bench.start(within_s=100) for _ in range(9)]
+            harness = make_harness(fleet(instances(1)), limits=limits)
+            harness.config.set_instances(["w0"], healthy=False)
+            self.assertIs(kind_of(await _ended(harness.start())), ErrorKind.NO_TARGET)
+            harness.config.set_instances(["w0"], healthy=True)
+            tasks = [harness.start(within_s=100) for _ in range(9)]
             await settle()
             self.assertEqual(sum(map(granted, tasks)), 1)
             await asyncio.sleep(1.05)
-            late = bench.start(within_s=200)
+            late = harness.start(within_s=200)
             await settle()
             self.assertEqual((granted(late), sum(map(granted, tasks))), (False, 2))
             await asyncio.sleep(2.95)
@@ -432,16 +436,16 @@
         async def scenario() -> None:
             members = instances(1, slots=2)
             members |= instances(1, slots=2, data_centre="there", prefix="far")
-            bench = make_bench(fleet(members))
-            grants = [await bench.grant() for _ in range(4)]
+            harness = make_harness(fleet(members))
+            grants = [await harness.grant() for _ in range(4)]
             names = [grant.target.instance for grant in grants]
             self.assertEqual(names, ["w0", "w0", "far0", "far0"])
-            slow = bench.start(request_class=LONG_RUNNING)
-            bench.done(grants[3])
+            slow = harness.start(request_class=LONG_RUNNING)
+            harness.done(grants[3])
             await settle()
             self.assertFalse(slow.done())
-            bench.config.cordon("w0")
-            bench.done(grants[2])
+            harness.config.cordon("w0")
+            harness.done(grants[2])
             await settle()
             self.assertEqual(slow.result().unwrap().target.instance, "far0")
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -9,11 +9,11 @@
 from shallotworks.requests import AttemptOutcome, DispatchLimits
 from shallotworks.timeline import EventKind
 from tests.dispatch_fakes import (
-    Bench,
+    DispatchHarness,
     fleet,
     granted,
     instances,
-    make_bench,
+    make_harness,
     run_on_virtual_clock,
     settle,
 )
@@ -22,14 +22,16 @@
 ERROR = AttemptOutcome.TARGET_ERROR
 
 
-async def attempts(bench: Bench, count: int, bad: set[str], outcome: AttemptOutcome) -> Counter:
+async def attempts(
+    harness: DispatchHarness, count: int, bad: set[str], outcome: AttemptOutcome
+) -> Counter:
     """Make attempts one after another, which fail at some targets; count where they went."""
     seen: Counter[str] = Counter()
     for _ in range(count):
-        grant = await bench.grant(within_s=1000)
+        grant = await harness.grant(within_s=1000)
         name = grant.target.instance
         seen[name] += 1
-        bench.dispatcher.release(grant, outcome if name in bad else OK, duration_s=0.01)
+        harness.dispatcher.release(grant, outcome if name in bad else OK, duration_s=0.01)
     return seen
 
 
@@ -43,13 +45,13 @@
         """
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(8)))
-            busy = [await bench.grant() for _ in range(40)]
-            seen = await attempts(bench, 200, {"w3"}, outcome)  # type: ignore[arg-type]
+            harness = make_harness(fleet(instances(8)))
+            busy = [await harness.grant() for _ in range(40)]
+            seen = await attempts(harness, 200, {"w3"}, outcome)  # type: ignore[arg-type]
             self.assertEqual(seen["w3"], 3)
-            self.assertEqual(bench.metrics.counters()["targets.ejected"], 1)
+            self.assertEqual(harness.metrics.counters()["targets.ejected"], 1)
             for grant in busy:
-                bench.done(grant)
+                harness.done(grant)
 
         run_on_virtual_clock(scenario)
 
@@ -58,21 +60,21 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(probe_after_s=4.0, slow_start_s=8.0)
-            bench = make_bench(fleet(instances(2)), limits=limits)
-            await attempts(bench, 20, {"w0"}, ERROR)
+            harness = make_harness(fleet(instances(2)), limits=limits)
+            await attempts(harness, 20, {"w0"}, ERROR)
             probes = []
             for second in range(60):
                 await asyncio.sleep(1.0)
-                seen = await attempts(bench, 5, {"w0"}, ERROR)
+                seen = await attempts(harness, 5, {"w0"}, ERROR)
                 probes += [second] * seen["w0"]
             self.assertGreaterEqual(len(probes), 3)
             self.assertLessEqual(len(probes), 6)
             await asyncio.sleep(120.0)
-            await attempts(bench, 1, set(), OK)
-            held = [await bench.grant() for _ in range(9)]
+            await attempts(harness, 1, set(), OK)
+            held = [await harness.grant() for _ in range(9)]
             self.assertEqual(Counter(g.target.instance for g in held)["w0"], 1)
             await asyncio.sleep(8.0)
-            held += [await bench.grant() for _ in range(7)]
+            held += [await harness.grant() for _ in range(7)]
             self.assertEqual(Counter(g.target.instance for g in held)["w0"], 8)
 
         run_on_virtual_clock(scenario)
@@ -81,12 +83,12 @@
         """A booking is not spent on a probe while an idempotent request may come instead."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(2)))
-            await attempts(bench, 20, {"w0"}, ERROR)
+            harness = make_harness(fleet(instances(2)))
+            await attempts(harness, 20, {"w0"}, ERROR)
             await asyncio.sleep(10.0)
-            booking = await bench.grant(idempotent=False)
+            booking = await harness.grant(idempotent=False)
             self.assertEqual(booking.target.instance, "w1")
-            self.assertEqual((await bench.grant()).target.instance, "w0")
+            self.assertEqual((await harness.grant()).target.instance, "w0")
 
         run_on_virtual_clock(scenario)
 
@@ -94,13 +96,13 @@
         """Of eight targets of which five fail, four are ejected and the fifth stays in service."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(8)))
+            harness = make_harness(fleet(instances(8)))
             bad = {f"w{number}" for number in range(5)}
-            await attempts(bench, 200, bad, ERROR)
-            self.assertEqual(bench.metrics.counters()["targets.ejected"], 4)
-            later = await attempts(bench, 400, bad, ERROR)
+            await attempts(harness, 200, bad, ERROR)
+            self.assertEqual(harness.metrics.counters()["targets.ejected"], 4)
+            later = await attempts(harness, 400, bad, ERROR)
             self.assertLess(sum(later[name] for name in bad), 60, "it must not look the emptiest")
-            held = [await bench.grant() for _ in range(32)]
+            held = [await harness.grant() for _ in range(32)]
             self.assertEqual(len({grant.target.instance for grant in held}), 4)
 
         run_on_virtual_clock(scenario)
@@ -113,19 +115,19 @@
         """
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(8)))
+            harness = make_harness(fleet(instances(8)))
             everyone = set(instances(8))
-            await attempts(bench, 200, everyone, AttemptOutcome.TIMED_OUT)
-            held = [await bench.grant() for _ in range(64)]
-            counters = bench.metrics.counters()
+            await attempts(harness, 200, everyone, AttemptOutcome.TIMED_OUT)
+            held = [await harness.grant() for _ in range(64)]
+            counters = harness.metrics.counters()
             self.assertEqual(counters["targets.self-suspected"], 1)
             self.assertEqual(counters["targets.ejected"], counters["targets.restored"])
-            details = [event.detail for event in bench.timeline.events()]
+            details = [event.detail for event in harness.timeline.events()]
             self.assertIn("pool pool: nearly all look bad: suspects this process", details)
             for grant in held:
-                bench.done(grant)
-            self.assertEqual(bench.metrics.counters()["targets.self-cleared"], 1)
-            seen = await attempts(bench, 100, {"w3"}, ERROR)
+                harness.done(grant)
+            self.assertEqual(harness.metrics.counters()["targets.self-cleared"], 1)
+            seen = await attempts(harness, 100, {"w3"}, ERROR)
             self.assertEqual(seen["w3"], 3)
 
         run_on_virtual_clock(scenario)
@@ -140,21 +142,21 @@
         async def scenario() -> None:
             members = instances(2, slots=2)
             far = instances(6, slots=2, data_centre="there", prefix="far")
-            bench = make_bench(fleet(members | far))
+            harness = make_harness(fleet(members | far))
             for _ in range(40):
-                local = [await bench.grant() for _ in range(4)]
-                remote = bench.start()
+                local = [await harness.grant() for _ in range(4)]
+                remote = harness.start()
                 await settle()
                 if granted(remote):
                     grant = remote.result().unwrap()
-                    bench.dispatcher.release(grant, AttemptOutcome.TIMED_OUT, duration_s=2.0)
+                    harness.dispatcher.release(grant, AttemptOutcome.TIMED_OUT, duration_s=2.0)
                 else:
                     remote.cancel()
                 for held in local:
-                    bench.done(held)
+                    harness.done(held)
             await settle()
-            self.assertEqual(bench.metrics.counters()["targets.ejected"], 6)
-            seen = await attempts(bench, 50, {"w0"}, ERROR)
+            self.assertEqual(harness.metrics.counters()["targets.ejected"], 6)
+            seen = await attempts(harness, 50, {"w0"}, ERROR)
             self.assertEqual(seen["w0"], 3)
 
         run_on_virtual_clock(scenario)
@@ -167,17 +169,17 @@
         """
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(2)))
+            harness = make_harness(fleet(instances(2)))
             refused = AttemptOutcome.REFUSED
-            seen = await attempts(bench, 50, {"w0"}, refused)
+            seen = await attempts(harness, 50, {"w0"}, refused)
             self.assertEqual(seen["w0"], 1)
             await asyncio.sleep(0.05)
-            await attempts(bench, 50, set(), OK)
-            self.assertNotIn("targets.ejected", bench.metrics.counters())
+            await attempts(harness, 50, set(), OK)
+            self.assertNotIn("targets.ejected", harness.metrics.counters())
             for _ in range(40):
                 await asyncio.sleep(2.0)
-                await attempts(bench, 5, {"w0"}, refused)
-            self.assertEqual(bench.metrics.counters()["targets.ejected"], 1)
+                await attempts(harness, 5, {"w0"}, refused)
+            self.assertEqual(harness.metrics.counters()["targets.ejected"], 1)
 
         run_on_virtual_clock(scenario)
 
@@ -185,10 +187,10 @@
         """Another machine under an ejected name starts without that judgement."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(2)))
-            await attempts(bench, 20, {"w0"}, ERROR)
-            bench.config.set_instances(["w0"], address="127.0.0.1:1")
-            seen = await attempts(bench, 40, set(), OK)
+            harness = make_harness(fleet(instances(2)))
+            await attempts(harness, 20, {"w0"}, ERROR)
+            harness.config.set_instances(["w0"], address="127.0.0.1:1")
+            seen = await attempts(harness, 40, set(), OK)
             self.assertGreater(seen["w0"], 5)
 
         run_on_virtual_clock(scenario)
@@ -203,16 +205,16 @@
         """
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(2, slots=1)))
-            held = {(g := await bench.grant()).target.instance: g for _ in range(2)}
-            retry = bench.ask(bench.request(within_s=5.0), tried=frozenset({"w0"}))
-            other = bench.start()
+            harness = make_harness(fleet(instances(2, slots=1)))
+            held = {(g := await harness.grant()).target.instance: g for _ in range(2)}
+            retry = harness.ask(harness.request(within_s=5.0), tried=frozenset({"w0"}))
+            other = harness.start()
             await settle()
-            bench.done(held["w0"])
+            harness.done(held["w0"])
             await settle()
             self.assertFalse(retry.done())
             self.assertEqual(other.result().unwrap().target.instance, "w0")
-            bench.done(held["w1"])
+            harness.done(held["w1"])
             await settle()
             self.assertEqual(retry.result().unwrap().target.instance, "w1")
 
@@ -222,8 +224,8 @@
         """Where every target was tried, any will do."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(2)))
-            task = bench.ask(bench.request(), tried=frozenset({"w0", "w1"}))
+            harness = make_harness(fleet(instances(2)))
+            task = harness.ask(harness.request(), tried=frozenset({"w0", "w1"}))
             await settle()
             self.assertTrue(granted(task))
 
@@ -239,8 +241,8 @@
         async def scenario() -> None:
             seen: Counter[str] = Counter()
             for seed in range(60):
-                bench = make_bench(fleet(instances(8)), seed=seed)
-                seen[(await bench.grant()).target.instance] += 1
+                harness = make_harness(fleet(instances(8)), seed=seed)
+                seen[(await harness.grant()).target.instance] += 1
             self.assertLessEqual(max(seen.values()), 16)
 
         run_on_virtual_clock(scenario)
@@ -249,11 +251,11 @@
         """Ejections are on the time line with the instance, for operators."""
 
         async def scenario() -> None:
-            bench = make_bench(fleet(instances(3)))
-            await attempts(bench, 30, {"w1"}, ERROR)
+            harness = make_harness(fleet(instances(3)))
+            await attempts(harness, 30, {"w1"}, ERROR)
             kinds = [
                 (event.kind, event.subject.instance)
-                for event in bench.timeline.events()
+                for event in harness.timeline.events()
                 if event.kind is EventKind.TARGET_EJECTED
             ]
             self.assertEqual(kinds, [(EventKind.TARGET_EJECTED, "w1")])
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -25,7 +25,7 @@
 from shallotworks.store import Commit, Holder, HolderTimes, Write
 from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
-from tests.scheduling_fakes import Bench, job, quiet_log, step, view
+from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
 from tests.virtual_clock import run_scenario
 
 KEYS = JobKeys(service=SERVICE)
@@ -63,7 +63,7 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             largest = 0
-            bench = Bench(view("a", cpu_millicores=90_000, memory_mb=90_000))
+            harness = SchedulingHarness(view("a", cpu_millicores=90_000, memory_mb=90_000))
 
             class Counting(FaultInjectingStore):
                 async def commit(self, commit: Commit) -> object:  # type: ignore[override]
@@ -77,13 +77,13 @@
             for number in range(30):
                 name = f"{number:04}"
                 one = job(name, step(1))
-                bench.learn(one)
-                bench.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
+                harness.learn(one)
+                harness.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
                 record = Write(key=KEYS.progress(name), value=b"")
                 store.apply_commit(Commit(writes=(record,)))
-                bench.scheduler_state.entries[name].revision = store.revision
+                harness.scheduler_state.entries[name].revision = store.revision
             writer = ProgressWriter(
-                scheduler_state=bench.scheduler_state,
+                scheduler_state=harness.scheduler_state,
                 holder=holder,
                 store=Counting(store=store),
                 log=quiet_log(),
@@ -94,7 +94,7 @@
             running = asyncio.create_task(writer.run())
             await asyncio.sleep(1.0)
             running.cancel()
-            self.assertEqual(30, len(bench.scheduler_state.finished_jobs))
+            self.assertEqual(30, len(harness.scheduler_state.finished_jobs))
             self.assertLessEqual(largest, 32)
 
         run_scenario(scenario())
@@ -110,19 +110,19 @@
         async def scenario() -> None:
             loop = asyncio.get_running_loop()
             store = FaultInjectingStore(store=RecordStore(rng=random.Random(1)))
-            bench = Bench(view("a", cpu_millicores=90_000, memory_mb=90_000))
+            harness = SchedulingHarness(view("a", cpu_millicores=90_000, memory_mb=90_000))
             holder = await acquire(store)
             for number in range(60):
                 name = f"{number:04}"
-                bench.learn(job(name, step(2)))
-                bench.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
+                harness.learn(job(name, step(2)))
+                harness.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
                 store.store.apply_commit(
                     Commit(writes=(Write(key=KEYS.progress(name), value=b""),))
                 )
-                bench.scheduler_state.entries[name].revision = store.store.revision
+                harness.scheduler_state.entries[name].revision = store.store.revision
             store.faults.delay_s = 0.05
             writer = ProgressWriter(
-                scheduler_state=bench.scheduler_state,
+                scheduler_state=harness.scheduler_state,
                 holder=holder,
                 store=store,
                 log=quiet_log(),
@@ -132,7 +132,7 @@
             writer.wake.set()
             running = asyncio.create_task(writer.run())
             began_s = loop.time()
-            while bench.scheduler_state.dirty():
+            while harness.scheduler_state.dirty():
                 await asyncio.sleep(0.005)
             self.assertLess(loop.time() - began_s, 0.15)
             running.cancel()
@@ -175,12 +175,12 @@
         A job's end was learnt, and its record was gone before its progress was stored; what the
         acknowledgement waited for could not come any more.
         """
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        bench.report("a", ended=((DONE, 5, EndKind.DONE),))
-        self.assertEqual({1}, bench.worker("a").unsettled)
-        bench.scheduler_state.delete_job("j")
-        self.assertEqual(set(), bench.worker("a").unsettled)
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        harness.report("a", ended=((DONE, 5, EndKind.DONE),))
+        self.assertEqual({1}, harness.worker("a").unsettled)
+        harness.scheduler_state.delete_job("j")
+        self.assertEqual(set(), harness.worker("a").unsettled)
 
     def test_a_stored_cancel_stands(self) -> None:
         """A job whose cancel was acknowledged is shown as completed later.
@@ -188,30 +188,30 @@
         A caller's cancel is stored while the last end is being put into the job's progress; the
         scheduler then wrote its own final state over it.
         """
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        bench.report("a", ended=((DONE, 5, EndKind.DONE),))
-        entry = bench.scheduler_state.entries["j"]
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        harness.report("a", ended=((DONE, 5, EndKind.DONE),))
+        entry = harness.scheduler_state.entries["j"]
         self.assertTrue(entry.is_dirty)
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
-        bench.scheduler_state.update_progress("j", cancelled, 9)
+        harness.scheduler_state.update_progress("j", cancelled, 9)
         self.assertFalse(entry.is_dirty)
-        self.assertIn("j", bench.scheduler_state.finished_jobs)
+        self.assertIn("j", harness.scheduler_state.finished_jobs)
 
     def test_a_job_is_let_go_once_no_run_of_it_can_be_alive(self) -> None:
         """A cancelled job's run that works on, since nobody has it stopped any more."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        (start,) = bench.starts()
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        (start,) = harness.starts()
         row = RunningTask(name=DONE, run_id=start.run.run_id)
-        bench.report("a", running=(row,))
+        harness.report("a", running=(row,))
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
-        bench.scheduler_state.update_progress("j", cancelled, 9)
-        self.assertIn("j", bench.scheduler_state.entries)
-        self.assertEqual([StopOrder], [type(one) for one in bench.decide()])
-        bench.report("a", ended=((DONE, start.run.run_id, EndKind.STOPPED),))
-        self.assertNotIn("j", bench.scheduler_state.entries)
-        self.assertEqual([], bench.starts())
+        harness.scheduler_state.update_progress("j", cancelled, 9)
+        self.assertIn("j", harness.scheduler_state.entries)
+        self.assertEqual([StopOrder], [type(one) for one in harness.decide()])
+        harness.report("a", ended=((DONE, start.run.run_id, EndKind.STOPPED),))
+        self.assertNotIn("j", harness.scheduler_state.entries)
+        self.assertEqual([], harness.starts())
 
     def test_records_of_finished_jobs_are_read(self) -> None:
         """What was stored can be told: a finished job's progress needs no job's record."""
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -22,7 +22,7 @@
 from shallotworks.store import Holder, Item
 from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
-from tests.scheduling_fakes import Bench, job, quiet_log, step, view
+from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
 from tests.test_machine_controller import World
 from tests.virtual_clock import run_scenario
 
@@ -300,17 +300,17 @@
         it counted as unreached, and was lost before the next look. Only reached workers' leases
         run out on the board, so that the task counted as running for ever.
         """
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1, is_lasting=True)))
-        (order,) = bench.starts()
-        bench.worker("a").lease_ends_s = bench.now_s + 5.0
-        order.run.enter(order.run.phase.RUNNING, bench.now_s)
-        bench.add(view("b"))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1, is_lasting=True)))
+        (order,) = harness.starts()
+        harness.worker("a").lease_ends_s = harness.now_s + 5.0
+        order.run.enter(order.run.phase.RUNNING, harness.now_s)
+        harness.add(view("b"))
         # What `OrderDispatcher` does when an order came too late.
-        bench.worker("a").is_fenced = False
-        bench.scheduler_state.mark_unlisted("a")
-        bench.now_s += STARTED_AGAIN_S
-        self.assertEqual(["b"], [one.run.worker_id for one in bench.starts()])
+        harness.worker("a").is_fenced = False
+        harness.scheduler_state.mark_unlisted("a")
+        harness.now_s += STARTED_AGAIN_S
+        self.assertEqual(["b"], [one.run.worker_id for one in harness.starts()])
 
 
 if __name__ == "__main__":
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -19,7 +19,7 @@
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Changes, Holder, HolderTimes
 from tests.fleet_history import SERVICE, History
-from tests.scheduling_fakes import WALL_S, Bench, job, quiet_log, step, view
+from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, quiet_log, step, view
 from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000aa"
@@ -213,17 +213,17 @@
         over it took them back, and placed no lasting task on them while an order to take them away
         might still come.
         """
-        bench = Bench(view("a"), view("b"))
-        bench.scheduler_state.pending_recovery["c"] = bench.now_s + 5.0
-        bench.learn(job("j", step(2, is_lasting=True)), is_old=True)
-        sizer = PoolSizer(scheduler_state=bench.scheduler_state, limits=SizingLimits())
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.scheduler_state.pending_recovery["c"] = harness.now_s + 5.0
+        harness.learn(job("j", step(2, is_lasting=True)), is_old=True)
+        sizer = PoolSizer(scheduler_state=harness.scheduler_state, limits=SizingLimits())
         for _ in range(20):
-            need = sizer.assess(frozenset(), now_s=bench.now_s, wall_s=WALL_S)
+            need = sizer.assess(frozenset(), now_s=harness.now_s, wall_s=WALL_S)
             self.assertEqual((), need.free)
-            bench.now_s += 0.1
-        bench.scheduler_state.recovered("c", "seen")
-        sizer.withdraw(bench.now_s, wall_s=WALL_S)
-        self.assertEqual(2, len(bench.starts()))
+            harness.now_s += 0.1
+        harness.scheduler_state.recovered("c", "seen")
+        sizer.withdraw(harness.now_s, wall_s=WALL_S)
+        self.assertEqual(2, len(harness.starts()))
 
 
 if __name__ == "__main__":
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -3,12 +3,12 @@
 import unittest
 
 from shallotworks.scheduling import EndKind, PoolDemand, PoolSizer, RunningTask, SizingLimits
-from tests.scheduling_fakes import WALL_S, Bench, job, step, view
+from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, step, view
 
 LIMITS = SizingLimits(backlog_s=0.8, idle_s=0.3, patience_s=1.5)
 
 
-class Sized(Bench):
+class SizingHarness(SchedulingHarness):
     """A board with a sizer."""
 
     def __init__(self, *names: str) -> None:
@@ -32,18 +32,18 @@
         Within a moment twelve core-seconds arrive at a pool of four cores: it asks for machines at
         once, for what arrives and for what waits, not only when callers have waited for long.
         """
-        bench = Sized("a")
+        harness = SizingHarness("a")
         for number in range(4):
-            bench.learn(job(f"j{number}", step(3)))
-        bench.starts()
-        self.assertEqual(5, bench.assess().lacking)
+            harness.learn(job(f"j{number}", step(3)))
+        harness.starts()
+        self.assertEqual(5, harness.assess().lacking)
 
     def test_nothing_is_lacking_while_nothing_waits(self) -> None:
         """A full pool whose tasks all run needs no more."""
-        bench = Sized("a")
-        bench.learn(job("j", step(4)))
-        bench.starts()
-        self.assertEqual(0, bench.assess().lacking)
+        harness = SizingHarness("a")
+        harness.learn(job("j", step(4)))
+        harness.starts()
+        self.assertEqual(0, harness.assess().lacking)
 
     def test_a_large_pool_asks_for_several_times_what_it_has(self) -> None:
         """A turn on a large pool waits for machines though hundreds are idle elsewhere.
@@ -51,17 +51,17 @@
         Sixty workers of four cores get in a second five times what they can work off. The most that
         was asked for at once was a number that suited thirty machines in all.
         """
-        bench = Sized(*(f"w{number}" for number in range(60)))
+        harness = SizingHarness(*(f"w{number}" for number in range(60)))
         for number in range(100):
-            bench.arrive(f"j{number}", at_s=number * 0.01, count=12)
-        bench.starts()
-        self.assertGreaterEqual(bench.assess(after_s=1.0).lacking, 240)
+            harness.arrive(f"j{number}", at_s=number * 0.01, count=12)
+        harness.starts()
+        self.assertGreaterEqual(harness.assess(after_s=1.0).lacking, 240)
 
     def test_an_empty_pool_asks_for_one(self) -> None:
         """Whatever the size of its tasks."""
-        bench = Sized()
-        bench.learn(job("j", step(1, cpu_millicores=1)))
-        self.assertEqual(1, bench.assess().lacking)
+        harness = SizingHarness()
+        harness.learn(job("j", step(1, cpu_millicores=1)))
+        self.assertEqual(1, harness.assess().lacking)
 
 
 class OnsetTests(unittest.TestCase):
@@ -73,30 +73,30 @@
         Clips of three core-seconds come every tenth of a second, so the turn takes 30 cores. After
         0.4 s a pool of four is to ask for nearly all of them, not for what it has seen of a second.
         """
-        bench = Sized("a")
+        harness = SizingHarness("a")
         for number in range(5):
-            bench.arrive(f"j{number}", at_s=number * 0.1, count=3)
-        self.assertGreaterEqual(bench.assess(after_s=0.4).lacking, (30 - 4) // 4)
+            harness.arrive(f"j{number}", at_s=number * 0.1, count=3)
+        self.assertGreaterEqual(harness.assess(after_s=0.4).lacking, (30 - 4) // 4)
 
     def test_a_few_jobs_at_once_are_no_turn(self) -> None:
         """Three jobs that come close together are carried by the pool's own workers."""
-        bench = Sized("a", "b", "c", "d")
+        harness = SizingHarness("a", "b", "c", "d")
         for number in range(3):
-            bench.arrive(f"j{number}", at_s=number * 0.1, count=3)
-        bench.starts()
-        self.assertEqual(0, bench.assess(after_s=0.3).lacking)
+            harness.arrive(f"j{number}", at_s=number * 0.1, count=3)
+        harness.starts()
+        self.assertEqual(0, harness.assess(after_s=0.3).lacking)
 
     def test_machines_are_lacking_while_all_that_came_runs(self) -> None:
         """A turn stands still at the machines that came first, since for a moment nothing waits."""
-        bench = Sized("a", "b")
+        harness = SizingHarness("a", "b")
         for number in range(8):
-            bench.arrive(f"j{number}", at_s=number * 0.1, count=3)
-        bench.starts()
+            harness.arrive(f"j{number}", at_s=number * 0.1, count=3)
+        harness.starts()
         for worker_id in ("a", "b"):
-            bench.worker(worker_id).view = view(worker_id, cpu_millicores=12_000)
-        bench.starts()
-        self.assertEqual([], [one for one in bench.scheduler_state.open_steps() if one.waiting])
-        self.assertEqual(1, bench.assess(after_s=0.75).lacking)
+            harness.worker(worker_id).view = view(worker_id, cpu_millicores=12_000)
+        harness.starts()
+        self.assertEqual([], [one for one in harness.scheduler_state.open_steps() if one.waiting])
+        self.assertEqual(1, harness.assess(after_s=0.75).lacking)
 
 
 class YieldTests(unittest.TestCase):
@@ -106,19 +106,19 @@
         Asked to give one worker back, the scheduler starts late jobs on the others only; jobs that
         can still be on time use all.
         """
-        bench = Sized("a", "b")
-        bench.sizer.yield_some(1)
-        bench.learn(job("late", step(8), accepted_s=WALL_S - 60))
-        self.assertEqual(1, len({order.run.worker_id for order in bench.starts()}))
-        bench.learn(job("in time", step(1)))
-        self.assertEqual(["in time"], [order.run.name.job_id for order in bench.starts()])
+        harness = SizingHarness("a", "b")
+        harness.sizer.yield_some(1)
+        harness.learn(job("late", step(8), accepted_s=WALL_S - 60))
+        self.assertEqual(1, len({order.run.worker_id for order in harness.starts()}))
+        harness.learn(job("in time", step(1)))
+        self.assertEqual(["in time"], [order.run.name.job_id for order in harness.starts()])
 
     def test_nothing_is_borrowed_for_late_work(self) -> None:
         """However much of it waits."""
-        bench = Sized("a")
-        bench.learn(job("late", step(40), accepted_s=WALL_S - 60))
-        bench.scheduler_state.arrivals.clear()
-        self.assertEqual(0, bench.assess().lacking)
+        harness = SizingHarness("a")
+        harness.learn(job("late", step(40), accepted_s=WALL_S - 60))
+        harness.scheduler_state.arrivals.clear()
+        self.assertEqual(0, harness.assess().lacking)
 
 
 class OfferTests(unittest.TestCase):
@@ -127,34 +127,34 @@
 
         Lasting tasks are not placed on it for a while: an order to take it may be on its way.
         """
-        bench = Sized("a")
-        self.assertEqual((), bench.assess().free)
-        bench.now_s += 0.4
-        self.assertEqual(("a",), bench.assess().free)
-        bench.learn(job("ends", step(1)))
-        bench.learn(job("lasts", step(1, is_lasting=True)))
-        self.assertEqual([], bench.starts())
-        self.assertTrue(bench.sizer.withdraw(bench.now_s, wall_s=WALL_S))
-        self.assertEqual(["ends"], [order.run.name.job_id for order in bench.starts()])
-        bench.now_s += 3.1
-        self.assertEqual(["lasts"], [order.run.name.job_id for order in bench.starts()])
+        harness = SizingHarness("a")
+        self.assertEqual((), harness.assess().free)
+        harness.now_s += 0.4
+        self.assertEqual(("a",), harness.assess().free)
+        harness.learn(job("ends", step(1)))
+        harness.learn(job("lasts", step(1, is_lasting=True)))
+        self.assertEqual([], harness.starts())
+        self.assertTrue(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
+        self.assertEqual(["ends"], [order.run.name.job_id for order in harness.starts()])
+        harness.now_s += 3.1
+        self.assertEqual(["lasts"], [order.run.name.job_id for order in harness.starts()])
 
     def test_a_job_takes_back_what_it_needs_and_no_more(self) -> None:
         """A turn gets none of ten idle machines, as a job of another queue has just come.
 
         The job needs one machine; three more are kept beside it.
         """
-        bench = Sized(*"abcdefghij")
-        bench.assess()
-        bench.now_s += 0.4
-        self.assertEqual(10, len(bench.assess().free))
-        bench.learn(job("j", step(4)))
-        self.assertEqual([], bench.starts())
-        self.assertTrue(bench.sizer.withdraw(bench.now_s, wall_s=WALL_S))
-        self.assertEqual(1, len({order.run.worker_id for order in bench.starts()}))
-        self.assertFalse(bench.sizer.withdraw(bench.now_s, wall_s=WALL_S))
-        bench.now_s += 0.1
-        self.assertEqual(9, len(bench.assess().free))
+        harness = SizingHarness(*"abcdefghij")
+        harness.assess()
+        harness.now_s += 0.4
+        self.assertEqual(10, len(harness.assess().free))
+        harness.learn(job("j", step(4)))
+        self.assertEqual([], harness.starts())
+        self.assertTrue(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
+        self.assertEqual(1, len({order.run.worker_id for order in harness.starts()}))
+        self.assertFalse(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
+        harness.now_s += 0.1
+        self.assertEqual(9, len(harness.assess().free))
 
     def test_workers_are_held_for_lasting_tasks_that_may_be_lost(self) -> None:
         """A lasting task is down for 10 s, since all idle machines were offered as its worker died.
@@ -162,14 +162,14 @@
         Its worker has been silent for two seconds. Room for the task and three machines more are
         kept back, so that it has not to wait for offers that are taken back; the others are lent.
         """
-        bench = Sized(*"abcdefghij")
-        bench.learn(job("lasts", step(1, is_lasting=True)))
-        (order,) = bench.starts()
+        harness = SizingHarness(*"abcdefghij")
+        harness.learn(job("lasts", step(1, is_lasting=True)))
+        (order,) = harness.starts()
         row = RunningTask(name=order.run.name, run_id=order.run.run_id, percent=100)
-        bench.report(order.run.worker_id, running=(row,))
-        bench.assess()
-        bench.now_s += 2.1
-        self.assertEqual(5, len(bench.assess().free))
+        harness.report(order.run.worker_id, running=(row,))
+        harness.assess()
+        harness.now_s += 2.1
+        self.assertEqual(5, len(harness.assess().free))
 
     def test_workers_that_late_work_is_kept_off_are_offered(self) -> None:
         """Forty machines stand idle for seconds beside a thousand late tasks and another's turn.
@@ -177,47 +177,47 @@
         The keeper has asked for some of what the queue borrowed, so late work keeps off it; but as
         long as that work waited, no idle machine was offered.
         """
-        bench = Sized(*"abcdefgh")
+        harness = SizingHarness(*"abcdefgh")
         late = job("late", step(4 * 20), accepted_s=WALL_S - 60.0)
-        bench.sizer.yield_some(5)
-        bench.learn(late)
-        bench.starts()
-        bench.assess()
-        bench.now_s += 0.4
-        self.assertEqual(5, len(bench.assess().free))
-        self.assertFalse(bench.sizer.withdraw(bench.now_s, wall_s=WALL_S))
+        harness.sizer.yield_some(5)
+        harness.learn(late)
+        harness.starts()
+        harness.assess()
+        harness.now_s += 0.4
+        self.assertEqual(5, len(harness.assess().free))
+        self.assertFalse(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
 
     def test_work_in_time_takes_back_what_was_to_be_given_up(self) -> None:
         """A queue's own callers are late, since its machines were given up for another's turn."""
-        bench = Sized(*"abcdefgh")
-        bench.learn(job("late", step(4 * 20), accepted_s=WALL_S - 60.0))
-        bench.sizer.yield_some(5)
-        bench.starts()
-        bench.assess()
-        bench.now_s += 0.4
-        bench.assess()
-        bench.learn(job("in time", step(8), accepted_s=WALL_S + 0.4))
-        self.assertTrue(bench.sizer.withdraw(bench.now_s, wall_s=WALL_S + 0.4))
-        started = [order for order in bench.starts() if order.run.name.job_id == "in time"]
+        harness = SizingHarness(*"abcdefgh")
+        harness.learn(job("late", step(4 * 20), accepted_s=WALL_S - 60.0))
+        harness.sizer.yield_some(5)
+        harness.starts()
+        harness.assess()
+        harness.now_s += 0.4
+        harness.assess()
+        harness.learn(job("in time", step(8), accepted_s=WALL_S + 0.4))
+        self.assertTrue(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S + 0.4))
+        started = [order for order in harness.starts() if order.run.name.job_id == "in time"]
         self.assertEqual(8, len(started))
 
     def test_tasks_that_not_any_worker_may_run_hold_all(self) -> None:
         """Where more than room decides, no guess is made."""
-        bench = Sized(*"abcdef")
-        bench.assess()
-        bench.now_s += 0.4
-        bench.learn(job("j", step(1, label="big")))
-        self.assertEqual((), bench.assess().free)
+        harness = SizingHarness(*"abcdef")
+        harness.assess()
+        harness.now_s += 0.4
+        harness.learn(job("j", step(1, label="big")))
+        self.assertEqual((), harness.assess().free)
 
     def test_busy_workers_are_kept(self) -> None:
         """What runs is not taken away."""
-        bench = Sized("a", "b")
-        bench.learn(job("j", step(1)))
-        run = bench.starts()[0].run
-        bench.now_s += 0.4
-        bench.assess()
-        bench.now_s += 0.4
-        self.assertNotIn(run.worker_id, bench.assess().free)
+        harness = SizingHarness("a", "b")
+        harness.learn(job("j", step(1)))
+        run = harness.starts()[0].run
+        harness.now_s += 0.4
+        harness.assess()
+        harness.now_s += 0.4
+        self.assertNotIn(run.worker_id, harness.assess().free)
 
 
 class EmptyingTests(unittest.TestCase):
@@ -227,21 +227,21 @@
         A due worker takes nothing new. It is told to be free once its lasting tasks have moved
         away, and tasks that end have had their time.
         """
-        bench = Sized("a")
-        bench.learn(job("s", step(1, is_lasting=True)))
-        bench.learn(job("j", step(1)))
-        runs = {order.run.name.job_id: order.run for order in bench.starts()}
-        self.assertEqual((), bench.assess("a").free)
-        bench.learn(job("new", step(1)))
-        self.assertEqual([], bench.starts())
-        bench.now_s += 2.0
-        self.assertEqual((), bench.assess("a").free)
+        harness = SizingHarness("a")
+        harness.learn(job("s", step(1, is_lasting=True)))
+        harness.learn(job("j", step(1)))
+        runs = {order.run.name.job_id: order.run for order in harness.starts()}
+        self.assertEqual((), harness.assess("a").free)
+        harness.learn(job("new", step(1)))
+        self.assertEqual([], harness.starts())
+        harness.now_s += 2.0
+        self.assertEqual((), harness.assess("a").free)
         ends = runs["j"]
         row = RunningTask(name=ends.name, run_id=ends.run_id, percent=10)
         gone = (runs["s"].name, runs["s"].run_id, EndKind.STOPPED)
-        bench.report("a", running=(row,), ended=(gone,))
-        self.assertEqual(("a",), bench.assess("a").free)
-        self.assertEqual((), bench.assess().free)
+        harness.report("a", running=(row,), ended=(gone,))
+        self.assertEqual(("a",), harness.assess("a").free)
+        self.assertEqual((), harness.assess().free)
 
 
 if __name__ == "__main__":
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -14,13 +14,13 @@
 from shallotworks.scheduling._decisions import MOST_STARTS, Decision
 from shallotworks.scheduling._placement import Candidates, Placement
 from tests.fleet_history import History, Instance
-from tests.scheduling_fakes import TOKEN, Bench, job, step, view
+from tests.scheduling_fakes import TOKEN, SchedulingHarness, job, step, view
 from tests.virtual_clock import run_scenario
 
 
-def bench_of(workers: int) -> Bench:
+def bench_of(workers: int) -> SchedulingHarness:
     """Return a board with workers of 64 cores in racks of eight."""
-    return Bench(
+    return SchedulingHarness(
         *(
             view(f"w{number:03}", cpu_millicores=64_000, memory_mb=131_072, rack=f"r{number // 8}")
             for number in range(workers)
@@ -35,33 +35,33 @@
         Hundreds of tasks become startable at once. All their orders were made in one go, and the
         renewal of the key and the pool's need waited behind them.
         """
-        bench = bench_of(100)
+        harness = bench_of(100)
         for number in range(40):
-            bench.learn(job(f"{number:016x}", step(8)))
+            harness.learn(job(f"{number:016x}", step(8)))
         sizes = []
         for _ in range(6):
-            sizes.append(len(bench.starts()))
-            self.assertEqual(sizes[-1] >= MOST_STARTS, bench.decision_engine.is_cut_short)
+            sizes.append(len(harness.starts()))
+            self.assertEqual(sizes[-1] >= MOST_STARTS, harness.decision_engine.is_cut_short)
         self.assertEqual([64, 64, 64, 64, 64, 0], sizes)
 
     def test_a_gang_is_not_split(self) -> None:
         """A part of a gang holds room and waits for members that are never started."""
-        bench = bench_of(40)
-        bench.learn(job("0" * 16, step(MOST_STARTS - 1)))
-        bench.learn(job("1" * 16, step(30, is_gang=True, estimated_s=9.0)))
-        self.assertEqual(MOST_STARTS - 1 + 30, len(bench.starts()))
+        harness = bench_of(40)
+        harness.learn(job("0" * 16, step(MOST_STARTS - 1)))
+        harness.learn(job("1" * 16, step(30, is_gang=True, estimated_s=9.0)))
+        self.assertEqual(MOST_STARTS - 1 + 30, len(harness.starts()))
 
     def test_stops_go_before_starts(self) -> None:
         """A cancelled job runs on in a turn, since its stops wait behind starts."""
-        bench = bench_of(100)
-        bench.learn(job("f" * 16, step(4)))
-        for order in bench.starts():
+        harness = bench_of(100)
+        harness.learn(job("f" * 16, step(4)))
+        for order in harness.starts():
             run = order.run
-            bench.scheduler_state.request_stop(run, "cancelled")
-            run.enter(run.phase.RUNNING, bench.now_s)
+            harness.scheduler_state.request_stop(run, "cancelled")
+            run.enter(run.phase.RUNNING, harness.now_s)
         for number in range(40):
-            bench.learn(job(f"{number:016x}", step(8)))
-        decisions = bench.decide()
+            harness.learn(job(f"{number:016x}", step(8)))
+        decisions = harness.decide()
         self.assertTrue(all(isinstance(one, StopOrder) for one in decisions[:4]))
         self.assertEqual(MOST_STARTS, sum(isinstance(one, StartOrder) for one in decisions))
 
@@ -86,16 +86,16 @@
 
     def _place(self, wanted: Step, seed: int, *, is_kept: bool) -> list[str]:
         rng = random.Random(seed)
-        bench = bench_of(24)
+        harness = bench_of(24)
         for number in range(30):
             size = rng.randrange(1_000, 20_000)
-            bench.learn(job(f"{number:016x}", step(rng.randint(1, 4), cpu_millicores=size)))
-        while bench.starts():
+            harness.learn(job(f"{number:016x}", step(rng.randint(1, 4), cpu_millicores=size)))
+        while harness.starts():
             pass
-        bench.learn(job("f" * 16, wanted))
-        entry = bench.scheduler_state.entries["f" * 16].steps[(0, 0)]
-        placement = Placement.of(entry, now_s=bench.now_s, wall_s=1_000_000.0)
-        workers = list(bench.scheduler_state.workers.values())
+        harness.learn(job("f" * 16, wanted))
+        entry = harness.scheduler_state.entries["f" * 16].steps[(0, 0)]
+        placement = Placement.of(entry, now_s=harness.now_s, wall_s=1_000_000.0)
+        workers = list(harness.scheduler_state.workers.values())
         candidates = Candidates(placement=placement, workers=workers)
         chosen: list[str] = []
         for index in range(wanted.count):
@@ -105,7 +105,7 @@
                 break
             chosen.append(worker.worker_id)
             run_id = TOKEN * 1_000_000 + 10_000 + index
-            bench.scheduler_state.new_run(entry, index, worker, run_id, bench.now_s)
+            harness.scheduler_state.new_run(entry, index, worker, run_id, harness.now_s)
             candidates.placed(worker)
         return chosen
 
@@ -127,7 +127,7 @@
         """Whatever is passed over without a look at each worker would have found no room there."""
         for seed in range(30):
             rng = random.Random(seed)
-            bench = bench_of(6)
+            harness = bench_of(6)
             for number in range(60):
                 wanted = step(
                     rng.randint(1, 6),
@@ -135,11 +135,11 @@
                     memory_mb=rng.randrange(100, 60_000),
                     is_filler=rng.random() < 0.2,
                 )
-                bench.learn(job(f"{number:016x}", wanted))
-            while bench.starts():
+                harness.learn(job(f"{number:016x}", wanted))
+            while harness.starts():
                 pass
-            workers = bench.scheduler_state.workers.values()
-            for entry in bench.scheduler_state.open_steps():
+            workers = harness.scheduler_state.workers.values()
+            for entry in harness.scheduler_state.open_steps():
                 self.assertFalse(any(one.fits(entry.step) for one in workers), f"seed {seed}")
 
 
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -17,7 +17,7 @@
     StopOrder,
     WorkerView,
 )
-from tests.scheduling_fakes import WALL_S, Bench, job, policy, step, view
+from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, policy, step, view
 
 
 def workers_of(starts: list[StartOrder]) -> list[str]:
@@ -67,9 +67,9 @@
         self, _name: str, part: Step, workers: tuple[WorkerView, ...], expected: list[str]
     ) -> None:
         """Only where they may run and fit."""
-        bench = Bench(*workers)
-        bench.learn(job("j", part))
-        self.assertEqual(expected, workers_of(bench.starts()))
+        harness = SchedulingHarness(*workers)
+        harness.learn(job("j", part))
+        self.assertEqual(expected, workers_of(harness.starts()))
 
     def test_tasks_that_end_leave_whole_workers_free(self) -> None:
         """A queue waits for machines while the one before it has 100 that are a third full.
@@ -77,78 +77,78 @@
         Its tasks stood on the emptiest worker each, so that no worker was idle. They go to workers
         with lasting tasks, which stay anyway, then to the fullest.
         """
-        bench = Bench(view("a"), view("b"), view("c"))
-        bench.learn(job("lasting", step(1, is_lasting=True, cpu_millicores=500)))
-        (first,) = bench.starts()
+        harness = SchedulingHarness(view("a"), view("b"), view("c"))
+        harness.learn(job("lasting", step(1, is_lasting=True, cpu_millicores=500)))
+        (first,) = harness.starts()
         for number in range(3):
-            bench.learn(job(f"j{number}", step(1, cpu_millicores=1000)))
-        self.assertEqual([first.run.worker_id] * 3, workers_of(bench.starts()))
-        bench.learn(job("more", step(2, cpu_millicores=1000)))
-        self.assertEqual(1, len(set(workers_of(bench.starts()))))
+            harness.learn(job(f"j{number}", step(1, cpu_millicores=1000)))
+        self.assertEqual([first.run.worker_id] * 3, workers_of(harness.starts()))
+        harness.learn(job("more", step(2, cpu_millicores=1000)))
+        self.assertEqual(1, len(set(workers_of(harness.starts()))))
 
     def test_tasks_that_end_keep_off_those_with_a_target(self) -> None:
         """A serving task's users wait for work put beside it while a worker was free."""
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("serving", step(1, is_lasting=True, target_s=0.1, cpu_millicores=500)))
-        (first,) = bench.starts()
-        bench.worker("b" if first.run.worker_id == "a" else "a").cpu_used += 600
-        bench.learn(job("j", step(1, cpu_millicores=1000)))
-        self.assertNotEqual([first.run.worker_id], workers_of(bench.starts()))
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("serving", step(1, is_lasting=True, target_s=0.1, cpu_millicores=500)))
+        (first,) = harness.starts()
+        harness.worker("b" if first.run.worker_id == "a" else "a").cpu_used += 600
+        harness.learn(job("j", step(1, cpu_millicores=1000)))
+        self.assertNotEqual([first.run.worker_id], workers_of(harness.starts()))
 
     def test_gangs_start_whole_or_not_at_all(self) -> None:
         """All members have one run id; without room for all, none is started."""
-        bench = Bench(view("a"))
-        bench.learn(job("wide", step(5, is_gang=True)))
-        self.assertEqual([], bench.starts())
-        bench.add(view("b"))
-        starts = bench.starts()
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("wide", step(5, is_gang=True)))
+        self.assertEqual([], harness.starts())
+        harness.add(view("b"))
+        starts = harness.starts()
         self.assertEqual(5, len(starts))
         self.assertEqual(1, len({order.run.run_id for order in starts}))
 
     def test_a_gang_prefers_one_rack(self) -> None:
         """Where its tasks are slower apart, a rack that holds all of them is taken."""
         racks = (("a", "r1"), ("b", "r2"), ("c", "r2"))
-        bench = Bench(*(view(name, rack=rack) for name, rack in racks))
-        bench.learn(job("g", step(8, is_gang=True, is_one_rack=True)))
-        self.assertEqual(["b"] * 4 + ["c"] * 4, workers_of(bench.starts()))
+        harness = SchedulingHarness(*(view(name, rack=rack) for name, rack in racks))
+        harness.learn(job("g", step(8, is_gang=True, is_one_rack=True)))
+        self.assertEqual(["b"] * 4 + ["c"] * 4, workers_of(harness.starts()))
 
     def test_a_step_waits_for_those_before(self) -> None:
         """Its tasks start when all of the earlier step's are done."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(2), step(1, after=(0,))))
-        first = bench.starts()
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(2), step(1, after=(0,))))
+        first = harness.starts()
         self.assertEqual(2, len(first))
         ends = [(order.run.name, order.run.run_id, EndKind.DONE) for order in first]
-        bench.report("a", ended=(ends[0],))
-        self.assertEqual([], bench.starts())
-        bench.report("a", ended=(ends[1],))
-        self.assertEqual([TaskName("j", 0, 1, 0)], [order.run.name for order in bench.starts()])
+        harness.report("a", ended=(ends[0],))
+        self.assertEqual([], harness.starts())
+        harness.report("a", ended=(ends[1],))
+        self.assertEqual([TaskName("j", 0, 1, 0)], [order.run.name for order in harness.starts()])
 
     def test_occurrences_wait_for_their_time(self) -> None:
         """Each starts when it is due, whether the one before has ended or not."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1), repeats=Repeats(first_s=WALL_S + 2, interval_s=3, count=2)))
-        self.assertEqual([], bench.starts())
-        bench.now_s += 2.1
-        self.assertEqual([0], [order.run.name.occurrence for order in bench.starts()])
-        bench.now_s += 3
-        self.assertEqual([1], [order.run.name.occurrence for order in bench.starts()])
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1), repeats=Repeats(first_s=WALL_S + 2, interval_s=3, count=2)))
+        self.assertEqual([], harness.starts())
+        harness.now_s += 2.1
+        self.assertEqual([0], [order.run.name.occurrence for order in harness.starts()])
+        harness.now_s += 3
+        self.assertEqual([1], [order.run.name.occurrence for order in harness.starts()])
 
 
 class OrderTests(unittest.TestCase):
     def test_who_gets_room_first(self) -> None:
         """Lasting tasks, then by priority, then what must begin soonest; the hopeless last."""
-        bench = Bench(view("a", cpu_millicores=0))
+        harness = SchedulingHarness(view("a", cpu_millicores=0))
         low = policy(priority=1, stretch=2.0)
         urgent = policy(stretch=1.0, target_latency_s=0.5)
         patient = policy(stretch=1.0, target_latency_s=5.0)
-        bench.learn(job("low", step(1), policy=low))
-        bench.learn(job("hopeless", step(1), accepted_s=WALL_S - 60))
-        bench.learn(job("patient", step(1), policy=patient))
-        bench.learn(job("urgent", step(1), policy=urgent))
-        bench.learn(job("lasting", step(1, is_lasting=True)))
-        bench.scheduler_state.update_worker(view("a", cpu_millicores=9000))
-        order = [start.run.name.job_id for start in bench.starts()]
+        harness.learn(job("low", step(1), policy=low))
+        harness.learn(job("hopeless", step(1), accepted_s=WALL_S - 60))
+        harness.learn(job("patient", step(1), policy=patient))
+        harness.learn(job("urgent", step(1), policy=urgent))
+        harness.learn(job("lasting", step(1, is_lasting=True)))
+        harness.scheduler_state.update_worker(view("a", cpu_millicores=9000))
+        order = [start.run.name.job_id for start in harness.starts()]
         self.assertEqual(["lasting", "urgent", "patient", "hopeless", "low"], order)
 
 
@@ -159,12 +159,12 @@
         In a turn that asks for more than the pool holds, room that comes free went to jobs whose
         latest start was nearest, whether begun or not, so that many were begun and few finished.
         """
-        bench = Bench(view("a", cpu_millicores=1000))
-        bench.learn(job("begun", step(1), step(1, after=(0,)), accepted_s=WALL_S))
-        first = bench.starts()[0].run
-        bench.learn(job("new", step(1), policy=policy(stretch=1.0, target_latency_s=0.3)))
-        bench.report("a", ended=((first.name, first.run_id, EndKind.DONE),))
-        self.assertEqual(["begun"], [order.run.name.job_id for order in bench.starts()])
+        harness = SchedulingHarness(view("a", cpu_millicores=1000))
+        harness.learn(job("begun", step(1), step(1, after=(0,)), accepted_s=WALL_S))
+        first = harness.starts()[0].run
+        harness.learn(job("new", step(1), policy=policy(stretch=1.0, target_latency_s=0.3)))
+        harness.report("a", ended=((first.name, first.run_id, EndKind.DONE),))
+        self.assertEqual(["begun"], [order.run.name.job_id for order in harness.starts()])
 
     def test_late_jobs_come_before_those_that_serve_nobody_any_more(self) -> None:
         """After an outage hundreds of callers get nothing, though room for half of them was there.
@@ -172,17 +172,17 @@
         The jobs of the outage's first seconds had waited so long that nobody asked for them any
         more; they were smaller or had begun, so they came first, and the others got too old.
         """
-        bench = Bench(view("a", cpu_millicores=1000))
-        bench.learn(job("past use", step(1), accepted_s=WALL_S - 60))
-        bench.learn(job("late", step(3), accepted_s=WALL_S - 3, policy=policy(stretch=2.0)))
-        self.assertEqual(["late"], [order.run.name.job_id for order in bench.starts()])
+        harness = SchedulingHarness(view("a", cpu_millicores=1000))
+        harness.learn(job("past use", step(1), accepted_s=WALL_S - 60))
+        harness.learn(job("late", step(3), accepted_s=WALL_S - 3, policy=policy(stretch=2.0)))
+        self.assertEqual(["late"], [order.run.name.job_id for order in harness.starts()])
 
     def test_small_jobs_come_first(self) -> None:
         """One caller's large job does not keep ten small ones waiting."""
-        bench = Bench(view("a", cpu_millicores=1000))
-        bench.learn(job("large", step(9)))
-        bench.learn(job("small", step(1)))
-        self.assertEqual(["small"], [order.run.name.job_id for order in bench.starts()])
+        harness = SchedulingHarness(view("a", cpu_millicores=1000))
+        harness.learn(job("large", step(9)))
+        harness.learn(job("small", step(1)))
+        self.assertEqual(["small"], [order.run.name.job_id for order in harness.starts()])
 
 
 class LastingInATurnTests(unittest.TestCase):
@@ -199,23 +199,23 @@
         full of clips; each time one ends, the next clip takes the room, so that there is never
         room for the archive at once, though it stands first in the order.
         """
-        bench = Bench(view("a"), view("b"))
+        harness = SchedulingHarness(view("a"), view("b"))
         clips = [f"clip{number:02}" for number in range(40)]
         for job_id in clips:
-            bench.learn(job(job_id, step(1, memory_mb=1000)))
-        running = {order.run.name: order.run for order in bench.starts()}
+            harness.learn(job(job_id, step(1, memory_mb=1000)))
+        running = {order.run.name: order.run for order in harness.starts()}
         self.assertEqual(8, len(running))
-        bench.learn(job("archive", lasting))
+        harness.learn(job("archive", lasting))
         for _ in range(8):
             ended = next(iter(running.values()))
             del running[ended.name]
-            bench.now_s += 0.1
-            bench.report(
+            harness.now_s += 0.1
+            harness.report(
                 ended.worker_id,
                 running=_rows(run for run in running.values() if run.worker_id == ended.worker_id),
                 ended=((ended.name, ended.run_id, EndKind.DONE),),
             )
-            for order in bench.starts():
+            for order in harness.starts():
                 if order.run.name.job_id == "archive":
                     return
                 running[order.run.name] = order.run
@@ -223,20 +223,20 @@
 
     def test_the_other_workers_take_clips_meanwhile(self) -> None:
         """Room is held on one worker only."""
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("first", step(8)))
-        self.assertEqual(8, len(bench.starts()))
-        bench.learn(job("archive", step(5, is_lasting=True, cpu_millicores=3000)))
-        bench.learn(job("clip", step(8)))
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("first", step(8)))
+        self.assertEqual(8, len(harness.starts()))
+        harness.learn(job("archive", step(5, is_lasting=True, cpu_millicores=3000)))
+        harness.learn(job("clip", step(8)))
         for worker_id in ("a", "b"):
-            bench.report(
+            harness.report(
                 worker_id,
                 ended=tuple(
                     (name, run_id, EndKind.DONE)
-                    for (name, run_id) in list(bench.worker(worker_id).runs)[:1]
+                    for (name, run_id) in list(harness.worker(worker_id).runs)[:1]
                 ),
             )
-        self.assertEqual(1, len(bench.starts()))
+        self.assertEqual(1, len(harness.starts()))
 
 
 def _rows(runs: Iterable[Run]) -> tuple[RunningTask, ...]:
@@ -246,56 +246,56 @@
 class RetryTests(unittest.TestCase):
     def test_a_failed_task_runs_elsewhere(self) -> None:
         """One worker that fails all it is given must not use up a job's attempts."""
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("j", step(1)))
-        first = bench.starts()[0].run
-        bench.report(first.worker_id, ended=((first.name, first.run_id, EndKind.FAILED),))
-        second = bench.starts()[0].run
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("j", step(1)))
+        first = harness.starts()[0].run
+        harness.report(first.worker_id, ended=((first.name, first.run_id, EndKind.FAILED),))
+        second = harness.starts()[0].run
         self.assertNotEqual(first.worker_id, second.worker_id)
         self.assertGreater(second.run_id, first.run_id)
 
     def test_a_worker_on_which_jobs_fail_is_used_last(self) -> None:
         """Always free since it fails at once, it would draw all tasks and fail each."""
-        bench = Bench(view("a"), view("b"))
+        harness = SchedulingHarness(view("a"), view("b"))
         for job_id in ("x", "y"):
             name = TaskName(job_id, 0, 0, 0)
-            bench.learn(job(job_id, step(1)))
-            bench.report("a", ended=((name, 1, EndKind.FAILED),))
-        bench.learn(job("j", step(2)))
-        self.assertEqual({"b"}, set(workers_of(bench.starts())))
+            harness.learn(job(job_id, step(1)))
+            harness.report("a", ended=((name, 1, EndKind.FAILED),))
+        harness.learn(job("j", step(2)))
+        self.assertEqual({"b"}, set(workers_of(harness.starts())))
 
     def test_a_stopped_task_resumes_where_it_was(self) -> None:
         """Its checkpoint goes with the next start."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1, is_checkpointed=True)))
-        run = bench.starts()[0].run
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1, is_checkpointed=True)))
+        run = harness.starts()[0].run
         row = RunningTask(name=run.name, run_id=run.run_id, checkpoint="c1", percent=50)
-        bench.report("a", running=(row,))
-        bench.report("a", ended=((run.name, run.run_id, EndKind.LAPSED),))
-        self.assertEqual(["c1"], [order.checkpoint for order in bench.starts()])
+        harness.report("a", running=(row,))
+        harness.report("a", ended=((run.name, run.run_id, EndKind.LAPSED),))
+        self.assertEqual(["c1"], [order.checkpoint for order in harness.starts()])
 
     def test_a_refused_start_is_tried_again(self) -> None:
         """With a higher run id, since a worker may have taken note of the first."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        first = bench.starts()[0].run
-        bench.scheduler_state.start_failed(first, bench.now_s)
-        self.assertGreater(bench.starts()[0].run.run_id, first.run_id)
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        first = harness.starts()[0].run
+        harness.scheduler_state.start_failed(first, harness.now_s)
+        self.assertGreater(harness.starts()[0].run.run_id, first.run_id)
 
     def test_a_task_that_stands_still_runs_elsewhere(self) -> None:
         """A worker whose tasks hang and that answers looks all the same."""
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("j", step(1)))
-        run = bench.starts()[0].run
-        run.enter(RunPhase.RUNNING, bench.now_s)
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("j", step(1)))
+        run = harness.starts()[0].run
+        run.enter(RunPhase.RUNNING, harness.now_s)
         row = RunningTask(name=run.name, run_id=run.run_id, percent=10)
         for _ in range(4):
-            bench.report(run.worker_id, running=(row,))
-            bench.now_s += 1.0
-        stops = [order for order in bench.decide() if isinstance(order, StopOrder)]
+            harness.report(run.worker_id, running=(row,))
+            harness.now_s += 1.0
+        stops = [order for order in harness.decide() if isinstance(order, StopOrder)]
         self.assertEqual([run], [order.run for order in stops])
-        bench.report(run.worker_id, ended=((run.name, run.run_id, EndKind.STOPPED),))
-        self.assertNotEqual(run.worker_id, bench.starts()[0].run.worker_id)
+        harness.report(run.worker_id, ended=((run.name, run.run_id, EndKind.STOPPED),))
+        self.assertNotEqual(run.worker_id, harness.starts()[0].run.worker_id)
 
 
 class DecidedTwiceTests(unittest.TestCase):
@@ -306,12 +306,12 @@
         grants a lease, decisions are taken again: the worker's lease seemed to have run out, its
         run to be over, and the task was started elsewhere.
         """
-        bench = Bench(view("a"), view("b"))
+        harness = SchedulingHarness(view("a"), view("b"))
         for worker_id in ("a", "b"):
-            bench.worker(worker_id).lease_ends_s = 0.0
-        bench.learn(job("j", step(1)))
-        self.assertEqual(1, len(bench.starts()))
-        self.assertEqual([], bench.decide())
+            harness.worker(worker_id).lease_ends_s = 0.0
+        harness.learn(job("j", step(1)))
+        self.assertEqual(1, len(harness.starts()))
+        self.assertEqual([], harness.decide())
 
 
 class StartWithoutAnswerTests(unittest.TestCase):
@@ -321,48 +321,48 @@
         A start gets no answer; a look does not list it. It may still be carried out. Only after a
         stop was obeyed, and a look sent after that lists nothing, may the task start again.
         """
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        run = bench.starts()[0].run
-        run.enter(RunPhase.UNANSWERED, bench.now_s)
-        bench.now_s += 1
-        bench.report("a")
-        decisions = bench.decide()
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        run = harness.starts()[0].run
+        run.enter(RunPhase.UNANSWERED, harness.now_s)
+        harness.now_s += 1
+        harness.report("a")
+        decisions = harness.decide()
         self.assertEqual([StopOrder], [type(one) for one in decisions])
-        run.enter(RunPhase.STOPPED, bench.now_s)
-        bench.report("a", sent_s=bench.now_s - 0.1)
-        self.assertEqual([], bench.starts())
-        bench.now_s += 0.1
-        bench.report("a")
-        self.assertEqual(1, len(bench.starts()))
+        run.enter(RunPhase.STOPPED, harness.now_s)
+        harness.report("a", sent_s=harness.now_s - 0.1)
+        self.assertEqual([], harness.starts())
+        harness.now_s += 0.1
+        harness.report("a")
+        self.assertEqual(1, len(harness.starts()))
 
     def test_one_that_runs_is_kept(self) -> None:
         """Only its answer was lost."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        run = bench.starts()[0].run
-        run.enter(RunPhase.UNANSWERED, bench.now_s)
-        bench.now_s += 1
-        bench.report("a", running=(RunningTask(name=run.name, run_id=run.run_id, percent=3),))
-        self.assertEqual([], bench.decide())
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        run = harness.starts()[0].run
+        run.enter(RunPhase.UNANSWERED, harness.now_s)
+        harness.now_s += 1
+        harness.report("a", running=(RunningTask(name=run.name, run_id=run.run_id, percent=3),))
+        self.assertEqual([], harness.decide())
         self.assertIs(RunPhase.RUNNING, run.phase)
 
 
 class CancelTests(unittest.TestCase):
     def test_runs_of_a_cancelled_job_are_stopped(self) -> None:
         """And none of its tasks starts any more."""
-        bench = Bench(view("a"))
+        harness = SchedulingHarness(view("a"))
         one = job("j", step(2, cpu_millicores=3000))
-        bench.learn(one)
-        run = bench.starts()[0].run
-        run.enter(RunPhase.RUNNING, bench.now_s)
-        progress = bench.scheduler_state.entries["j"].progress.__class__(
+        harness.learn(one)
+        run = harness.starts()[0].run
+        run.enter(RunPhase.RUNNING, harness.now_s)
+        progress = harness.scheduler_state.entries["j"].progress.__class__(
             queue="q", state=JobState.CANCELLED
         )
-        bench.scheduler_state.update_progress("j", progress, revision=2)
-        self.assertEqual([run], [order.run for order in bench.decide()])
-        bench.report("a", ended=((run.name, run.run_id, EndKind.STOPPED),))
-        self.assertEqual([], bench.decide())
+        harness.scheduler_state.update_progress("j", progress, revision=2)
+        self.assertEqual([run], [order.run for order in harness.decide()])
+        harness.report("a", ended=((run.name, run.run_id, EndKind.STOPPED),))
+        self.assertEqual([], harness.decide())
 
 
 class PacingTests(unittest.TestCase):
@@ -379,19 +379,19 @@
         self, _name: str, tail_ms: int, percent: int, expected: list[int]
     ) -> None:
         """Fillers beside a serving task slow down before its users notice, and come back slowly."""
-        bench = Bench(view("a"))
+        harness = SchedulingHarness(view("a"))
         serving = step(1, is_lasting=True, target_s=0.1)
         filling = step(1, is_lasting=True, is_filler=True)
-        bench.learn(job("s", serving))
-        bench.learn(job("f", filling))
-        runs = {order.run.name.job_id: order.run for order in bench.starts()}
+        harness.learn(job("s", serving))
+        harness.learn(job("f", filling))
+        runs = {order.run.name.job_id: order.run for order in harness.starts()}
         rows = tuple(
             RunningTask(name=run.name, run_id=run.run_id, percent=100, figure=tail_ms)
             for run in runs.values()
         )
         runs["f"].pace_percent = percent
-        bench.report("a", running=rows)
-        paces = [order for order in bench.decide() if isinstance(order, PaceOrder)]
+        harness.report("a", running=rows)
+        paces = [order for order in harness.decide() if isinstance(order, PaceOrder)]
         self.assertEqual(expected, [order.percent for order in paces])
 
 
@@ -402,27 +402,27 @@
         Two of its five tasks may be away. The worker on which all of them run is emptied: two are
         stopped, and the others only as those are at work again elsewhere.
         """
-        bench = Bench(view("a", cpu_millicores=9000))
-        bench.learn(job("s", step(5, is_lasting=True, may_miss=2)))
-        runs = [order.run for order in bench.starts()]
+        harness = SchedulingHarness(view("a", cpu_millicores=9000))
+        harness.learn(job("s", step(5, is_lasting=True, may_miss=2)))
+        runs = [order.run for order in harness.starts()]
         rows = tuple(RunningTask(name=run.name, run_id=run.run_id, percent=100) for run in runs)
-        bench.report("a", running=rows)
-        worker = bench.worker("a")
+        harness.report("a", running=rows)
+        worker = harness.worker("a")
         worker.is_cordoned = True
-        bench.add(view("b"))
-        bench.decision_engine.evacuate(worker)
-        stops = [order.run for order in bench.decide() if isinstance(order, StopOrder)]
+        harness.add(view("b"))
+        harness.decision_engine.evacuate(worker)
+        stops = [order.run for order in harness.decide() if isinstance(order, StopOrder)]
         self.assertEqual(2, len(stops))
         gone = tuple((run.name, run.run_id, EndKind.STOPPED) for run in stops)
         left = tuple(row for row in rows if row.name not in {run.name for run in stops})
-        bench.report("a", running=left, ended=gone)
-        moved = [order.run for order in bench.starts()]
-        bench.decision_engine.evacuate(worker)
-        self.assertEqual([], bench.decide())
+        harness.report("a", running=left, ended=gone)
+        moved = [order.run for order in harness.starts()]
+        harness.decision_engine.evacuate(worker)
+        self.assertEqual([], harness.decide())
         back = tuple(RunningTask(name=run.name, run_id=run.run_id, percent=100) for run in moved)
-        bench.report("b", running=back)
-        bench.decision_engine.evacuate(worker)
-        self.assertEqual(2, len(bench.decide()))
+        harness.report("b", running=back)
+        harness.decision_engine.evacuate(worker)
+        self.assertEqual(2, len(harness.decide()))
 
     def test_tasks_on_a_silent_worker_count_as_away(self) -> None:
         """A service with fewer tasks at work than its budget, after a rack died during upkeep.
@@ -431,35 +431,35 @@
         says, the task is at work, until its lease has run out seconds later. Meanwhile the other
         task was stopped for upkeep.
         """
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("s", step(2, is_lasting=True, may_miss=1, most_per_worker=1)))
-        for order in bench.starts():
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("s", step(2, is_lasting=True, may_miss=1, most_per_worker=1)))
+        for order in harness.starts():
             run = order.run
             row = RunningTask(name=run.name, run_id=run.run_id, percent=100)
-            bench.report(run.worker_id, running=(row,))
+            harness.report(run.worker_id, running=(row,))
         rows = tuple(
             RunningTask(name=name, run_id=run_id, percent=100)
-            for name, run_id in bench.worker("a").runs
+            for name, run_id in harness.worker("a").runs
         )
-        bench.now_s += 3.0
-        bench.report("a", running=rows)
-        bench.worker("a").is_cordoned = True
-        bench.decide()
-        bench.decision_engine.evacuate(bench.worker("a"))
-        self.assertEqual([], bench.decide())
+        harness.now_s += 3.0
+        harness.report("a", running=rows)
+        harness.worker("a").is_cordoned = True
+        harness.decide()
+        harness.decision_engine.evacuate(harness.worker("a"))
+        self.assertEqual([], harness.decide())
 
 
 class AdviceTests(unittest.TestCase):
     def test_only_allowed_workers_are_used_with_their_ticket(self) -> None:
         """Advice is asked once; then tasks start where it allows."""
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("j", step(2), policy=policy(is_advised=True)))
-        asked = bench.decide()
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("j", step(2), policy=policy(is_advised=True)))
+        asked = harness.decide()
         self.assertEqual([AdviceRequest], [type(one) for one in asked])
-        self.assertEqual([], bench.decide())
-        entry = bench.scheduler_state.entries["j"].steps[(0, 0)]
+        self.assertEqual([], harness.decide())
+        entry = harness.scheduler_state.entries["j"].steps[(0, 0)]
         entry.is_asking, entry.permits = False, {"b": "t-b"}
-        starts = bench.starts()
+        starts = harness.starts()
         self.assertEqual([("b", "t-b")] * 2, [(one.run.worker_id, one.ticket) for one in starts])
 
 
--- a/tests/test_scheduling_takeover.py
+++ b/tests/test_scheduling_takeover.py
@@ -4,7 +4,7 @@
 
 from shallotworks.jobs import JobState, TaskName
 from shallotworks.scheduling import EndKind, RunningTask, StopOrder
-from tests.scheduling_fakes import Bench, job, step, view
+from tests.scheduling_fakes import SchedulingHarness, job, step, view
 
 
 class TakeoverTests(unittest.TestCase):
@@ -17,14 +17,14 @@
         end, and the second step opens. The successor stopped the run on a as a stray, and before
         that took effect started the task again on b.
         """
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("j", step(1), step(1, after=(0,))), is_old=True)
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("j", step(1), step(1, after=(0,))), is_old=True)
         first, second = TaskName("j", 0, 0, 0), TaskName("j", 0, 1, 0)
-        bench.report("a", running=(RunningTask(name=second, run_id=5),))
-        bench.report("b", ended=((first, 4, EndKind.DONE),))
-        self.assertEqual([], bench.decide())
-        bench.report("a", ended=((second, 5, EndKind.DONE),))
-        self.assertIs(JobState.COMPLETED, bench.scheduler_state.entries["j"].progress.state)
+        harness.report("a", running=(RunningTask(name=second, run_id=5),))
+        harness.report("b", ended=((first, 4, EndKind.DONE),))
+        self.assertEqual([], harness.decide())
+        harness.report("a", ended=((second, 5, EndKind.DONE),))
+        self.assertIs(JobState.COMPLETED, harness.scheduler_state.entries["j"].progress.state)
 
     def test_a_task_waits_until_its_stray_run_has_ended(self) -> None:
         """Two runs of one task at once, after a run was given up on a worker that still had it.
@@ -32,17 +32,17 @@
         A worker lists two runs of one task; the one that counts fails. The task may start again
         only when the other run, which is being stopped, has ended too.
         """
-        bench = Bench(view("a"), view("b"))
-        bench.learn(job("j", step(1)))
+        harness = SchedulingHarness(view("a"), view("b"))
+        harness.learn(job("j", step(1)))
         name = TaskName("j", 0, 0, 0)
-        bench.report("a", running=(RunningTask(name=name, run_id=5),))
-        bench.report("b", running=(RunningTask(name=name, run_id=6),))
-        stops = [order for order in bench.decide() if isinstance(order, StopOrder)]
+        harness.report("a", running=(RunningTask(name=name, run_id=5),))
+        harness.report("b", running=(RunningTask(name=name, run_id=6),))
+        stops = [order for order in harness.decide() if isinstance(order, StopOrder)]
         self.assertEqual([6], [order.run.run_id for order in stops])
-        bench.report("a", ended=((name, 5, EndKind.FAILED),))
-        self.assertEqual([], bench.starts())
-        bench.report("b", ended=((name, 6, EndKind.STOPPED),))
-        self.assertEqual([name], [order.run.name for order in bench.starts()])
+        harness.report("a", ended=((name, 5, EndKind.FAILED),))
+        self.assertEqual([], harness.starts())
+        harness.report("b", ended=((name, 6, EndKind.STOPPED),))
+        self.assertEqual([name], [order.run.name for order in harness.starts()])
 
     def test_earlier_jobs_wait_for_workers_that_were_not_seen(self) -> None:
         """Two runs of one task at once, one on a worker that the successor can't reach.
@@ -50,24 +50,24 @@
         The predecessor recorded worker c. Until c has answered, or its leases have surely run out,
         tasks of earlier jobs may run there; jobs that were accepted since may not.
         """
-        bench = Bench(view("a"))
-        bench.scheduler_state.pending_recovery["c"] = bench.now_s + 10
-        bench.learn(job("old", step(1)), is_old=True)
-        bench.learn(job("new", step(1)))
-        self.assertEqual(["new"], [order.run.name.job_id for order in bench.starts()])
-        bench.now_s += 10.1
-        self.assertEqual(["old"], [order.run.name.job_id for order in bench.starts()])
+        harness = SchedulingHarness(view("a"))
+        harness.scheduler_state.pending_recovery["c"] = harness.now_s + 10
+        harness.learn(job("old", step(1)), is_old=True)
+        harness.learn(job("new", step(1)))
+        self.assertEqual(["new"], [order.run.name.job_id for order in harness.starts()])
+        harness.now_s += 10.1
+        self.assertEqual(["old"], [order.run.name.job_id for order in harness.starts()])
 
     def test_a_failure_that_is_told_again_counts_once(self) -> None:
         """A job shown as failed after one failure, since its end was told to two schedulers."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
         name = TaskName("j", 0, 0, 0)
         for _ in range(2):
-            bench.report("a", ended=((name, 5, EndKind.FAILED),))
-        self.assertIs(JobState.QUEUED, bench.scheduler_state.entries["j"].progress.state)
-        bench.report("a", ended=((name, 6, EndKind.FAILED),))
-        self.assertIs(JobState.FAILED, bench.scheduler_state.entries["j"].progress.state)
+            harness.report("a", ended=((name, 5, EndKind.FAILED),))
+        self.assertIs(JobState.QUEUED, harness.scheduler_state.entries["j"].progress.state)
+        harness.report("a", ended=((name, 6, EndKind.FAILED),))
+        self.assertIs(JobState.FAILED, harness.scheduler_state.entries["j"].progress.state)
 
 
 if __name__ == "__main__":
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -11,7 +11,7 @@
 from shallotworks.scheduling import EndKind, RunningTask, StopOrder
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Mirror
-from tests.scheduling_fakes import WALL_S, Bench, job, quiet_log, step, view
+from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, quiet_log, step, view
 from tests.virtual_clock import run_scenario
 
 
@@ -27,70 +27,70 @@
         self, _name: str, capacity: dict[str, object]
     ) -> None:
         """A worker that refuses nothing is given more than its capacity, which has shrunk."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        self.assertEqual(1, len(bench.starts()))
-        bench.scheduler_state.update_worker(view("a", **capacity))
-        bench.learn(job("k", step(1)))
-        self.assertEqual([], bench.starts())
-        bench.scheduler_state.update_worker(view("a"))
-        self.assertEqual(1, len(bench.starts()))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        self.assertEqual(1, len(harness.starts()))
+        harness.scheduler_state.update_worker(view("a", **capacity))
+        harness.learn(job("k", step(1)))
+        self.assertEqual([], harness.starts())
+        harness.scheduler_state.update_worker(view("a"))
+        self.assertEqual(1, len(harness.starts()))
 
     def test_what_is_being_stopped_still_counts(self) -> None:
         """A worker with shrunk capacity is given a task while an earlier one is stopping."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1, cpu_millicores=3000)))
-        (order,) = bench.starts()
-        order.run.enter(order.run.phase.RUNNING, bench.now_s)
-        bench.scheduler_state.update_worker(view("a", cpu_millicores=3500))
-        bench.scheduler_state.request_stop(order.run, "test")
-        bench.learn(job("k", step(1)))
-        stops = [one for one in bench.decide() if isinstance(one, StopOrder)]
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1, cpu_millicores=3000)))
+        (order,) = harness.starts()
+        order.run.enter(order.run.phase.RUNNING, harness.now_s)
+        harness.scheduler_state.update_worker(view("a", cpu_millicores=3500))
+        harness.scheduler_state.request_stop(order.run, "test")
+        harness.learn(job("k", step(1)))
+        stops = [one for one in harness.decide() if isinstance(one, StopOrder)]
         self.assertEqual([order.run], [one.run for one in stops])
-        order.run.enter(order.run.phase.STOPPED, bench.now_s)
+        order.run.enter(order.run.phase.STOPPED, harness.now_s)
         running = (RunningTask(name=order.run.name, run_id=order.run.run_id),)
-        bench.report("a", running=running)
-        self.assertEqual([], bench.starts())
-        bench.report("a", ended=((order.run.name, order.run.run_id, EndKind.STOPPED),))
-        self.assertEqual(["k"], [one.run.name.job_id for one in bench.starts()][:1])
+        harness.report("a", running=running)
+        self.assertEqual([], harness.starts())
+        harness.report("a", ended=((order.run.name, order.run.run_id, EndKind.STOPPED),))
+        self.assertEqual(["k"], [one.run.name.job_id for one in harness.starts()][:1])
 
     def test_a_start_that_waits_to_be_stored_is_given_back(self) -> None:
         """Capacity shrinks between the choice of a worker for a suspect and its start."""
-        bench = Bench(view("a"), view("b", cpu_millicores=0))
+        harness = SchedulingHarness(view("a"), view("b", cpu_millicores=0))
         row = LostRun(run_id=1, worker_id="c", blame=Blame.SHARED, is_certain=True)
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (row,)})
-        bench.learn(job("j", step(1)), progress=progress)
-        bench.decide()
-        bench.store()
-        bench.scheduler_state.update_worker(view("a", cpu_millicores=500))
-        self.assertEqual([], bench.decide())
-        self.assertEqual(0, bench.worker("a").cpu_used)
+        harness.learn(job("j", step(1)), progress=progress)
+        harness.decide()
+        harness.store()
+        harness.scheduler_state.update_worker(view("a", cpu_millicores=500))
+        self.assertEqual([], harness.decide())
+        self.assertEqual(0, harness.worker("a").cpu_used)
 
     def test_nothing_starts_beside_a_run_of_unknown_size(self) -> None:
         """A successor filled a worker on which runs of a job that was gone were being stopped."""
-        bench = Bench(view("a"))
+        harness = SchedulingHarness(view("a"))
         gone = TaskName("gone", 0, 0, 0)
-        bench.report("a", running=(RunningTask(name=gone, run_id=5),))
-        bench.learn(job("k", step(1)))
-        self.assertEqual([], bench.starts())
-        bench.report("a", ended=((gone, 5, EndKind.STOPPED),))
-        self.assertEqual(["k"], [one.run.name.job_id for one in bench.starts()])
+        harness.report("a", running=(RunningTask(name=gone, run_id=5),))
+        harness.learn(job("k", step(1)))
+        self.assertEqual([], harness.starts())
+        harness.report("a", ended=((gone, 5, EndKind.STOPPED),))
+        self.assertEqual(["k"], [one.run.name.job_id for one in harness.starts()])
 
 
 class StaleListTests(unittest.TestCase):
     def test_nothing_starts_while_capacities_are_not_known(self) -> None:
         """After an outage a worker that shrank meanwhile is filled by its capacity of before."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1, cpu_millicores=2000)))
-        (order,) = bench.starts()
-        order.run.enter(order.run.phase.RUNNING, bench.now_s)
-        bench.scheduler_state.request_stop(order.run, "test")
-        bench.learn(job("k", step(1)))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1, cpu_millicores=2000)))
+        (order,) = harness.starts()
+        order.run.enter(order.run.phase.RUNNING, harness.now_s)
+        harness.scheduler_state.request_stop(order.run, "test")
+        harness.learn(job("k", step(1)))
         decisions = list(
-            bench.decision_engine.decide(now_s=bench.now_s, wall_s=WALL_S, may_start=False)
+            harness.decision_engine.decide(now_s=harness.now_s, wall_s=WALL_S, may_start=False)
         )
         self.assertEqual([StopOrder], [type(one) for one in decisions])
-        self.assertEqual(["k"], [one.run.name.job_id for one in bench.starts()])
+        self.assertEqual(["k"], [one.run.name.job_id for one in harness.starts()])
 
     def test_a_mirror_tells_that_it_has_heard_only_while_the_store_answers(self) -> None:
         """A copy that is ten seconds old passes for a new one."""
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -24,7 +24,7 @@
 from shallotworks.scheduling._waiting import MOST_EXAMINED, MOST_NAMED
 from tests import fleet_history
 from tests.fleet_history import History
-from tests.scheduling_fakes import TOKEN, WALL_S, Bench, job, policy, step, view
+from tests.scheduling_fakes import TOKEN, WALL_S, SchedulingHarness, job, policy, step, view
 from tests.virtual_clock import run_scenario
 
 LATE_S = WALL_S - 60
@@ -48,7 +48,7 @@
         return [row for row in rows if row["event"] == event]
 
 
-class Watched(Bench):
+class WaitingHarness(SchedulingHarness):
     """A board whose waiting tasks are watched."""
 
     def __init__(self, *names: str) -> None:
@@ -70,10 +70,10 @@
         return self.lines.of("tasks-waiting")
 
 
-def reason_of(bench: Bench, job_id: str = "j") -> WaitReason:
+def reason_of(harness: SchedulingHarness, job_id: str = "j") -> WaitReason:
     """Return why the first step of a job waits."""
-    entry = bench.scheduler_state.entries[job_id].steps[(0, 0)]
-    return waiting_reason(bench.scheduler_state, entry, now_s=bench.now_s, wall_s=WALL_S)
+    entry = harness.scheduler_state.entries[job_id].steps[(0, 0)]
+    return waiting_reason(harness.scheduler_state, entry, now_s=harness.now_s, wall_s=WALL_S)
 
 
 def fill(worker: Worker) -> None:
@@ -162,10 +162,10 @@
         )
         for change, one, reason in rows:
             with self.subTest(change=change.__name__, reason=reason):
-                bench = Bench(view("a"))
-                bench.learn(job("j", one))
-                change(bench.worker("a"))
-                self.assertIs(reason, reason_of(bench))
+                harness = SchedulingHarness(view("a"))
+                harness.learn(job("j", one))
+                change(harness.worker("a"))
+                self.assertIs(reason, reason_of(harness))
 
     def test_what_hangs_on_the_job(self) -> None:
         """Advised jobs wait for permits, late ones keep off workers that are to go back."""
@@ -176,23 +176,23 @@
         )
         for name, changes, change, reason in rows:
             with self.subTest(name):
-                bench = Bench(view("a"))
-                bench.learn(job("j", step(1), **changes))
-                change(bench.worker("a"))
-                self.assertIs(reason, reason_of(bench))
+                harness = SchedulingHarness(view("a"))
+                harness.learn(job("j", step(1), **changes))
+                change(harness.worker("a"))
+                self.assertIs(reason, reason_of(harness))
 
     def test_no_worker(self) -> None:
         """A pool without workers is one that lists none."""
-        bench = Bench()
-        bench.learn(job("j", step(1)))
-        self.assertIs(WaitReason.UNLISTED, reason_of(bench))
+        harness = SchedulingHarness()
+        harness.learn(job("j", step(1)))
+        self.assertIs(WaitReason.UNLISTED, reason_of(harness))
 
     def test_a_gang_of_which_a_part_is_being_stopped(self) -> None:
         """Its members wait for each other, also where there is room for those that wait."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(3, is_gang=True)))
-        bench.scheduler_state.entries["j"].steps[(0, 0)].waiting.remove(1)
-        self.assertIs(WaitReason.GANG, reason_of(bench))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(3, is_gang=True)))
+        harness.scheduler_state.entries["j"].steps[(0, 0)].waiting.remove(1)
+        self.assertIs(WaitReason.GANG, reason_of(harness))
 
     def test_the_worker_that_came_closest_tells_the_reason(self) -> None:
         """An idle worker that the scheduler keeps back is not hidden by others that are full.
@@ -211,19 +211,19 @@
         )
         for changes, reason in rows:
             with self.subTest(changes=[change.__name__ for change in changes]):
-                bench = Bench(*(view(f"w{number}") for number in range(len(changes))))
-                bench.learn(job("j", step(1, is_lasting=True)))
+                harness = SchedulingHarness(*(view(f"w{number}") for number in range(len(changes))))
+                harness.learn(job("j", step(1, is_lasting=True)))
                 for number, change in enumerate(changes):
-                    change(bench.worker(f"w{number}"))
-                self.assertIs(reason, reason_of(bench))
+                    change(harness.worker(f"w{number}"))
+                self.assertIs(reason, reason_of(harness))
 
     def test_a_full_worker_that_is_cordoned_has_no_room(self) -> None:
         """Only workers with room count as kept back."""
-        bench = Bench(view("a"))
-        bench.learn(job("j", step(1)))
-        fill(bench.worker("a"))
-        cordon(bench.worker("a"))
-        self.assertIs(WaitReason.ROOM, reason_of(bench))
+        harness = SchedulingHarness(view("a"))
+        harness.learn(job("j", step(1)))
+        fill(harness.worker("a"))
+        cordon(harness.worker("a"))
+        self.assertIs(WaitReason.ROOM, reason_of(harness))
 
     def test_ready_agrees_with_what_is_started(self) -> None:
         """A task is told to be ready exactly if the next decision starts it.
@@ -242,15 +242,15 @@
         started = 0
         for one in jobs:
             for drawn in itertools.product((False, True), repeat=len(changes)):
-                bench = Bench(view("a"))
-                bench.learn(one)
+                harness = SchedulingHarness(view("a"))
+                harness.learn(one)
                 chosen = [change for change, is_on in zip(changes, drawn, strict=True) if is_on]
                 for change in chosen:
-                    change(bench.worker("a"))
-                reason = reason_of(bench)
+                    change(harness.worker("a"))
+                reason = reason_of(harness)
                 names = [change.__name__ for change in chosen]
                 with self.subTest(step=one.steps[0], changes=names, reason=reason):
-                    starts = bench.starts()
+                    starts = harness.starts()
                     self.assertEqual(bool(starts), reason is WaitReason.READY)
                     started += bool(starts)
         # A sibling, being lent and being closed to lasting tasks keep back a step that is spread,
@@ -261,25 +261,25 @@
 class SummaryTests(unittest.TestCase):
     def test_nothing_waits(self) -> None:
         """No counts, no longest wait and no line."""
-        bench = Watched("a")
-        self.assertEqual(WaitSummary(), bench.look())
-        self.assertEqual([], bench.tell(1.0) + bench.tell(1.0))
+        harness = WaitingHarness("a")
+        self.assertEqual(WaitSummary(), harness.look())
+        self.assertEqual([], harness.tell(1.0) + harness.tell(1.0))
 
     def test_a_step_that_is_not_open_does_not_wait(self) -> None:
         """Tasks whose turn has not come are not counted, nor those that run."""
-        bench = Watched("a")
-        bench.learn(job("j", step(2), step(3, after=(0,))))
-        self.assertEqual(((WaitReason.READY, 2),), bench.look().counts)
-        bench.starts()
-        self.assertEqual((), bench.look().counts)
+        harness = WaitingHarness("a")
+        harness.learn(job("j", step(2), step(3, after=(0,))))
+        self.assertEqual(((WaitReason.READY, 2),), harness.look().counts)
+        harness.starts()
+        self.assertEqual((), harness.look().counts)
 
     def test_tasks_are_counted_by_reason(self) -> None:
         """Tasks of several steps and jobs add up under their reasons, lasting ones also apart."""
-        bench = Watched("a")
-        bench.learn(job("big", step(2, memory_mb=9000)))
-        bench.learn(job("labelled", step(3, label="big")))
-        bench.learn(job("too big", step(1, gpus=1, is_lasting=True)))
-        summary = bench.look()
+        harness = WaitingHarness("a")
+        harness.learn(job("big", step(2, memory_mb=9000)))
+        harness.learn(job("labelled", step(3, label="big")))
+        harness.learn(job("too big", step(1, gpus=1, is_lasting=True)))
+        summary = harness.look()
         self.assertEqual(((WaitReason.LABEL, 3), (WaitReason.ROOM, 3)), summary.counts)
         self.assertEqual(1, summary.lasting)
 
@@ -292,15 +292,15 @@
         )
         for name, order, apart_s, longest in rows:
             with self.subTest(name):
-                bench = Watched()
+                harness = WaitingHarness()
                 for job_id in order:
-                    bench.learn(job(job_id, step(2, is_lasting=job_id == "lasts")))
+                    harness.learn(job(job_id, step(2, is_lasting=job_id == "lasts")))
                     if apart_s:
-                        bench.look()
-                        bench.now_s += apart_s
-                bench.look()
-                bench.now_s += 5.0
-                found = bench.look()
+                        harness.look()
+                        harness.now_s += apart_s
+                harness.look()
+                harness.now_s += 5.0
+                found = harness.look()
                 assert found.longest is not None and found.longest_lasting is not None
                 self.assertEqual(TaskName(longest, 0, 0, 0), found.longest.name)
                 self.assertEqual("lasts", found.longest_lasting.name.job_id)
@@ -309,17 +309,17 @@
 
     def test_a_wait_begins_anew_after_a_run(self) -> None:
         """A task that ran meanwhile has waited since it was given up, not since its first wait."""
-        bench = Watched("a")
-        bench.learn(job("j", step(1)))
-        bench.look()
-        bench.now_s += 3.0
-        run = bench.starts()[0].run
-        bench.look()
-        bench.now_s += 3.0
-        bench.scheduler_state.start_failed(run, bench.now_s)
-        bench.look()
-        bench.now_s += 2.0
-        longest = bench.look().longest
+        harness = WaitingHarness("a")
+        harness.learn(job("j", step(1)))
+        harness.look()
+        harness.now_s += 3.0
+        run = harness.starts()[0].run
+        harness.look()
+        harness.now_s += 3.0
+        harness.scheduler_state.start_failed(run, harness.now_s)
+        harness.look()
+        harness.now_s += 2.0
+        longest = harness.look().longest
         assert longest is not None
         self.assertEqual(2.0, longest.waited_s)
 
@@ -329,15 +329,15 @@
         So many kinds of steps are examined in a look, those that have waited longest first; steps
         alike count as one kind, and all tasks are counted.
         """
-        bench = Watched("a")
-        fill(bench.worker("a"))
-        bench.learn(job("oldest", step(1, cpu_millicores=1)))
-        bench.look()
-        bench.now_s += 1.0
+        harness = WaitingHarness("a")
+        fill(harness.worker("a"))
+        harness.learn(job("oldest", step(1, cpu_millicores=1)))
+        harness.look()
+        harness.now_s += 1.0
         for number in range(MOST_EXAMINED + 10):
             for copy in range(2):
-                bench.learn(job(f"j{number}-{copy}", step(1, cpu_millicores=100 + number)))
-        summary = bench.look()
+                harness.learn(job(f"j{number}-{copy}", step(1, cpu_millicores=100 + number)))
+        summary = harness.look()
         counts = dict(summary.counts)
         self.assertEqual(2 * MOST_EXAMINED - 1, counts[WaitReason.ROOM])
         self.assertEqual(2 * (10 + 1), counts[WaitReason.NOT_EXAMINED])
@@ -353,25 +353,25 @@
         they may run on. One of these is gone. The task was not counted as waiting; now the look
         tells what is waited for and for how long at most.
         """
-        bench = Watched("a", "b")
-        bench.scheduler_state.pending_recovery.update({"gone": 110.0, "cut": 104.0})
-        bench.learn(job("old", step(3, is_lasting=True)), is_old=True)
-        bench.learn(job("new", step(1)))
-        summary = bench.look()
+        harness = WaitingHarness("a", "b")
+        harness.scheduler_state.pending_recovery.update({"gone": 110.0, "cut": 104.0})
+        harness.learn(job("old", step(3, is_lasting=True)), is_old=True)
+        harness.learn(job("new", step(1)))
+        summary = harness.look()
         self.assertEqual(((WaitReason.RECOVERY, 3), (WaitReason.READY, 1)), summary.counts)
         assert summary.recovery is not None
         self.assertEqual(("cut", "gone"), summary.recovery.unseen)
         self.assertEqual(10.0, summary.recovery.left_s)
-        bench.now_s = 110.1
-        bench.decide()
-        self.assertEqual(WaitSummary(), bench.look())
+        harness.now_s = 110.1
+        harness.decide()
+        self.assertEqual(WaitSummary(), harness.look())
 
     def test_recovery_that_keeps_nothing_back_is_not_told(self) -> None:
         """Workers that are not seen yet are no reason while no earlier task waits."""
-        bench = Watched()
-        bench.scheduler_state.pending_recovery["gone"] = 110.0
-        bench.learn(job("new", step(1)))
-        summary = bench.look()
+        harness = WaitingHarness()
+        harness.scheduler_state.pending_recovery["gone"] = 110.0
+        harness.learn(job("new", step(1)))
+        summary = harness.look()
         self.assertEqual(((WaitReason.UNLISTED, 1),), summary.counts)
         self.assertIsNone(summary.recovery)
 
@@ -379,32 +379,32 @@
         """`tasks_recovering` of the line `pool-state` counts what recovery keeps back, no more."""
         for pending, recovering in (({"gone": 110.0}, 3), ({}, 0)):
             with self.subTest(pending=pending):
-                bench = Bench(view("a"))
-                bench.scheduler_state.pending_recovery.update(pending)
-                bench.learn(job("old", step(3, is_lasting=True)), is_old=True)
-                bench.learn(job("new", step(2)))
-                sizer = PoolSizer(scheduler_state=bench.scheduler_state, limits=SizingLimits())
+                harness = SchedulingHarness(view("a"))
+                harness.scheduler_state.pending_recovery.update(pending)
+                harness.learn(job("old", step(3, is_lasting=True)), is_old=True)
+                harness.learn(job("new", step(2)))
+                sizer = PoolSizer(scheduler_state=harness.scheduler_state, limits=SizingLimits())
                 self.assertEqual(recovering, sizer.state(wall_s=WALL_S)["tasks_recovering"])
 
 
 class LineTests(unittest.TestCase):
     def test_short_waits_are_not_logged(self) -> None:
         """A task that starts within a second leaves no line; a longer wait leaves one a look."""
-        bench = Watched()
-        bench.learn(job("j", step(1)))
+        harness = WaitingHarness()
+        harness.learn(job("j", step(1)))
         for after_s, lines in ((0.0, 0), (0.5, 0), (0.6, 1), (1.0, 2)):
-            self.assertEqual(lines, len(bench.tell(after_s)))
+            self.assertEqual(lines, len(harness.tell(after_s)))
 
     def test_fields(self) -> None:
         """The line names the task, its reason and the workers that are waited for, all bounded."""
-        bench = Watched("a")
+        harness = WaitingHarness("a")
         unseen = {f"w{number}": 120.0 for number in range(MOST_NAMED + 2)}
-        bench.scheduler_state.pending_recovery.update(unseen)
-        bench.learn(job("ends", step(1, label="big")))
-        bench.tell(0.0)
-        bench.learn(job("lasts", step(2, is_lasting=True)), is_old=True)
-        bench.tell(1.0)
-        row = bench.tell(1.0)[-1]
+        harness.scheduler_state.pending_recovery.update(unseen)
+        harness.learn(job("ends", step(1, label="big")))
+        harness.tell(0.0)
+        harness.learn(job("lasts", step(2, is_lasting=True)), is_old=True)
+        harness.tell(1.0)
+        row = harness.tell(1.0)[-1]
         expected = {
             "service": "antenna",
             "token": TOKEN,
@@ -431,16 +431,16 @@
 class CounterTests(unittest.TestCase):
     def test_time_waited_by_reason(self) -> None:
         """The rate of a counter is the number of tasks that wait, also for short waits."""
-        bench = Watched("a")
-        bench.learn(job("j", step(3, label="big")))
-        bench.learn(job("i", step(1, gpus=1)))
+        harness = WaitingHarness("a")
+        harness.learn(job("j", step(3, label="big")))
+        harness.learn(job("i", step(1, gpus=1)))
         for after_s in (0.0, 0.5, 1.0):
-            bench.tell(after_s)
+            harness.tell(after_s)
         expected = {
             "scheduler.waiting_task_ms.antenna.label": 4500,
             "scheduler.waiting_task_ms.antenna.no-room": 1500,
         }
-        self.assertEqual(expected, bench.metrics.counters())
+        self.assertEqual(expected, harness.metrics.counters())
 
 
 class TermTests(unittest.TestCase):
