--- a/bench/crash_loops.py
+++ b/bench/crash_loops.py
@@ -10,8 +10,8 @@
 import random
 
 from tests.crash_history import ReturningWorkers
-from tests.fleet_history import SERVICE, History
 from tests.scheduling_fakes import step, view
+from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 from shallotworks.jobs import JobState, TaskName
@@ -37,10 +37,10 @@
     """
 
     def __init__(self, *, seed: int, crashing_part: float) -> None:
-        self.history = History(seed=seed, workers=0, fleet=ReturningWorkers)
+        self.simulation = SchedulingSimulation(seed=seed, workers=0, fleet=ReturningWorkers)
         for number in range(WORKERS):
             worker = view(f"w{number}", service=SERVICE, cpu_millicores=64_000, memory_mb=256_000)
-            self.history.fleet.add(worker)
+            self.simulation.fleet.add(worker)
         drawn = random.Random(seed).sample(range(JOBS), int(JOBS * crashing_part))
         self.culprits = {_job_id(number) for number in drawn}
         self.handed_in_s: dict[str, float] = {}
@@ -48,31 +48,31 @@
 
     async def play(self) -> None:
         """Hand all jobs in and wait for their ends."""
-        for instance in self.history.instances:
+        for instance in self.simulation.instances:
             instance.start()
         await asyncio.sleep(1.0)
         watching = asyncio.create_task(self._watch())
         await asyncio.gather(*map(self._hand_in, range(JOBS)))
         await asyncio.sleep(AFTER_S)
         watching.cancel()
-        for instance in self.history.instances:
+        for instance in self.simulation.instances:
             await instance.kill()
 
     async def _hand_in(self, number: int) -> None:
-        await asyncio.sleep(self.history.rng.uniform(0, TURN_S))
-        job_id, fleet = _job_id(number), self.history.fleet
+        await asyncio.sleep(self.simulation.rng.uniform(0, TURN_S))
+        job_id, fleet = _job_id(number), self.simulation.fleet
         fleet.cpu_millicores[job_id] = TASK_MILLICORES
         if job_id in self.culprits:
             fleet.crashing.add(TaskName(job_id, 0, 0, 0))
         self.handed_in_s[job_id] = asyncio.get_running_loop().time()
         tasks = step(TASKS_A_JOB, cpu_millicores=TASK_MILLICORES, memory_mb=1_000, estimated_s=0.8)
-        await self.history.submit(job_id, tasks)
+        await self.simulation.submit(job_id, tasks)
 
     async def _watch(self) -> None:
         while True:
             now_s = asyncio.get_running_loop().time()
             for job_id in self.handed_in_s.keys() - self.ended.keys():
-                state = self.history.state(job_id)
+                state = self.simulation.state(job_id)
                 if state is not None and state.is_final:
                     self.ended[job_id] = (now_s, state)
             await asyncio.sleep(POLL_S)
@@ -95,7 +95,7 @@
             len(sound) - len(took_s) - failed,
             len(self.culprits),
             culprits,
-            self.history.fleet.crashes.total(),
+            self.simulation.fleet.crashes.total(),
         )
         return "".join(f"{figure:>9}" for figure in figures)
 
--- a/bench/jobs.py
+++ b/bench/jobs.py
@@ -11,8 +11,8 @@
 import socket
 import time
 
-from tests.fleet_history import SERVICE, History
 from tests.scheduling_fakes import quiet_log, step, view
+from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 
 from shallotworks.jobs import JobRequestHandler
 from shallotworks.metrics import Metrics
@@ -87,15 +87,15 @@
 
 
 async def _give_orders() -> None:
-    history = History(seed=1, workers=0, instances=1)
+    simulation = SchedulingSimulation(seed=1, workers=0, instances=1)
     for number in range(WORKERS):
-        history.fleet.add(view(f"w{number}", service=SERVICE, cpu_millicores=64_000))
-    history.instances[0].start()
+        simulation.fleet.add(view(f"w{number}", service=SERVICE, cpu_millicores=64_000))
+    simulation.instances[0].start()
     await asyncio.sleep(1.0)
     began_s, began_cpu_s = time.monotonic(), time.process_time()
     jobs = TASKS // 8
-    await asyncio.gather(*(history.submit(f"{number:016x}", step(8)) for number in range(jobs)))
-    while history.fleet.started < TASKS or len(history.fleet.noted) < TASKS:
+    await asyncio.gather(*(simulation.submit(f"{number:016x}", step(8)) for number in range(jobs)))
+    while simulation.fleet.started < TASKS or len(simulation.fleet.noted) < TASKS:
         await asyncio.sleep(0.02)
     took_s, cpu_s = time.monotonic() - began_s, time.process_time() - began_cpu_s
     print(
@@ -103,18 +103,18 @@
         f"{TASKS / took_s:.0f} starts a second; {cpu_s / TASKS * 1e6:.0f} us of processor time a "
         "task with its worker and store"
     )
-    await history.instances[0].kill()
+    await simulation.instances[0].kill()
 
 
 async def _idle(workers: int) -> None:
-    history = History(seed=1, workers=workers, instances=1)
-    history.instances[0].start()
+    simulation = SchedulingSimulation(seed=1, workers=workers, instances=1)
+    simulation.instances[0].start()
     await asyncio.sleep(2.0)
     began_cpu_s = time.process_time()
     await asyncio.sleep(IDLE_S)
     cores = (time.process_time() - began_cpu_s) / IDLE_S
     print(f"idle at {workers} workers: {cores * 100:.2f}% of a core with the stand-ins")
-    await history.instances[0].kill()
+    await simulation.instances[0].kill()
 
 
 def _free_address() -> str:
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -11,8 +11,8 @@
 import random
 import statistics
 
-from tests.fleet_history import History
 from tests.scheduling_fakes import step
+from tests.scheduling_simulation import SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 from shallotworks.jobs import TaskName
@@ -22,39 +22,39 @@
 WATCHED_S = 15.0
 
 
-async def _hand_in_on(history: History) -> None:
+async def _hand_in_on(simulation: SchedulingSimulation) -> None:
     number = 0
     while True:
         number += 1
-        work = asyncio.create_task(history.submit(f"{number:016x}", step(1, estimated_s=0.5)))
+        work = asyncio.create_task(simulation.submit(f"{number:016x}", step(1, estimated_s=0.5)))
         work.add_done_callback(lambda done: done.cancelled() or done.exception())
         await asyncio.sleep(JOB_EVERY_S)
 
 
 async def _measure(seed: int, *, is_planned: bool) -> tuple[float, float]:
-    history = History(seed=seed, workers=2)
+    simulation = SchedulingSimulation(seed=seed, workers=2)
     loop = asyncio.get_running_loop()
-    for instance in history.instances:
+    for instance in simulation.instances:
         instance.start()
     await asyncio.sleep(1.0)
-    callers = asyncio.create_task(_hand_in_on(history))
+    callers = asyncio.create_task(_hand_in_on(simulation))
     await asyncio.sleep(random.Random(seed).uniform(3.0, 5.0))
-    scheduler = history.scheduler()
+    scheduler = simulation.scheduler()
     assert scheduler is not None
-    before = set(history.accepted)
-    begun = set(history.fleet.begun)
+    before = set(simulation.accepted)
+    begun = set(simulation.fleet.begun)
     at_s = loop.time()
     ended = asyncio.create_task(
-        scheduler.elector.stop() if is_planned else history.replace(scheduler)
+        scheduler.elector.stop() if is_planned else simulation.replace(scheduler)
     )
     firsts = [float("inf"), float("inf")]
     while loop.time() - at_s < WATCHED_S and float("inf") in firsts:
         await asyncio.sleep(0.01)
-        _note(history.fleet.begun - begun, before, firsts, loop.time() - at_s)
+        _note(simulation.fleet.begun - begun, before, firsts, loop.time() - at_s)
     callers.cancel()
     await asyncio.gather(callers, ended, return_exceptions=True)
     await asyncio.sleep(1.0)
-    for instance in history.instances:
+    for instance in simulation.instances:
         await instance.kill()
     return firsts[0], firsts[1]
 
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -12,8 +12,8 @@
 import time
 from collections import deque
 
-from tests.fleet_history import SERVICE, History, Instance
 from tests.scheduling_fakes import step, view
+from tests.scheduling_simulation import SERVICE, Instance, SchedulingSimulation
 
 from shallotworks.scheduling import (
     EndedTask,
@@ -137,9 +137,9 @@
 
 
 async def _play(workers: int, asked: int) -> None:
-    history = History(seed=1, workers=0, instances=1)
+    simulation = SchedulingSimulation(seed=1, workers=0, instances=1)
     fleet = LightWorkers(workers=workers)
-    instance: Instance = history.instances[0]
+    instance: Instance = simulation.instances[0]
     instance.directory = fleet
     instance.orders = fleet  # type: ignore[assignment]
     instance.start()
@@ -152,7 +152,7 @@
         longest_s, last_s = max(longest_s, now_s - last_s), now_s
         while given < (now_s - began_s) * asked / TASKS_A_JOB:
             job = step(TASKS_A_JOB, cpu_millicores=7_000, memory_mb=9_000, estimated_s=TASK_S)
-            submitted.append(asyncio.create_task(history.submit(f"{given:016x}", job)))
+            submitted.append(asyncio.create_task(simulation.submit(f"{given:016x}", job)))
             given += 1
         await asyncio.sleep(0.005)
     started = fleet.started - before
--- a/tests/lasting_history.py
+++ b/tests/lasting_task_simulation.py
@@ -49,10 +49,10 @@
     TaskWorkers,
 )
 from shallotworks.store import Holder, Mirror
-from tests.fleet_history import SERVICE, AllAllowed, Instance
 from tests.scheduling_fakes import policy, quiet_log, step, view
+from tests.scheduling_simulation import SERVICE, AllAllowed, Instance
 
-__all__ = ["RUNS_AGAIN_S", "LastingHistory", "lasting"]
+__all__ = ["RUNS_AGAIN_S", "LastingTaskSimulation", "lasting"]
 
 RUNS_AGAIN_S = 10.0
 """A lasting task with room for it runs again within this after the last trouble. Source: the users'
@@ -96,7 +96,7 @@
     return step(count, **(given | changes))
 
 
-class Journal(StructuredLog):
+class RecordingLog(StructuredLog):
     """Keeps an instance's log lines, at the scenario's times.
 
     Args:
@@ -273,7 +273,7 @@
             self.violations.append(f"{now_s:.3f} {name} is {how} while {away} are away")
 
 
-class LastingHistory:
+class LastingTaskSimulation:
     """A store, workers, instances and lasting jobs; judged all the while.
 
     Args:
@@ -355,7 +355,7 @@
 
     # ---- callers
 
-    async def hand_in(self, job_id: str, *steps: Step) -> None:
+    async def submit(self, job_id: str, *steps: Step) -> None:
         """Hand in a lasting job at drawn instances until it is accepted."""
         one = Job(job_id=job_id, policy=policy(service=SERVICE), spec="x", steps=steps)
         self.fleet.lasting.add(job_id)
@@ -402,7 +402,7 @@
             faults=self._faults,
             fleet=self.fleet,
             silent=self.fleet.silent,
-            log=Journal(process=name, lines=self.lines),
+            log=RecordingLog(process=name, lines=self.lines),
         )
         self.instances.append(instance)
         self._all_instances.append(instance)
@@ -737,7 +737,7 @@
     def _note(self, event: str, subject: str) -> None:
         self.lines.append(f"{_now_s():8.3f} story {subject} {event}")
 
-    def judged(self) -> list[str]:
+    def all_violations(self) -> list[str]:
         """Return what broke a rule, with jobs whose stored state is wrong at the end."""
         found = [*self.violations, *self.fleet.violations]
         for job_id in self._accepted:
--- a/tests/fleet_history.py
+++ b/tests/scheduling_simulation.py
@@ -112,7 +112,7 @@
         await service_scheduler.run()
 
 
-class History:
+class SchedulingSimulation:
     """A store, workers, instances and callers; judged at the end.
 
     Args:
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -30,10 +30,10 @@
     TaskWorkers,
 )
 from shallotworks.store import HolderTimes
-from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
-from tests.lasting_history import RUNS_AGAIN_S
+from tests.lasting_task_simulation import RUNS_AGAIN_S
 from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
+from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000ab"
@@ -42,34 +42,34 @@
 LONG = HolderTimes(ttl_s=60.0)
 
 
-def _recorded(history: History) -> set[str]:
-    item = history.store.items.get(active_workers_key(SERVICE))
+def _recorded(simulation: SchedulingSimulation) -> set[str]:
+    item = simulation.store.items.get(active_workers_key(SERVICE))
     return set(ActiveWorkersRecord.decode(item.value)) if item is not None else set()
 
 
-async def _begun(*, workers: int, instances: int) -> History:
+async def _begun(*, workers: int, instances: int) -> SchedulingSimulation:
     """Return a history in which one lasting task runs."""
-    history = History(seed=3, workers=workers, instances=instances)
-    history.fleet.lasting.add(JOB_ID)
-    for instance in history.instances:
+    simulation = SchedulingSimulation(seed=3, workers=workers, instances=instances)
+    simulation.fleet.lasting.add(JOB_ID)
+    for instance in simulation.instances:
         instance.start()
     await asyncio.sleep(1.0)
-    await history.submit(JOB_ID, step(1, is_lasting=True))
+    await simulation.submit(JOB_ID, step(1, is_lasting=True))
     await asyncio.sleep(BEGUN_S)
-    return history
+    return simulation
 
 
-async def _end(history: History) -> None:
-    for instance in history.instances:
+async def _end(simulation: SchedulingSimulation) -> None:
+    for instance in simulation.instances:
         await instance.kill()
 
 
-async def _until_it_runs(history: History) -> float:
+async def _until_it_runs(simulation: SchedulingSimulation) -> float:
     """Return the time that passes until the task runs on a worker that is up."""
     loop = asyncio.get_running_loop()
     begun_s = loop.time()
     while loop.time() - begun_s < 30.0:
-        for worker in history.fleet.workers.values():
+        for worker in simulation.fleet.workers.values():
             if worker.is_alive:
                 worker.end_due_runs()
                 if NAME in worker.names():
@@ -87,22 +87,22 @@
         """
 
         async def scenario() -> None:
-            history = await _begun(workers=4, instances=1)
-            busy = next(one for one in history.fleet.workers.values() if one.names())
+            simulation = await _begun(workers=4, instances=1)
+            busy = next(one for one in simulation.fleet.workers.values() if one.names())
             crashed, drained, kept = (
-                one for one in history.fleet.workers.values() if one is not busy
+                one for one in simulation.fleet.workers.values() if one is not busy
             )
-            self.assertEqual(set(history.fleet.workers), _recorded(history))
+            self.assertEqual(set(simulation.fleet.workers), _recorded(simulation))
             crashed.crash()
             drained.view = view(drained.view.worker_id, service=SERVICE, is_draining=True)
-            history.fleet.changes += 1
+            simulation.fleet.changes += 1
             await asyncio.sleep(2.5)
-            self.assertEqual({busy.view.worker_id, kept.view.worker_id}, _recorded(history))
+            self.assertEqual({busy.view.worker_id, kept.view.worker_id}, _recorded(simulation))
             drained.view = view(drained.view.worker_id, service=SERVICE)
-            history.fleet.changes += 1
+            simulation.fleet.changes += 1
             await asyncio.sleep(0.5)
-            self.assertIn(drained.view.worker_id, _recorded(history))
-            await _end(history)
+            self.assertIn(drained.view.worker_id, _recorded(simulation))
+            await _end(simulation)
 
         run_scenario(scenario())
 
@@ -158,17 +158,17 @@
         """A scheduler that can't read whom its predecessor used waits, and then goes on."""
 
         async def scenario() -> None:
-            history = History(seed=4, workers=1, instances=1)
-            history.fleet.lasting.add(JOB_ID)
-            await history.submit(JOB_ID, step(1, is_lasting=True))
-            history.store.put(active_workers_key(SERVICE), b'{"w0": "127.0.0.1:1"}')
-            history.instances[0].start()
-            took_s = await _until_it_runs(history)
+            simulation = SchedulingSimulation(seed=4, workers=1, instances=1)
+            simulation.fleet.lasting.add(JOB_ID)
+            await simulation.submit(JOB_ID, step(1, is_lasting=True))
+            simulation.store.put(active_workers_key(SERVICE), b'{"w0": "127.0.0.1:1"}')
+            simulation.instances[0].start()
+            took_s = await _until_it_runs(simulation)
             self.assertGreater(took_s, OrderTimes().recovery_s)
             self.assertLess(took_s, RUNS_AGAIN_S)
             await asyncio.sleep(2.0)
-            self.assertEqual({"w0"}, _recorded(history))
-            await _end(history)
+            self.assertEqual({"w0"}, _recorded(simulation))
+            await _end(simulation)
 
         run_scenario(scenario())
 
@@ -225,23 +225,23 @@
         """
 
         async def scenario() -> None:
-            history = History(seed=5, workers=8, instances=1)
+            simulation = SchedulingSimulation(seed=5, workers=8, instances=1)
             job_ids = [f"{number:016x}" for number in range(1, 9)]
             for number, job_id in enumerate(job_ids):
-                history.fleet.work_s[job_id] = 1.0 + 0.01 * number
-            (scheduler,) = history.instances
+                simulation.fleet.work_s[job_id] = 1.0 + 0.01 * number
+            (scheduler,) = simulation.instances
             scheduler.start()
             await asyncio.sleep(1.0)
             whole_worker = step(1, cpu_millicores=4000)
-            await asyncio.gather(*(history.submit(one, whole_worker) for one in job_ids))
+            await asyncio.gather(*(simulation.submit(one, whole_worker) for one in job_ids))
             scheduler_state = scheduler.service_schedulers[-1].scheduler_state
-            while len(history.fleet.done) < 2 or not scheduler_state.dirty():
+            while len(simulation.fleet.done) < 2 or not scheduler_state.dirty():
                 await asyncio.sleep(0.001)
             # A store that answers this slowly has not answered before the key is given back.
             scheduler.view.faults.delay_s = 0.05
             await scheduler.elector.stop()
             self.assertEqual([], scheduler_state.dirty())
-            await _end(history)
+            await _end(simulation)
 
         run_scenario(scenario())
 
@@ -308,15 +308,15 @@
         """
 
         async def scenario() -> None:
-            history = await _begun(workers=2, instances=2)
-            busy = next(one for one in history.fleet.workers.values() if one.names())
-            scheduler = history.scheduler()
+            simulation = await _begun(workers=2, instances=2)
+            busy = next(one for one in simulation.fleet.workers.values() if one.names())
+            scheduler = simulation.scheduler()
             assert scheduler is not None
             busy.crash()
-            await history.replace(scheduler)
-            self.assertLess(await _until_it_runs(history), RUNS_AGAIN_S)
-            self.assertEqual([], history.fleet.violations)
-            await _end(history)
+            await simulation.replace(scheduler)
+            self.assertLess(await _until_it_runs(simulation), RUNS_AGAIN_S)
+            self.assertEqual([], simulation.fleet.violations)
+            await _end(simulation)
 
         run_scenario(scenario())
 
@@ -328,23 +328,23 @@
         """
 
         async def scenario() -> None:
-            history = await _begun(workers=2, instances=5)
-            busy = next(one for one in history.fleet.workers.values() if one.names())
-            scheduler = history.scheduler()
+            simulation = await _begun(workers=2, instances=5)
+            busy = next(one for one in simulation.fleet.workers.values() if one.names())
+            scheduler = simulation.scheduler()
             assert scheduler is not None
             busy.crash()
-            await history.replace(scheduler)
-            waited = asyncio.create_task(_until_it_runs(history))
+            await simulation.replace(scheduler)
+            waited = asyncio.create_task(_until_it_runs(simulation))
             await asyncio.sleep(2.5)
             for _ in range(4):
                 await asyncio.sleep(2.0)
-                scheduler = history.scheduler()
+                scheduler = simulation.scheduler()
                 if scheduler is not None:
                     await scheduler.elector.stop()
-                    history.instances.remove(scheduler)
+                    simulation.instances.remove(scheduler)
             self.assertLess(await waited, RUNS_AGAIN_S + 2.0)
-            self.assertEqual([], history.fleet.violations)
-            await _end(history)
+            self.assertEqual([], simulation.fleet.violations)
+            await _end(simulation)
 
         run_scenario(scenario())
 
@@ -357,16 +357,16 @@
         times = OrderTimes()
 
         async def scenario() -> float:
-            history = await _begun(workers=1, instances=1)
-            scheduler = history.instances[0]
+            simulation = await _begun(workers=1, instances=1)
+            scheduler = simulation.instances[0]
             # The key's last renewal may have been confirmed just now.
             scheduler.view.faults.is_down = True
             begun_s = asyncio.get_running_loop().time()
-            (worker,) = history.fleet.workers.values()
+            (worker,) = simulation.fleet.workers.values()
             while worker.names():
                 worker.end_due_runs()
                 await asyncio.sleep(0.02)
-            await _end(history)
+            await _end(simulation)
             return asyncio.get_running_loop().time() - begun_s
 
         lasted_s = run_scenario(scenario())
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -44,9 +44,9 @@
     TaskWorkers,
 )
 from shallotworks.store import Holder, Mirror
-from tests.fleet_history import AllAllowed
 from tests.held_keys import acquire
 from tests.scheduling_fakes import policy, quiet_log, step, view
+from tests.scheduling_simulation import AllAllowed
 from tests.virtual_clock import run_scenario
 
 SERVICE = "antenna"
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -11,8 +11,8 @@
 from shallotworks.logs import StructuredLog
 from shallotworks.scheduling import OrderOutcome, OrderStatus, StartOrder, WorkerView
 from tests.crash_history import ReturningWorkers
-from tests.fleet_history import History
 from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, step, view
+from tests.scheduling_simulation import SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 CRASHES = [("refused", False), ("silent", True)]
@@ -23,9 +23,9 @@
 """Time for three crashes, each noticed within 3.6 s, and a takeover."""
 
 
-def history(seed: int, *, workers: int = 6, is_silent: bool = False) -> History:
+def simulation(seed: int, *, workers: int = 6, is_silent: bool = False) -> SchedulingSimulation:
     """Return a history whose first task of one job crashes its workers."""
-    one = History(seed=seed, workers=workers, fleet=ReturningWorkers)
+    one = SchedulingSimulation(seed=seed, workers=workers, fleet=ReturningWorkers)
     one.fleet.is_silent = is_silent
     one.fleet.crashing.add(CULPRIT)
     for instance in one.instances:
@@ -65,7 +65,7 @@
         """A task was started without end, and each start cost a worker with all that it ran."""
 
         async def scenario() -> None:
-            one = history(seed=1, is_silent=is_silent)
+            one = simulation(seed=1, is_silent=is_silent)
             await asyncio.sleep(1.0)
             await one.submit(JOB_ID, step(2, estimated_s=0.8))
             await asyncio.sleep(GIVEN_UP_WITHIN_S)
@@ -81,7 +81,7 @@
         """Each scheduler was killed before it knew of a crash, and its successor counted anew."""
 
         async def scenario() -> None:
-            one = history(seed=2, is_silent=is_silent)
+            one = simulation(seed=2, is_silent=is_silent)
             await asyncio.sleep(1.0)
             await one.submit(JOB_ID, step(1, estimated_s=0.8))
             for _ in range(6):
@@ -110,7 +110,7 @@
         """Tasks that only stood on the same workers as one that crashes them were lost with it."""
 
         async def scenario() -> None:
-            one = history(seed=3, workers=8, is_silent=is_silent)
+            one = simulation(seed=3, workers=8, is_silent=is_silent)
             await asyncio.sleep(1.0)
             others = [f"{number:016x}" for number in range(1, 9)]
             await asyncio.gather(
@@ -129,7 +129,7 @@
         """A sound job was failed for starts to workers that had died unseen before."""
 
         async def scenario() -> None:
-            one = History(seed=4, workers=1, instances=1, fleet=ReturningWorkers)
+            one = SchedulingSimulation(seed=4, workers=1, instances=1, fleet=ReturningWorkers)
             orders = one.instances[0].orders
             start, refused = orders.start, []
 
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -23,9 +23,9 @@
 from shallotworks.scheduling._progress_writer import ProgressWriter
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Commit, Holder, HolderTimes, Write
-from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
 from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
+from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 KEYS = JobKeys(service=SERVICE)
@@ -41,18 +41,18 @@
         """
 
         async def scenario() -> None:
-            history = History(seed=1)
-            for instance in history.instances:
+            simulation = SchedulingSimulation(seed=1)
+            for instance in simulation.instances:
                 instance.start()
-            await history.submit("done", step(2))
-            await history.submit("cancelled", step(1, estimated_s=60.0))
-            self.assertIn(KEYS.job("done"), history.store.items)
-            await history.cancel("cancelled")
+            await simulation.submit("done", step(2))
+            await simulation.submit("cancelled", step(1, estimated_s=60.0))
+            self.assertIn(KEYS.job("done"), simulation.store.items)
+            await simulation.cancel("cancelled")
             await asyncio.sleep(8.0)
             for name, state in (("done", JobState.COMPLETED), ("cancelled", JobState.CANCELLED)):
-                self.assertIs(state, history.state(name))
-                self.assertNotIn(KEYS.job(name), history.store.items)
-            for instance in history.instances:
+                self.assertIs(state, simulation.state(name))
+                self.assertNotIn(KEYS.job(name), simulation.store.items)
+            for instance in simulation.instances:
                 await instance.kill()
 
         run_scenario(scenario())
@@ -149,20 +149,20 @@
         """
 
         async def scenario() -> None:
-            history = History(seed=2)
-            for instance in history.instances:
+            simulation = SchedulingSimulation(seed=2)
+            for instance in simulation.instances:
                 instance.start()
             await asyncio.sleep(1.0)
-            await history.submit("0" * 16, step(1, estimated_s=60.0))
+            await simulation.submit("0" * 16, step(1, estimated_s=60.0))
             await asyncio.sleep(0.3)
-            scheduler = history.scheduler()
+            scheduler = simulation.scheduler()
             assert scheduler is not None
-            record = history.store.items[f"shallotworks/runners/{SERVICE}"]
+            record = simulation.store.items[f"shallotworks/runners/{SERVICE}"]
             self.assertEqual(4, len(json.loads(record.value)))
             await scheduler.elector.stop()
-            record = history.store.items[f"shallotworks/runners/{SERVICE}"]
+            record = simulation.store.items[f"shallotworks/runners/{SERVICE}"]
             self.assertEqual(1, len(json.loads(record.value)))
-            for instance in history.instances:
+            for instance in simulation.instances:
                 await instance.kill()
 
         run_scenario(scenario())
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -33,8 +33,8 @@
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.standins._http_listener import HttpListener, answer_json
 from shallotworks.store import Item, Mirror
-from tests.fleet_history import SERVICE, History
 from tests.scheduling_fakes import quiet_log, step
+from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 FUZZ_ENTRIES = 600
@@ -580,12 +580,12 @@
             await asyncio.sleep(SETTLE_S)
             self.assertFalse(fleet.scheduler_state.workers[busy].is_listed)
             for number in range(1, 9):
-                await fleet.history.submit(f"{number:016x}", step(2))
+                await fleet.simulation.submit(f"{number:016x}", step(2))
                 await asyncio.sleep(0.5)
                 self.assertEqual(1, len(fleet.scheduler_state.workers[busy].runs))
             await asyncio.sleep(16.0)
-            self.assertEqual(1 + 8 * 2, fleet.history.fleet.started)
-            self.assertEqual([], fleet.history.violations())
+            self.assertEqual(1 + 8 * 2, fleet.simulation.fleet.started)
+            self.assertEqual([], fleet.simulation.violations())
 
         run_scenario(RegisteredFleet().play(scenario))
 
@@ -616,22 +616,22 @@
     """One scheduler and two workers that it hears of by their entries in the store."""
 
     def __init__(self) -> None:
-        self.history = History(seed=3, workers=2, instances=1)
+        self.simulation = SchedulingSimulation(seed=3, workers=2, instances=1)
         self._registry = WorkerRegistry(log=quiet_log())
         self._registry.is_synced = True
-        self._instance = self.history.instances[0]
+        self._instance = self.simulation.instances[0]
         self._instance.directory = self._registry
 
     async def play(self, scenario: Callable[[RegisteredFleet], Awaitable[None]]) -> None:
         """Play a scenario once both workers are known."""
         mirror = Mirror(
-            store=FaultInjectingStore(store=self.history.store),
+            store=FaultInjectingStore(store=self.simulation.store),
             prefix="servers/",
             listener=self._registry,
             log=quiet_log(),
         )
         follower = asyncio.create_task(mirror.run())
-        for worker_id in self.history.fleet.workers:
+        for worker_id in self.simulation.fleet.workers:
             self.register(worker_id)
         self._instance.start()
         await asyncio.sleep(SETTLE_S)
@@ -646,7 +646,7 @@
 
     def write(self, worker_id: str, value: bytes) -> None:
         """Write an entry."""
-        self.history.store.put(f"servers/{worker_id}", value)
+        self.simulation.store.put(f"servers/{worker_id}", value)
 
     def register(self, worker_id: str) -> None:
         """Write the entry that the worker itself writes."""
@@ -656,10 +656,10 @@
     async def run_long_task(self, length_s: float) -> str:
         """Have a task run; return the worker that runs it."""
         job_id = "0" * 16
-        self.history.fleet.work_s[job_id] = length_s
-        await self.history.submit(job_id, step(1, estimated_s=length_s, is_checkpointed=True))
+        self.simulation.fleet.work_s[job_id] = length_s
+        await self.simulation.submit(job_id, step(1, estimated_s=length_s, is_checkpointed=True))
         await asyncio.sleep(SETTLE_S)
-        (busy,) = (key for key, one in self.history.fleet.workers.items() if one.names())
+        (busy,) = (key for key, one in self.simulation.fleet.workers.items() if one.names())
         return busy
 
 
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -1,7 +1,7 @@
 """Lasting tasks run again soon after each trouble, never twice at once, never too few by our doing.
 
 A task that is to last and has room must run again within `RUNS_AGAIN_S` of the last trouble. A
-breach tells the scenario's time; `LastingHistory.lines` holds what the instances logged.
+breach tells the scenario's time; `LastingTaskSimulation.lines` holds what the instances logged.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from parameterized import parameterized
 
 from shallotworks.scheduling import OrderStatus
-from tests.lasting_history import RUNS_AGAIN_S, LastingHistory, lasting
+from tests.lasting_task_simulation import RUNS_AGAIN_S, LastingTaskSimulation, lasting
 from tests.virtual_clock import run_scenario
 
 SETTLED_S = 4.0
@@ -31,10 +31,12 @@
 TROUBLES_A_MIX = 6
 LONGEST_PAUSE_S = 4.0
 
-Trouble = Callable[[LastingHistory], Awaitable[None]]
+Trouble = Callable[[LastingTaskSimulation], Awaitable[None]]
 
 
-def play(trouble: Trouble, *, seed: int = 1, before: Trouble | None = None) -> LastingHistory:
+def play(
+    trouble: Trouble, *, seed: int = 1, before: Trouble | None = None
+) -> LastingTaskSimulation:
     """Play one scenario: two jobs that run, a trouble, and a while in which to recover.
 
     Args:
@@ -43,78 +45,78 @@
         before: What happened well before.
     """
 
-    async def scenario() -> LastingHistory:
-        history = LastingHistory(seed=seed)
-        history.start()
-        await history.hand_in(JOB, lasting(3))
-        await history.hand_in(SECOND_JOB, lasting(2), lasting(2, most_per_worker=1))
+    async def scenario() -> LastingTaskSimulation:
+        simulation = LastingTaskSimulation(seed=seed)
+        simulation.start()
+        await simulation.submit(JOB, lasting(3))
+        await simulation.submit(SECOND_JOB, lasting(2), lasting(2, most_per_worker=1))
         await asyncio.sleep(SETTLED_S)
         if before is not None:
-            await before(history)
+            await before(simulation)
             await asyncio.sleep(LEFT_BEFORE_S)
-        await trouble(history)
-        await history.recover(AFTER_S)
-        await history.close()
-        return history
+        await trouble(simulation)
+        await simulation.recover(AFTER_S)
+        await simulation.close()
+        return simulation
 
     return run_scenario(scenario())
 
 
-def used_worker(history: LastingHistory) -> str:
+def used_worker(simulation: LastingTaskSimulation) -> str:
     """Return the first worker that runs a task, or the first one where none does."""
-    up = [(key, one) for key, one in history.fleet.workers.items() if one.is_alive]
+    up = [(key, one) for key, one in simulation.fleet.workers.items() if one.is_alive]
     used = [worker_id for worker_id, worker in up if worker.names()]
     return (used or [worker_id for worker_id, _ in up])[0]
 
 
-async def one_leaves(history: LastingHistory) -> None:
-    await history.leave(used_worker(history))
+async def one_leaves(simulation: LastingTaskSimulation) -> None:
+    await simulation.leave(used_worker(simulation))
 
 
-async def a_worker_crashes(history: LastingHistory) -> None:
-    history.crash(used_worker(history))
+async def a_worker_crashes(simulation: LastingTaskSimulation) -> None:
+    simulation.crash(used_worker(simulation))
 
 
-async def one_leaves_unanswering(history: LastingHistory) -> None:
-    await history.leave(used_worker(history), absence=OrderStatus.UNANSWERED)
+async def one_leaves_unanswering(simulation: LastingTaskSimulation) -> None:
+    await simulation.leave(used_worker(simulation), absence=OrderStatus.UNANSWERED)
 
 
 def together(first: Trouble, second: Trouble, *, after_s: float) -> Trouble:
     """Bring both about, the second one a little later."""
 
-    async def both(history: LastingHistory) -> None:
+    async def both(simulation: LastingTaskSimulation) -> None:
         async def later() -> None:
             await asyncio.sleep(after_s)
-            await second(history)
+            await second(simulation)
 
-        await asyncio.gather(first(history), later())
+        await asyncio.gather(first(simulation), later())
 
     return both
 
 
 class ScenarioTests(unittest.TestCase):
-    def assert_recovered(self, history: LastingHistory) -> None:
+    def assert_recovered(self, simulation: LastingTaskSimulation) -> None:
         """Nothing broke a rule, and all tasks ran soon after the last trouble."""
-        self.assertEqual([], history.judged())
-        self.assertGreater(history.fleet.started, 0)
-        self.assertLessEqual(history.recovered_after_s, RUNS_AGAIN_S)
+        self.assertEqual([], simulation.all_violations())
+        self.assertGreater(simulation.fleet.started, 0)
+        self.assertLessEqual(simulation.recovered_after_s, RUNS_AGAIN_S)
 
 
 # ---- all instances at once
 
 
-async def all_killed(history: LastingHistory) -> None:
-    await history.kill_all(restart_s=1.0)
+async def all_killed(simulation: LastingTaskSimulation) -> None:
+    await simulation.kill_all(restart_s=1.0)
 
 
-async def all_killed_for_longer(history: LastingHistory) -> None:
-    await history.kill_all(restart_s=3.0)
+async def all_killed_for_longer(simulation: LastingTaskSimulation) -> None:
+    await simulation.kill_all(restart_s=3.0)
 
 
-async def all_killed_twice(history: LastingHistory) -> None:
-    await history.kill_all(restart_s=1.0)
+async def all_killed_twice(simulation: LastingTaskSimulation) -> None:
+    await simulation.kill_all(restart_s=1.0)
     await asyncio.sleep(2.5)
-    await history.kill_all(restart_s=1.0)
+    await simulation.kill_all(restart_s=1.0)
 
 
 class AllKilledTests(ScenarioTests):
@@ -153,27 +155,27 @@
 
 
 def killed_in_turn(every_s: float) -> Trouble:
-    async def trouble(history: LastingHistory) -> None:
+    async def trouble(simulation: LastingTaskSimulation) -> None:
         for _ in range(TURNS):
-            await history.kill_scheduler()
+            await simulation.kill_scheduler()
             await asyncio.sleep(every_s)
 
     return trouble
 
 
 def stopped_in_turn(every_s: float) -> Trouble:
-    async def trouble(history: LastingHistory) -> None:
+    async def trouble(simulation: LastingTaskSimulation) -> None:
         for _ in range(TURNS):
-            await history.stop_scheduler()
+            await simulation.stop_scheduler()
             await asyncio.sleep(every_s)
 
     return trouble
 
 
 def keys_revoked(every_s: float) -> Trouble:
-    async def trouble(history: LastingHistory) -> None:
+    async def trouble(simulation: LastingTaskSimulation) -> None:
         for _ in range(TURNS):
-            history.revoke_keys()
+            simulation.revoke_keys()
             await asyncio.sleep(every_s)
 
     return trouble
@@ -214,8 +216,8 @@
     are_leases_paused: bool,
     are_entries_lost: bool = False,
 ) -> Trouble:
-    async def trouble(history: LastingHistory) -> None:
-        await history.outage(
+    async def trouble(simulation: LastingTaskSimulation) -> None:
+        await simulation.outage(
             for_s,
             is_silent=is_silent,
             are_leases_paused=are_leases_paused,
@@ -228,11 +230,11 @@
 def leaving_after(trouble: Trouble) -> Trouble:
     """Let a worker leave just after a trouble."""
 
-    async def both(history: LastingHistory) -> None:
-        worker_id = used_worker(history)
-        await trouble(history)
+    async def both(simulation: LastingTaskSimulation) -> None:
+        worker_id = used_worker(simulation)
+        await trouble(simulation)
         await asyncio.sleep(0.5)
-        await history.leave(worker_id)
+        await simulation.leave(worker_id)
 
     return both
 
@@ -295,13 +297,15 @@
                     up_s: list[float] = []
 
                     async def trouble(
-                        history: LastingHistory, for_s: float = for_s, up_s: list[float] = up_s
+                        simulation: LastingTaskSimulation,
+                        for_s: float = for_s,
+                        up_s: list[float] = up_s,
                     ) -> None:
-                        await history.outage(for_s, is_silent=is_silent)
+                        await simulation.outage(for_s, is_silent=is_silent)
                         up_s.append(asyncio.get_running_loop().time())
 
-                    history = play(trouble, before=before)
-                    self.assertLessEqual(history.terms_begun_after(up_s[0]), 1)
+                    simulation = play(trouble, before=before)
+                    self.assertLessEqual(simulation.terms_begun_after(up_s[0]), 1)
 
     def test_an_offer_that_is_taken_back_meanwhile(self) -> None:
         """A task is taken away with its worker just after the store is back.
@@ -312,17 +316,17 @@
         free, and the keeper, which asks there just before its order, takes it away.
         """
 
-        async def trouble(history: LastingHistory) -> None:
-            await history.hand_in(SPREAD_JOB, lasting(5, most_per_worker=1))
+        async def trouble(simulation: LastingTaskSimulation) -> None:
+            await simulation.submit(SPREAD_JOB, lasting(5, most_per_worker=1))
             await asyncio.sleep(SETTLED_S)
-            (idle,) = history.offered()
-            lost = used_worker(history)
-            history.crash(lost)
-            history.fleet.absences[lost] = OrderStatus.GONE
-            while history.is_held_back(idle):
+            (idle,) = simulation.offered()
+            lost = used_worker(simulation)
+            simulation.crash(lost)
+            simulation.fleet.absences[lost] = OrderStatus.GONE
+            while simulation.is_held_back(idle):
                 await asyncio.sleep(0.001)
-            await history.outage(3.6, is_silent=True)
-            await history.lend_worker()
+            await simulation.outage(3.6, is_silent=True)
+            await simulation.lend_worker()
 
         self.assert_recovered(play(trouble))
 
@@ -334,12 +338,12 @@
         tasks lapse again. The next terms wait for the worker that left.
         """
 
-        async def trouble(history: LastingHistory) -> None:
-            await history.outage(5.8)
+        async def trouble(simulation: LastingTaskSimulation) -> None:
+            await simulation.outage(5.8)
             await asyncio.sleep(2.5)
-            await one_leaves(history)
+            await one_leaves(simulation)
             await asyncio.sleep(7.5)
-            await history.outage(10.1, is_silent=True)
+            await simulation.outage(10.1, is_silent=True)
 
         self.assert_recovered(play(trouble))
 
@@ -347,37 +351,37 @@
 # ---- workers
 
 
-async def a_worker_is_replaced(history: LastingHistory) -> None:
-    await history.replace_worker(used_worker(history))
+async def a_worker_is_replaced(simulation: LastingTaskSimulation) -> None:
+    await simulation.replace_worker(used_worker(simulation))
 
 
-async def a_worker_is_silent_for_short(history: LastingHistory) -> None:
-    await history.silence(used_worker(history), 2.5)
+async def a_worker_is_silent_for_short(simulation: LastingTaskSimulation) -> None:
+    await simulation.silence(used_worker(simulation), 2.5)
 
 
-async def a_worker_is_silent_for_long(history: LastingHistory) -> None:
-    await history.silence(used_worker(history), 9.0)
+async def a_worker_is_silent_for_long(simulation: LastingTaskSimulation) -> None:
+    await simulation.silence(used_worker(simulation), 9.0)
 
 
-async def a_worker_is_taken_away(history: LastingHistory) -> None:
-    await history.upkeep(used_worker(history))
+async def a_worker_is_taken_away(simulation: LastingTaskSimulation) -> None:
+    await simulation.upkeep(used_worker(simulation))
 
 
-async def a_worker_is_lent(history: LastingHistory) -> None:
-    await history.lend_worker()
+async def a_worker_is_lent(simulation: LastingTaskSimulation) -> None:
+    await simulation.lend_worker()
 
 
-async def a_task_fails(history: LastingHistory) -> None:
-    history.fail_task(used_worker(history))
+async def a_task_fails(simulation: LastingTaskSimulation) -> None:
+    simulation.fail_task(used_worker(simulation))
 
 
-async def another_is_taken_away(history: LastingHistory) -> None:
-    first = used_worker(history)
-    await history.upkeep(next(one for one in history.fleet.workers if one != first))
+async def another_is_taken_away(simulation: LastingTaskSimulation) -> None:
+    first = used_worker(simulation)
+    await simulation.upkeep(next(one for one in simulation.fleet.workers if one != first))
 
 
-async def two_are_taken_away(history: LastingHistory) -> None:
-    await together(a_worker_is_taken_away, another_is_taken_away, after_s=0.1)(history)
+async def two_are_taken_away(simulation: LastingTaskSimulation) -> None:
+    await together(a_worker_is_taken_away, another_is_taken_away, after_s=0.1)(simulation)
 
 
 WORKER_TROUBLES: tuple[Trouble, ...] = (
@@ -392,12 +396,12 @@
 )
 
 
-async def nothing(_history: LastingHistory) -> None:
+async def nothing(_history: LastingTaskSimulation) -> None:
     return None
 
 
-async def scheduler_cut(history: LastingHistory) -> None:
-    await history.cut_scheduler(5.5)
+async def scheduler_cut(simulation: LastingTaskSimulation) -> None:
+    await simulation.cut_scheduler(5.5)
 
 
 OTHERS: tuple[tuple[str, Trouble], ...] = (
@@ -428,8 +432,8 @@
 # ---- mixes
 
 MIXED: tuple[tuple[int, Trouble], ...] = (
-    (3, LastingHistory.kill_scheduler),
-    (2, LastingHistory.stop_scheduler),
+    (3, LastingTaskSimulation.kill_scheduler),
+    (2, LastingTaskSimulation.stop_scheduler),
     (1, scheduler_cut),
     (1, all_killed),
     (1, outage(4.5, is_silent=True, are_leases_paused=False)),
@@ -453,19 +457,19 @@
 """Others come while fewer are up, so that there is room."""
 
 
-async def mixed(history: LastingHistory) -> None:
+async def mixed(simulation: LastingTaskSimulation) -> None:
     """Bring about troubles, some of them at once, and hand in and cancel a job meanwhile."""
-    draw = random.Random(history.rng.random())
+    draw = random.Random(simulation.rng.random())
     weights = [weight for weight, _ in MIXED]
-    running: list[Awaitable[None]] = [history.hand_in("00000000000000b1", lasting(2))]
+    running: list[Awaitable[None]] = [simulation.submit("00000000000000b1", lasting(2))]
     for _ in range(TROUBLES_A_MIX):
         _, trouble = draw.choices(MIXED, weights)[0]
-        running.append(asyncio.ensure_future(trouble(history)))
+        running.append(asyncio.ensure_future(trouble(simulation)))
         await asyncio.sleep(draw.uniform(0, LONGEST_PAUSE_S))
         if draw.random() < 0.1:
-            running.append(history.cancel(SECOND_JOB))
-        while history.workers_up() < LEAST_WORKERS:
-            history.add_worker()
+            running.append(simulation.cancel(SECOND_JOB))
+        while simulation.workers_up() < LEAST_WORKERS:
+            simulation.add_worker()
     await asyncio.gather(*running)
 
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -20,9 +20,9 @@
 )
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Holder, Item
-from tests.fleet_history import SERVICE, History
 from tests.held_keys import acquire
 from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
+from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.test_machine_controller import World
 from tests.virtual_clock import run_scenario
 
@@ -98,33 +98,33 @@
         """
 
         async def scenario() -> None:
-            history = History(seed=3, workers=2, instances=2)
-            history.fleet.lasting.add(JOB_ID)
-            for instance in history.instances:
+            simulation = SchedulingSimulation(seed=3, workers=2, instances=2)
+            simulation.fleet.lasting.add(JOB_ID)
+            for instance in simulation.instances:
                 instance.start()
             await asyncio.sleep(2.0)
-            scheduler = history.scheduler()
+            scheduler = simulation.scheduler()
             assert scheduler is not None
             scheduler.view.faults.late_part = 1.0
             scheduler.view.faults.late_s = LATE_S
-            history.fleet.unlisted.add("w1")
+            simulation.fleet.unlisted.add("w1")
             await asyncio.sleep(0.5)
             scheduler.view.faults.late_part = 0.0
-            history.fleet.unlisted.clear()
+            simulation.fleet.unlisted.clear()
             await asyncio.sleep(2.0)
             # Its only task fits on the worker that came back alone.
-            history.fleet.workers["w0"].view = view("w0", service=SERVICE, cpu_millicores=100)
-            history.fleet.changes += 1
+            simulation.fleet.workers["w0"].view = view("w0", service=SERVICE, cpu_millicores=100)
+            simulation.fleet.changes += 1
             await asyncio.sleep(0.5)
-            await history.submit(JOB_ID, step(1, is_lasting=True))
+            await simulation.submit(JOB_ID, step(1, is_lasting=True))
             await asyncio.sleep(LATE_S)
-            self.assertIn(NAME, history.fleet.workers["w1"].names())
-            history.fleet.workers["w0"].view = view("w0", service=SERVICE)
-            history.fleet.changes += 1
-            await history.replace(scheduler)
+            self.assertIn(NAME, simulation.fleet.workers["w1"].names())
+            simulation.fleet.workers["w0"].view = view("w0", service=SERVICE)
+            simulation.fleet.changes += 1
+            await simulation.replace(scheduler)
             await asyncio.sleep(10.0)
-            self.assertEqual([], history.fleet.violations)
-            for instance in history.instances:
+            self.assertEqual([], simulation.fleet.violations)
+            for instance in simulation.instances:
                 await instance.kill()
 
         run_scenario(scenario())
@@ -183,14 +183,14 @@
         """
 
         async def scenario() -> None:
-            history = History(seed=1, workers=1, instances=1)
-            history.instances[0].start()
+            simulation = SchedulingSimulation(seed=1, workers=1, instances=1)
+            simulation.instances[0].start()
             await asyncio.sleep(2.0)
-            service_scheduler = history.instances[0].service_schedulers[-1]
+            service_scheduler = simulation.instances[0].service_schedulers[-1]
             token = service_scheduler.scheduler_state.token
-            faults = history.instances[0].view.faults
-            history.fleet.lasting.add(JOB_ID)
-            await history.submit(JOB_ID, step(1, is_lasting=True))
+            faults = simulation.instances[0].view.faults
+            simulation.fleet.lasting.add(JOB_ID)
+            await simulation.submit(JOB_ID, step(1, is_lasting=True))
             await asyncio.sleep(1.0)
             faults.late_part = 1.0
             offer = PoolDemand(token=token, free=("w0",))
@@ -198,9 +198,9 @@
             faults.late_part = 0.0
             self.assertTrue(await service_scheduler._publish_demand(PoolDemand(token=token)))
             await asyncio.sleep(LATE_S)
-            stored = PoolDemand.decode(history.store.items[pool_demand_key(SERVICE)].value)
+            stored = PoolDemand.decode(simulation.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual((), stored.free)
-            await history.instances[0].kill()
+            await simulation.instances[0].kill()
 
         run_scenario(scenario())
 
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -18,8 +18,8 @@
 )
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.store import Changes, Holder, HolderTimes
-from tests.fleet_history import SERVICE, History
 from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, quiet_log, step, view
+from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000aa"
@@ -29,28 +29,28 @@
 calls in flight have to time out, and whoever wins looks at all workers at once."""
 
 
-def _set_silent(history: History, is_silent: bool) -> None:
-    for instance in history.instances:
+def _set_silent(simulation: SchedulingSimulation, is_silent: bool) -> None:
+    for instance in simulation.instances:
         instance.view.faults.is_silent = is_silent
 
 
-def _running(history: History) -> int:
-    alive = [worker for worker in history.fleet.workers.values() if worker.is_alive]
+def _running(simulation: SchedulingSimulation) -> int:
+    alive = [worker for worker in simulation.fleet.workers.values() if worker.is_alive]
     for worker in alive:
         worker.end_due_runs()
     return sum(len(worker.names()) for worker in alive)
 
 
-async def _begun(workers: int) -> History:
+async def _begun(workers: int) -> SchedulingSimulation:
     """Return a history in which a job of two lasting tasks runs."""
-    history = History(seed=1, workers=workers, instances=2)
-    history.fleet.lasting.add(JOB_ID)
-    for instance in history.instances:
+    simulation = SchedulingSimulation(seed=1, workers=workers, instances=2)
+    simulation.fleet.lasting.add(JOB_ID)
+    for instance in simulation.instances:
         instance.start()
     await asyncio.sleep(1.0)
-    await history.submit(JOB_ID, step(2, is_lasting=True))
+    await simulation.submit(JOB_ID, step(2, is_lasting=True))
     await asyncio.sleep(SizingLimits().lasting_after_s + 1.0)
-    return history
+    return simulation
 
 
 class LeftWorkerTests(unittest.TestCase):
@@ -64,19 +64,19 @@
         """
 
         async def scenario() -> None:
-            history = await _begun(workers=3)
-            idle = [one for one in history.fleet.workers.values() if not one.names()]
+            simulation = await _begun(workers=3)
+            idle = [one for one in simulation.fleet.workers.values() if not one.names()]
             self.assertEqual(1, len(idle))
             idle[0].crash()
             await asyncio.sleep(12.0)
-            _set_silent(history, True)
+            _set_silent(simulation, True)
             await asyncio.sleep(OUTAGE_S)
-            self.assertEqual(0, _running(history))
-            _set_silent(history, False)
+            self.assertEqual(0, _running(simulation))
+            _set_silent(simulation, False)
             await asyncio.sleep(BACK_S)
-            self.assertEqual(2, _running(history))
-            self.assertEqual([], history.fleet.violations)
-            for instance in history.instances:
+            self.assertEqual(2, _running(simulation))
+            self.assertEqual([], simulation.fleet.violations)
+            for instance in simulation.instances:
                 await instance.kill()
 
         run_scenario(scenario())
@@ -97,19 +97,19 @@
         """
 
         async def scenario() -> None:
-            history = await _begun(workers=3)
-            started = history.fleet.started
+            simulation = await _begun(workers=3)
+            started = simulation.fleet.started
             if are_leases_paused:
-                history.store.pause_leases()
-            _set_silent(history, True)
+                simulation.store.pause_leases()
+            _set_silent(simulation, True)
             await asyncio.sleep(outage_s)
-            _set_silent(history, False)
+            _set_silent(simulation, False)
             if are_leases_paused:
-                history.store.resume_leases()
+                simulation.store.resume_leases()
             await asyncio.sleep(BACK_S)
-            self.assertEqual(2, _running(history))
-            self.assertEqual(started, history.fleet.started)
-            for instance in history.instances:
+            self.assertEqual(2, _running(simulation))
+            self.assertEqual(started, simulation.fleet.started)
+            for instance in simulation.instances:
                 await instance.kill()
 
         run_scenario(scenario())
@@ -184,18 +184,18 @@
         """
 
         async def scenario() -> None:
-            history = History(seed=3, workers=2, instances=1)
-            (instance,) = history.instances
+            simulation = SchedulingSimulation(seed=3, workers=2, instances=1)
+            (instance,) = simulation.instances
             instance.start()
             await asyncio.sleep(3.0)
-            before = PoolDemand.decode(history.store.items[pool_demand_key(SERVICE)].value)
+            before = PoolDemand.decode(simulation.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual(2, len(before.free))
-            history.store.are_leases_paused = True
+            simulation.store.are_leases_paused = True
             instance.view.faults.is_down = True
             await asyncio.sleep(7.0)
             instance.view.faults.is_down = False
             await asyncio.sleep(1.5)
-            after = PoolDemand.decode(history.store.items[pool_demand_key(SERVICE)].value)
+            after = PoolDemand.decode(simulation.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual(before.free, after.free)
             self.assertEqual(before.token, after.token)
             self.assertEqual(before.woke + 1, after.woke)
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -15,8 +15,8 @@
 from shallotworks.jobs import TaskName
 from shallotworks.scheduling import EndedTask, EndKind, OrderOutcome, OrderStatus, WorkerView
 from shallotworks.standins import FaultInjectingOrders, TaskWorkers
-from tests.fleet_history import SERVICE, History
 from tests.scheduling_fakes import step, view
+from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 SEEDS = range(1, 9)
@@ -45,17 +45,17 @@
         self.times_done[end.name] += end.kind is EndKind.DONE
 
 
-def history_of(seed: int) -> tuple[History, CountingWorkers]:
+def history_of(seed: int) -> tuple[SchedulingSimulation, CountingWorkers]:
     """Return a history whose workers count."""
-    history = History(seed=seed, workers=0, instances=3)
-    fleet = CountingWorkers(fleet=history.fleet)
-    history.fleet = fleet
-    for instance in history.instances:
+    simulation = SchedulingSimulation(seed=seed, workers=0, instances=3)
+    fleet = CountingWorkers(fleet=simulation.fleet)
+    simulation.fleet = fleet
+    for instance in simulation.instances:
         instance.orders._fleet = fleet
         instance.directory = fleet
     for number in range(WORKERS):
         fleet.add(view(f"w{number}", service=SERVICE))
-    return history, fleet
+    return simulation, fleet
 
 
 def count_looks(orders: FaultInjectingOrders, worker_id: str, looks: list[int]) -> None:
@@ -80,24 +80,24 @@
         asyncio.get_running_loop().call_later(DRAIN_S - 0.8, leaving.crash)
 
 
-async def take_away(history: History) -> None:
+async def take_away(simulation: SchedulingSimulation) -> None:
     """End workers without a word, as orders to them are under way, and bring others."""
     for number in range(WORKERS // 2):
-        await asyncio.sleep(history.rng.uniform(0.5, 1.5))
-        busy = [one for one in history.fleet.workers.values() if one.is_alive and one.names()]
+        await asyncio.sleep(simulation.rng.uniform(0.5, 1.5))
+        busy = [one for one in simulation.fleet.workers.values() if one.is_alive and one.names()]
         if busy:
-            history.rng.choice(busy).crash()
-        history.fleet.add(view(f"new{number}", service=SERVICE))
+            simulation.rng.choice(busy).crash()
+        simulation.fleet.add(view(f"new{number}", service=SERVICE))
 
 
-async def play(history: History, *troubles: object) -> None:
+async def play(simulation: SchedulingSimulation, *troubles: object) -> None:
     """Run jobs beside a trouble, then let all come to rest."""
-    for instance in history.instances:
+    for instance in simulation.instances:
         instance.start()
     await asyncio.sleep(1.0)
-    await asyncio.gather(history.run_jobs(JOBS, OVER_S), *troubles)  # type: ignore[arg-type]
+    await asyncio.gather(simulation.run_jobs(JOBS, OVER_S), *troubles)  # type: ignore[arg-type]
     await asyncio.sleep(AFTER_S)
-    for instance in history.instances:
+    for instance in simulation.instances:
         await instance.kill()
 
 
@@ -111,9 +111,9 @@
         """
 
         async def scenario() -> None:
-            history, fleet = history_of(seed)
-            await play(history, replace_one_after_the_other(fleet))
-            self.assertEqual([], history.violations())
+            simulation, fleet = history_of(seed)
+            await play(simulation, replace_one_after_the_other(fleet))
+            self.assertEqual([], simulation.violations())
             self.assertEqual({}, {one: n for one, n in fleet.times_done.items() if n > 1})
 
         run_scenario(scenario())
@@ -127,11 +127,11 @@
         """
 
         async def scenario() -> None:
-            history, _ = history_of(seed)
-            for instance in history.instances:
+            simulation, _ = history_of(seed)
+            for instance in simulation.instances:
                 instance.orders.faults.lost_part = lost
-            await play(history, take_away(history))
-            self.assertEqual([], history.violations())
+            await play(simulation, take_away(simulation))
+            self.assertEqual([], simulation.violations())
 
         run_scenario(scenario())
 
@@ -139,24 +139,24 @@
         """A dead worker was looked at again and again for as long as its entry stood listed."""
 
         async def scenario() -> None:
-            history, fleet = history_of(1)
-            for instance in history.instances:
+            simulation, fleet = history_of(1)
+            for instance in simulation.instances:
                 instance.start()
             await asyncio.sleep(1.0)
-            await history.submit("00000000000000aa", step(1, is_lasting=True))
+            await simulation.submit("00000000000000aa", step(1, is_lasting=True))
             await asyncio.sleep(1.0)
             dead = next(iter(fleet.workers.values()))
             fleet.listed_though_dead.add(dead.view.worker_id)
             dead.crash()
             fleet.absences[dead.view.worker_id] = OrderStatus.GONE
             looks = [0]
-            for instance in history.instances:
+            for instance in simulation.instances:
                 count_looks(instance.orders, dead.view.worker_id, looks)
             for _ in range(10):
                 await asyncio.sleep(0.5)
                 fleet.changes += 1
             self.assertLessEqual(looks[0], 1)
-            for instance in history.instances:
+            for instance in simulation.instances:
                 await instance.kill()
 
         run_scenario(scenario())
@@ -169,23 +169,23 @@
         """
 
         async def scenario() -> None:
-            history = History(seed=1, workers=200, instances=1)
-            (instance,) = history.instances
+            simulation = SchedulingSimulation(seed=1, workers=200, instances=1)
+            (instance,) = simulation.instances
             instance.start()
             await asyncio.sleep(1.0)
             job_id = "0" * 16
-            history.fleet.lasting.add(job_id)
-            await history.submit(job_id, step(60, is_lasting=True, cpu_millicores=1000))
+            simulation.fleet.lasting.add(job_id)
+            await simulation.submit(job_id, step(60, is_lasting=True, cpu_millicores=1000))
             # Lasting tasks keep off workers that stood as free when their job came.
             await asyncio.sleep(5.0)
-            started = history.fleet.started
+            started = simulation.fleet.started
             self.assertEqual(60, started)
-            history.fleet.unlisted = set(history.fleet.workers)
+            simulation.fleet.unlisted = set(simulation.fleet.workers)
             await asyncio.sleep(3.0)
-            history.fleet.unlisted = set()
+            simulation.fleet.unlisted = set()
             await asyncio.sleep(3.0)
-            self.assertEqual(started, history.fleet.started)
-            self.assertEqual([], history.fleet.violations)
+            self.assertEqual(started, simulation.fleet.started)
+            self.assertEqual([], simulation.fleet.violations)
             await instance.kill()
 
         run_scenario(scenario())
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -13,8 +13,8 @@
 from shallotworks.scheduling import DecisionEngine, OrderDispatcher, StartOrder, StopOrder, Worker
 from shallotworks.scheduling._decisions import MOST_STARTS, Decision
 from shallotworks.scheduling._placement import Candidates, Placement
-from tests.fleet_history import History, Instance
 from tests.scheduling_fakes import TOKEN, SchedulingHarness, job, step, view
+from tests.scheduling_simulation import Instance, SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 
@@ -152,8 +152,8 @@
         """
 
         async def scenario() -> None:
-            history = History(seed=1, workers=4, instances=1)
-            (instance,) = history.instances
+            simulation = SchedulingSimulation(seed=1, workers=4, instances=1)
+            (instance,) = simulation.instances
             instance.start()
             await asyncio.sleep(0.5)
             service_scheduler = instance.service_schedulers[-1]
@@ -194,8 +194,8 @@
             return asyncio.get_running_loop().time() + spent_s
 
         async def scenario() -> None:
-            history = History(seed=1, workers=2, instances=1)
-            (instance,) = history.instances
+            simulation = SchedulingSimulation(seed=1, workers=2, instances=1)
+            (instance,) = simulation.instances
             instance.start()
             await asyncio.sleep(1.0)
             service_scheduler = instance.service_schedulers[-1]
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -10,7 +10,7 @@
 
 from parameterized import parameterized
 
-from tests.fleet_history import History
+from tests.scheduling_simulation import SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 SEEDS = range(1, 9)
@@ -18,26 +18,26 @@
 OVER_S = 12.0
 AFTER_S = 26.0
 
-Trouble = Callable[[History], Awaitable[None]]
+Trouble = Callable[[SchedulingSimulation], Awaitable[None]]
 
 
-async def killed_scheduler(history: History) -> None:
+async def killed_scheduler(simulation: SchedulingSimulation) -> None:
     for _ in range(2):
-        await asyncio.sleep(history.rng.uniform(2, 5))
-        scheduler = history.scheduler()
+        await asyncio.sleep(simulation.rng.uniform(2, 5))
+        scheduler = simulation.scheduler()
         if scheduler is not None:
-            await history.replace(scheduler)
+            await simulation.replace(scheduler)
 
 
-async def all_killed(history: History) -> None:
-    await asyncio.sleep(history.rng.uniform(3, 6))
-    for instance in list(history.instances):
-        await history.replace(instance)
+async def all_killed(simulation: SchedulingSimulation) -> None:
+    await asyncio.sleep(simulation.rng.uniform(3, 6))
+    for instance in list(simulation.instances):
+        await simulation.replace(instance)
 
 
-async def scheduler_cut_from_store(history: History) -> None:
-    await asyncio.sleep(history.rng.uniform(2, 5))
-    scheduler = history.scheduler()
+async def scheduler_cut_from_store(simulation: SchedulingSimulation) -> None:
+    await asyncio.sleep(simulation.rng.uniform(2, 5))
+    scheduler = simulation.scheduler()
     if scheduler is None:
         return
     scheduler.view.faults.is_silent = True
@@ -45,69 +45,69 @@
     scheduler.view.faults.is_silent = False
 
 
-async def scheduler_cut_and_successor_blind(history: History) -> None:
-    await asyncio.sleep(history.rng.uniform(2, 5))
-    scheduler = history.scheduler()
+async def scheduler_cut_and_successor_blind(simulation: SchedulingSimulation) -> None:
+    await asyncio.sleep(simulation.rng.uniform(2, 5))
+    scheduler = simulation.scheduler()
     if scheduler is None:
         return
     scheduler.view.faults.is_down = True
-    for other in history.instances:
+    for other in simulation.instances:
         if other is not scheduler:
             other.orders.faults.cut = {"w0", "w1"}
     await asyncio.sleep(6)
     scheduler.view.faults.is_down = False
-    for other in history.instances:
+    for other in simulation.instances:
         other.orders.faults.cut = set()
 
 
-async def store_down(history: History) -> None:
-    await asyncio.sleep(history.rng.uniform(2, 5))
-    history.store.are_leases_paused = history.rng.random() < 0.5
-    for instance in history.instances:
+async def store_down(simulation: SchedulingSimulation) -> None:
+    await asyncio.sleep(simulation.rng.uniform(2, 5))
+    simulation.store.are_leases_paused = simulation.rng.random() < 0.5
+    for instance in simulation.instances:
         instance.view.faults.is_down = True
     await asyncio.sleep(4.5)
-    for instance in history.instances:
+    for instance in simulation.instances:
         instance.view.faults.is_down = False
-    history.store.are_leases_paused = False
+    simulation.store.are_leases_paused = False
 
 
-async def lost_and_late_commits(history: History) -> None:
-    for instance in history.instances:
+async def lost_and_late_commits(simulation: SchedulingSimulation) -> None:
+    for instance in simulation.instances:
         instance.view.faults.lost_part = 0.1
         instance.view.faults.late_part = 0.1
     await asyncio.sleep(8)
-    for instance in history.instances:
+    for instance in simulation.instances:
         instance.view.faults.lost_part = 0.0
         instance.view.faults.late_part = 0.0
 
 
-async def late_orders(history: History) -> None:
-    for instance in history.instances:
+async def late_orders(simulation: SchedulingSimulation) -> None:
+    for instance in simulation.instances:
         instance.orders.faults.late_part = 0.1
         instance.orders.faults.lost_part = 0.1
-        instance.orders.faults.late_s = history.rng.uniform(1, 8)
-    await killed_scheduler(history)
+        instance.orders.faults.late_s = simulation.rng.uniform(1, 8)
+    await killed_scheduler(simulation)
 
 
-async def keys_revoked(history: History) -> None:
+async def keys_revoked(simulation: SchedulingSimulation) -> None:
     for _ in range(3):
-        await asyncio.sleep(history.rng.uniform(1, 3))
-        history.store.revoke("shallotworks/")
+        await asyncio.sleep(simulation.rng.uniform(1, 3))
+        simulation.store.revoke("shallotworks/")
 
 
-async def history_forgotten(history: History) -> None:
+async def history_forgotten(simulation: SchedulingSimulation) -> None:
     for _ in range(4):
-        await asyncio.sleep(history.rng.uniform(0.5, 2))
-        history.store.compact_history()
+        await asyncio.sleep(simulation.rng.uniform(0.5, 2))
+        simulation.store.compact_history()
 
 
-async def workers_crash_and_are_cut(history: History) -> None:
-    await asyncio.sleep(history.rng.uniform(2, 4))
-    history.fleet.workers["w0"].crash()
-    for instance in history.instances:
+async def workers_crash_and_are_cut(simulation: SchedulingSimulation) -> None:
+    await asyncio.sleep(simulation.rng.uniform(2, 4))
+    simulation.fleet.workers["w0"].crash()
+    for instance in simulation.instances:
         instance.orders.faults.cut = {"w1"}
     await asyncio.sleep(5.5)
-    for instance in history.instances:
+    for instance in simulation.instances:
         instance.orders.faults.cut = set()
 
 
@@ -125,20 +125,20 @@
 )
 
 
-def play(seed: int, trouble: Trouble | None) -> History:
+def play(seed: int, trouble: Trouble | None) -> SchedulingSimulation:
     """Play one history on a clock of its own."""
 
-    async def scenario() -> History:
-        history = History(seed=seed)
-        for instance in history.instances:
+    async def scenario() -> SchedulingSimulation:
+        simulation = SchedulingSimulation(seed=seed)
+        for instance in simulation.instances:
             instance.start()
         await asyncio.sleep(1.0)
-        troubles = [trouble(history)] if trouble is not None else []
-        await asyncio.gather(history.run_jobs(JOBS, OVER_S), *troubles)
+        troubles = [trouble(simulation)] if trouble is not None else []
+        await asyncio.gather(simulation.run_jobs(JOBS, OVER_S), *troubles)
         await asyncio.sleep(AFTER_S)
-        for instance in history.instances:
+        for instance in simulation.instances:
             await instance.kill()
-        return history
+        return simulation
 
     return run_scenario(scenario())
 
@@ -149,10 +149,10 @@
         """Through each trouble, for a fixed set of seeds, nothing breaks."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                history = play(seed, trouble)
-                self.assertEqual([], history.violations())
-                self.assertGreater(len(history.accepted), JOBS // 2)
-                self.assertGreater(history.fleet.started, JOBS)
+                simulation = play(seed, trouble)
+                self.assertEqual([], simulation.violations())
+                self.assertGreater(len(simulation.accepted), JOBS // 2)
+                self.assertGreater(simulation.fleet.started, JOBS)
 
 
 if __name__ == "__main__":
--- a/tests/test_scheduling_orders.py
+++ b/tests/test_scheduling_orders.py
@@ -5,8 +5,8 @@
 
 from shallotworks.jobs import JobState
 from shallotworks.scheduling import OrderOutcome, OrderStatus, StartOrder, WorkerView
-from tests.fleet_history import History
 from tests.scheduling_fakes import step
+from tests.scheduling_simulation import SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 REFUSED_ID = "00000000000000aa"
@@ -22,18 +22,18 @@
         """
 
         async def scenario() -> None:
-            history = History(seed=1, workers=2, instances=1)
-            history.fleet.work_s["0000000000000001"] = 3.0
-            history.instances[0].start()
+            simulation = SchedulingSimulation(seed=1, workers=2, instances=1)
+            simulation.fleet.work_s["0000000000000001"] = 3.0
+            simulation.instances[0].start()
             await asyncio.sleep(1.0)
-            await history.submit("0000000000000001", step(1))
+            await simulation.submit("0000000000000001", step(1))
             await asyncio.sleep(1.5)
-            busy = next(one for one in history.fleet.workers.values() if one.names())
+            busy = next(one for one in simulation.fleet.workers.values() if one.names())
             busy.crash()
             await asyncio.sleep(8.0)
-            others = [one for one in history.fleet.workers.values() if one is not busy]
+            others = [one for one in simulation.fleet.workers.values() if one is not busy]
             self.assertTrue(any(one.names() for one in others))
-            await history.instances[0].kill()
+            await simulation.instances[0].kill()
 
         run_scenario(scenario())
 
@@ -43,8 +43,8 @@
         """A job that no worker takes was sent to each of them every second, and paused them all."""
 
         async def scenario() -> None:
-            history = History(seed=1, workers=1, instances=1)
-            orders = history.instances[0].orders
+            simulation = SchedulingSimulation(seed=1, workers=1, instances=1)
+            orders = simulation.instances[0].orders
             start, tries = orders.start, []
 
             async def refusing(worker: WorkerView, order: StartOrder, **times: int) -> OrderOutcome:
@@ -54,18 +54,18 @@
                 return OrderOutcome(status=OrderStatus.INVALID, detail="status 400")
 
             orders.start = refusing  # type: ignore[method-assign]
-            history.instances[0].start()
+            simulation.instances[0].start()
             await asyncio.sleep(1.0)
-            await history.submit(REFUSED_ID, step(1))
+            await simulation.submit(REFUSED_ID, step(1))
             sound = [f"{number:016x}" for number in range(1, 6)]
             for job_id in sound:
-                history.fleet.work_s[job_id] = 0.3
-                await history.submit(job_id, step(1, cpu_millicores=4000))
+                simulation.fleet.work_s[job_id] = 0.3
+                await simulation.submit(job_id, step(1, cpu_millicores=4000))
                 await asyncio.sleep(0.8)
-                self.assertIs(JobState.COMPLETED, history.state(job_id))
+                self.assertIs(JobState.COMPLETED, simulation.state(job_id))
             await asyncio.sleep(16.0)
             self.assertLessEqual(len(tries), 5)
-            await history.instances[0].kill()
+            await simulation.instances[0].kill()
 
         run_scenario(scenario())
 
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -22,9 +22,9 @@
     waiting_reason,
 )
 from shallotworks.scheduling._waiting import MOST_EXAMINED, MOST_NAMED
-from tests import fleet_history
-from tests.fleet_history import History
+from tests import scheduling_simulation
 from tests.scheduling_fakes import TOKEN, WALL_S, SchedulingHarness, job, policy, step, view
+from tests.scheduling_simulation import SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 LATE_S = WALL_S - 60
@@ -454,25 +454,25 @@
         lines = Lines()
 
         async def scenario() -> None:
-            history = History(seed=1, workers=3, instances=2)
-            history.fleet.lasting.add("serves")
-            for instance in history.instances:
+            simulation = SchedulingSimulation(seed=1, workers=3, instances=2)
+            simulation.fleet.lasting.add("serves")
+            for instance in simulation.instances:
                 instance.start()
             await asyncio.sleep(1.0)
-            await history.submit("serves", step(3, is_lasting=True))
+            await simulation.submit("serves", step(3, is_lasting=True))
             await asyncio.sleep(5.0)
-            self.assertEqual(3, history.fleet.started)
-            scheduler = history.scheduler()
+            self.assertEqual(3, simulation.fleet.started)
+            scheduler = simulation.scheduler()
             assert scheduler is not None
-            for instance in history.instances:
+            for instance in simulation.instances:
                 instance.orders.faults.cut = {"w0"}
-            history.instances.remove(scheduler)
+            simulation.instances.remove(scheduler)
             await scheduler.kill()
             await asyncio.sleep(20.0)
-            for instance in history.instances:
+            for instance in simulation.instances:
                 await instance.kill()
 
-        with mock.patch.object(fleet_history, "quiet_log", lambda: lines.log):
+        with mock.patch.object(scheduling_simulation, "quiet_log", lambda: lines.log):
             run_scenario(scenario())
         self.assertEqual(["w0", "w1", "w2"], lines.of("term-prepared")[-1]["awaited"])
         told = [row for row in lines.of("tasks-waiting") if row["reason"] == "recovery"]
