--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -1,4 +1,4 @@
-"""Lasting tasks on the stand-ins, through troubles that scenarios cause, judged all the while.
+"""Lasting tasks on the stand-ins, through faults that scenarios cause, judged all the while.
 
 Instances, terms, bidders, their mirrors and the list of workers are the product's own; the store,
 the workers and the keeper of machines are stand-ins. Workers register in the store as the
@@ -55,8 +55,8 @@
 __all__ = ["RUNS_AGAIN_S", "LastingTaskSimulation", "lasting"]
 
 RUNS_AGAIN_S = 10.0
-"""A lasting task with room for it runs again within this after the last trouble. Source: the users'
-rules: instances are in touch 3 s after a trouble, the 4 s before a task is missed must be calm, and
+"""A lasting task with room for it runs again within this after the last fault. Source: the users'
+rules: instances are in touch 3 s after a fault, the 4 s before a task is missed must be calm, and
 it may be missed for 3 s."""
 MISSED_S = 3.0
 """A task that was stopped to be moved is back sooner; one that is not is missed. Source: the users'
@@ -64,7 +64,7 @@
 NOTICE_S = 4.5
 """A task that is not at work for this long counts as away. Source: the platform's settings."""
 LEASE_S = 6.0
-"""The longest lease of what runs on a worker: what lapses later than this after the last trouble
+"""The longest lease of what runs on a worker: what lapses later than this after the last fault
 lapses in calm times."""
 STOPPED_WITHIN_S = 8.0
 """A cancelled task runs no longer than this, 3 s for the cancel to be known and 5 s for a stop, in
@@ -79,7 +79,7 @@
 """A new worker is there this long after an earlier one crashed or was taken away."""
 SAMPLE_S = 0.2
 WATCH_LEASES_S = 7.0
-"""A lease that no one extends has run out this long after a trouble."""
+"""A lease that no one extends has run out this long after a fault."""
 KEEPER_ROUND_S = 0.02
 """Between the keeper's looks at what is offered: ten times as often as it has rounds, since an
 offer that must not be made must not be seen, whenever a round comes."""
@@ -326,8 +326,8 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     @contextlib.contextmanager
-    def trouble(self) -> Iterator[None]:
-        """Judge how long tasks are missed only from the end of this trouble, or of the last."""
+    def fault_period(self) -> Iterator[None]:
+        """Judge how long tasks are missed only from the end of this fault, or of the last."""
         self._open_troubles += 1
         self.fleet.calm_from_s = float("inf")
         try:
@@ -340,7 +340,7 @@
 
     @property
     def recovered_after_s(self) -> float:
-        """Seconds from the end of the last trouble until no task with room was missed any more."""
+        """Seconds from the end of the last fault until no task with room was missed any more."""
         return max(0.0, self._last_missed_s - self._calm_from_s)
 
     async def recover(self, longest_s: float) -> None:
@@ -423,7 +423,7 @@
         await self._replace(self.scheduler(), is_planned=True)
 
     async def _replace(self, instance: LastingInstance | None, *, is_planned: bool) -> None:
-        with self.trouble():
+        with self.fault_period():
             if instance is None:
                 return
             self.instances.remove(instance)
@@ -433,7 +433,7 @@
 
     async def kill_all(self, *, restart_s: float) -> None:
         """Kill all instances at once; others are started a while later."""
-        with self.trouble():
+        with self.fault_period():
             self._note("killed", "all instances")
             killed, self.instances = self.instances, []
             await asyncio.gather(*(one.kill() for one in killed))
@@ -447,7 +447,7 @@
         instance = self.scheduler()
         if instance is None:
             return
-        with self.trouble():
+        with self.fault_period():
             self._note("cut from the store", instance.name)
             instance.view.faults = RecordFaults(is_silent=True)
             await asyncio.sleep(for_s)
@@ -478,7 +478,7 @@
             are_entries_lost: Workers' entries run out too, and come back after the outage.
         """
         async with self._one_outage:
-            with self.trouble():
+            with self.fault_period():
                 self._note("down", "the store")
                 self._is_store_up.clear()
                 self._faults.is_silent, self._faults.is_down = is_silent, not is_silent
@@ -509,7 +509,7 @@
 
     def revoke_keys(self) -> None:
         """Take all held keys away."""
-        with self.trouble():
+        with self.fault_period():
             self._note("revoked", "keys")
             self.store.revoke("shallotworks/")
 
@@ -530,7 +530,7 @@
 
     def crash(self, worker_id: str) -> None:
         """End a worker without a word; its entry runs out later, also while the store is down."""
-        with self.trouble():
+        with self.fault_period():
             self._note("crashes", worker_id)
             self.fleet.workers[worker_id].crash()
             self._in_background(self._unregister_later(worker_id, EXPIRY_S))
@@ -542,7 +542,7 @@
             worker_id: The worker.
             absence: What becomes of later calls: nobody listens, or nobody answers, at its address.
         """
-        with self.trouble():
+        with self.fault_period():
             await self._is_store_up.wait()
             worker = self.fleet.workers[worker_id]
             if not worker.is_alive:
@@ -559,7 +559,7 @@
 
     async def replace_worker(self, worker_id: str) -> None:
         """Crash a worker; another incarnation answers at its address a while later."""
-        with self.trouble():
+        with self.fault_period():
             self.crash(worker_id)
             await asyncio.sleep(REPLACED_S)
             await self._is_store_up.wait()
@@ -568,7 +568,7 @@
 
     def fail_task(self, worker_id: str) -> None:
         """Let a task of a worker fail through its own fault."""
-        with self.trouble():
+        with self.fault_period():
             worker = self.fleet.workers[worker_id]
             for name in sorted(worker.names())[:1]:
                 self._note("fails", str(name))
@@ -576,7 +576,7 @@
 
     async def silence(self, worker_id: str, for_s: float) -> None:
         """Let no instance reach a worker for a while; it stays listed and what runs runs on."""
-        with self.trouble():
+        with self.fault_period():
             self._note("silent", worker_id)
             self.fleet.silent.add(worker_id)
             await asyncio.sleep(for_s)
@@ -610,7 +610,7 @@
             await asyncio.sleep(KEEPER_ROUND_S)
 
     async def _take_away(self, worker_id: str, *, is_back: bool) -> None:
-        with self.trouble():
+        with self.fault_period():
             self._note("taken away", worker_id)
             worker = self.fleet.workers[worker_id]
             self.fleet.take_away(worker)
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -1,6 +1,6 @@
-"""Lasting tasks run again soon after each trouble, never twice at once, never too few by our doing.
+"""Lasting tasks run again soon after each fault, never twice at once, never too few by our doing.
 
-A task that is to last and has room must run again within `RUNS_AGAIN_S` of the last trouble. A
+A task that is to last and has room must run again within `RUNS_AGAIN_S` of the last fault. A
 breach tells the scenario's time; `LastingTaskSimulation.lines` holds what the instances logged.
 """
 
@@ -18,9 +18,9 @@
 SETTLED_S = 4.0
 """Jobs run by then, also on workers that were offered and taken back, and idle ones are offered."""
 LEFT_BEFORE_S = 7.0
-"""A worker that left this long before a trouble is over for all who watch it."""
+"""A worker that left this long before a fault is over for all who watch it."""
 AFTER_S = RUNS_AGAIN_S + 3.0
-"""Stories are watched for this long after their last trouble."""
+"""Stories are watched for this long after their last fault."""
 JOB = "00000000000000a1"
 SECOND_JOB = "00000000000000a2"
 SPREAD_JOB = "00000000000000a3"
@@ -31,17 +31,17 @@
 TROUBLES_A_MIX = 6
 LONGEST_PAUSE_S = 4.0
 
-Trouble = Callable[[LastingTaskSimulation], Awaitable[None]]
+FaultScenario = Callable[[LastingTaskSimulation], Awaitable[None]]
 
 
 def play(
-    trouble: Trouble, *, seed: int = 1, before: Trouble | None = None
+    fault: FaultScenario, *, seed: int = 1, before: FaultScenario | None = None
 ) -> LastingTaskSimulation:
-    """Play one scenario: two jobs that run, a trouble, and a while in which to recover.
+    """Play one scenario: two jobs that run, a fault, and a while in which to recover.
 
     Args:
-        trouble: What happens; over when it returns.
-        seed: Draws what the trouble leaves open.
+        fault: What happens; over when it returns.
+        seed: Draws what the fault leaves open.
         before: What happened well before.
     """
 
@@ -54,7 +54,7 @@
         if before is not None:
             await before(simulation)
             await asyncio.sleep(LEFT_BEFORE_S)
-        await trouble(simulation)
+        await fault(simulation)
         await simulation.recover(AFTER_S)
         await simulation.close()
         return simulation
@@ -81,7 +81,7 @@
     await simulation.leave(used_worker(simulation), absence=OrderStatus.UNANSWERED)
 
 
-def together(first: Trouble, second: Trouble, *, after_s: float) -> Trouble:
+def together(first: FaultScenario, second: FaultScenario, *, after_s: float) -> FaultScenario:
     """Bring both about, the second one a little later."""
 
     async def both(simulation: LastingTaskSimulation) -> None:
@@ -96,7 +96,7 @@
 
 class ScenarioTests(unittest.TestCase):
     def assert_recovered(self, simulation: LastingTaskSimulation) -> None:
-        """Nothing broke a rule, and all tasks ran soon after the last trouble."""
+        """Nothing broke a rule, and all tasks ran soon after the last fault."""
         self.assertEqual([], simulation.all_violations())
         self.assertGreater(simulation.fleet.started, 0)
         self.assertLessEqual(simulation.recovered_after_s, RUNS_AGAIN_S)
@@ -139,14 +139,16 @@
             ("twice_a_worker_left_earlier", all_killed_twice, one_leaves),
         ]
     )
-    def test_tasks_run_again(self, _name: str, trouble: Trouble, before: Trouble | None) -> None:
+    def test_tasks_run_again(
+        self, _name: str, fault: FaultScenario, before: FaultScenario | None
+    ) -> None:
         """A job's tasks stay away after all processes were lost and started again.
 
         All instances are killed at once, so that no scheduler hands over. The next one reads from
         the store which workers its predecessors used. It waits for one of them that has left as for
         one that may still run tasks, and starts nothing of earlier jobs until then.
         """
-        self.assert_recovered(play(trouble, before=before))
+        self.assert_recovered(play(fault, before=before))
 
 
 # ---- duties that change hands again and again
@@ -154,31 +156,31 @@
 TURNS = 4
 
 
-def killed_in_turn(every_s: float) -> Trouble:
-    async def trouble(simulation: LastingTaskSimulation) -> None:
+def killed_in_turn(every_s: float) -> FaultScenario:
+    async def fault(simulation: LastingTaskSimulation) -> None:
         for _ in range(TURNS):
             await simulation.kill_scheduler()
             await asyncio.sleep(every_s)
 
-    return trouble
+    return fault
 
 
-def stopped_in_turn(every_s: float) -> Trouble:
-    async def trouble(simulation: LastingTaskSimulation) -> None:
+def stopped_in_turn(every_s: float) -> FaultScenario:
+    async def fault(simulation: LastingTaskSimulation) -> None:
         for _ in range(TURNS):
             await simulation.stop_scheduler()
             await asyncio.sleep(every_s)
 
-    return trouble
+    return fault
 
 
-def keys_revoked(every_s: float) -> Trouble:
-    async def trouble(simulation: LastingTaskSimulation) -> None:
+def keys_revoked(every_s: float) -> FaultScenario:
+    async def fault(simulation: LastingTaskSimulation) -> None:
         for _ in range(TURNS):
             simulation.revoke_keys()
             await asyncio.sleep(every_s)
 
-    return trouble
+    return fault
 
 
 TURNS_OF = (("killed", killed_in_turn), ("stopped", stopped_in_turn), ("revoked", keys_revoked))
@@ -187,7 +189,7 @@
 
 class RenewedDutyTests(ScenarioTests):
     @parameterized.expand([(name, make) for name, make in TURNS_OF])
-    def test_tasks_run_again(self, _name: str, make: Callable[[float], Trouble]) -> None:
+    def test_tasks_run_again(self, _name: str, make: Callable[[float], FaultScenario]) -> None:
         """A job's tasks stay away while its scheduler changes again and again, and after it.
 
         Schedulers are killed, are stopped as planned or lose their keys every one to three seconds;
@@ -195,11 +197,11 @@
         workers that it has not seen anew.
         """
         for every_s in EVERY_S:
-            trouble = make(every_s)
-            scenarios: tuple[tuple[str, Trouble], ...] = (
-                ("all workers stay", trouble),
-                ("a worker leaves", together(one_leaves, trouble, after_s=0.2)),
-                ("a worker crashes", together(trouble, a_worker_crashes, after_s=0.6)),
+            fault = make(every_s)
+            scenarios: tuple[tuple[str, FaultScenario], ...] = (
+                ("all workers stay", fault),
+                ("a worker leaves", together(one_leaves, fault, after_s=0.2)),
+                ("a worker crashes", together(fault, a_worker_crashes, after_s=0.6)),
             )
             for case, scenario in scenarios:
                 with self.subTest(every_s=every_s, case=case):
@@ -215,8 +217,8 @@
     is_silent: bool,
     are_leases_paused: bool,
     are_entries_lost: bool = False,
-) -> Trouble:
-    async def trouble(simulation: LastingTaskSimulation) -> None:
+) -> FaultScenario:
+    async def fault(simulation: LastingTaskSimulation) -> None:
         await simulation.outage(
             for_s,
             is_silent=is_silent,
@@ -224,15 +226,15 @@
             are_entries_lost=are_entries_lost,
         )
 
-    return trouble
+    return fault
 
 
-def leaving_after(trouble: Trouble) -> Trouble:
-    """Let a worker leave just after a trouble."""
+def leaving_after(fault: FaultScenario) -> FaultScenario:
+    """Let a worker leave just after a fault."""
 
     async def both(simulation: LastingTaskSimulation) -> None:
         worker_id = used_worker(simulation)
-        await trouble(simulation)
+        await fault(simulation)
         await asyncio.sleep(0.5)
         await simulation.leave(worker_id)
 
@@ -261,12 +263,12 @@
         behind takes the deletion of an earlier key for that of its own.
         """
         for for_s in OUTAGES_S:
-            trouble = outage(for_s, is_silent=is_silent, are_leases_paused=are_paused)
-            scenarios: tuple[tuple[str, Trouble, Trouble | None], ...] = (
-                ("all workers stay", trouble, None),
-                ("a worker left", trouble, one_leaves),
-                ("a worker leaves during it", together(one_leaves, trouble, after_s=0.2), None),
-                ("a worker leaves after it", leaving_after(trouble), None),
+            fault = outage(for_s, is_silent=is_silent, are_leases_paused=are_paused)
+            scenarios: tuple[tuple[str, FaultScenario, FaultScenario | None], ...] = (
+                ("all workers stay", fault, None),
+                ("a worker left", fault, one_leaves),
+                ("a worker leaves during it", together(one_leaves, fault, after_s=0.2), None),
+                ("a worker leaves after it", leaving_after(fault), None),
             )
             for case, scenario, before in scenarios:
                 with self.subTest(for_s=for_s, case=case):
@@ -279,10 +281,10 @@
         by one within two seconds of its return, so that a new term first sees none of its workers.
         """
         for for_s in (OUTAGES_S[0], OUTAGES_S[-1]):
-            trouble = outage(for_s, is_silent=False, are_leases_paused=False, are_entries_lost=True)
+            fault = outage(for_s, is_silent=False, are_leases_paused=False, are_entries_lost=True)
             for case, before in (("all workers stay", None), ("a worker left", one_leaves)):
                 with self.subTest(for_s=for_s, case=case):
-                    self.assert_recovered(play(trouble, before=before))
+                    self.assert_recovered(play(fault, before=before))
 
     @parameterized.expand([(name, is_silent) for name, is_silent in ANSWERS])
     def test_one_term_begins(self, _name: str, is_silent: bool) -> None:
@@ -296,7 +298,7 @@
                 with self.subTest(for_s=for_s, case=case):
                     up_s: list[float] = []
 
-                    async def trouble(
+                    async def fault(
                         simulation: LastingTaskSimulation,
                         for_s: float = for_s,
                         up_s: list[float] = up_s,
@@ -304,7 +306,7 @@
                         await simulation.outage(for_s, is_silent=is_silent)
                         up_s.append(asyncio.get_running_loop().time())
 
-                    simulation = play(trouble, before=before)
+                    simulation = play(fault, before=before)
                     self.assertLessEqual(simulation.terms_begun_after(up_s[0]), 1)
 
     def test_an_offer_that_is_taken_back_meanwhile(self) -> None:
@@ -316,7 +318,7 @@
         free, and the keeper, which asks there just before its order, takes it away.
         """
 
-        async def trouble(simulation: LastingTaskSimulation) -> None:
+        async def fault(simulation: LastingTaskSimulation) -> None:
             await simulation.submit(SPREAD_JOB, lasting(5, most_per_worker=1))
             await asyncio.sleep(SETTLED_S)
             (idle,) = simulation.offered()
@@ -328,7 +330,7 @@
             await simulation.outage(3.6, is_silent=True)
             await simulation.lend_worker()
 
-        self.assert_recovered(play(trouble))
+        self.assert_recovered(play(fault))
 
     def test_a_second_outage_after_a_worker_left(self) -> None:
         """A lasting job has no task for 14 s after the second of two outages.
@@ -338,14 +340,14 @@
         tasks lapse again. The next terms wait for the worker that left.
         """
 
-        async def trouble(simulation: LastingTaskSimulation) -> None:
+        async def fault(simulation: LastingTaskSimulation) -> None:
             await simulation.outage(5.8)
             await asyncio.sleep(2.5)
             await one_leaves(simulation)
             await asyncio.sleep(7.5)
             await simulation.outage(10.1, is_silent=True)
 
-        self.assert_recovered(play(trouble))
+        self.assert_recovered(play(fault))
 
 
 # ---- workers
@@ -384,7 +386,7 @@
     await together(a_worker_is_taken_away, another_is_taken_away, after_s=0.1)(simulation)
 
 
-WORKER_TROUBLES: tuple[Trouble, ...] = (
+WORKER_FAULTS: tuple[FaultScenario, ...] = (
     a_worker_crashes,
     a_worker_is_replaced,
     a_worker_is_silent_for_short,
@@ -404,7 +406,7 @@
     await simulation.cut_scheduler(5.5)
 
 
-OTHERS: tuple[tuple[str, Trouble], ...] = (
+OTHERS: tuple[tuple[str, FaultScenario], ...] = (
     ("calm", nothing),
     ("schedulers killed", killed_in_turn(1.0)),
     ("schedulers stopped", stopped_in_turn(1.0)),
@@ -415,9 +417,9 @@
 
 
 class WorkerTests(ScenarioTests):
-    @parameterized.expand([(one.__name__, one) for one in WORKER_TROUBLES])
-    def test_tasks_run_again(self, _name: str, trouble: Trouble) -> None:
-        """A task stays away, or runs twice, after trouble with its worker.
+    @parameterized.expand([(one.__name__, one) for one in WORKER_FAULTS])
+    def test_tasks_run_again(self, _name: str, fault: FaultScenario) -> None:
+        """A task stays away, or runs twice, after a fault of its worker.
 
         The worker crashes, is replaced at its address by another incarnation, is not reached for a
         while, is lent or is taken away for upkeep, or the task fails; beside that, nothing happens,
@@ -426,12 +428,12 @@
         """
         for case, other in OTHERS:
             with self.subTest(case=case):
-                self.assert_recovered(play(together(trouble, other, after_s=0.7)))
+                self.assert_recovered(play(together(fault, other, after_s=0.7)))
 
 
 # ---- mixes
 
-MIXED: tuple[tuple[int, Trouble], ...] = (
+MIXED: tuple[tuple[int, FaultScenario], ...] = (
     (3, LastingTaskSimulation.kill_scheduler),
     (2, LastingTaskSimulation.stop_scheduler),
     (1, scheduler_cut),
@@ -458,13 +460,13 @@
 
 
 async def mixed(simulation: LastingTaskSimulation) -> None:
-    """Bring about troubles, some of them at once, and hand in and cancel a job meanwhile."""
+    """Bring about faults, some of them at once, and hand in and cancel a job meanwhile."""
     draw = random.Random(simulation.rng.random())
     weights = [weight for weight, _ in MIXED]
     running: list[Awaitable[None]] = [simulation.submit("00000000000000b1", lasting(2))]
     for _ in range(TROUBLES_A_MIX):
-        _, trouble = draw.choices(MIXED, weights)[0]
-        running.append(asyncio.ensure_future(trouble(simulation)))
+        _, fault = draw.choices(MIXED, weights)[0]
+        running.append(asyncio.ensure_future(fault(simulation)))
         await asyncio.sleep(draw.uniform(0, LONGEST_PAUSE_S))
         if draw.random() < 0.1:
             running.append(simulation.cancel(SECOND_JOB))
@@ -475,7 +477,7 @@
 
 class MixTests(ScenarioTests):
     def test_tasks_run_again(self) -> None:
-        """A lasting task is missed, or runs twice, after troubles that came on top of each other.
+        """A lasting task is missed, or runs twice, after faults that came on top of each other.
 
         Each seed draws its own order of outages, kills, planned stops, and workers that leave,
         crash, fall silent, are replaced or taken away.
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -90,12 +90,12 @@
         simulation.fleet.add(view(f"new{number}", service=SERVICE))
 
 
-async def play(simulation: SchedulingSimulation, *troubles: object) -> None:
-    """Run jobs beside a trouble, then let all come to rest."""
+async def play(simulation: SchedulingSimulation, *faults: object) -> None:
+    """Run jobs beside a fault, then let all come to rest."""
     for instance in simulation.instances:
         instance.start()
     await asyncio.sleep(1.0)
-    await asyncio.gather(simulation.run_jobs(JOBS, OVER_S), *troubles)  # type: ignore[arg-type]
+    await asyncio.gather(simulation.run_jobs(JOBS, OVER_S), *faults)  # type: ignore[arg-type]
     await asyncio.sleep(AFTER_S)
     for instance in simulation.instances:
         await instance.kill()
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -18,7 +18,7 @@
 OVER_S = 12.0
 AFTER_S = 26.0
 
-Trouble = Callable[[SchedulingSimulation], Awaitable[None]]
+FaultScenario = Callable[[SchedulingSimulation], Awaitable[None]]
 
 
 async def killed_scheduler(simulation: SchedulingSimulation) -> None:
@@ -111,7 +111,7 @@
         instance.orders.faults.cut = set()
 
 
-TROUBLES: tuple[Trouble, ...] = (
+FAULT_SCENARIOS: tuple[FaultScenario, ...] = (
     killed_scheduler,
     all_killed,
     scheduler_cut_from_store,
@@ -125,7 +125,7 @@
 )
 
 
-def play(seed: int, trouble: Trouble | None) -> SchedulingSimulation:
+def play(seed: int, fault: FaultScenario | None) -> SchedulingSimulation:
     """Play one history on a clock of its own."""
 
     async def scenario() -> SchedulingSimulation:
@@ -133,8 +133,8 @@
         for instance in simulation.instances:
             instance.start()
         await asyncio.sleep(1.0)
-        troubles = [trouble(simulation)] if trouble is not None else []
-        await asyncio.gather(simulation.run_jobs(JOBS, OVER_S), *troubles)
+        faults = [fault(simulation)] if fault is not None else []
+        await asyncio.gather(simulation.run_jobs(JOBS, OVER_S), *faults)
         await asyncio.sleep(AFTER_S)
         for instance in simulation.instances:
             await instance.kill()
@@ -144,12 +144,12 @@
 
 
 class HistoryTests(unittest.TestCase):
-    @parameterized.expand([(one.__name__, one) for one in TROUBLES])
-    def test_promises_hold(self, _name: str, trouble: Trouble) -> None:
-        """Through each trouble, for a fixed set of seeds, nothing breaks."""
+    @parameterized.expand([(one.__name__, one) for one in FAULT_SCENARIOS])
+    def test_promises_hold(self, _name: str, fault: FaultScenario) -> None:
+        """Through each fault, for a fixed set of seeds, nothing breaks."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                simulation = play(seed, trouble)
+                simulation = play(seed, fault)
                 self.assertEqual([], simulation.violations())
                 self.assertGreater(len(simulation.accepted), JOBS // 2)
                 self.assertGreater(simulation.fleet.started, JOBS)
