--- a/bench/plans.py
+++ b/bench/plans.py
@@ -23,7 +23,7 @@
 
 from returns.result import Failure as Err
 from returns.result import Result
-from tests.fakes_plans import World, fjellsending, fleet, run, tijera
+from tests.plan_fakes import ConductorHarness, fjellsending, fleet, run, tijera
 
 from shallotworks.errors import ErrorKind, Failure
 from shallotworks.fleet import (
@@ -93,7 +93,7 @@
         return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason="killed"))
 
 
-class LeasedWorld(World):
+class LeasedConductorHarness(ConductorHarness):
     """A world whose duties are the product's own leases in the store stand-in."""
 
     def __init__(self, state: FleetState, *, ttl_s: float = 4.0, seed: int = SEED, **rest: Any):
@@ -301,19 +301,21 @@
 
 
 async def _store_calls(name: str, state: FleetState, weights: PlannerWeights) -> None:
-    world = LeasedWorld(state, weights=weights, policy=ConductorPolicy(), reboot_s=300.0)
-    world.start_conductor()
-    plan = await _confirmed(world, EVERYTHING)
-    calls_before = sum(world.store.calls.values())
-    writes_before = len(world.config.history)
+    harness = LeasedConductorHarness(
+        state, weights=weights, policy=ConductorPolicy(), reboot_s=300.0
+    )
+    harness.start_conductor()
+    plan = await _confirmed(harness, EVERYTHING)
+    calls_before = sum(harness.store.calls.values())
+    writes_before = len(harness.config.history)
     started_s = asyncio.get_running_loop().time()
-    await world.until_ended(plan.digest)
+    await harness.until_ended(plan.digest)
     took_s = asyncio.get_running_loop().time() - started_s
-    writes = len(world.config.history) - writes_before
-    made = [change for change, _ in world.config.history[writes_before:]]
+    writes = len(harness.config.history) - writes_before
+    made = [change for change, _ in harness.config.history[writes_before:]]
     conditions = sum(isinstance(change, SetCondition) for change in made)
     progress = sum(isinstance(change, AdvancePlan) for change in made)
-    lease_calls = sum(world.store.calls.values()) - calls_before
+    lease_calls = sum(harness.store.calls.values()) - calls_before
     waves = len(plan.waves)
     print(
         f"{name}: {waves} waves in {took_s:.0f} s (planned {plan.measures.roll_out_s:.0f});"
@@ -321,7 +323,7 @@
         f" {progress / waves:.1f} progress), lease and plan calls per wave"
         f" {lease_calls / waves:.1f}, per minute {lease_calls / took_s * 60:.1f}"
     )
-    await world.stop()
+    await harness.stop()
 
 
 def _print_takeover() -> None:
@@ -337,27 +339,29 @@
 
 
 async def _takeover(kill: int, ttl_s: float, pauses_s: list[float]) -> None:
-    world = LeasedWorld(fjellsending(), policy=ConductorPolicy(), ttl_s=ttl_s, seed=kill)
-    tasks = [world.start_conductor() for _ in range(3)]
-    plan = await _confirmed(world, Maintain(selection=InPool(pool="archive")))
+    harness = LeasedConductorHarness(
+        fjellsending(), policy=ConductorPolicy(), ttl_s=ttl_s, seed=kill
+    )
+    tasks = [harness.start_conductor() for _ in range(3)]
+    plan = await _confirmed(harness, Maintain(selection=InPool(pool="archive")))
     await asyncio.sleep(20.0 + kill * 1.7)
-    holder = next(name for name, held in world.holders.items() if held.still_held())
-    token = max(_tokens(world))
-    await world.crash(tasks[int(holder.rsplit("-", 1)[1])], holder)
+    holder = next(name for name, held in harness.holders.items() if held.still_held())
+    token = max(_tokens(harness))
+    await harness.crash(tasks[int(holder.rsplit("-", 1)[1])], holder)
     killed_s = asyncio.get_running_loop().time()
-    while max(_tokens(world)) == token:
+    while max(_tokens(harness)) == token:
         await asyncio.sleep(0.05)
     pauses_s.append(asyncio.get_running_loop().time() - killed_s)
-    await world.until_ended(plan.digest)
-    await world.stop()
+    await harness.until_ended(plan.digest)
+    await harness.stop()
 
 
-def _tokens(world: World) -> set[int]:
-    changes = (change for change, _ in world.config.history)
+def _tokens(harness: ConductorHarness) -> set[int]:
+    changes = (change for change, _ in harness.config.history)
     return {change.fencing_token for change in changes if isinstance(change, AdvancePlan)}
 
 
-async def _confirmed(world: World, intent: Intent) -> Plan:
-    plan = (await world.plan_registry.propose(intent, author="bench")).unwrap()
-    (await world.plan_registry.confirm(plan.digest, operator="bench")).unwrap()
+async def _confirmed(harness: ConductorHarness, intent: Intent) -> Plan:
+    plan = (await harness.plan_registry.propose(intent, author="bench")).unwrap()
+    (await harness.plan_registry.confirm(plan.digest, operator="bench")).unwrap()
     return plan
--- a/tests/fakes_plans.py
+++ b/tests/plan_fakes.py
@@ -184,7 +184,7 @@
         return holder is not None and holder.paused and now_s >= self._lease.lapses_at_s
 
 
-class World:
+class ConductorHarness:
     """A fleet, its log, its targets and as many conductors as a test starts."""
 
     def __init__(
@@ -292,10 +292,10 @@
         loop.close()
 
 
-async def confirmed(world: World, intent: Intent, operator: str = "kari") -> str:
+async def confirmed(harness: ConductorHarness, intent: Intent, operator: str = "kari") -> str:
     """Propose and confirm one intent; returns the plan's digest."""
-    plan = (await world.plan_registry.propose(intent, author=operator)).unwrap()
-    (await world.plan_registry.confirm(plan.digest, operator=operator)).unwrap()
+    plan = (await harness.plan_registry.propose(intent, author=operator)).unwrap()
+    (await harness.plan_registry.confirm(plan.digest, operator=operator)).unwrap()
     return plan.digest
 
 
--- a/tests/test_conductor.py
+++ b/tests/test_conductor.py
@@ -6,7 +6,7 @@
 from shallotworks.errors import ErrorKind
 from shallotworks.fleet import Condition, PlanState, SetHealth
 from shallotworks.plans import Drain, InPool, InRack, Maintain, Named, Return
-from tests.fakes_plans import World, confirmed, fjellsending, run
+from tests.plan_fakes import ConductorHarness, confirmed, fjellsending, run
 
 
 class EndToEndTests(unittest.TestCase):
@@ -14,24 +14,24 @@
         """Nothing changes on a proposal; confirmed, the rack ends up cordoned and empty."""
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
             rack = InRack(data_centre="bergen", rack="r0")
             plan = (
-                await world.plan_registry.propose(Drain(selection=rack), author="kari")
+                await harness.plan_registry.propose(Drain(selection=rack), author="kari")
             ).unwrap()
             await asyncio.sleep(60)
-            self.assertEqual(world.config.history, [])
-            world.targets.work["fault-trace-0"] = 3
-            (await world.plan_registry.confirm(plan.digest, operator="kari")).unwrap()
+            self.assertEqual(harness.config.history, [])
+            harness.targets.work["fault-trace-0"] = 3
+            (await harness.plan_registry.confirm(plan.digest, operator="kari")).unwrap()
             await asyncio.sleep(30)
-            self.assertTrue(world.config.state().plans[plan.digest].state.is_open)
-            world.targets.work.clear()
-            state = await world.until_ended(plan.digest)
+            self.assertTrue(harness.config.state().plans[plan.digest].state.is_open)
+            harness.targets.work.clear()
+            state = await harness.until_ended(plan.digest)
             self.assertIs(state.plans[plan.digest].state, PlanState.DONE)
             for name in plan.instances:
                 self.assertIs(state.instances[name].condition, Condition.CORDONED)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -39,16 +39,16 @@
         """Every instance is rebooted once, returned, and its maintenance is on record."""
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
-            digest = await confirmed(world, Maintain(selection=InPool(pool="archive")))
-            state = await world.until_ended(digest)
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
+            digest = await confirmed(harness, Maintain(selection=InPool(pool="archive")))
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
-            self.assertEqual(sorted(world.targets.reboots), [f"archive-{n}" for n in range(8)])
+            self.assertEqual(sorted(harness.targets.reboots), [f"archive-{n}" for n in range(8)])
             for entry in state.instances_of("archive"):
                 self.assertTrue(entry.available)
                 self.assertGreater(entry.maintained_at_s, 0)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -56,15 +56,15 @@
         """A return probes, ends the cordon, and takes back the report that it had failed."""
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
             one = Named(names=("archive-0",))
-            await world.until_ended(await confirmed(world, Drain(selection=one)))
+            await harness.until_ended(await confirmed(harness, Drain(selection=one)))
             failed = SetHealth(names=one.names, healthy=False)
-            await world.config.propose(failed, author="peer")
-            state = await world.until_ended(await confirmed(world, Return(selection=one)))
+            await harness.config.propose(failed, author="peer")
+            state = await harness.until_ended(await confirmed(harness, Return(selection=one)))
             self.assertTrue(state.instances["archive-0"].available)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -74,18 +74,18 @@
         """A proposal that nobody confirmed goes after a while; a confirmed plan stays readable."""
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            kept = await confirmed(world, Drain(selection=Named(names=("archive-0",))))
+            harness = ConductorHarness(fjellsending())
+            kept = await confirmed(harness, Drain(selection=Named(names=("archive-0",))))
             intent = Drain(selection=Named(names=("coverage-0",)))
-            old = (await world.plan_registry.propose(intent, author="kari")).unwrap().digest
+            old = (await harness.plan_registry.propose(intent, author="kari")).unwrap().digest
             for healthy in (False, True):
                 change = SetHealth(names=("coverage-5",), healthy=healthy)
-                await world.config.propose(change, author="peer")
-            self.assertEqual((await world.plan_registry.prune(kept_revisions=5)).unwrap(), 0)
-            self.assertEqual((await world.plan_registry.prune(kept_revisions=1)).unwrap(), 1)
-            listed = (await world.plan_registry.list()).unwrap()
+                await harness.config.propose(change, author="peer")
+            self.assertEqual((await harness.plan_registry.prune(kept_revisions=5)).unwrap(), 0)
+            self.assertEqual((await harness.plan_registry.prune(kept_revisions=1)).unwrap(), 1)
+            listed = (await harness.plan_registry.list()).unwrap()
             self.assertEqual([entry.plan.digest for entry in listed], [kept])
-            refused = (await world.plan_registry.show(old)).failure()
+            refused = (await harness.plan_registry.show(old)).failure()
             self.assertIs(refused.kind, ErrorKind.NOT_FOUND)
 
         run(scenario)
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -19,7 +19,7 @@
     Move,
     Named,
 )
-from tests.fakes_plans import World, confirmed, fjellsending, run, tijera
+from tests.plan_fakes import ConductorHarness, confirmed, fjellsending, run, tijera
 
 ARCHIVE = Maintain(selection=InPool(pool="archive"))
 ARCHIVE_NAMES = [f"archive-{number}" for number in range(8)]
@@ -36,19 +36,19 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            first = world.start_conductor()
-            world.start_conductor()
-            digest = await confirmed(world, ARCHIVE)
+            harness = ConductorHarness(fjellsending())
+            first = harness.start_conductor()
+            harness.start_conductor()
+            digest = await confirmed(harness, ARCHIVE)
             await asyncio.sleep(at_s)
-            await world.kill(first)
-            token = world.lease.token
+            await harness.kill(first)
+            token = harness.lease.token
             await asyncio.sleep(10)
-            self.assertGreater(world.lease.token, token)
-            state = await world.until_ended(digest)
+            self.assertGreater(harness.lease.token, token)
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
-            self.assertEqual(sorted(world.targets.reboots), ARCHIVE_NAMES)
-            await world.stop()
+            self.assertEqual(sorted(harness.targets.reboots), ARCHIVE_NAMES)
+            await harness.stop()
 
         run(scenario)
 
@@ -61,23 +61,23 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            first = world.start_conductor()
-            digest = await confirmed(world, ARCHIVE)
+            harness = ConductorHarness(fjellsending())
+            first = harness.start_conductor()
+            digest = await confirmed(harness, ARCHIVE)
             await asyncio.sleep(10)
-            world.pause(first)
-            await asyncio.sleep(world.lease.ttl_s)
-            world.start_conductor()
+            harness.pause(first)
+            await asyncio.sleep(harness.lease.ttl_s)
+            harness.start_conductor()
             await asyncio.sleep(3)
-            since = len(world.config.history)
-            state = await world.until_ended(digest)
+            since = len(harness.config.history)
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
-            authors = {author for _, author in world.config.history[since:]}
+            authors = {author for _, author in harness.config.history[since:]}
             self.assertEqual(authors, {"entry-1"})
-            self.assertEqual(sorted(world.targets.reboots), ARCHIVE_NAMES)
-            self.assertGreater(world.metrics.counters()["plans.duties_lost"], 0)
+            self.assertEqual(sorted(harness.targets.reboots), ARCHIVE_NAMES)
+            self.assertGreater(harness.metrics.counters()["plans.duties_lost"], 0)
             self.assertFalse(first.done())
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -91,20 +91,20 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
-            digest = await confirmed(world, ARCHIVE)
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
+            digest = await confirmed(harness, ARCHIVE)
             await asyncio.sleep(10)
-            world.config.down = True
-            revision = world.config.state().revision
-            reboots = len(world.targets.reboots)
+            harness.config.down = True
+            revision = harness.config.state().revision
+            reboots = len(harness.targets.reboots)
             await asyncio.sleep(600)
-            self.assertEqual(world.config.state().revision, revision)
-            self.assertLessEqual(len(world.targets.reboots), reboots + 2)
-            world.config.down = False
-            state = await world.until_ended(digest)
+            self.assertEqual(harness.config.state().revision, revision)
+            self.assertLessEqual(len(harness.targets.reboots), reboots + 2)
+            harness.config.down = False
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -116,14 +116,14 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
-            digest = await confirmed(world, ARCHIVE)
-            world.config.lost_answers = 12
-            state = await world.until_ended(digest)
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
+            digest = await confirmed(harness, ARCHIVE)
+            harness.config.lost_answers = 12
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
-            self.assertEqual(sorted(world.targets.reboots), ARCHIVE_NAMES)
-            await world.stop()
+            self.assertEqual(sorted(harness.targets.reboots), ARCHIVE_NAMES)
+            await harness.stop()
 
         run(scenario)
 
@@ -137,18 +137,18 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
-            digest = await confirmed(world, ARCHIVE)
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
+            digest = await confirmed(harness, ARCHIVE)
             down = SetHealth(names=("archive-6", "archive-7"), healthy=False)
-            await world.config.propose(down, author="peer")
+            await harness.config.propose(down, author="peer")
             await asyncio.sleep(1200)
-            self.assertLessEqual(len(world.targets.reboots), 2)
+            self.assertLessEqual(len(harness.targets.reboots), 2)
             up = SetHealth(names=("archive-6", "archive-7"), healthy=True)
-            await world.config.propose(up, author="peer")
-            state = await world.until_ended(digest)
+            await harness.config.propose(up, author="peer")
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -160,18 +160,18 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.config.checks.append(lambda before, change, after: self._within(after))
-            world.start_conductor()
+            harness = ConductorHarness(fjellsending())
+            harness.config.checks.append(lambda before, change, after: self._within(after))
+            harness.start_conductor()
             halves = [Named(names=tuple(ARCHIVE_NAMES[start::2])) for start in (0, 1)]
             digests = [
-                await confirmed(world, Maintain(selection=half), operator)
+                await confirmed(harness, Maintain(selection=half), operator)
                 for half, operator in zip(halves, ("kari", "ola"), strict=True)
             ]
             for digest in digests:
-                state = await world.until_ended(digest)
+                state = await harness.until_ended(digest)
                 self.assertIs(state.plans[digest].state, PlanState.DONE)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -188,17 +188,17 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.targets.work["archive-3"] = 1
-            world.start_conductor()
-            digest = await confirmed(world, ARCHIVE)
-            state = await world.until_ended(digest)
+            harness = ConductorHarness(fjellsending())
+            harness.targets.work["archive-3"] = 1
+            harness.start_conductor()
+            digest = await confirmed(harness, ARCHIVE)
+            state = await harness.until_ended(digest)
             record = state.plans[digest]
             self.assertIs(record.state, PlanState.FAILED)
             self.assertIn("7 of 8 instances done: archive-3 never emptied", record.outcome)
-            self.assertNotIn("archive-3", world.targets.reboots)
+            self.assertNotIn("archive-3", harness.targets.reboots)
             self.assertTrue(state.instances["archive-3"].available)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -210,24 +210,24 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
             refused = []
-            real_reboot = world.targets.reboot
+            real_reboot = harness.targets.reboot
 
             async def late_work(instance, *, reboot_id, fencing_token):  # type: ignore
                 if not refused:
                     refused.append(instance.name)
-                    world.targets.work[instance.name] = 1
-                    asyncio.get_running_loop().call_later(9, world.targets.work.clear)
+                    harness.targets.work[instance.name] = 1
+                    asyncio.get_running_loop().call_later(9, harness.targets.work.clear)
                 return await real_reboot(instance, reboot_id=reboot_id, fencing_token=fencing_token)
 
-            world.targets.reboot = late_work  # type: ignore[method-assign]
-            digest = await confirmed(world, ARCHIVE)
-            state = await world.until_ended(digest)
+            harness.targets.reboot = late_work  # type: ignore[method-assign]
+            digest = await confirmed(harness, ARCHIVE)
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
-            self.assertEqual(sorted(world.targets.reboots), ARCHIVE_NAMES)
-            await world.stop()
+            self.assertEqual(sorted(harness.targets.reboots), ARCHIVE_NAMES)
+            await harness.stop()
 
         run(scenario)
 
@@ -240,24 +240,24 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.change_instance("archive-0", incarnation="first")
-            world.start_conductor()
-            digest = await confirmed(world, ARCHIVE)
-            while "archive-0" not in world.targets.reboots:
+            harness = ConductorHarness(fjellsending())
+            harness.change_instance("archive-0", incarnation="first")
+            harness.start_conductor()
+            digest = await confirmed(harness, ARCHIVE)
+            while "archive-0" not in harness.targets.reboots:
                 await asyncio.sleep(0.1)
             if fault == "dead":
-                world.targets.dead.add("archive-0")
+                harness.targets.dead.add("archive-0")
             else:
-                world.targets.incarnations["archive-0"] = "second"
-            state = await world.until_ended(digest)
+                harness.targets.incarnations["archive-0"] = "second"
+            state = await harness.until_ended(digest)
             record = state.plans[digest]
             self.assertIs(record.state, PlanState.FAILED)
             self.assertIn(told, record.outcome)
             self.assertIn("7 of 8 instances done", record.outcome)
             self.assertIs(state.instances["archive-0"].condition, Condition.CORDONED)
             self.assertFalse(state.instances["archive-0"].healthy)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -269,19 +269,19 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
-            digest = await confirmed(world, ARCHIVE)
-            while len(world.targets.reboots) < 2:
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
+            digest = await confirmed(harness, ARCHIVE)
+            while len(harness.targets.reboots) < 2:
                 await asyncio.sleep(0.1)
-            world.targets.dead.update(world.targets.reboots)
+            harness.targets.dead.update(harness.targets.reboots)
             await asyncio.sleep(3600)
-            self.assertEqual(len(world.targets.reboots), 2)
-            self.assertTrue(world.config.state().plans[digest].state.is_open)
-            world.targets.dead.clear()
-            state = await world.until_ended(digest)
+            self.assertEqual(len(harness.targets.reboots), 2)
+            self.assertTrue(harness.config.state().plans[digest].state.is_open)
+            harness.targets.dead.clear()
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -296,17 +296,17 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
-            world.targets.work["archive-1"] = 1
-            digest = await confirmed(world, ARCHIVE)
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
+            harness.targets.work["archive-1"] = 1
+            digest = await confirmed(harness, ARCHIVE)
             await asyncio.sleep(at_s)
-            (await world.plan_registry.cancel(digest[:8], operator="ola")).unwrap()
-            state = await world.until_ended(digest)
+            (await harness.plan_registry.cancel(digest[:8], operator="ola")).unwrap()
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.CANCELLED)
             self.assertTrue(all(entry.available for entry in state.instances.values()))
-            self.assertLessEqual(len(world.targets.reboots), 2)
-            await world.stop()
+            self.assertLessEqual(len(harness.targets.reboots), 2)
+            await harness.stop()
 
         run(scenario)
 
@@ -317,19 +317,19 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            world.start_conductor()
+            harness = ConductorHarness(fjellsending())
+            harness.start_conductor()
             names = ("archive-0", "archive-1")
             intent = Move(from_pool="archive", to_pool="coverage", names=names)
-            digest = await confirmed(world, intent)
-            while world.config.state().instances["archive-0"].pool != "coverage":
-                world.targets.dead.update(names if world.targets.work else ())
+            digest = await confirmed(harness, intent)
+            while harness.config.state().instances["archive-0"].pool != "coverage":
+                harness.targets.dead.update(names if harness.targets.work else ())
                 await asyncio.sleep(0.01)
-            (await world.plan_registry.cancel(digest, operator="kari")).unwrap()
-            state = await world.until_ended(digest)
+            (await harness.plan_registry.cancel(digest, operator="kari")).unwrap()
+            state = await harness.until_ended(digest)
             self.assertEqual({state.instances[name].pool for name in names}, {"archive"})
             self.assertTrue(all(state.instances[name].available for name in names))
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -339,15 +339,15 @@
         """Three instances change pools, never more than the budget at once, and take up work."""
 
         async def scenario() -> None:
-            world = World(tijera())
-            world.start_conductor()
+            harness = ConductorHarness(tijera())
+            harness.start_conductor()
             intent = Move(from_pool="supplies", to_pool="booking", count=3)
-            digest = await confirmed(world, intent)
-            state = await world.until_ended(digest)
+            digest = await confirmed(harness, intent)
+            state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             self.assertEqual(len(list(state.instances_of("booking"))), 9)
             self.assertTrue(all(entry.available for entry in state.instances_of("booking")))
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -360,22 +360,22 @@
 
         async def scenario() -> None:
             window = MaintenanceWindow(opens_s=20 * 3600, closes_s=6 * 3600)
-            world = World(tijera(), policy=ConductorPolicy(window=window))
-            world.start_conductor()
-            digest = await confirmed(world, Drain(selection=Named(names=("booking-0",))))
-            cordon = world.config.checks
+            harness = ConductorHarness(tijera(), policy=ConductorPolicy(window=window))
+            harness.start_conductor()
+            digest = await confirmed(harness, Drain(selection=Named(names=("booking-0",))))
+            cordon = harness.config.checks
             at: list[float] = []
             cordon.append(
                 lambda before, change, after: (
-                    at.append(window.left_s(world.wall_clock_s()))
+                    at.append(window.left_s(harness.wall_clock_s()))
                     if isinstance(change, SetCondition)
                     else None
                 )
             )
-            await world.until_ended(digest, limit_s=86_400)
+            await harness.until_ended(digest, limit_s=86_400)
             self.assertEqual(len(at), 1)
             self.assertGreater(at[0], 0)
-            await world.stop()
+            await harness.stop()
 
         run(scenario)
 
@@ -389,16 +389,16 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
+            harness = ConductorHarness(fjellsending())
             rack = InRack(data_centre="bergen", rack="r0")
             drain = (
-                await world.plan_registry.propose(Drain(selection=rack), author="kari")
+                await harness.plan_registry.propose(Drain(selection=rack), author="kari")
             ).unwrap()
             boot = (
-                await world.plan_registry.propose(Maintain(selection=rack), author="ola")
+                await harness.plan_registry.propose(Maintain(selection=rack), author="ola")
             ).unwrap()
-            (await world.plan_registry.confirm(drain.digest, operator="kari")).unwrap()
-            refused = (await world.plan_registry.confirm(boot.digest, operator="ola")).failure()
+            (await harness.plan_registry.confirm(drain.digest, operator="kari")).unwrap()
+            refused = (await harness.plan_registry.confirm(boot.digest, operator="ola")).failure()
             self.assertIs(refused.kind, ErrorKind.CONFLICT)
             for part in (drain.short_digest, "confirmed by kari at 2027-01-15", "to end in 1 min"):
                 self.assertIn(part, refused.reason)
@@ -413,18 +413,18 @@
         """
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            plan = (await world.plan_registry.propose(ARCHIVE, author="kari")).unwrap()
+            harness = ConductorHarness(fjellsending())
+            plan = (await harness.plan_registry.propose(ARCHIVE, author="kari")).unwrap()
             unrelated = SetHealth(names=("coverage-0",), healthy=False)
-            await world.config.propose(unrelated, author="peer")
-            service = world.config.state().services["archive"]
+            await harness.config.propose(unrelated, author="peer")
+            service = harness.config.state().services["archive"]
             cut = PutService(service=replace(service, max_unavailable=1))
-            await world.config.propose(cut, author="ola")
-            refused = (await world.plan_registry.confirm(plan.digest, operator="kari")).failure()
+            await harness.config.propose(cut, author="ola")
+            refused = (await harness.plan_registry.confirm(plan.digest, operator="kari")).failure()
             self.assertIs(refused.kind, ErrorKind.STALE_PLAN)
             fresh = refused.reason.rsplit("plan ", 1)[1]
             self.assertIsInstance(
-                await world.plan_registry.confirm(fresh, operator="kari"), Success
+                await harness.plan_registry.confirm(fresh, operator="kari"), Success
             )
 
         run(scenario)
@@ -433,13 +433,13 @@
         """A change outside of the plan's pools does not stand in the way of its confirmation."""
 
         async def scenario() -> None:
-            world = World(fjellsending())
-            plan = (await world.plan_registry.propose(ARCHIVE, author="kari")).unwrap()
+            harness = ConductorHarness(fjellsending())
+            plan = (await harness.plan_registry.propose(ARCHIVE, author="kari")).unwrap()
             unrelated = SetHealth(names=("coverage-0",), healthy=False)
-            await world.config.propose(unrelated, author="peer")
-            confirmed_plan = await world.plan_registry.confirm(plan.digest, operator="kari")
+            await harness.config.propose(unrelated, author="peer")
+            confirmed_plan = await harness.plan_registry.confirm(plan.digest, operator="kari")
             self.assertIsInstance(confirmed_plan, Success)
-            again = await world.plan_registry.confirm(plan.digest, operator="kari")
+            again = await harness.plan_registry.confirm(plan.digest, operator="kari")
             self.assertEqual(again, confirmed_plan)
 
         run(scenario)
--- a/tests/test_fleet_plans.py
+++ b/tests/test_fleet_plans.py
@@ -25,7 +25,7 @@
     apply,
     precondition_digest,
 )
-from tests.fakes_plans import fjellsending
+from tests.plan_fakes import fjellsending
 
 NAMES = ("archive-0", "archive-1")
 CONFIRM = ConfirmPlan(
--- a/tests/test_plan_sessions.py
+++ b/tests/test_plan_sessions.py
@@ -18,8 +18,8 @@
     render_plan,
     render_progress,
 )
-from tests.fakes_plans import World, fjellsending, run, tijera
 from tests.golden_files import assert_golden
+from tests.plan_fakes import ConductorHarness, fjellsending, run, tijera
 
 EVERYTHING = Maintain(selection=NotMaintainedSince(before_s=1_797_000_000.0))
 
@@ -27,38 +27,38 @@
 class Session:
     """Runs operators' commands on a world and keeps what they would read."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, harness: ConductorHarness) -> None:
+        self.harness = harness
         self.text = ""
 
     async def propose(self, intent: Intent, operator: str) -> str:
-        result = await self.world.plan_registry.propose(intent, author=operator)
+        result = await self.harness.plan_registry.propose(intent, author=operator)
         shown = render_plan(result.unwrap()) if isinstance(result, Success) else ""
         self.tell(f"{operator}: plan propose", shown or f"{result.failure()}\n")
         return result.unwrap().digest if shown else ""
 
     async def confirm(self, digest: str, operator: str) -> None:
-        result = await self.world.plan_registry.confirm(digest, operator=operator)
+        result = await self.harness.plan_registry.confirm(digest, operator=operator)
         told = f"confirmed: {result.unwrap().intent}" if isinstance(result, Success) else ""
         self.tell(f"{operator}: plan confirm {digest[:12]}", f"{told or result.failure()}\n")
 
     async def cancel(self, digest: str, operator: str) -> None:
-        record = (await self.world.plan_registry.cancel(digest, operator=operator)).unwrap()
+        record = (await self.harness.plan_registry.cancel(digest, operator=operator)).unwrap()
         self.tell(f"{operator}: plan cancel {digest[:12]}", f"{record.state.value}\n")
 
     async def diff(self, first: str, second: str) -> None:
-        result = await self.world.plan_registry.diff(first, second)
+        result = await self.harness.plan_registry.diff(first, second)
         self.tell(f"plan diff {first[:12]} {second[:12]}", render_diff(result.unwrap()))
 
     async def progress(self, digest: str, after_s: float) -> None:
         await asyncio.sleep(after_s)
-        state = self.world.config.state()
-        plan = (await self.world.plan_registry.show(digest)).unwrap()
+        state = self.harness.config.state()
+        plan = (await self.harness.plan_registry.show(digest)).unwrap()
         progress = progress_of(plan, state.plans[digest], state)
         self.tell(f"plan status, {after_s:.0f} s later", render_progress(plan, progress))
 
     async def end(self, digest: str) -> None:
-        record = (await self.world.until_ended(digest)).plans[digest]
+        record = (await self.harness.until_ended(digest)).plans[digest]
         self.tell("at the end", f"{record.state.value}: {record.outcome}\n")
 
     def tell(self, command: str, answer: str) -> None:
@@ -71,18 +71,18 @@
 
         async def scenario() -> None:
             weights = PlannerWeights(buffer=0.7, roll_out=0.2, moves=0.1)
-            world = World(fjellsending(), weights=weights, reboot_s=120.0)
-            world.start_conductor()
-            session = Session(world)
+            harness = ConductorHarness(fjellsending(), weights=weights, reboot_s=120.0)
+            harness.start_conductor()
+            session = Session(harness)
             digest = await session.propose(EVERYTHING, "kari")
             drain = Drain(selection=InRack(data_centre="bergen", rack="r0"))
             rack = await session.propose(drain, "ola")
             await session.confirm(digest, "kari")
             await session.confirm(rack, "ola")
             await session.progress(digest, 900.0)
-            world.targets.dead.add("coverage-7")
+            harness.targets.dead.add("coverage-7")
             await session.end(digest)
-            await world.stop()
+            await harness.stop()
             assert_golden(self, "fjellsending-night.txt", session.text)
 
         run(scenario)
@@ -92,14 +92,14 @@
 
         async def scenario() -> None:
             weights = PlannerWeights(buffer=0.1, roll_out=0.8, moves=0.1, window_s=8 * 3600)
-            world = World(tijera(), weights=weights, reboot_s=120.0)
-            world.start_conductor()
-            session = Session(world)
+            harness = ConductorHarness(tijera(), weights=weights, reboot_s=120.0)
+            harness.start_conductor()
+            session = Session(harness)
             first = await session.propose(EVERYTHING, "lupe")
             failed = SetHealth(names=("booking-3",), healthy=False)
-            await world.config.propose(failed, author="peer")
+            await harness.config.propose(failed, author="peer")
             await session.confirm(first, "lupe")
-            fresh = (await world.plan_registry.list()).unwrap()[-1].plan.digest
+            fresh = (await harness.plan_registry.list()).unwrap()[-1].plan.digest
             await session.diff(first, fresh)
             await session.confirm(fresh, "lupe")
             await session.progress(fresh, 240.0)
@@ -107,7 +107,7 @@
             await session.end(fresh)
             impossible = Drain(selection=InRack(data_centre="leon", rack="r9"))
             await session.propose(impossible, "memo")
-            await world.stop()
+            await harness.stop()
             assert_golden(self, "tijera-evening.txt", session.text)
 
         run(scenario)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -29,7 +29,7 @@
     decode_intent,
     encode_intent,
 )
-from tests.fakes_plans import fjellsending, fleet, tijera
+from tests.plan_fakes import fjellsending, fleet, tijera
 
 EVERYTHING = Maintain(selection=NotMaintainedSince(before_s=1.0))
 THRIFTY = PlannerWeights(buffer=0.7, roll_out=0.2, moves=0.1)
--- a/tests/test_plans_machine.py
+++ b/tests/test_plans_machine.py
@@ -34,7 +34,7 @@
     Return,
 )
 from shallotworks.standins import StoreFaults
-from tests.fakes_plans import World, fleet
+from tests.plan_fakes import ConductorHarness, fleet
 
 POOLS = ("a", "b", "c")
 NAMES = tuple(f"{pool}-{number}" for pool in POOLS for number in range(4))
@@ -73,7 +73,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.loop = looptime.new_event_loop()
-        self.world = World(
+        self.harness = ConductorHarness(
             fleet(centres=("x", "y"), pools=dict.fromkeys(POOLS, 4), budget=2),
             policy=POLICY,
             reboot_s=8.0,
@@ -83,14 +83,14 @@
         self.tokens: dict[str, int] = {}
         self.ended: dict[str, PlanState] = {}
         self.violations: list[str] = []
-        self.world.config.checks.append(self.check_change)
+        self.harness.config.checks.append(self.check_change)
         self.watch_reboots()
 
     def wait(self, work: Awaitable[Any]) -> Any:
         return self.loop.run_until_complete(work)
 
     def state(self) -> FleetState:
-        return self.world.config.state()
+        return self.harness.config.state()
 
     @initialize()
     def start(self) -> None:
@@ -98,7 +98,7 @@
 
     @rule(intent=INTENTS, operator=OPERATORS)
     def propose(self, intent: Intent, operator: str) -> None:
-        result = self.wait(self.world.plan_registry.propose(intent, author=operator))
+        result = self.wait(self.harness.plan_registry.propose(intent, author=operator))
         if isinstance(result, Success):
             self.proposed.append(result.unwrap().digest)
 
@@ -106,13 +106,13 @@
     def confirm(self, pick: int, operator: str) -> None:
         if self.proposed:
             digest = self.proposed[-1 - pick % len(self.proposed)]
-            self.wait(self.world.plan_registry.confirm(digest, operator=operator))
+            self.wait(self.harness.plan_registry.confirm(digest, operator=operator))
 
     @rule(pick=st.integers(0, 9), operator=OPERATORS)
     def cancel(self, pick: int, operator: str) -> None:
         if self.proposed:
             digest = self.proposed[-1 - pick % len(self.proposed)]
-            self.wait(self.world.plan_registry.cancel(digest, operator=operator))
+            self.wait(self.harness.plan_registry.cancel(digest, operator=operator))
 
     @rule(intent=INTENTS, operator=OPERATORS)
     def propose_and_confirm(self, intent: Intent, operator: str) -> None:
@@ -121,18 +121,18 @@
 
     @rule(what=st.sampled_from(("start", "kill", "pause")), pick=st.integers(0, 2))
     def change_conductors(self, what: str, pick: int) -> None:
-        alive = [task for task in self.world.tasks if not task.done()]
+        alive = [task for task in self.harness.tasks if not task.done()]
         if what == "start" and len(alive) < 3:
             self.start_conductor()
         elif what == "kill" and len(alive) > 1:
-            self.wait(self.world.kill(alive[pick % len(alive)]))
+            self.wait(self.harness.kill(alive[pick % len(alive)]))
         elif what == "pause":
-            self.loop.call_soon(self.world.pause, alive[pick % len(alive)])
+            self.loop.call_soon(self.harness.pause, alive[pick % len(alive)])
             self.start_conductor()
             self.wait(asyncio.sleep(LAPSE_S))
 
     def start_conductor(self) -> None:
-        self.loop.call_soon(self.world.start_conductor)
+        self.loop.call_soon(self.harness.start_conductor)
         self.wait(asyncio.sleep(0.1))
 
     @rule(
@@ -140,11 +140,11 @@
         what=st.sampled_from(("failed", "works", "dead", "alive", "busy", "idle")),
     )
     def change_instance(self, name: str, what: str) -> None:
-        targets = self.world.targets
+        targets = self.harness.targets
         match what:
             case "failed" | "works":
                 change = SetHealth(names=(name,), healthy=what == "works")
-                self.wait(self.world.config.propose(change, author="peer"))
+                self.wait(self.harness.config.propose(change, author="peer"))
             case "dead":
                 targets.dead.add(name)
             case "alive":
@@ -154,9 +154,9 @@
 
     @rule(down=st.sampled_from((False, False, True)), lost=st.integers(0, 3))
     def change_store(self, down: bool, lost: int) -> None:
-        self.world.config.down = down
-        self.world.config.lost_answers = lost
-        self.world.store.set_faults(StoreFaults(down=down))
+        self.harness.config.down = down
+        self.harness.config.lost_answers = lost
+        self.harness.store.set_faults(StoreFaults(down=down))
 
     @rule(duration_s=st.sampled_from((0.5, 3.0, 12.0, 90.0)))
     def let_time_pass(self, duration_s: float) -> None:
@@ -186,16 +186,16 @@
                 self.return_what_ended_plans_left()
             self.every_rule_held()
         finally:
-            self.wait(self.world.stop())
+            self.wait(self.harness.stop())
             self.loop.close()
 
     def mend(self) -> None:
         self.change_store(down=False, lost=0)
-        self.world.targets.dead.clear()
-        self.world.targets.work.clear()
+        self.harness.targets.dead.clear()
+        self.harness.targets.work.clear()
         failed = tuple(name for name in NAMES if not self.state().instances[name].healthy)
         change = SetHealth(names=failed, healthy=True)
-        self.wait(self.world.config.propose(change, author="peer"))
+        self.wait(self.harness.config.propose(change, author="peer"))
         self.return_what_ended_plans_left()
         self.start_conductor()
 
@@ -208,19 +208,19 @@
             if entry.condition is Condition.CORDONED and not state.open_plan_holding((name,))
         )
         change = SetCondition(names=left, condition=Condition.ACTIVE)
-        self.wait(self.world.config.propose(change, author="mend"))
+        self.wait(self.harness.config.propose(change, author="mend"))
 
     def come_to_an_end(self, digest: str) -> None:
         """Wait for a plan; two drains may hold each other up, then one of them is cancelled."""
         try:
-            self.wait(self.world.until_ended(digest, limit_s=LIMIT_S))
+            self.wait(self.harness.until_ended(digest, limit_s=LIMIT_S))
         except TimeoutError:
             state = self.state()
             pools = {state.instances[name].pool for name in state.plans[digest].instances}
             full = [p for p in pools if state.unavailable_in(p) >= state.budget_of(p)]
             assert full, f"plan {digest} stands still with budget left"
-            self.wait(self.world.plan_registry.cancel(digest, operator="kari"))
-            self.wait(self.world.until_ended(digest, limit_s=LIMIT_S))
+            self.wait(self.harness.plan_registry.cancel(digest, operator="kari"))
+            self.wait(self.harness.until_ended(digest, limit_s=LIMIT_S))
 
     def check_end(self, digest: str) -> None:
         state = self.state()
@@ -237,7 +237,7 @@
             case SetCondition() | MoveInstance() | AdvancePlan():
                 digest = change.digest if isinstance(change, AdvancePlan) else change.plan
                 if not digest:
-                    author = self.world.config.history[-1][1]
+                    author = self.harness.config.history[-1][1]
                     self.expect(author == "mend", f"acts without a plan: {change}")
                     return
                 self.expect(digest in self.confirmed, f"acts unconfirmed: {change}")
@@ -261,7 +261,7 @@
 
     def watch_reboots(self) -> None:
         """Check each reboot: confirmed, cordoned by that plan, and with nothing in flight."""
-        targets = self.world.targets
+        targets = self.harness.targets
         real_reboot = targets.reboot
 
         async def checked(instance: Instance, *, reboot_id: str, fencing_token: int) -> Any:
