--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -65,7 +65,7 @@
 NEITHER = Setup(name="no ejection, no retry budget", limits=NO_EJECTION_LIMITS, budget=False)
 
 
-class World:
+class PoolSimulation:
     """The targets of one pool and the entry instances in front of them, for one seed."""
 
     def __init__(self, setup: Setup, seed: int, *, slots: int = SLOTS) -> None:
@@ -146,11 +146,11 @@
         for offered in (0.0, 3.0):
 
             async def measure(seed: int, setup: Setup = setup, offered: float = offered) -> list:
-                world = World(setup, seed)
+                simulation = PoolSimulation(setup, seed)
                 loads = [interactive(INTERACTIVE_PART)]
                 if offered:
                     loads.append(long_running(offered))
-                tallies = await world.offer(*loads)
+                tallies = await simulation.offer(*loads)
                 first = tallies[0]
                 rest = CAPACITY * (END_S - WARM_S) - first.work_s
                 used = tallies[1].work_s / rest if offered else 0.0
@@ -172,8 +172,8 @@
         for part in parts:
 
             async def measure(seed: int, setup: Setup = setup, part: float = part) -> list:
-                world = World(setup, seed)
-                (tally,) = await world.offer(
+                simulation = PoolSimulation(setup, seed)
+                (tally,) = await simulation.offer(
                     interactive(part), from_s=GOODPUT_WARM_S, until_s=GOODPUT_END_S
                 )
                 per_s = tally.answered / (GOODPUT_END_S - GOODPUT_WARM_S)
@@ -192,15 +192,15 @@
     for setup in (OURS, NO_EJECTION, NO_BUDGET, NEITHER):
 
         async def measure(seed: int, setup: Setup = setup) -> list:
-            world = World(setup, seed)
-            failing = list(world.targets.values())[: round(WORKERS / 3)]
+            simulation = PoolSimulation(setup, seed)
+            failing = list(simulation.targets.values())[: round(WORKERS / 3)]
 
             def fail() -> None:
                 for target in failing:
                     target.fails = True
 
             asyncio.get_running_loop().call_at(WARM_S, fail)
-            (tally,) = await world.offer(interactive(0.5))
+            (tally,) = await simulation.offer(interactive(0.5))
             failed = (tally.failed + tally.refused + tally.late) / tally.offered
             return [tally.attempts / tally.offered, failed, tally.quantile_ms(0.99)]
 
@@ -216,8 +216,8 @@
         for setup in (OURS, NO_EJECTION):
 
             async def measure(seed: int, setup: Setup = setup, fault: str = fault) -> list:
-                world = World(setup, seed)
-                bad = world.targets["w0"]
+                simulation = PoolSimulation(setup, seed)
+                bad = simulation.targets["w0"]
                 asyncio.get_running_loop().call_at(WARM_S, setattr, bad, fault, True)
                 seen = {}
 
@@ -225,7 +225,7 @@
                     seen["last"] = bad.last_attempt_s - WARM_S
 
                 asyncio.get_running_loop().call_at(WARM_S + BEFORE_PROBES_S, look)
-                (tally,) = await world.offer(interactive(0.5))
+                (tally,) = await simulation.offer(interactive(0.5))
                 failed = (tally.failed + tally.refused + tally.late) / tally.offered
                 return [seen["last"], bad.attempts_while_bad, failed]
 
@@ -243,9 +243,9 @@
             wide = replace(setup, entries=entries, divided_by=1)
 
             async def measure(seed: int, setup: Setup = wide) -> list:
-                world = World(setup, seed)
-                (tally,) = await world.offer(interactive(0.7), until_s=20.0)
-                refusals = sum(target.refusals for target in world.targets.values())
+                simulation = PoolSimulation(setup, seed)
+                (tally,) = await simulation.offer(interactive(0.7), until_s=20.0)
+                refusals = sum(target.refusals for target in simulation.targets.values())
                 return [refusals / tally.attempts, tally.quantile_ms(0.99)]
 
             row = medians(measure)
@@ -265,10 +265,12 @@
             async def measure(
                 seed: int, setup: Setup = setup, part: float = part, entry: int | None = entry
             ) -> list:
-                world = World(setup, seed)
+                simulation = PoolSimulation(setup, seed)
                 load = replace(interactive(part), entry=entry)
-                (tally,) = await world.offer(load, from_s=GOODPUT_WARM_S, until_s=GOODPUT_END_S)
-                refusals = sum(target.refusals for target in world.targets.values())
+                (tally,) = await simulation.offer(
+                    load, from_s=GOODPUT_WARM_S, until_s=GOODPUT_END_S
+                )
+                refusals = sum(target.refusals for target in simulation.targets.values())
                 offered_s = part * CAPACITY / INTERACTIVE_S * (GOODPUT_END_S - GOODPUT_WARM_S)
                 good = tally.answered / offered_s
                 return [good, refusals / max(1, tally.attempts), tally.quantile_ms(0.99)]
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -37,7 +37,7 @@
 }
 
 
-class World:
+class IngressHarness:
     """An ingress on a free port, over a store in memory."""
 
     def __init__(self) -> None:
@@ -74,17 +74,17 @@
         return answer
 
 
-def run(scenario: Callable[[World], Awaitable[None]]) -> None:
+def run(scenario: Callable[[IngressHarness], Awaitable[None]]) -> None:
     """Run a scenario."""
 
     async def whole() -> None:
-        world = World()
-        await world.ingress.listen(world.address)
+        harness = IngressHarness()
+        await harness.ingress.listen(harness.address)
         try:
-            await scenario(world)
+            await scenario(harness)
         finally:
-            await world.client.close()
-            await world.ingress.close()
+            await harness.client.close()
+            await harness.ingress.close()
 
     asyncio.run(whole())
 
@@ -93,26 +93,26 @@
     def test_a_job_is_accepted_told_of_and_cancelled(self) -> None:
         """Once it is stored."""
 
-        async def scenario(world: World) -> None:
-            self.assertEqual(410, (await world.call("GET", f"/stock/{ID}")).status)
-            self.assertEqual(200, (await world.call("POST", f"/stock/{ID}", JOB)).status)
-            self.assertEqual(200, (await world.call("POST", f"/stock/{ID}", JOB)).status)
-            answer = await world.call("GET", f"/stock/{ID}")
+        async def scenario(harness: IngressHarness) -> None:
+            self.assertEqual(410, (await harness.call("GET", f"/stock/{ID}")).status)
+            self.assertEqual(200, (await harness.call("POST", f"/stock/{ID}", JOB)).status)
+            self.assertEqual(200, (await harness.call("POST", f"/stock/{ID}", JOB)).status)
+            answer = await harness.call("GET", f"/stock/{ID}")
             self.assertEqual({"state": "queued"}, answer.body)
-            self.assertEqual(200, (await world.call("DELETE", f"/stock/{ID}")).status)
-            answer = await world.call("GET", f"/stock/{ID}")
+            self.assertEqual(200, (await harness.call("DELETE", f"/stock/{ID}")).status)
+            answer = await harness.call("GET", f"/stock/{ID}")
             self.assertEqual({"state": "cancelled"}, answer.body)
-            self.assertEqual(0, (await world.call("GET", "/stock/")).body["pending"])
+            self.assertEqual(0, (await harness.call("GET", "/stock/")).body["pending"])
 
         run(scenario)
 
     def test_the_longest_prefix_names_the_queue(self) -> None:
         """A job of one queue is none of another's."""
 
-        async def scenario(world: World) -> None:
-            await world.call("POST", f"/stock/long/{ID}", JOB)
-            self.assertEqual(410, (await world.call("GET", f"/stock/{ID}")).status)
-            self.assertEqual(200, (await world.call("GET", f"/stock/long/{ID}")).status)
+        async def scenario(harness: IngressHarness) -> None:
+            await harness.call("POST", f"/stock/long/{ID}", JOB)
+            self.assertEqual(410, (await harness.call("GET", f"/stock/{ID}")).status)
+            self.assertEqual(200, (await harness.call("GET", f"/stock/long/{ID}")).status)
 
         run(scenario)
 
@@ -133,20 +133,20 @@
     ) -> None:
         """It gets a clear error."""
 
-        async def scenario(world: World) -> None:
-            answer = await world.call("POST", path, body)
+        async def scenario(harness: IngressHarness) -> None:
+            answer = await harness.call("POST", path, body)
             self.assertEqual(status, answer.status)
             self.assertTrue(answer.body["error"])
-            self.assertEqual({}, world.store.items)
+            self.assertEqual({}, harness.store.items)
 
         run(scenario)
 
     def test_wrong_methods(self) -> None:
         """Neither a job nor a queue can be put."""
 
-        async def scenario(world: World) -> None:
-            self.assertEqual(405, (await world.call("PUT", f"/stock/{ID}", JOB)).status)
-            self.assertEqual(405, (await world.call("POST", "/stock/", JOB)).status)
+        async def scenario(harness: IngressHarness) -> None:
+            self.assertEqual(405, (await harness.call("PUT", f"/stock/{ID}", JOB)).status)
+            self.assertEqual(405, (await harness.call("POST", "/stock/", JOB)).status)
 
         run(scenario)
 
@@ -155,23 +155,23 @@
     def test_without_a_configuration(self) -> None:
         """Refused with a time to come back, and not ready."""
 
-        async def scenario(world: World) -> None:
-            world.configuration = None
-            self.assertEqual(503, (await world.call("POST", f"/stock/{ID}", JOB)).status)
-            self.assertFalse(world.ingress.is_ready)
+        async def scenario(harness: IngressHarness) -> None:
+            harness.configuration = None
+            self.assertEqual(503, (await harness.call("POST", f"/stock/{ID}", JOB)).status)
+            self.assertFalse(harness.ingress.is_ready)
 
         run(scenario)
 
     def test_while_the_store_is_lost(self) -> None:
         """Refused at once, truly: nothing is sent to the store."""
 
-        async def scenario(world: World) -> None:
-            world.is_store_lost = True
+        async def scenario(harness: IngressHarness) -> None:
+            harness.is_store_lost = True
             began_s = time.monotonic()
-            self.assertEqual(503, (await world.call("POST", f"/stock/{ID}", JOB)).status)
+            self.assertEqual(503, (await harness.call("POST", f"/stock/{ID}", JOB)).status)
             self.assertLess(time.monotonic() - began_s, 0.5)
-            self.assertEqual(0, world.store.commits)
-            self.assertFalse(world.ingress.is_ready)
+            self.assertEqual(0, harness.store.commits)
+            self.assertFalse(harness.ingress.is_ready)
 
         run(scenario)
 
@@ -184,11 +184,11 @@
         connection none was left, and every other request timed out.
         """
 
-        async def scenario(world: World) -> None:
-            await _slowest_of(world, 40)
-            silent = [await _connect(world.address, b"") for _ in range(500)]
-            halves = [await _connect(world.address, b"POST /stock/1 HT") for _ in range(200)]
-            beside_s = await _slowest_of(world, 40)
+        async def scenario(harness: IngressHarness) -> None:
+            await _slowest_of(harness, 40)
+            silent = [await _connect(harness.address, b"") for _ in range(500)]
+            halves = [await _connect(harness.address, b"POST /stock/1 HT") for _ in range(200)]
+            beside_s = await _slowest_of(harness, 40)
             self.assertLess(beside_s, STALLED_S)
             for _, writer in (*silent, *halves):
                 writer.close()
@@ -196,11 +196,11 @@
         run(scenario)
 
 
-async def _slowest_of(world: World, count: int) -> float:
+async def _slowest_of(harness: IngressHarness, count: int) -> float:
     durations: list[float] = []
     for number in range(count):
         began_s = time.monotonic()
-        answer = await world.call("POST", f"/stock/{number:016x}", JOB)
+        answer = await harness.call("POST", f"/stock/{number:016x}", JOB)
         assert answer.status == 200
         durations.append(time.monotonic() - began_s)
     return sorted(durations)[int(count * 0.95)]
