--- a/tests/dispatch_fakes.py
+++ b/tests/dispatch_fakes.py
@@ -39,7 +39,7 @@
     return await main()
 
 
-class HeldConfig:
+class SettableConfig:
     """A `ConfigView` whose state the test sets."""
 
     def __init__(self, state: FleetState) -> None:
@@ -112,7 +112,7 @@
 class DispatchHarness:
     """A dispatcher over a small fleet."""
 
-    config: HeldConfig
+    config: SettableConfig
     dispatcher: PoolDispatcher
     metrics: Metrics
     timeline: Timeline
@@ -201,7 +201,7 @@
     rank: int = 0,
 ) -> DispatchHarness:
     """Return a dispatcher over a fleet."""
-    config = HeldConfig(state)
+    config = SettableConfig(state)
     metrics = Metrics()
     timeline = Timeline(process="e1", wall_clock_s=lambda: 0.0, capacity=100_000)
     live = [entries]
--- a/tests/entry.py
+++ b/tests/entry.py
@@ -24,7 +24,7 @@
 )
 from shallotworks.standins import WorkerStandIn
 from shallotworks.timeline import Timeline
-from tests.dispatch_fakes import HeldConfig, fleet
+from tests.dispatch_fakes import SettableConfig, fleet
 from tests.fakes import LoopThread
 
 BODY_LIMIT_BYTES = 64 * 1024
@@ -87,7 +87,7 @@
         numbers = itertools.count(1)
         self._loop_thread = loop_thread
         self.dispatcher = PoolDispatcher(
-            config=HeldConfig(state),
+            config=SettableConfig(state),
             data_centre="here",
             live_entries=lambda: entries,
             limits=limits or DispatchLimits(probe_after_s=0.2),
--- a/tests/fake_backend.py
+++ b/tests/fake_backend.py
@@ -128,7 +128,7 @@
         """Return a canned plan for any intent but to drain nothing."""
         if intent == Drain(selection=Named(names=())):
             return Err(Failure(kind=ErrorKind.UNSATISFIABLE, reason="there is nothing to drain"))
-        plan = a_plan(number=len(self.stored) + 1, intent=intent, author=operator)
+        plan = make_plan(number=len(self.stored) + 1, intent=intent, author=operator)
         self.stored[plan.digest] = plan
         return Success(self._view(plan))
 
@@ -188,7 +188,7 @@
         return plan_view(plan, self.state.plans.get(plan.digest), self.state)
 
 
-def a_plan(*, number: int, intent: Intent, author: str) -> Plan:
+def make_plan(*, number: int, intent: Intent, author: str) -> Plan:
     """Return a proposal to drain two instances of the Fjellsending example, one after the other."""
     measures = Measures(buffer_slots=8, roll_out_s=126, moves=4, waves=2)
     faster = Measures(buffer_slots=16, roll_out_s=63, moves=4, waves=1)
--- a/tests/peer_fakes.py
+++ b/tests/peer_fakes.py
@@ -35,7 +35,7 @@
     return PutTeam(team=Team(name=name, quota_slots=slots))
 
 
-class HeldReplica(Replica):
+class RecordingReplica(Replica):
     """A replica that remembers which revisions it has held."""
 
     def __init__(self) -> None:
@@ -212,7 +212,7 @@
         keys: FleetKeys = KEYS,
         started: float = 0.0,
         timing: PeerTiming | None = None,
-        replica: HeldReplica | None = None,
+        replica: RecordingReplica | None = None,
         loads: Callable[[], tuple[ServiceLoad, ...]] = tuple,
         address: str = "",
         transport: Transport | None = None,
@@ -221,7 +221,7 @@
         self.address = address or f"{name}:1"
         self.data_centre = data_centre
         self.metrics = Metrics()
-        self.replica = replica or HeldReplica()
+        self.replica = replica or RecordingReplica()
         wall_clock_s = lambda: UNIX_START_S + started  # noqa: E731
         self.timeline = Timeline(process=name, wall_clock_s=wall_clock_s)
         self.peers = PeerNetwork(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,7 @@
 from shallotworks.protocol import FleetKeys, ServiceLoad
 from shallotworks.timeline import EventKind
 
-from .peer_fakes import Fleet, HeldReplica, run_on_virtual_clock
+from .peer_fakes import Fleet, RecordingReplica, run_on_virtual_clock
 
 IN_FORCE_S = 8.0
 
@@ -289,7 +289,7 @@
             for _ in range(changes):
                 fleet.accept_at("a1")
             await asyncio.sleep(5)
-            replica = HeldReplica()
+            replica = RecordingReplica()
             replica.append_entries(tuple(fleet.log.entries[:10]))
             late = fleet.nodes["a7"] = fleet.make("a7", replica=replica)
             await late.peers.start()
