--- a/tests/test_callers_sessions.py
+++ b/tests/test_callers_sessions.py
@@ -61,7 +61,7 @@
         test.addCleanup(self.entry.stop)
         self._ids: dict[str, str] = {}
 
-    def tell(self, line: str) -> None:
+    def write(self, line: str) -> None:
         """Note what happens besides the requests."""
         self.text += f"# {line}\n\n"
 
@@ -138,34 +138,34 @@
         session.ask("GET /trace?mast=7", trace)
         session.ask("POST /sweep", {**trace, "Shallot-Idempotent": "yes"}, b"antenna 3, 2.1 GHz")
         session.ask("POST /orders", order, b"2 tubes")
-        session.tell("the crew has seen no answer and orders again under its key")
+        session.write("the crew has seen no answer and orders again under its key")
         session.ask("POST /orders", order, b"2 tubes")
-        session.tell("the key by mistake for another order")
+        session.write("the key by mistake for another order")
         session.ask("POST /orders", order, b"9 tubes")
         session.ask("GET /trace?mast=7", {"Shallot-Team": "crews"})
         session.ask("POST /photo", trace, b"x" * (BODY_LIMIT_BYTES + 1))
         session.ask("GET /trace?mast=7", {**trace, "Shallot-Service": "tracing"})
-        session.tell("another request of the team holds its one slot")
+        session.write("another request of the team holds its one slot")
         other = session.hold_quota(trace)
         session.ask("GET /trace?mast=7", trace)
         other.join()
         session.wait_idle()
-        session.tell("the store is down")
+        session.write("the store is down")
         session.set_store(down=True)
         session.ask("POST /orders", {**parts, "Idempotency-Key": "van-7-order-2"}, b"1 tube")
         session.ask("GET /trace?mast=7", trace)
         session.set_store()
-        session.tell("the worker refuses")
+        session.write("the worker refuses")
         session.set_worker(WorkerFault.REFUSE)
         session.ask("POST /orders", {**parts, "Idempotency-Key": "van-7-order-3"}, b"1 tube")
-        session.tell("the worker answers in part")
+        session.write("the worker answers in part")
         session.set_worker(WorkerFault.PARTIAL)
         session.ask("POST /orders", {**parts, "Idempotency-Key": "van-7-order-4"}, b"1 tube")
-        session.tell("the worker is well again, and the crew asks again under that key")
+        session.write("the worker is well again, and the crew asks again under that key")
         session.set_worker(WorkerFault.NONE)
         session.ask("POST /orders", {**parts, "Idempotency-Key": "van-7-order-4"}, b"1 tube")
         runs = [f"{run.key or 'no key'}, attempt {run.attempt}" for run in session.worker.runs()]
-        session.tell("what the worker ran: " + "; ".join(runs))
+        session.write("what the worker ran: " + "; ".join(runs))
         assert_golden(self, "callers-fjellsending.txt", session.transcript())
 
     def test_a_receptionist_of_tijera_de_plata(self) -> None:
@@ -178,10 +178,10 @@
         session.ask("POST /bookings", ten, b"ines 10:00")
         session.ask("POST /bookings", ten, b"ines 10:00")
         session.ask("POST /bookings", ten, b"ines 11:00")
-        session.tell("the worker answers another client's request")
+        session.write("the worker answers another client's request")
         session.set_worker(WorkerFault.FOREIGN)
         session.ask("POST /bookings", booking, b"rosa 12:00")
-        session.tell("the worker fails everything")
+        session.write("the worker fails everything")
         session.set_worker(WorkerFault.FAIL_ALL)
         failed = {**booking, "Idempotency-Key": "salon-12-0002"}
         session.ask("POST /bookings", failed, b"rosa 13:00")
@@ -191,5 +191,5 @@
         session.ask("PUT /agenda", {**agenda, "Shallot-Deadline-Ms": "soon"}, b"ines")
         session.ask("GET /agenda", {**agenda, "Shallot-Team": "salon-99"})
         runs = [f"{run.key or 'no key'}, attempt {run.attempt}" for run in session.worker.runs()]
-        session.tell("what the worker ran: " + "; ".join(runs))
+        session.write("what the worker ran: " + "; ".join(runs))
         assert_golden(self, "callers-tijera.txt", session.transcript())
--- a/tests/test_plan_sessions.py
+++ b/tests/test_plan_sessions.py
@@ -34,34 +34,34 @@
     async def propose(self, intent: Intent, operator: str) -> str:
         result = await self.harness.plan_registry.propose(intent, author=operator)
         shown = render_plan(result.unwrap()) if isinstance(result, Success) else ""
-        self.tell(f"{operator}: plan propose", shown or f"{result.failure()}\n")
+        self.write(f"{operator}: plan propose", shown or f"{result.failure()}\n")
         return result.unwrap().digest if shown else ""
 
     async def confirm(self, digest: str, operator: str) -> None:
         result = await self.harness.plan_registry.confirm(digest, operator=operator)
         told = f"confirmed: {result.unwrap().intent}" if isinstance(result, Success) else ""
-        self.tell(f"{operator}: plan confirm {digest[:12]}", f"{told or result.failure()}\n")
+        self.write(f"{operator}: plan confirm {digest[:12]}", f"{told or result.failure()}\n")
 
     async def cancel(self, digest: str, operator: str) -> None:
         record = (await self.harness.plan_registry.cancel(digest, operator=operator)).unwrap()
-        self.tell(f"{operator}: plan cancel {digest[:12]}", f"{record.state.value}\n")
+        self.write(f"{operator}: plan cancel {digest[:12]}", f"{record.state.value}\n")
 
     async def diff(self, first: str, second: str) -> None:
         result = await self.harness.plan_registry.diff(first, second)
-        self.tell(f"plan diff {first[:12]} {second[:12]}", render_diff(result.unwrap()))
+        self.write(f"plan diff {first[:12]} {second[:12]}", render_diff(result.unwrap()))
 
     async def progress(self, digest: str, after_s: float) -> None:
         await asyncio.sleep(after_s)
         state = self.harness.config.state()
         plan = (await self.harness.plan_registry.show(digest)).unwrap()
         progress = progress_of(plan, state.plans[digest], state)
-        self.tell(f"plan status, {after_s:.0f} s later", render_progress(plan, progress))
+        self.write(f"plan status, {after_s:.0f} s later", render_progress(plan, progress))
 
     async def end(self, digest: str) -> None:
         record = (await self.harness.until_ended(digest)).plans[digest]
-        self.tell("at the end", f"{record.state.value}: {record.outcome}\n")
+        self.write("at the end", f"{record.state.value}: {record.outcome}\n")
 
-    def tell(self, command: str, answer: str) -> None:
+    def write(self, command: str, answer: str) -> None:
         self.text += f"$ {command}\n{answer}\n"
 
 
