--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -64,7 +64,7 @@
     while True:
         _hand_in(harness, number, rng)
         number += 1
-        while harness.starts():
+        while harness.start_orders():
             pass
         if any(True for _ in harness.scheduler_state.open_steps()):
             break
@@ -81,7 +81,7 @@
         memory_mb=rng.randrange(4_000, 30_000),
         estimated_s=rng.uniform(0.5, 2.0),
     )
-    harness.learn(job(f"{number:016x}", wanted, accepted_s=WALL_S + number / 1_000))
+    harness.add_job(job(f"{number:016x}", wanted, accepted_s=WALL_S + number / 1_000))
 
 
 def _end_some(harness: SchedulingHarness, rng: random.Random) -> None:
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -80,7 +80,7 @@
         """Return a worker."""
         return self.scheduler_state.workers[worker_id]
 
-    def learn(
+    def add_job(
         self,
         one: Job,
         *,
@@ -102,7 +102,7 @@
         wall_s = WALL_S + self.now_s - 100.0
         return list(self.decision_engine.decide(now_s=self.now_s, wall_s=wall_s))
 
-    def starts(self) -> list[StartOrder]:
+    def start_orders(self) -> list[StartOrder]:
         """Return the starts of this moment; each is obeyed.
 
         A start in isolation waits until it is stored and its worker has answered a look, which both
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -203,8 +203,8 @@
                 wall_clock=loop.time,
                 recovery_s=OrderTimes().recovery_s,
             )
-            harness.learn(job(JOB_ID, step(1)))
-            (order,) = harness.starts()
+            harness.add_job(job(JOB_ID, step(1)))
+            (order,) = harness.start_orders()
             self.assertEqual("ended", order.run.worker_id)
             harness.report("ended", ended=((NAME, order.run.run_id, EndKind.DONE),))
             await workers.hand_over()
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -102,11 +102,11 @@
     def test_young_runs_share_the_blame_and_others_are_late(self) -> None:
         """A task that had run for long is suspected beside the one that was just started."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("old", step(1)))
-        confirm(harness, *harness.starts())
+        harness.add_job(job("old", step(1)))
+        confirm(harness, *harness.start_orders())
         harness.now_s += AGED_S
-        harness.learn(job("j", step(2)))
-        confirm(harness, *harness.starts())
+        harness.add_job(job("j", step(2)))
+        confirm(harness, *harness.start_orders())
         crash(harness, "a")
         self.assertEqual([[LATE]], blames(harness, "old"))
         self.assertEqual([[SHARED], [SHARED]], blames(harness))
@@ -114,8 +114,8 @@
     def test_a_start_that_was_not_answered_is_young(self) -> None:
         """The start during which the worker died is not suspected."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1)))
+        (order,) = harness.start_orders()
         order.run.enter(order.run.phase.UNANSWERED, harness.now_s)
         harness.now_s += 3.0
         crash(harness, "a")
@@ -124,8 +124,8 @@
     def test_a_worker_that_dies_silently_is_blamed_on_runs_of_its_last_report(self) -> None:
         """Nobody is suspected, since a silent death is known only seconds later."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1)))
+        (order,) = harness.start_orders()
         harness.now_s += 0.1
         harness.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
         harness.now_s += 5.0
@@ -135,8 +135,8 @@
     def test_lasting_tasks_that_have_run_for_long_are_not_blamed(self) -> None:
         """A lasting task is given up for the crashes of all the workers that it has seen."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1, is_lasting=True)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1, is_lasting=True)))
+        (order,) = harness.start_orders()
         confirm(harness, order)
         harness.now_s += AGED_S
         harness.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
@@ -146,8 +146,8 @@
     def test_a_culprit_is_young_however_late_its_crash_is_noticed(self) -> None:
         """A lasting task that crashes its workers is never blamed, as their links hang on."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1, is_lasting=True)))
-        confirm(harness, *harness.starts())
+        harness.add_job(job("j", step(1, is_lasting=True)))
+        confirm(harness, *harness.start_orders())
         harness.now_s += 1.0
         crash(harness, "a")
         self.assertEqual([[SOLE]], blames(harness))
@@ -156,8 +156,8 @@
         """A rack loses power, and all that was just started there is started in isolation."""
         workers = ["a", "b", "c", "d"]
         harness = SchedulingHarness(*(view(one, cpu_millicores=1000) for one in workers))
-        harness.learn(job("j", step(4)))
-        confirm(harness, *harness.starts())
+        harness.add_job(job("j", step(4)))
+        confirm(harness, *harness.start_orders())
         for one in workers:
             harness.scheduler_state.crashes.connection_closed(
                 harness.worker(one), harness.now_s, WALL_S
@@ -173,8 +173,8 @@
     ) -> None:
         """A task is suspected since its machine was moved."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
-        harness.starts()
+        harness.add_job(job("j", step(1)))
+        harness.start_orders()
         harness.scheduler_state.crashes.connection_closed(
             harness.worker("a"), harness.now_s, WALL_S
         )
@@ -190,8 +190,8 @@
     ) -> None:
         """A task is blamed for the death of a worker that was dead before the start was sent."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1)))
+        (order,) = harness.start_orders()
         harness.scheduler_state.replaced("a", harness.now_s, WALL_S)
         self.assertEqual([], blames(harness))
         harness.scheduler_state.crashes.start_answered(order.run, WALL_S, may_have_run=may_have_run)
@@ -200,8 +200,8 @@
     def test_a_worker_that_answers_again_clears_its_runs(self) -> None:
         """Reset connections count as crashes, and a sound task is given up."""
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("j", step(1)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1)))
+        (order,) = harness.start_orders()
         confirm(harness, order)
         worker = harness.worker(order.run.worker_id)
         harness.scheduler_state.crashes.connection_closed(worker, harness.now_s, WALL_S)
@@ -213,14 +213,14 @@
     def test_a_lapsed_run_is_cleared_when_its_worker_is_back(self) -> None:
         """A worker was cut off for a while; its tasks are started in isolation for ever."""
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("j", step(1)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1)))
+        (order,) = harness.start_orders()
         worker = harness.worker(order.run.worker_id)
         confirm(harness, order)
         harness.scheduler_state.lapse(worker, harness.now_s, WALL_S)
         self.assertEqual([[SOLE]], blames(harness))
         harness.report(worker.worker_id)
-        (again,) = harness.starts()
+        (again,) = harness.start_orders()
         self.assertEqual([], blames(harness))
         self.assertIsNone(harness.worker(again.run.worker_id).isolated)
 
@@ -230,8 +230,8 @@
     ) -> None:
         """A worker is back as another incarnation only after its lease is out, and not counted."""
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("j", step(1)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1)))
+        (order,) = harness.start_orders()
         worker = harness.worker(order.run.worker_id)
         harness.scheduler_state.lapse(worker, harness.now_s, WALL_S)
         if is_replaced:
@@ -253,7 +253,7 @@
     def suspect(self, *steps: Step, **changes: object) -> None:
         """Learn of a job whose first task has lost a run."""
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): lost(SHARED)})
-        self.harness.learn(job("j", *steps, **changes), progress=progress)
+        self.harness.add_job(job("j", *steps, **changes), progress=progress)
 
     def test_the_start_is_stored_before_it_is_sent(self) -> None:
         """A scheduler dies with the worker, and its successor does not know of the start."""
@@ -290,18 +290,18 @@
         # What a failed look does.
         kept.pause_until_s = self.harness.now_s + 0.5
         self.harness.now_s += 0.1
-        (order,) = self.harness.starts()
+        (order,) = self.harness.start_orders()
         self.assertNotEqual(kept.worker_id, order.run.worker_id)
 
     def test_nothing_else_is_started_beside_it(self) -> None:
         """Tasks of other jobs are lost with a worker on which a suspect was tried."""
         self.suspect(step(1))
-        self.harness.starts()
+        self.harness.start_orders()
         (isolated,) = [
             w for w in self.harness.scheduler_state.workers.values() if w.isolated is not None
         ]
-        self.harness.learn(job("k", step(8)))
-        others = self.harness.starts()
+        self.harness.add_job(job("k", step(8)))
+        others = self.harness.start_orders()
         self.assertEqual(4, len(others))
         self.assertNotIn(isolated.worker_id, {one.run.worker_id for one in others})
         (waiting,) = self.harness.scheduler_state.open_steps()
@@ -313,37 +313,39 @@
     def test_it_waits_for_young_runs_beside_it(self) -> None:
         """A sound task that was started a moment before shares the blame of the crash."""
         for worker_id in ("a", "b"):
-            self.harness.learn(job(f"k{worker_id}", step(1, estimated_s=9.0, cpu_millicores=2500)))
-        confirm(self.harness, *self.harness.starts())
+            self.harness.add_job(
+                job(f"k{worker_id}", step(1, estimated_s=9.0, cpu_millicores=2500))
+            )
+        confirm(self.harness, *self.harness.start_orders())
         self.suspect(step(1))
-        self.assertEqual([], self.harness.starts())
+        self.assertEqual([], self.harness.start_orders())
         self.harness.now_s += AGED_S
-        self.assertEqual([NAME], [one.run.name for one in self.harness.starts()])
+        self.assertEqual([NAME], [one.run.name for one in self.harness.start_orders()])
 
     def test_other_tasks_of_the_job_wait_until_it_has_proved_harmless(self) -> None:
         """Each task of a job crashes a worker, and all are started again at once."""
         self.suspect(step(3))
-        (order,) = self.harness.starts()
+        (order,) = self.harness.start_orders()
         confirm(self.harness, order)
         worker = self.harness.worker(order.run.worker_id)
         running = (RunningTask(name=order.run.name, run_id=order.run.run_id),)
         self.harness.report(worker.worker_id, running=running)
-        self.assertEqual([], self.harness.starts())
+        self.assertEqual([], self.harness.start_orders())
         self.harness.now_s += 1.0
         self.harness.report(worker.worker_id, running=running)
         self.assertIsNone(worker.isolated)
-        self.assertEqual([1, 2], sorted(one.run.name.number for one in self.harness.starts()))
+        self.assertEqual([1, 2], sorted(one.run.name.number for one in self.harness.start_orders()))
 
     def test_a_crash_under_it_fails_the_job(self) -> None:
         """A task is started in isolation, crashes that worker too, and is started once more."""
         self.suspect(step(1))
-        (order,) = self.harness.starts()
+        (order,) = self.harness.start_orders()
         confirm(self.harness, order)
         self.harness.now_s += 3.0
         crash(self.harness, order.run.worker_id)
         entry = self.harness.scheduler_state.entries["j"]
         self.assertIs(JobState.FAILED, entry.progress.state)
-        self.assertEqual([], self.harness.starts())
+        self.assertEqual([], self.harness.start_orders())
 
     def test_a_cancelled_job_gives_its_worker_back(self) -> None:
         """A worker stays kept for a start that is never sent."""
@@ -352,7 +354,7 @@
         cancelled = JobProgress(queue="sweeps")
         cancelled.finish(JobState.CANCELLED, now_s=WALL_S)
         self.harness.scheduler_state.update_progress("j", cancelled, 9)
-        self.assertEqual([], self.harness.starts())
+        self.assertEqual([], self.harness.start_orders())
         workers = self.harness.scheduler_state.workers.values()
         self.assertEqual([None, None], [worker.isolated for worker in workers])
         self.assertEqual([0, 0], [len(worker.runs) for worker in workers])
@@ -383,7 +385,7 @@
         """A start under way when its scheduler died is forgotten, or taken for the only cause."""
         row = LostRun(run_id=5, worker_id="a" if lives else "z", blame=SOLE, is_certain=False)
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (*lost(*earlier), row)})
-        self.harness.learn(job("j", step(1)), progress=progress, is_old=True)
+        self.harness.add_job(job("j", step(1)), progress=progress, is_old=True)
         self.harness.decide()
         entry = self.harness.scheduler_state.entries["j"]
         known = entry.progress.lost_runs(entry.job, NAME)
@@ -398,21 +400,23 @@
     ) -> None:
         """Each crash in a series took the tasks of five jobs with it, packed on one worker."""
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("k", step(1, estimated_s=9.0)))
-        harness.starts()
+        harness.add_job(job("k", step(1, estimated_s=9.0)))
+        harness.start_orders()
         (first,) = [one for one in harness.scheduler_state.workers.values() if one.runs]
         self.assertEqual("a", first.worker_id)
         for number in range(crashes):
             worker = harness.add(view(f"x{number}"))
-            harness.learn(job(f"c{number}", step(1, label="none", is_lasting=True)))
+            harness.add_job(job(f"c{number}", step(1, label="none", is_lasting=True)))
             entry = harness.scheduler_state.entries[f"c{number}"]
             (lost_step,) = entry.steps.values()
             harness.scheduler_state.new_run(
                 lost_step, 0, worker, harness.scheduler_state.next_run_id(), harness.now_s
             )
             crash(harness, worker.worker_id)
-        harness.learn(job("j", step(2)))
-        workers = {one.run.worker_id for one in harness.starts() if one.run.name.job_id == "j"}
+        harness.add_job(job("j", step(2)))
+        workers = {
+            one.run.worker_id for one in harness.start_orders() if one.run.name.job_id == "j"
+        }
         self.assertEqual({expected}, workers)
 
 
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -44,8 +44,8 @@
 
         harness = SchedulingHarness(view("a"))
         harness.scheduler_state._log = log = StructuredLog(process="test", write=take)
-        harness.learn(job("j", step(1)))
-        (start,) = harness.starts()
+        harness.add_job(job("j", step(1)))
+        (start,) = harness.start_orders()
         harness.now_s += 0.25
         harness.report("a")
         harness.now_s += 3.0
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -77,7 +77,7 @@
             for number in range(30):
                 name = f"{number:04}"
                 one = job(name, step(1))
-                harness.learn(one)
+                harness.add_job(one)
                 harness.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
                 record = Write(key=KEYS.progress(name), value=b"")
                 store.apply_commit(Commit(writes=(record,)))
@@ -114,7 +114,7 @@
             holder = await acquire(store)
             for number in range(60):
                 name = f"{number:04}"
-                harness.learn(job(name, step(2)))
+                harness.add_job(job(name, step(2)))
                 harness.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
                 store.store.apply_commit(
                     Commit(writes=(Write(key=KEYS.progress(name), value=b""),))
@@ -176,7 +176,7 @@
         acknowledgement waited for could not come any more.
         """
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
+        harness.add_job(job("j", step(1)))
         harness.report("a", ended=((DONE, 5, EndKind.DONE),))
         self.assertEqual({1}, harness.worker("a").unsettled)
         harness.scheduler_state.delete_job("j")
@@ -189,7 +189,7 @@
         scheduler then wrote its own final state over it.
         """
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
+        harness.add_job(job("j", step(1)))
         harness.report("a", ended=((DONE, 5, EndKind.DONE),))
         entry = harness.scheduler_state.entries["j"]
         self.assertTrue(entry.is_dirty)
@@ -201,8 +201,8 @@
     def test_a_job_is_let_go_once_no_run_of_it_can_be_alive(self) -> None:
         """A cancelled job's run that works on, since nobody has it stopped any more."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
-        (start,) = harness.starts()
+        harness.add_job(job("j", step(1)))
+        (start,) = harness.start_orders()
         row = RunningTask(name=DONE, run_id=start.run.run_id)
         harness.report("a", running=(row,))
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
@@ -211,7 +211,7 @@
         self.assertEqual([StopOrder], [type(one) for one in harness.decide()])
         harness.report("a", ended=((DONE, start.run.run_id, EndKind.STOPPED),))
         self.assertNotIn("j", harness.scheduler_state.entries)
-        self.assertEqual([], harness.starts())
+        self.assertEqual([], harness.start_orders())
 
     def test_records_of_finished_jobs_are_read(self) -> None:
         """What was stored can be told: a finished job's progress needs no job's record."""
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -301,8 +301,8 @@
         run out on the board, so that the task counted as running for ever.
         """
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1, is_lasting=True)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1, is_lasting=True)))
+        (order,) = harness.start_orders()
         harness.worker("a").lease_ends_s = harness.now_s + 5.0
         order.run.enter(order.run.phase.RUNNING, harness.now_s)
         harness.add(view("b"))
@@ -310,7 +310,7 @@
         harness.worker("a").is_fenced = False
         harness.scheduler_state.mark_unlisted("a")
         harness.now_s += STARTED_AGAIN_S
-        self.assertEqual(["b"], [one.run.worker_id for one in harness.starts()])
+        self.assertEqual(["b"], [one.run.worker_id for one in harness.start_orders()])
 
 
 if __name__ == "__main__":
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -215,7 +215,7 @@
         """
         harness = SchedulingHarness(view("a"), view("b"))
         harness.scheduler_state.pending_recovery["c"] = harness.now_s + 5.0
-        harness.learn(job("j", step(2, is_lasting=True)), is_old=True)
+        harness.add_job(job("j", step(2, is_lasting=True)), is_old=True)
         sizer = PoolSizer(scheduler_state=harness.scheduler_state, limits=SizingLimits())
         for _ in range(20):
             need = sizer.assess(frozenset(), now_s=harness.now_s, wall_s=WALL_S)
@@ -223,7 +223,7 @@
             harness.now_s += 0.1
         harness.scheduler_state.recovered("c", "seen")
         sizer.withdraw(harness.now_s, wall_s=WALL_S)
-        self.assertEqual(2, len(harness.starts()))
+        self.assertEqual(2, len(harness.start_orders()))
 
 
 if __name__ == "__main__":
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -22,7 +22,7 @@
     def arrive(self, job_id: str, at_s: float, count: int) -> None:
         """Let a job of so many core-seconds arrive."""
         wall_s = WALL_S + at_s
-        self.learn(job(job_id, step(count), accepted_s=wall_s), wall_s=wall_s)
+        self.add_job(job(job_id, step(count), accepted_s=wall_s), wall_s=wall_s)
 
 
 class LackTests(unittest.TestCase):
@@ -34,15 +34,15 @@
         """
         harness = SizingHarness("a")
         for number in range(4):
-            harness.learn(job(f"j{number}", step(3)))
-        harness.starts()
+            harness.add_job(job(f"j{number}", step(3)))
+        harness.start_orders()
         self.assertEqual(5, harness.assess().lacking)
 
     def test_nothing_is_lacking_while_nothing_waits(self) -> None:
         """A full pool whose tasks all run needs no more."""
         harness = SizingHarness("a")
-        harness.learn(job("j", step(4)))
-        harness.starts()
+        harness.add_job(job("j", step(4)))
+        harness.start_orders()
         self.assertEqual(0, harness.assess().lacking)
 
     def test_a_large_pool_asks_for_several_times_what_it_has(self) -> None:
@@ -54,13 +54,13 @@
         harness = SizingHarness(*(f"w{number}" for number in range(60)))
         for number in range(100):
             harness.arrive(f"j{number}", at_s=number * 0.01, count=12)
-        harness.starts()
+        harness.start_orders()
         self.assertGreaterEqual(harness.assess(after_s=1.0).lacking, 240)
 
     def test_an_empty_pool_asks_for_one(self) -> None:
         """Whatever the size of its tasks."""
         harness = SizingHarness()
-        harness.learn(job("j", step(1, cpu_millicores=1)))
+        harness.add_job(job("j", step(1, cpu_millicores=1)))
         self.assertEqual(1, harness.assess().lacking)
 
 
@@ -83,7 +83,7 @@
         harness = SizingHarness("a", "b", "c", "d")
         for number in range(3):
             harness.arrive(f"j{number}", at_s=number * 0.1, count=3)
-        harness.starts()
+        harness.start_orders()
         self.assertEqual(0, harness.assess(after_s=0.3).lacking)
 
     def test_machines_are_lacking_while_all_that_came_runs(self) -> None:
@@ -91,10 +91,10 @@
         harness = SizingHarness("a", "b")
         for number in range(8):
             harness.arrive(f"j{number}", at_s=number * 0.1, count=3)
-        harness.starts()
+        harness.start_orders()
         for worker_id in ("a", "b"):
             harness.worker(worker_id).view = view(worker_id, cpu_millicores=12_000)
-        harness.starts()
+        harness.start_orders()
         self.assertEqual([], [one for one in harness.scheduler_state.open_steps() if one.waiting])
         self.assertEqual(1, harness.assess(after_s=0.75).lacking)
 
@@ -108,15 +108,15 @@
         """
         harness = SizingHarness("a", "b")
         harness.sizer.yield_some(1)
-        harness.learn(job("late", step(8), accepted_s=WALL_S - 60))
-        self.assertEqual(1, len({order.run.worker_id for order in harness.starts()}))
-        harness.learn(job("in time", step(1)))
-        self.assertEqual(["in time"], [order.run.name.job_id for order in harness.starts()])
+        harness.add_job(job("late", step(8), accepted_s=WALL_S - 60))
+        self.assertEqual(1, len({order.run.worker_id for order in harness.start_orders()}))
+        harness.add_job(job("in time", step(1)))
+        self.assertEqual(["in time"], [order.run.name.job_id for order in harness.start_orders()])
 
     def test_nothing_is_borrowed_for_late_work(self) -> None:
         """However much of it waits."""
         harness = SizingHarness("a")
-        harness.learn(job("late", step(40), accepted_s=WALL_S - 60))
+        harness.add_job(job("late", step(40), accepted_s=WALL_S - 60))
         harness.scheduler_state.arrivals.clear()
         self.assertEqual(0, harness.assess().lacking)
 
@@ -131,13 +131,13 @@
         self.assertEqual((), harness.assess().free)
         harness.now_s += 0.4
         self.assertEqual(("a",), harness.assess().free)
-        harness.learn(job("ends", step(1)))
-        harness.learn(job("lasts", step(1, is_lasting=True)))
-        self.assertEqual([], harness.starts())
+        harness.add_job(job("ends", step(1)))
+        harness.add_job(job("lasts", step(1, is_lasting=True)))
+        self.assertEqual([], harness.start_orders())
         self.assertTrue(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
-        self.assertEqual(["ends"], [order.run.name.job_id for order in harness.starts()])
+        self.assertEqual(["ends"], [order.run.name.job_id for order in harness.start_orders()])
         harness.now_s += 3.1
-        self.assertEqual(["lasts"], [order.run.name.job_id for order in harness.starts()])
+        self.assertEqual(["lasts"], [order.run.name.job_id for order in harness.start_orders()])
 
     def test_a_job_takes_back_what_it_needs_and_no_more(self) -> None:
         """A turn gets none of ten idle machines, as a job of another queue has just come.
@@ -148,10 +148,10 @@
         harness.assess()
         harness.now_s += 0.4
         self.assertEqual(10, len(harness.assess().free))
-        harness.learn(job("j", step(4)))
-        self.assertEqual([], harness.starts())
+        harness.add_job(job("j", step(4)))
+        self.assertEqual([], harness.start_orders())
         self.assertTrue(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
-        self.assertEqual(1, len({order.run.worker_id for order in harness.starts()}))
+        self.assertEqual(1, len({order.run.worker_id for order in harness.start_orders()}))
         self.assertFalse(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
         harness.now_s += 0.1
         self.assertEqual(9, len(harness.assess().free))
@@ -163,8 +163,8 @@
         kept back, so that it has not to wait for offers that are taken back; the others are lent.
         """
         harness = SizingHarness(*"abcdefghij")
-        harness.learn(job("lasts", step(1, is_lasting=True)))
-        (order,) = harness.starts()
+        harness.add_job(job("lasts", step(1, is_lasting=True)))
+        (order,) = harness.start_orders()
         row = RunningTask(name=order.run.name, run_id=order.run.run_id, percent=100)
         harness.report(order.run.worker_id, running=(row,))
         harness.assess()
@@ -180,8 +180,8 @@
         harness = SizingHarness(*"abcdefgh")
         late = job("late", step(4 * 20), accepted_s=WALL_S - 60.0)
         harness.sizer.yield_some(5)
-        harness.learn(late)
-        harness.starts()
+        harness.add_job(late)
+        harness.start_orders()
         harness.assess()
         harness.now_s += 0.4
         self.assertEqual(5, len(harness.assess().free))
@@ -190,15 +190,15 @@
     def test_work_in_time_takes_back_what_was_to_be_given_up(self) -> None:
         """A queue's own callers are late, since its machines were given up for another's turn."""
         harness = SizingHarness(*"abcdefgh")
-        harness.learn(job("late", step(4 * 20), accepted_s=WALL_S - 60.0))
+        harness.add_job(job("late", step(4 * 20), accepted_s=WALL_S - 60.0))
         harness.sizer.yield_some(5)
-        harness.starts()
+        harness.start_orders()
         harness.assess()
         harness.now_s += 0.4
         harness.assess()
-        harness.learn(job("in time", step(8), accepted_s=WALL_S + 0.4))
+        harness.add_job(job("in time", step(8), accepted_s=WALL_S + 0.4))
         self.assertTrue(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S + 0.4))
-        started = [order for order in harness.starts() if order.run.name.job_id == "in time"]
+        started = [order for order in harness.start_orders() if order.run.name.job_id == "in time"]
         self.assertEqual(8, len(started))
 
     def test_tasks_that_not_any_worker_may_run_hold_all(self) -> None:
@@ -206,14 +206,14 @@
         harness = SizingHarness(*"abcdef")
         harness.assess()
         harness.now_s += 0.4
-        harness.learn(job("j", step(1, label="big")))
+        harness.add_job(job("j", step(1, label="big")))
         self.assertEqual((), harness.assess().free)
 
     def test_busy_workers_are_kept(self) -> None:
         """What runs is not taken away."""
         harness = SizingHarness("a", "b")
-        harness.learn(job("j", step(1)))
-        run = harness.starts()[0].run
+        harness.add_job(job("j", step(1)))
+        run = harness.start_orders()[0].run
         harness.now_s += 0.4
         harness.assess()
         harness.now_s += 0.4
@@ -228,12 +228,12 @@
         away, and tasks that end have had their time.
         """
         harness = SizingHarness("a")
-        harness.learn(job("s", step(1, is_lasting=True)))
-        harness.learn(job("j", step(1)))
-        runs = {order.run.name.job_id: order.run for order in harness.starts()}
+        harness.add_job(job("s", step(1, is_lasting=True)))
+        harness.add_job(job("j", step(1)))
+        runs = {order.run.name.job_id: order.run for order in harness.start_orders()}
         self.assertEqual((), harness.assess("a").free)
-        harness.learn(job("new", step(1)))
-        self.assertEqual([], harness.starts())
+        harness.add_job(job("new", step(1)))
+        self.assertEqual([], harness.start_orders())
         harness.now_s += 2.0
         self.assertEqual((), harness.assess("a").free)
         ends = runs["j"]
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -37,30 +37,30 @@
         """
         harness = bench_of(100)
         for number in range(40):
-            harness.learn(job(f"{number:016x}", step(8)))
+            harness.add_job(job(f"{number:016x}", step(8)))
         sizes = []
         for _ in range(6):
-            sizes.append(len(harness.starts()))
+            sizes.append(len(harness.start_orders()))
             self.assertEqual(sizes[-1] >= MOST_STARTS, harness.decision_engine.is_cut_short)
         self.assertEqual([64, 64, 64, 64, 64, 0], sizes)
 
     def test_a_gang_is_not_split(self) -> None:
         """A part of a gang holds room and waits for members that are never started."""
         harness = bench_of(40)
-        harness.learn(job("0" * 16, step(MOST_STARTS - 1)))
-        harness.learn(job("1" * 16, step(30, is_gang=True, estimated_s=9.0)))
-        self.assertEqual(MOST_STARTS - 1 + 30, len(harness.starts()))
+        harness.add_job(job("0" * 16, step(MOST_STARTS - 1)))
+        harness.add_job(job("1" * 16, step(30, is_gang=True, estimated_s=9.0)))
+        self.assertEqual(MOST_STARTS - 1 + 30, len(harness.start_orders()))
 
     def test_stops_go_before_starts(self) -> None:
         """A cancelled job runs on in a turn, since its stops wait behind starts."""
         harness = bench_of(100)
-        harness.learn(job("f" * 16, step(4)))
-        for order in harness.starts():
+        harness.add_job(job("f" * 16, step(4)))
+        for order in harness.start_orders():
             run = order.run
             harness.scheduler_state.request_stop(run, "cancelled")
             run.enter(run.phase.RUNNING, harness.now_s)
         for number in range(40):
-            harness.learn(job(f"{number:016x}", step(8)))
+            harness.add_job(job(f"{number:016x}", step(8)))
         decisions = harness.decide()
         self.assertTrue(all(isinstance(one, StopOrder) for one in decisions[:4]))
         self.assertEqual(MOST_STARTS, sum(isinstance(one, StartOrder) for one in decisions))
@@ -89,10 +89,10 @@
         harness = bench_of(24)
         for number in range(30):
             size = rng.randrange(1_000, 20_000)
-            harness.learn(job(f"{number:016x}", step(rng.randint(1, 4), cpu_millicores=size)))
-        while harness.starts():
+            harness.add_job(job(f"{number:016x}", step(rng.randint(1, 4), cpu_millicores=size)))
+        while harness.start_orders():
             pass
-        harness.learn(job("f" * 16, wanted))
+        harness.add_job(job("f" * 16, wanted))
         entry = harness.scheduler_state.entries["f" * 16].steps[(0, 0)]
         placement = Placement.of(entry, now_s=harness.now_s, wall_s=1_000_000.0)
         workers = list(harness.scheduler_state.workers.values())
@@ -135,8 +135,8 @@
                     memory_mb=rng.randrange(100, 60_000),
                     is_filler=rng.random() < 0.2,
                 )
-                harness.learn(job(f"{number:016x}", wanted))
-            while harness.starts():
+                harness.add_job(job(f"{number:016x}", wanted))
+            while harness.start_orders():
                 pass
             workers = harness.scheduler_state.workers.values()
             for entry in harness.scheduler_state.open_steps():
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -68,8 +68,8 @@
     ) -> None:
         """Only where they may run and fit."""
         harness = SchedulingHarness(*workers)
-        harness.learn(job("j", part))
-        self.assertEqual(expected, workers_of(harness.starts()))
+        harness.add_job(job("j", part))
+        self.assertEqual(expected, workers_of(harness.start_orders()))
 
     def test_tasks_that_end_leave_whole_workers_free(self) -> None:
         """A queue waits for machines while the one before it has 100 that are a third full.
@@ -78,30 +78,30 @@
         with lasting tasks, which stay anyway, then to the fullest.
         """
         harness = SchedulingHarness(view("a"), view("b"), view("c"))
-        harness.learn(job("lasting", step(1, is_lasting=True, cpu_millicores=500)))
-        (first,) = harness.starts()
+        harness.add_job(job("lasting", step(1, is_lasting=True, cpu_millicores=500)))
+        (first,) = harness.start_orders()
         for number in range(3):
-            harness.learn(job(f"j{number}", step(1, cpu_millicores=1000)))
-        self.assertEqual([first.run.worker_id] * 3, workers_of(harness.starts()))
-        harness.learn(job("more", step(2, cpu_millicores=1000)))
-        self.assertEqual(1, len(set(workers_of(harness.starts()))))
+            harness.add_job(job(f"j{number}", step(1, cpu_millicores=1000)))
+        self.assertEqual([first.run.worker_id] * 3, workers_of(harness.start_orders()))
+        harness.add_job(job("more", step(2, cpu_millicores=1000)))
+        self.assertEqual(1, len(set(workers_of(harness.start_orders()))))
 
     def test_tasks_that_end_keep_off_those_with_a_target(self) -> None:
         """A serving task's users wait for work put beside it while a worker was free."""
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("serving", step(1, is_lasting=True, target_s=0.1, cpu_millicores=500)))
-        (first,) = harness.starts()
+        harness.add_job(job("serving", step(1, is_lasting=True, target_s=0.1, cpu_millicores=500)))
+        (first,) = harness.start_orders()
         harness.worker("b" if first.run.worker_id == "a" else "a").cpu_used += 600
-        harness.learn(job("j", step(1, cpu_millicores=1000)))
-        self.assertNotEqual([first.run.worker_id], workers_of(harness.starts()))
+        harness.add_job(job("j", step(1, cpu_millicores=1000)))
+        self.assertNotEqual([first.run.worker_id], workers_of(harness.start_orders()))
 
     def test_gangs_start_whole_or_not_at_all(self) -> None:
         """All members have one run id; without room for all, none is started."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("wide", step(5, is_gang=True)))
-        self.assertEqual([], harness.starts())
+        harness.add_job(job("wide", step(5, is_gang=True)))
+        self.assertEqual([], harness.start_orders())
         harness.add(view("b"))
-        starts = harness.starts()
+        starts = harness.start_orders()
         self.assertEqual(5, len(starts))
         self.assertEqual(1, len({order.run.run_id for order in starts}))
 
@@ -109,30 +109,34 @@
         """Where its tasks are slower apart, a rack that holds all of them is taken."""
         racks = (("a", "r1"), ("b", "r2"), ("c", "r2"))
         harness = SchedulingHarness(*(view(name, rack=rack) for name, rack in racks))
-        harness.learn(job("g", step(8, is_gang=True, is_one_rack=True)))
-        self.assertEqual(["b"] * 4 + ["c"] * 4, workers_of(harness.starts()))
+        harness.add_job(job("g", step(8, is_gang=True, is_one_rack=True)))
+        self.assertEqual(["b"] * 4 + ["c"] * 4, workers_of(harness.start_orders()))
 
     def test_a_step_waits_for_those_before(self) -> None:
         """Its tasks start when all of the earlier step's are done."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(2), step(1, after=(0,))))
-        first = harness.starts()
+        harness.add_job(job("j", step(2), step(1, after=(0,))))
+        first = harness.start_orders()
         self.assertEqual(2, len(first))
         ends = [(order.run.name, order.run.run_id, EndKind.DONE) for order in first]
         harness.report("a", ended=(ends[0],))
-        self.assertEqual([], harness.starts())
+        self.assertEqual([], harness.start_orders())
         harness.report("a", ended=(ends[1],))
-        self.assertEqual([TaskName("j", 0, 1, 0)], [order.run.name for order in harness.starts()])
+        self.assertEqual(
+            [TaskName("j", 0, 1, 0)], [order.run.name for order in harness.start_orders()]
+        )
 
     def test_occurrences_wait_for_their_time(self) -> None:
         """Each starts when it is due, whether the one before has ended or not."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1), repeats=Repeats(first_s=WALL_S + 2, interval_s=3, count=2)))
-        self.assertEqual([], harness.starts())
+        harness.add_job(
+            job("j", step(1), repeats=Repeats(first_s=WALL_S + 2, interval_s=3, count=2))
+        )
+        self.assertEqual([], harness.start_orders())
         harness.now_s += 2.1
-        self.assertEqual([0], [order.run.name.occurrence for order in harness.starts()])
+        self.assertEqual([0], [order.run.name.occurrence for order in harness.start_orders()])
         harness.now_s += 3
-        self.assertEqual([1], [order.run.name.occurrence for order in harness.starts()])
+        self.assertEqual([1], [order.run.name.occurrence for order in harness.start_orders()])
 
 
 class OrderTests(unittest.TestCase):
@@ -142,13 +146,13 @@
         low = policy(priority=1, stretch=2.0)
         urgent = policy(stretch=1.0, target_latency_s=0.5)
         patient = policy(stretch=1.0, target_latency_s=5.0)
-        harness.learn(job("low", step(1), policy=low))
-        harness.learn(job("hopeless", step(1), accepted_s=WALL_S - 60))
-        harness.learn(job("patient", step(1), policy=patient))
-        harness.learn(job("urgent", step(1), policy=urgent))
-        harness.learn(job("lasting", step(1, is_lasting=True)))
+        harness.add_job(job("low", step(1), policy=low))
+        harness.add_job(job("hopeless", step(1), accepted_s=WALL_S - 60))
+        harness.add_job(job("patient", step(1), policy=patient))
+        harness.add_job(job("urgent", step(1), policy=urgent))
+        harness.add_job(job("lasting", step(1, is_lasting=True)))
         harness.scheduler_state.update_worker(view("a", cpu_millicores=9000))
-        order = [start.run.name.job_id for start in harness.starts()]
+        order = [start.run.name.job_id for start in harness.start_orders()]
         self.assertEqual(["lasting", "urgent", "patient", "hopeless", "low"], order)
 
 
@@ -160,11 +164,11 @@
         latest start was nearest, whether begun or not, so that many were begun and few finished.
         """
         harness = SchedulingHarness(view("a", cpu_millicores=1000))
-        harness.learn(job("begun", step(1), step(1, after=(0,)), accepted_s=WALL_S))
-        first = harness.starts()[0].run
-        harness.learn(job("new", step(1), policy=policy(stretch=1.0, target_latency_s=0.3)))
+        harness.add_job(job("begun", step(1), step(1, after=(0,)), accepted_s=WALL_S))
+        first = harness.start_orders()[0].run
+        harness.add_job(job("new", step(1), policy=policy(stretch=1.0, target_latency_s=0.3)))
         harness.report("a", ended=((first.name, first.run_id, EndKind.DONE),))
-        self.assertEqual(["begun"], [order.run.name.job_id for order in harness.starts()])
+        self.assertEqual(["begun"], [order.run.name.job_id for order in harness.start_orders()])
 
     def test_late_jobs_come_before_those_that_serve_nobody_any_more(self) -> None:
         """After an outage hundreds of callers get nothing, though room for half of them was there.
@@ -173,16 +177,16 @@
         more; they were smaller or had begun, so they came first, and the others got too old.
         """
         harness = SchedulingHarness(view("a", cpu_millicores=1000))
-        harness.learn(job("past use", step(1), accepted_s=WALL_S - 60))
-        harness.learn(job("late", step(3), accepted_s=WALL_S - 3, policy=policy(stretch=2.0)))
-        self.assertEqual(["late"], [order.run.name.job_id for order in harness.starts()])
+        harness.add_job(job("past use", step(1), accepted_s=WALL_S - 60))
+        harness.add_job(job("late", step(3), accepted_s=WALL_S - 3, policy=policy(stretch=2.0)))
+        self.assertEqual(["late"], [order.run.name.job_id for order in harness.start_orders()])
 
     def test_small_jobs_come_first(self) -> None:
         """One caller's large job does not keep ten small ones waiting."""
         harness = SchedulingHarness(view("a", cpu_millicores=1000))
-        harness.learn(job("large", step(9)))
-        harness.learn(job("small", step(1)))
-        self.assertEqual(["small"], [order.run.name.job_id for order in harness.starts()])
+        harness.add_job(job("large", step(9)))
+        harness.add_job(job("small", step(1)))
+        self.assertEqual(["small"], [order.run.name.job_id for order in harness.start_orders()])
 
 
 class LastingInATurnTests(unittest.TestCase):
@@ -202,10 +206,10 @@
         harness = SchedulingHarness(view("a"), view("b"))
         clips = [f"clip{number:02}" for number in range(40)]
         for job_id in clips:
-            harness.learn(job(job_id, step(1, memory_mb=1000)))
-        running = {order.run.name: order.run for order in harness.starts()}
+            harness.add_job(job(job_id, step(1, memory_mb=1000)))
+        running = {order.run.name: order.run for order in harness.start_orders()}
         self.assertEqual(8, len(running))
-        harness.learn(job("archive", lasting))
+        harness.add_job(job("archive", lasting))
         for _ in range(8):
             ended = next(iter(running.values()))
             del running[ended.name]
@@ -215,7 +219,7 @@
                 running=_rows(run for run in running.values() if run.worker_id == ended.worker_id),
                 ended=((ended.name, ended.run_id, EndKind.DONE),),
             )
-            for order in harness.starts():
+            for order in harness.start_orders():
                 if order.run.name.job_id == "archive":
                     return
                 running[order.run.name] = order.run
@@ -224,10 +228,10 @@
     def test_the_other_workers_take_clips_meanwhile(self) -> None:
         """Room is held on one worker only."""
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("first", step(8)))
-        self.assertEqual(8, len(harness.starts()))
-        harness.learn(job("archive", step(5, is_lasting=True, cpu_millicores=3000)))
-        harness.learn(job("clip", step(8)))
+        harness.add_job(job("first", step(8)))
+        self.assertEqual(8, len(harness.start_orders()))
+        harness.add_job(job("archive", step(5, is_lasting=True, cpu_millicores=3000)))
+        harness.add_job(job("clip", step(8)))
         for worker_id in ("a", "b"):
             harness.report(
                 worker_id,
@@ -236,7 +240,7 @@
                     for (name, run_id) in list(harness.worker(worker_id).runs)[:1]
                 ),
             )
-        self.assertEqual(1, len(harness.starts()))
+        self.assertEqual(1, len(harness.start_orders()))
 
 
 def _rows(runs: Iterable[Run]) -> tuple[RunningTask, ...]:
@@ -247,10 +251,10 @@
     def test_a_failed_task_runs_elsewhere(self) -> None:
         """One worker that fails all it is given must not use up a job's attempts."""
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("j", step(1)))
-        first = harness.starts()[0].run
+        harness.add_job(job("j", step(1)))
+        first = harness.start_orders()[0].run
         harness.report(first.worker_id, ended=((first.name, first.run_id, EndKind.FAILED),))
-        second = harness.starts()[0].run
+        second = harness.start_orders()[0].run
         self.assertNotEqual(first.worker_id, second.worker_id)
         self.assertGreater(second.run_id, first.run_id)
 
@@ -259,34 +263,34 @@
         harness = SchedulingHarness(view("a"), view("b"))
         for job_id in ("x", "y"):
             name = TaskName(job_id, 0, 0, 0)
-            harness.learn(job(job_id, step(1)))
+            harness.add_job(job(job_id, step(1)))
             harness.report("a", ended=((name, 1, EndKind.FAILED),))
-        harness.learn(job("j", step(2)))
-        self.assertEqual({"b"}, set(workers_of(harness.starts())))
+        harness.add_job(job("j", step(2)))
+        self.assertEqual({"b"}, set(workers_of(harness.start_orders())))
 
     def test_a_stopped_task_resumes_where_it_was(self) -> None:
         """Its checkpoint goes with the next start."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1, is_checkpointed=True)))
-        run = harness.starts()[0].run
+        harness.add_job(job("j", step(1, is_checkpointed=True)))
+        run = harness.start_orders()[0].run
         row = RunningTask(name=run.name, run_id=run.run_id, checkpoint="c1", percent=50)
         harness.report("a", running=(row,))
         harness.report("a", ended=((run.name, run.run_id, EndKind.LAPSED),))
-        self.assertEqual(["c1"], [order.checkpoint for order in harness.starts()])
+        self.assertEqual(["c1"], [order.checkpoint for order in harness.start_orders()])
 
     def test_a_refused_start_is_tried_again(self) -> None:
         """With a higher run id, since a worker may have taken note of the first."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
-        first = harness.starts()[0].run
+        harness.add_job(job("j", step(1)))
+        first = harness.start_orders()[0].run
         harness.scheduler_state.start_failed(first, harness.now_s)
-        self.assertGreater(harness.starts()[0].run.run_id, first.run_id)
+        self.assertGreater(harness.start_orders()[0].run.run_id, first.run_id)
 
     def test_a_task_that_stands_still_runs_elsewhere(self) -> None:
         """A worker whose tasks hang and that answers looks all the same."""
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("j", step(1)))
-        run = harness.starts()[0].run
+        harness.add_job(job("j", step(1)))
+        run = harness.start_orders()[0].run
         run.enter(RunPhase.RUNNING, harness.now_s)
         row = RunningTask(name=run.name, run_id=run.run_id, percent=10)
         for _ in range(4):
@@ -295,7 +299,7 @@
         stops = [order for order in harness.decide() if isinstance(order, StopOrder)]
         self.assertEqual([run], [order.run for order in stops])
         harness.report(run.worker_id, ended=((run.name, run.run_id, EndKind.STOPPED),))
-        self.assertNotEqual(run.worker_id, harness.starts()[0].run.worker_id)
+        self.assertNotEqual(run.worker_id, harness.start_orders()[0].run.worker_id)
 
 
 class DecidedTwiceTests(unittest.TestCase):
@@ -309,8 +313,8 @@
         harness = SchedulingHarness(view("a"), view("b"))
         for worker_id in ("a", "b"):
             harness.worker(worker_id).lease_ends_s = 0.0
-        harness.learn(job("j", step(1)))
-        self.assertEqual(1, len(harness.starts()))
+        harness.add_job(job("j", step(1)))
+        self.assertEqual(1, len(harness.start_orders()))
         self.assertEqual([], harness.decide())
 
 
@@ -322,8 +326,8 @@
         stop was obeyed, and a look sent after that lists nothing, may the task start again.
         """
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
-        run = harness.starts()[0].run
+        harness.add_job(job("j", step(1)))
+        run = harness.start_orders()[0].run
         run.enter(RunPhase.UNANSWERED, harness.now_s)
         harness.now_s += 1
         harness.report("a")
@@ -331,16 +335,16 @@
         self.assertEqual([StopOrder], [type(one) for one in decisions])
         run.enter(RunPhase.STOPPED, harness.now_s)
         harness.report("a", sent_s=harness.now_s - 0.1)
-        self.assertEqual([], harness.starts())
+        self.assertEqual([], harness.start_orders())
         harness.now_s += 0.1
         harness.report("a")
-        self.assertEqual(1, len(harness.starts()))
+        self.assertEqual(1, len(harness.start_orders()))
 
     def test_one_that_runs_is_kept(self) -> None:
         """Only its answer was lost."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
-        run = harness.starts()[0].run
+        harness.add_job(job("j", step(1)))
+        run = harness.start_orders()[0].run
         run.enter(RunPhase.UNANSWERED, harness.now_s)
         harness.now_s += 1
         harness.report("a", running=(RunningTask(name=run.name, run_id=run.run_id, percent=3),))
@@ -353,8 +357,8 @@
         """And none of its tasks starts any more."""
         harness = SchedulingHarness(view("a"))
         one = job("j", step(2, cpu_millicores=3000))
-        harness.learn(one)
-        run = harness.starts()[0].run
+        harness.add_job(one)
+        run = harness.start_orders()[0].run
         run.enter(RunPhase.RUNNING, harness.now_s)
         progress = harness.scheduler_state.entries["j"].progress.__class__(
             queue="q", state=JobState.CANCELLED
@@ -382,9 +386,9 @@
         harness = SchedulingHarness(view("a"))
         serving = step(1, is_lasting=True, target_s=0.1)
         filling = step(1, is_lasting=True, is_filler=True)
-        harness.learn(job("s", serving))
-        harness.learn(job("f", filling))
-        runs = {order.run.name.job_id: order.run for order in harness.starts()}
+        harness.add_job(job("s", serving))
+        harness.add_job(job("f", filling))
+        runs = {order.run.name.job_id: order.run for order in harness.start_orders()}
         rows = tuple(
             RunningTask(name=run.name, run_id=run.run_id, percent=100, figure=tail_ms)
             for run in runs.values()
@@ -403,8 +407,8 @@
         stopped, and the others only as those are at work again elsewhere.
         """
         harness = SchedulingHarness(view("a", cpu_millicores=9000))
-        harness.learn(job("s", step(5, is_lasting=True, may_miss=2)))
-        runs = [order.run for order in harness.starts()]
+        harness.add_job(job("s", step(5, is_lasting=True, may_miss=2)))
+        runs = [order.run for order in harness.start_orders()]
         rows = tuple(RunningTask(name=run.name, run_id=run.run_id, percent=100) for run in runs)
         harness.report("a", running=rows)
         worker = harness.worker("a")
@@ -416,7 +420,7 @@
         gone = tuple((run.name, run.run_id, EndKind.STOPPED) for run in stops)
         left = tuple(row for row in rows if row.name not in {run.name for run in stops})
         harness.report("a", running=left, ended=gone)
-        moved = [order.run for order in harness.starts()]
+        moved = [order.run for order in harness.start_orders()]
         harness.decision_engine.evacuate(worker)
         self.assertEqual([], harness.decide())
         back = tuple(RunningTask(name=run.name, run_id=run.run_id, percent=100) for run in moved)
@@ -432,8 +436,8 @@
         task was stopped for upkeep.
         """
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("s", step(2, is_lasting=True, may_miss=1, most_per_worker=1)))
-        for order in harness.starts():
+        harness.add_job(job("s", step(2, is_lasting=True, may_miss=1, most_per_worker=1)))
+        for order in harness.start_orders():
             run = order.run
             row = RunningTask(name=run.name, run_id=run.run_id, percent=100)
             harness.report(run.worker_id, running=(row,))
@@ -453,13 +457,13 @@
     def test_only_allowed_workers_are_used_with_their_ticket(self) -> None:
         """Advice is asked once; then tasks start where it allows."""
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("j", step(2), policy=policy(is_advised=True)))
+        harness.add_job(job("j", step(2), policy=policy(is_advised=True)))
         asked = harness.decide()
         self.assertEqual([AdviceRequest], [type(one) for one in asked])
         self.assertEqual([], harness.decide())
         entry = harness.scheduler_state.entries["j"].steps[(0, 0)]
         entry.is_asking, entry.permits = False, {"b": "t-b"}
-        starts = harness.starts()
+        starts = harness.start_orders()
         self.assertEqual([("b", "t-b")] * 2, [(one.run.worker_id, one.ticket) for one in starts])
 
 
--- a/tests/test_scheduling_takeover.py
+++ b/tests/test_scheduling_takeover.py
@@ -18,7 +18,7 @@
         that took effect started the task again on b.
         """
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("j", step(1), step(1, after=(0,))), is_old=True)
+        harness.add_job(job("j", step(1), step(1, after=(0,))), is_old=True)
         first, second = TaskName("j", 0, 0, 0), TaskName("j", 0, 1, 0)
         harness.report("a", running=(RunningTask(name=second, run_id=5),))
         harness.report("b", ended=((first, 4, EndKind.DONE),))
@@ -33,16 +33,16 @@
         only when the other run, which is being stopped, has ended too.
         """
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.learn(job("j", step(1)))
+        harness.add_job(job("j", step(1)))
         name = TaskName("j", 0, 0, 0)
         harness.report("a", running=(RunningTask(name=name, run_id=5),))
         harness.report("b", running=(RunningTask(name=name, run_id=6),))
         stops = [order for order in harness.decide() if isinstance(order, StopOrder)]
         self.assertEqual([6], [order.run.run_id for order in stops])
         harness.report("a", ended=((name, 5, EndKind.FAILED),))
-        self.assertEqual([], harness.starts())
+        self.assertEqual([], harness.start_orders())
         harness.report("b", ended=((name, 6, EndKind.STOPPED),))
-        self.assertEqual([name], [order.run.name for order in harness.starts()])
+        self.assertEqual([name], [order.run.name for order in harness.start_orders()])
 
     def test_earlier_jobs_wait_for_workers_that_were_not_seen(self) -> None:
         """Two runs of one task at once, one on a worker that the successor can't reach.
@@ -52,16 +52,16 @@
         """
         harness = SchedulingHarness(view("a"))
         harness.scheduler_state.pending_recovery["c"] = harness.now_s + 10
-        harness.learn(job("old", step(1)), is_old=True)
-        harness.learn(job("new", step(1)))
-        self.assertEqual(["new"], [order.run.name.job_id for order in harness.starts()])
+        harness.add_job(job("old", step(1)), is_old=True)
+        harness.add_job(job("new", step(1)))
+        self.assertEqual(["new"], [order.run.name.job_id for order in harness.start_orders()])
         harness.now_s += 10.1
-        self.assertEqual(["old"], [order.run.name.job_id for order in harness.starts()])
+        self.assertEqual(["old"], [order.run.name.job_id for order in harness.start_orders()])
 
     def test_a_failure_that_is_told_again_counts_once(self) -> None:
         """A job shown as failed after one failure, since its end was told to two schedulers."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
+        harness.add_job(job("j", step(1)))
         name = TaskName("j", 0, 0, 0)
         for _ in range(2):
             harness.report("a", ended=((name, 5, EndKind.FAILED),))
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -28,38 +28,38 @@
     ) -> None:
         """A worker that refuses nothing is given more than its capacity, which has shrunk."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
-        self.assertEqual(1, len(harness.starts()))
+        harness.add_job(job("j", step(1)))
+        self.assertEqual(1, len(harness.start_orders()))
         harness.scheduler_state.update_worker(view("a", **capacity))
-        harness.learn(job("k", step(1)))
-        self.assertEqual([], harness.starts())
+        harness.add_job(job("k", step(1)))
+        self.assertEqual([], harness.start_orders())
         harness.scheduler_state.update_worker(view("a"))
-        self.assertEqual(1, len(harness.starts()))
+        self.assertEqual(1, len(harness.start_orders()))
 
     def test_what_is_being_stopped_still_counts(self) -> None:
         """A worker with shrunk capacity is given a task while an earlier one is stopping."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1, cpu_millicores=3000)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1, cpu_millicores=3000)))
+        (order,) = harness.start_orders()
         order.run.enter(order.run.phase.RUNNING, harness.now_s)
         harness.scheduler_state.update_worker(view("a", cpu_millicores=3500))
         harness.scheduler_state.request_stop(order.run, "test")
-        harness.learn(job("k", step(1)))
+        harness.add_job(job("k", step(1)))
         stops = [one for one in harness.decide() if isinstance(one, StopOrder)]
         self.assertEqual([order.run], [one.run for one in stops])
         order.run.enter(order.run.phase.STOPPED, harness.now_s)
         running = (RunningTask(name=order.run.name, run_id=order.run.run_id),)
         harness.report("a", running=running)
-        self.assertEqual([], harness.starts())
+        self.assertEqual([], harness.start_orders())
         harness.report("a", ended=((order.run.name, order.run.run_id, EndKind.STOPPED),))
-        self.assertEqual(["k"], [one.run.name.job_id for one in harness.starts()][:1])
+        self.assertEqual(["k"], [one.run.name.job_id for one in harness.start_orders()][:1])
 
     def test_a_start_that_waits_to_be_stored_is_given_back(self) -> None:
         """Capacity shrinks between the choice of a worker for a suspect and its start."""
         harness = SchedulingHarness(view("a"), view("b", cpu_millicores=0))
         row = LostRun(run_id=1, worker_id="c", blame=Blame.SHARED, is_certain=True)
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (row,)})
-        harness.learn(job("j", step(1)), progress=progress)
+        harness.add_job(job("j", step(1)), progress=progress)
         harness.decide()
         harness.store()
         harness.scheduler_state.update_worker(view("a", cpu_millicores=500))
@@ -71,26 +71,26 @@
         harness = SchedulingHarness(view("a"))
         gone = TaskName("gone", 0, 0, 0)
         harness.report("a", running=(RunningTask(name=gone, run_id=5),))
-        harness.learn(job("k", step(1)))
-        self.assertEqual([], harness.starts())
+        harness.add_job(job("k", step(1)))
+        self.assertEqual([], harness.start_orders())
         harness.report("a", ended=((gone, 5, EndKind.STOPPED),))
-        self.assertEqual(["k"], [one.run.name.job_id for one in harness.starts()])
+        self.assertEqual(["k"], [one.run.name.job_id for one in harness.start_orders()])
 
 
 class StaleListTests(unittest.TestCase):
     def test_nothing_starts_while_capacities_are_not_known(self) -> None:
         """After an outage a worker that shrank meanwhile is filled by its capacity of before."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1, cpu_millicores=2000)))
-        (order,) = harness.starts()
+        harness.add_job(job("j", step(1, cpu_millicores=2000)))
+        (order,) = harness.start_orders()
         order.run.enter(order.run.phase.RUNNING, harness.now_s)
         harness.scheduler_state.request_stop(order.run, "test")
-        harness.learn(job("k", step(1)))
+        harness.add_job(job("k", step(1)))
         decisions = list(
             harness.decision_engine.decide(now_s=harness.now_s, wall_s=WALL_S, may_start=False)
         )
         self.assertEqual([StopOrder], [type(one) for one in decisions])
-        self.assertEqual(["k"], [one.run.name.job_id for one in harness.starts()])
+        self.assertEqual(["k"], [one.run.name.job_id for one in harness.start_orders()])
 
     def test_a_mirror_tells_that_it_has_heard_only_while_the_store_answers(self) -> None:
         """A copy that is ten seconds old passes for a new one."""
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -163,7 +163,7 @@
         for change, one, reason in rows:
             with self.subTest(change=change.__name__, reason=reason):
                 harness = SchedulingHarness(view("a"))
-                harness.learn(job("j", one))
+                harness.add_job(job("j", one))
                 change(harness.worker("a"))
                 self.assertIs(reason, reason_of(harness))
 
@@ -177,20 +177,20 @@
         for name, changes, change, reason in rows:
             with self.subTest(name):
                 harness = SchedulingHarness(view("a"))
-                harness.learn(job("j", step(1), **changes))
+                harness.add_job(job("j", step(1), **changes))
                 change(harness.worker("a"))
                 self.assertIs(reason, reason_of(harness))
 
     def test_no_worker(self) -> None:
         """A pool without workers is one that lists none."""
         harness = SchedulingHarness()
-        harness.learn(job("j", step(1)))
+        harness.add_job(job("j", step(1)))
         self.assertIs(WaitReason.UNLISTED, reason_of(harness))
 
     def test_a_gang_of_which_a_part_is_being_stopped(self) -> None:
         """Its members wait for each other, also where there is room for those that wait."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(3, is_gang=True)))
+        harness.add_job(job("j", step(3, is_gang=True)))
         harness.scheduler_state.entries["j"].steps[(0, 0)].waiting.remove(1)
         self.assertIs(WaitReason.GANG, reason_of(harness))
 
@@ -212,7 +212,7 @@
         for changes, reason in rows:
             with self.subTest(changes=[change.__name__ for change in changes]):
                 harness = SchedulingHarness(*(view(f"w{number}") for number in range(len(changes))))
-                harness.learn(job("j", step(1, is_lasting=True)))
+                harness.add_job(job("j", step(1, is_lasting=True)))
                 for number, change in enumerate(changes):
                     change(harness.worker(f"w{number}"))
                 self.assertIs(reason, reason_of(harness))
@@ -220,7 +220,7 @@
     def test_a_full_worker_that_is_cordoned_has_no_room(self) -> None:
         """Only workers with room count as kept back."""
         harness = SchedulingHarness(view("a"))
-        harness.learn(job("j", step(1)))
+        harness.add_job(job("j", step(1)))
         fill(harness.worker("a"))
         cordon(harness.worker("a"))
         self.assertIs(WaitReason.ROOM, reason_of(harness))
@@ -243,14 +243,14 @@
         for one in jobs:
             for drawn in itertools.product((False, True), repeat=len(changes)):
                 harness = SchedulingHarness(view("a"))
-                harness.learn(one)
+                harness.add_job(one)
                 chosen = [change for change, is_on in zip(changes, drawn, strict=True) if is_on]
                 for change in chosen:
                     change(harness.worker("a"))
                 reason = reason_of(harness)
                 names = [change.__name__ for change in chosen]
                 with self.subTest(step=one.steps[0], changes=names, reason=reason):
-                    starts = harness.starts()
+                    starts = harness.start_orders()
                     self.assertEqual(bool(starts), reason is WaitReason.READY)
                     started += bool(starts)
         # A sibling, being lent and being closed to lasting tasks keep back a step that is spread,
@@ -268,17 +268,17 @@
     def test_a_step_that_is_not_open_does_not_wait(self) -> None:
         """Tasks whose turn has not come are not counted, nor those that run."""
         harness = WaitingHarness("a")
-        harness.learn(job("j", step(2), step(3, after=(0,))))
+        harness.add_job(job("j", step(2), step(3, after=(0,))))
         self.assertEqual(((WaitReason.READY, 2),), harness.look().counts)
-        harness.starts()
+        harness.start_orders()
         self.assertEqual((), harness.look().counts)
 
     def test_tasks_are_counted_by_reason(self) -> None:
         """Tasks of several steps and jobs add up under their reasons, lasting ones also apart."""
         harness = WaitingHarness("a")
-        harness.learn(job("big", step(2, memory_mb=9000)))
-        harness.learn(job("labelled", step(3, label="big")))
-        harness.learn(job("too big", step(1, gpus=1, is_lasting=True)))
+        harness.add_job(job("big", step(2, memory_mb=9000)))
+        harness.add_job(job("labelled", step(3, label="big")))
+        harness.add_job(job("too big", step(1, gpus=1, is_lasting=True)))
         summary = harness.look()
         self.assertEqual(((WaitReason.LABEL, 3), (WaitReason.ROOM, 3)), summary.counts)
         self.assertEqual(1, summary.lasting)
@@ -294,7 +294,7 @@
             with self.subTest(name):
                 harness = WaitingHarness()
                 for job_id in order:
-                    harness.learn(job(job_id, step(2, is_lasting=job_id == "lasts")))
+                    harness.add_job(job(job_id, step(2, is_lasting=job_id == "lasts")))
                     if apart_s:
                         harness.look()
                         harness.now_s += apart_s
@@ -310,10 +310,10 @@
     def test_a_wait_begins_anew_after_a_run(self) -> None:
         """A task that ran meanwhile has waited since it was given up, not since its first wait."""
         harness = WaitingHarness("a")
-        harness.learn(job("j", step(1)))
+        harness.add_job(job("j", step(1)))
         harness.look()
         harness.now_s += 3.0
-        run = harness.starts()[0].run
+        run = harness.start_orders()[0].run
         harness.look()
         harness.now_s += 3.0
         harness.scheduler_state.start_failed(run, harness.now_s)
@@ -331,12 +331,12 @@
         """
         harness = WaitingHarness("a")
         fill(harness.worker("a"))
-        harness.learn(job("oldest", step(1, cpu_millicores=1)))
+        harness.add_job(job("oldest", step(1, cpu_millicores=1)))
         harness.look()
         harness.now_s += 1.0
         for number in range(MOST_EXAMINED + 10):
             for copy in range(2):
-                harness.learn(job(f"j{number}-{copy}", step(1, cpu_millicores=100 + number)))
+                harness.add_job(job(f"j{number}-{copy}", step(1, cpu_millicores=100 + number)))
         summary = harness.look()
         counts = dict(summary.counts)
         self.assertEqual(2 * MOST_EXAMINED - 1, counts[WaitReason.ROOM])
@@ -355,8 +355,8 @@
         """
         harness = WaitingHarness("a", "b")
         harness.scheduler_state.pending_recovery.update({"gone": 110.0, "cut": 104.0})
-        harness.learn(job("old", step(3, is_lasting=True)), is_old=True)
-        harness.learn(job("new", step(1)))
+        harness.add_job(job("old", step(3, is_lasting=True)), is_old=True)
+        harness.add_job(job("new", step(1)))
         summary = harness.look()
         self.assertEqual(((WaitReason.RECOVERY, 3), (WaitReason.READY, 1)), summary.counts)
         assert summary.recovery is not None
@@ -370,7 +370,7 @@
         """Workers that are not seen yet are no reason while no earlier task waits."""
         harness = WaitingHarness()
         harness.scheduler_state.pending_recovery["gone"] = 110.0
-        harness.learn(job("new", step(1)))
+        harness.add_job(job("new", step(1)))
         summary = harness.look()
         self.assertEqual(((WaitReason.UNLISTED, 1),), summary.counts)
         self.assertIsNone(summary.recovery)
@@ -381,8 +381,8 @@
             with self.subTest(pending=pending):
                 harness = SchedulingHarness(view("a"))
                 harness.scheduler_state.pending_recovery.update(pending)
-                harness.learn(job("old", step(3, is_lasting=True)), is_old=True)
-                harness.learn(job("new", step(2)))
+                harness.add_job(job("old", step(3, is_lasting=True)), is_old=True)
+                harness.add_job(job("new", step(2)))
                 sizer = PoolSizer(scheduler_state=harness.scheduler_state, limits=SizingLimits())
                 self.assertEqual(recovering, sizer.state(wall_s=WALL_S)["tasks_recovering"])
 
@@ -391,7 +391,7 @@
     def test_short_waits_are_not_logged(self) -> None:
         """A task that starts within a second leaves no line; a longer wait leaves one a look."""
         harness = WaitingHarness()
-        harness.learn(job("j", step(1)))
+        harness.add_job(job("j", step(1)))
         for after_s, lines in ((0.0, 0), (0.5, 0), (0.6, 1), (1.0, 2)):
             self.assertEqual(lines, len(harness.tell(after_s)))
 
@@ -400,9 +400,9 @@
         harness = WaitingHarness("a")
         unseen = {f"w{number}": 120.0 for number in range(MOST_NAMED + 2)}
         harness.scheduler_state.pending_recovery.update(unseen)
-        harness.learn(job("ends", step(1, label="big")))
+        harness.add_job(job("ends", step(1, label="big")))
         harness.tell(0.0)
-        harness.learn(job("lasts", step(2, is_lasting=True)), is_old=True)
+        harness.add_job(job("lasts", step(2, is_lasting=True)), is_old=True)
         harness.tell(1.0)
         row = harness.tell(1.0)[-1]
         expected = {
@@ -432,8 +432,8 @@
     def test_time_waited_by_reason(self) -> None:
         """The rate of a counter is the number of tasks that wait, also for short waits."""
         harness = WaitingHarness("a")
-        harness.learn(job("j", step(3, label="big")))
-        harness.learn(job("i", step(1, gpus=1)))
+        harness.add_job(job("j", step(3, label="big")))
+        harness.add_job(job("i", step(1, gpus=1)))
         for after_s in (0.0, 0.5, 1.0):
             harness.tell(after_s)
         expected = {
