--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -343,7 +343,7 @@
         """Seconds from the end of the last fault until no task with room was missed any more."""
         return max(0.0, self._last_missed_s - self._calm_from_s)
 
-    async def recover(self, longest_s: float) -> None:
+    async def wait_recovered(self, longest_s: float) -> None:
         """Wait until leases have run out, and while tasks are missed."""
         ends_s = _now_s() + longest_s
         await asyncio.sleep(WATCH_LEASES_S)
@@ -442,7 +442,7 @@
                 self.add_instance()
         self._note("started", "all instances")
 
-    async def cut_scheduler(self, for_s: float) -> None:
+    async def isolate_scheduler(self, for_s: float) -> None:
         """Let the store not answer whoever schedules for a while, but all others."""
         instance = self.scheduler()
         if instance is None:
@@ -461,7 +461,7 @@
 
     # ---- the store
 
-    async def outage(
+    async def store_outage(
         self,
         for_s: float,
         *,
@@ -528,14 +528,16 @@
         workers = self.fleet.workers.values()
         return sum(1 for one in workers if one.is_alive and not one.view.is_draining)
 
-    def crash(self, worker_id: str) -> None:
+    def crash_worker(self, worker_id: str) -> None:
         """End a worker without a word; its entry runs out later, also while the store is down."""
         with self.fault_period():
             self._note("crashes", worker_id)
             self.fleet.workers[worker_id].crash()
             self._in_background(self._unregister_later(worker_id, EXPIRY_S))
 
-    async def leave(self, worker_id: str, *, absence: OrderStatus = OrderStatus.UNSENT) -> None:
+    async def retire_worker(
+        self, worker_id: str, *, absence: OrderStatus = OrderStatus.UNSENT
+    ) -> None:
         """Let a worker drain, and go for good.
 
         Args:
@@ -560,7 +562,7 @@
     async def replace_worker(self, worker_id: str) -> None:
         """Crash a worker; another incarnation answers at its address a while later."""
         with self.fault_period():
-            self.crash(worker_id)
+            self.crash_worker(worker_id)
             await asyncio.sleep(REPLACED_S)
             await self._is_store_up.wait()
             self.add_worker(address=self.fleet.workers[worker_id].view.address)
@@ -574,7 +576,7 @@
                 self._note("fails", str(name))
                 worker.fail(name)
 
-    async def silence(self, worker_id: str, for_s: float) -> None:
+    async def isolate_worker(self, worker_id: str, for_s: float) -> None:
         """Let no instance reach a worker for a while; it stays listed and what runs runs on."""
         with self.fault_period():
             self._note("silent", worker_id)
@@ -583,7 +585,7 @@
             self.fleet.silent.discard(worker_id)
         self._note("reached again", worker_id)
 
-    async def upkeep(self, worker_id: str) -> None:
+    async def maintain_worker(self, worker_id: str) -> None:
         """Have a worker emptied as the keeper does, and take it away once it is offered."""
         await self._is_store_up.wait()
         self._note("due for upkeep", worker_id)
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -55,7 +55,7 @@
             await before(simulation)
             await asyncio.sleep(LEFT_BEFORE_S)
         await fault(simulation)
-        await simulation.recover(AFTER_S)
+        await simulation.wait_recovered(AFTER_S)
         await simulation.close()
         return simulation
 
@@ -70,15 +70,15 @@
 
 
 async def one_leaves(simulation: LastingTaskSimulation) -> None:
-    await simulation.leave(used_worker(simulation))
+    await simulation.retire_worker(used_worker(simulation))
 
 
 async def a_worker_crashes(simulation: LastingTaskSimulation) -> None:
-    simulation.crash(used_worker(simulation))
+    simulation.crash_worker(used_worker(simulation))
 
 
 async def one_leaves_unanswering(simulation: LastingTaskSimulation) -> None:
-    await simulation.leave(used_worker(simulation), absence=OrderStatus.UNANSWERED)
+    await simulation.retire_worker(used_worker(simulation), absence=OrderStatus.UNANSWERED)
 
 
 def together(first: FaultScenario, second: FaultScenario, *, after_s: float) -> FaultScenario:
@@ -219,7 +219,7 @@
     are_entries_lost: bool = False,
 ) -> FaultScenario:
     async def fault(simulation: LastingTaskSimulation) -> None:
-        await simulation.outage(
+        await simulation.store_outage(
             for_s,
             is_silent=is_silent,
             are_leases_paused=are_leases_paused,
@@ -236,7 +236,7 @@
         worker_id = used_worker(simulation)
         await fault(simulation)
         await asyncio.sleep(0.5)
-        await simulation.leave(worker_id)
+        await simulation.retire_worker(worker_id)
 
     return both
 
@@ -303,7 +303,7 @@
                         for_s: float = for_s,
                         up_s: list[float] = up_s,
                     ) -> None:
-                        await simulation.outage(for_s, is_silent=is_silent)
+                        await simulation.store_outage(for_s, is_silent=is_silent)
                         up_s.append(asyncio.get_running_loop().time())
 
                     simulation = play(fault, before=before)
@@ -323,11 +323,11 @@
             await asyncio.sleep(SETTLED_S)
             (idle,) = simulation.offered()
             lost = used_worker(simulation)
-            simulation.crash(lost)
+            simulation.crash_worker(lost)
             simulation.fleet.absences[lost] = OrderStatus.GONE
             while simulation.is_held_back(idle):
                 await asyncio.sleep(0.001)
-            await simulation.outage(3.6, is_silent=True)
+            await simulation.store_outage(3.6, is_silent=True)
             await simulation.lend_worker()
 
         self.assert_recovered(play(fault))
@@ -341,11 +341,11 @@
         """
 
         async def fault(simulation: LastingTaskSimulation) -> None:
-            await simulation.outage(5.8)
+            await simulation.store_outage(5.8)
             await asyncio.sleep(2.5)
             await one_leaves(simulation)
             await asyncio.sleep(7.5)
-            await simulation.outage(10.1, is_silent=True)
+            await simulation.store_outage(10.1, is_silent=True)
 
         self.assert_recovered(play(fault))
 
@@ -358,15 +358,15 @@
 
 
 async def a_worker_is_silent_for_short(simulation: LastingTaskSimulation) -> None:
-    await simulation.silence(used_worker(simulation), 2.5)
+    await simulation.isolate_worker(used_worker(simulation), 2.5)
 
 
 async def a_worker_is_silent_for_long(simulation: LastingTaskSimulation) -> None:
-    await simulation.silence(used_worker(simulation), 9.0)
+    await simulation.isolate_worker(used_worker(simulation), 9.0)
 
 
 async def a_worker_is_taken_away(simulation: LastingTaskSimulation) -> None:
-    await simulation.upkeep(used_worker(simulation))
+    await simulation.maintain_worker(used_worker(simulation))
 
 
 async def a_worker_is_lent(simulation: LastingTaskSimulation) -> None:
@@ -379,7 +379,7 @@
 
 async def another_is_taken_away(simulation: LastingTaskSimulation) -> None:
     first = used_worker(simulation)
-    await simulation.upkeep(next(one for one in simulation.fleet.workers if one != first))
+    await simulation.maintain_worker(next(one for one in simulation.fleet.workers if one != first))
 
 
 async def two_are_taken_away(simulation: LastingTaskSimulation) -> None:
@@ -403,7 +403,7 @@
 
 
 async def scheduler_cut(simulation: LastingTaskSimulation) -> None:
-    await simulation.cut_scheduler(5.5)
+    await simulation.isolate_scheduler(5.5)
 
 
 OTHERS: tuple[tuple[str, FaultScenario], ...] = (
