--- a/bench/crash_loops.py
+++ b/bench/crash_loops.py
@@ -9,7 +9,7 @@
 import asyncio
 import random
 
-from tests.crash_history import ReturningWorkers
+from tests.returning_workers import ReturningWorkers
 from tests.scheduling_fakes import step, view
 from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
--- a/tests/cli_sessions.py
+++ b/tests/cli_sessions.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Ending:
+class CommandResult:
     """How one command ended."""
 
     output: str
@@ -24,7 +24,7 @@
     exit_code: int
 
 
-def run_command(command: str | Sequence[str], environment: Mapping[str, str]) -> Ending:
+def run_command(command: str | Sequence[str], environment: Mapping[str, str]) -> CommandResult:
     """Run one command with these variables and no other of ours."""
     arguments = shlex.split(command) if isinstance(command, str) else command
     output = io.TextIOWrapper(io.BytesIO(), encoding="utf-8", write_through=True)
@@ -38,7 +38,7 @@
     ):
         exit_code = run(arguments)
     written = output.buffer.getvalue().decode()  # type: ignore[attr-defined]
-    return Ending(output=written, errors=errors.getvalue(), exit_code=exit_code)
+    return CommandResult(output=written, errors=errors.getvalue(), exit_code=exit_code)
 
 
 def transcript(
--- a/tests/history.py
+++ b/tests/history.py
@@ -79,7 +79,7 @@
     """One broken rule."""
 
     rule: Rule
-    told: str
+    detail: str
 
 
 def find_violations(operations: Sequence[Operation], runs: Sequence[WorkerRun]) -> list[Violation]:
@@ -113,20 +113,20 @@
 ) -> Iterator[Violation]:
     """Judge one operation by itself and the runs."""
     if operation.answer is AnswerKind.NOTHING:
-        yield Violation(rule=Rule.FINAL, told=str(operation))
+        yield Violation(rule=Rule.FINAL, detail=str(operation))
     if operation.answer is AnswerKind.MALFORMED:
-        yield Violation(rule=Rule.WHOLE, told=str(operation))
+        yield Violation(rule=Rule.WHOLE, detail=str(operation))
     if operation.answer is AnswerKind.WHOLE:
         # A repeat under a key receives the first run's answer, which names the first request.
         own_ids = ids_of_key if operation.key else {operation.request_id}
         own = operation.answered_id in own_ids and operation.answered_digest == operation.digest
         if not own:
-            yield Violation(rule=Rule.OWN, told=str(operation))
+            yield Violation(rule=Rule.OWN, detail=str(operation))
         runs = runs_of.get(operation.answered_id, [])
         if not any(run.began_at_s <= operation.ended_at_s for run in runs):
-            yield Violation(rule=Rule.FROM_A_RUN, told=str(operation))
+            yield Violation(rule=Rule.FROM_A_RUN, detail=str(operation))
     if operation.ran is Ran.NO and operation.request_id in runs_of:
-        yield Violation(rule=Rule.NOT_RUN, told=f"{operation}: {runs_of[operation.request_id]}")
+        yield Violation(rule=Rule.NOT_RUN, detail=f"{operation}: {runs_of[operation.request_id]}")
 
 
 def _doubled(runs: Sequence[WorkerRun]) -> Iterator[Violation]:
@@ -136,7 +136,7 @@
             known[f"key {run.key}" if run.key else f"request {run.request_id}"].append(run)
     for name, same in known.items():
         if len(same) > 1:
-            yield Violation(rule=Rule.ONCE, told=f"{name}: {same}")
+            yield Violation(rule=Rule.ONCE, detail=f"{name}: {same}")
 
 
 def _unheard(operations: Sequence[Operation], runs: Sequence[WorkerRun]) -> Iterator[Violation]:
@@ -150,7 +150,7 @@
         operation = by_id.get(run.request_id)
         heard = run.key in keys_left_open if operation is None else operation.ran is not Ran.NO
         if not heard:
-            yield Violation(rule=Rule.HEARD, told=f"{run}: {operation}")
+            yield Violation(rule=Rule.HEARD, detail=f"{run}: {operation}")
 
 
 def _unequal(operations: Sequence[Operation]) -> Iterator[Violation]:
@@ -162,4 +162,4 @@
             )
     for key, several in answers.items():
         if len(several) > 1:
-            yield Violation(rule=Rule.SAME, told=f"key {key}: {sorted(map(str, several))}")
+            yield Violation(rule=Rule.SAME, detail=f"key {key}: {sorted(map(str, several))}")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -40,7 +40,7 @@
 )
 from shallotworks.settings import Settings
 from shallotworks.timeline import EventKind, Subject
-from tests.cli_sessions import Ending, run_command, transcript
+from tests.cli_sessions import CommandResult, run_command, transcript
 from tests.fake_backend import NOW_S, ServedBackend
 from tests.golden_files import assert_golden
 
@@ -77,7 +77,7 @@
             clock.start()
             self.addCleanup(clock.stop)
 
-    def run_one(self, command: str | list[str]) -> Ending:
+    def run_one(self, command: str | list[str]) -> CommandResult:
         """Run one command against the served backend."""
         return run_command(command, self.environment)
 
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -10,7 +10,7 @@
 from shallotworks.jobs import JobState, TaskName
 from shallotworks.logs import StructuredLog
 from shallotworks.scheduling import OrderOutcome, OrderStatus, StartOrder, WorkerView
-from tests.crash_history import ReturningWorkers
+from tests.returning_workers import ReturningWorkers
 from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, step, view
 from tests.scheduling_simulation import SchedulingSimulation
 from tests.virtual_clock import run_scenario
