--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -23,7 +23,7 @@
 from tests.held_keys import acquire
 from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
 from tests.scheduling_simulation import SERVICE, SchedulingSimulation
-from tests.test_machine_controller import World
+from tests.test_machine_controller import MachineHarness
 from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000ab"
@@ -206,9 +206,9 @@
 
 
 class KeeperTests(unittest.TestCase):
-    async def _rest(self, world: World, holder: Holder) -> None:
+    async def _rest(self, machine_harness: MachineHarness, holder: Holder) -> None:
         """Keep the store away for so long that the keeper rests, while leases stand still."""
-        world.store.are_leases_paused = True
+        machine_harness.store.are_leases_paused = True
         holder._store.faults.is_silent = True
         await asyncio.sleep(AWAY_S)
         self.assertFalse(holder.may_act)
@@ -223,19 +223,19 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=4, radar=2, spare=0)
-            holder = await world.start()
-            world.tell("antenna", free=True)
+            machine_harness = MachineHarness(antenna=4, radar=2, spare=0)
+            holder = await machine_harness.start()
+            machine_harness.publish_demand("antenna", free=True)
             await asyncio.sleep(5.0)
-            await self._rest(world, holder)
+            await self._rest(machine_harness, holder)
             # What lacks machines has written first.
-            world.tell("radar", lacking=1)
+            machine_harness.publish_demand("radar", lacking=1)
             await asyncio.sleep(WRITE_AGAIN_S)
-            world.tell("antenna")
+            machine_harness.publish_demand("antenna")
             await asyncio.sleep(5.0)
             self.assertTrue(holder.may_act)
-            self.assertEqual([], world.moves())
-            world.stop()
+            self.assertEqual([], machine_harness.moves())
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -248,21 +248,21 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=4, radar=2, sonar=3, spare=2)
-            holder = await world.start()
-            world.tell("antenna", free=True)
-            world.tell("sonar", free=True)
+            machine_harness = MachineHarness(antenna=4, radar=2, sonar=3, spare=2)
+            holder = await machine_harness.start()
+            machine_harness.publish_demand("antenna", free=True)
+            machine_harness.publish_demand("sonar", free=True)
             await asyncio.sleep(5.0)
-            await self._rest(world, holder)
-            world.tell("radar", lacking=8, woke=1)
-            world.tell("sonar", free=True, woke=1)
+            await self._rest(machine_harness, holder)
+            machine_harness.publish_demand("radar", lacking=8, woke=1)
+            machine_harness.publish_demand("sonar", free=True, woke=1)
             await asyncio.sleep(2.0)
             self.assertTrue(holder.may_act)
-            taken = {machine for _, machine, _ in world.moves()}
+            taken = {machine for _, machine, _ in machine_harness.moves()}
             self.assertFalse({"m0", "m1", "m2", "m3"} & taken, "a word from before the outage")
             self.assertTrue({"m9", "m10"} <= taken, "machines that are off")
             self.assertTrue({"m6", "m7", "m8"} & taken, "a pool that has spoken again")
-            world.stop()
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -274,20 +274,20 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=2)
-            holder = await world.start()
+            machine_harness = MachineHarness(antenna=2)
+            holder = await machine_harness.start()
             faults = holder._store.faults
-            controller = world.controller
+            controller = machine_harness.controller
             assert controller is not None
             faults.lost_part = 1.0
             await controller._record.publish(frozenset({"w"}), {})
             faults.lost_part = 0.0
             await controller._record.publish(frozenset(), {})
             stored = MachineControllerRecord.decode(
-                world.store.items[machine_controller_key()].value
+                machine_harness.store.items[machine_controller_key()].value
             )
             self.assertEqual(frozenset(), stored.due)
-            world.stop()
+            machine_harness.stop()
 
         run_scenario(scenario())
 
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -112,7 +112,7 @@
         return b"completed" if is_completed else b"running"
 
 
-class World:
+class MachineHarness:
     """A keeper with its platform and store."""
 
     def __init__(self, **pools: int) -> None:
@@ -164,7 +164,9 @@
         self.tasks = [asyncio.create_task(mirror.run()), asyncio.create_task(self.controller.run())]
         return holder
 
-    def tell(self, service: str, *, lacking: int = 0, free: bool = False, woke: int = 0) -> None:
+    def publish_demand(
+        self, service: str, *, lacking: int = 0, free: bool = False, woke: int = 0
+    ) -> None:
         """Let a service's scheduler tell its need; free means all of its workers."""
         workers = [
             one.worker_id
@@ -188,10 +190,10 @@
             task.cancel()
 
 
-def wave(world: World, *, most: int) -> MaintenanceWave:
+def wave(machine_harness: MachineHarness, *, most: int) -> MaintenanceWave:
     """Return a wave of all machines."""
     return MaintenanceWave(
-        wave=1, machines=tuple(world.platform.machines), duration_s=30, most_at_once=most
+        wave=1, machines=tuple(machine_harness.platform.machines), duration_s=30, most_at_once=most
     )
 
 
@@ -204,17 +206,17 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=30, sweeps=180, kept=100, spare=90)
-            world.tell("antenna", lacking=120)
-            world.tell("sweeps", free=True)
-            world.follow_keeper()
-            await world.start(answer_s=0.1)
+            machine_harness = MachineHarness(antenna=30, sweeps=180, kept=100, spare=90)
+            machine_harness.publish_demand("antenna", lacking=120)
+            machine_harness.publish_demand("sweeps", free=True)
+            machine_harness.follow_keeper()
+            await machine_harness.start(answer_s=0.1)
             await asyncio.sleep(2.0)
-            moved = [at_s for order, _, at_s in world.moves() if order == "move antenna"]
+            moved = [at_s for order, _, at_s in machine_harness.moves() if order == "move antenna"]
             self.assertGreaterEqual(len(moved), 120)
             self.assertLessEqual(moved[119] - moved[0], 1.2)
-            self.assertEqual([], world.unnamed)
-            world.stop()
+            self.assertEqual([], machine_harness.unnamed)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -224,16 +226,16 @@
         """Free workers go down, machines that are off too; then the wave is completed."""
 
         async def scenario() -> None:
-            world = World(antenna=4, spare=2)
-            world.platform.asked = (wave(world, most=2),)
-            await world.start()
+            machine_harness = MachineHarness(antenna=4, spare=2)
+            machine_harness.platform.asked = (wave(machine_harness, most=2),)
+            await machine_harness.start()
             for _ in range(150):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(2, world.platform.most_down)
-            self.assertEqual(6, len({order[1] for order in world.platform.orders}))
-            self.assertEqual(b"completed", world.store.items["status/1"].value)
-            world.stop()
+            self.assertEqual(2, machine_harness.platform.most_down)
+            self.assertEqual(6, len({order[1] for order in machine_harness.platform.orders}))
+            self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -241,15 +243,15 @@
         """Nothing is taken down that its scheduler does not give; it is told what is due."""
 
         async def scenario() -> None:
-            world = World(antenna=2)
-            world.platform.asked = (wave(world, most=1),)
-            await world.start()
-            world.tell("antenna")
+            machine_harness = MachineHarness(antenna=2)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            await machine_harness.start()
+            machine_harness.publish_demand("antenna")
             await asyncio.sleep(8)
-            self.assertEqual([], world.platform.orders)
-            self.assertTrue(world.machine_records.controller.due)
-            self.assertEqual(b"running", world.store.items["status/1"].value)
-            world.stop()
+            self.assertEqual([], machine_harness.platform.orders)
+            self.assertTrue(machine_harness.machine_records.controller.due)
+            self.assertEqual(b"running", machine_harness.store.items["status/1"].value)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -261,21 +263,21 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=3)
-            world.platform.asked = (wave(world, most=1),)
-            dark = world.platform.machines.pop("m2")
-            await world.start()
+            machine_harness = MachineHarness(antenna=3)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            dark = machine_harness.platform.machines.pop("m2")
+            await machine_harness.start()
             for _ in range(75):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(b"running", world.store.items["status/1"].value)
-            world.platform.machines["m2"] = dark
+            self.assertEqual(b"running", machine_harness.store.items["status/1"].value)
+            machine_harness.platform.machines["m2"] = dark
             for _ in range(40):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(b"completed", world.store.items["status/1"].value)
-            self.assertEqual(3, len({order[1] for order in world.platform.orders}))
-            world.stop()
+            self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
+            self.assertEqual(3, len({order[1] for order in machine_harness.platform.orders}))
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -283,15 +285,15 @@
         """Once the wave's time is over it is completed without it."""
 
         async def scenario() -> None:
-            world = World(antenna=2)
-            world.platform.asked = (wave(world, most=1),)
-            world.platform.machines.pop("m1")
-            await world.start()
+            machine_harness = MachineHarness(antenna=2)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.machines.pop("m1")
+            await machine_harness.start()
             for _ in range(200):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(b"completed", world.store.items["status/1"].value)
-            world.stop()
+            self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -303,24 +305,24 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=3)
-            world.platform.asked = (wave(world, most=1),)
-            world.platform.busy = {"m0"}
-            await world.start()
+            machine_harness = MachineHarness(antenna=3)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.busy = {"m0"}
+            await machine_harness.start()
             for round_number in range(60):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 if round_number == 30:
-                    world.platform.crash("m0")
+                    machine_harness.platform.crash("m0")
                 await asyncio.sleep(0.2)
-            self.assertEqual(b"running", world.store.items["status/1"].value)
-            world.platform.busy = set()
+            self.assertEqual(b"running", machine_harness.store.items["status/1"].value)
+            machine_harness.platform.busy = set()
             for _ in range(80):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(b"completed", world.store.items["status/1"].value)
-            self.assertEqual(3, len({order[1] for order in world.platform.orders}))
-            self.assertEqual(1, world.platform.most_down)
-            world.stop()
+            self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
+            self.assertEqual(3, len({order[1] for order in machine_harness.platform.orders}))
+            self.assertEqual(1, machine_harness.platform.most_down)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -333,22 +335,22 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=1)
-            world.platform.asked = (wave(world, most=1),)
-            world.platform.busy = {"m0"}
-            await world.start()
+            machine_harness = MachineHarness(antenna=1)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.busy = {"m0"}
+            await machine_harness.start()
             for _ in range(25):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            world.platform.crash("m0")
-            world.platform.orders.append(("upkeep", "m0", 0.0))
-            world.platform.busy = set()
+            machine_harness.platform.crash("m0")
+            machine_harness.platform.orders.append(("upkeep", "m0", 0.0))
+            machine_harness.platform.busy = set()
             for _ in range(10):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertGreater(len(world.platform.orders), 1)
-            self.assertEqual((), world.machine_records.controller.over)
-            world.stop()
+            self.assertGreater(len(machine_harness.platform.orders), 1)
+            self.assertEqual((), machine_harness.machine_records.controller.over)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -356,29 +358,29 @@
         """Workers emptied and asked for again, for an upkeep that their machines have had."""
 
         async def scenario() -> None:
-            world = World(antenna=2)
-            world.platform.asked = (wave(world, most=1),)
-            first = await world.start()
-            while not world.platform.orders:
-                world.tell("antenna", free=True)
+            machine_harness = MachineHarness(antenna=2)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            first = await machine_harness.start()
+            while not machine_harness.platform.orders:
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
             await asyncio.sleep(0.1)
-            name = world.platform.orders[0][1]
+            name = machine_harness.platform.orders[0][1]
             first.lose("killed")
-            world.stop()
+            machine_harness.stop()
             await first.release()
-            world.tell("antenna")
+            machine_harness.publish_demand("antenna")
             await asyncio.sleep(3.0)
-            await world.start()
+            await machine_harness.start()
             await asyncio.sleep(3.4)
-            worker = world.platform.machines[name].worker_id
-            self.assertNotIn(worker, world.machine_records.controller.due)
+            worker = machine_harness.platform.machines[name].worker_id
+            self.assertNotIn(worker, machine_harness.machine_records.controller.due)
             for _ in range(60):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(b"completed", world.store.items["status/1"].value)
-            self.assertEqual(2, len(world.platform.orders))
-            world.stop()
+            self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
+            self.assertEqual(2, len(machine_harness.platform.orders))
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -386,23 +388,23 @@
         """The same for a machine that has had its upkeep in an earlier wave."""
 
         async def scenario() -> None:
-            world = World(antenna=1)
-            world.platform.asked = (wave(world, most=1),)
-            await world.start()
+            machine_harness = MachineHarness(antenna=1)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            await machine_harness.start()
             for _ in range(50):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(b"completed", world.store.items["status/1"].value)
-            world.platform.busy = {"m0"}
+            self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
+            machine_harness.platform.busy = {"m0"}
             second = MaintenanceWave(wave=2, machines=("m0",), duration_s=30, most_at_once=1)
-            world.platform.asked = (*world.platform.asked, second)
+            machine_harness.platform.asked = (*machine_harness.platform.asked, second)
             for round_number in range(40):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 if round_number == 20:
-                    world.platform.crash("m0")
+                    machine_harness.platform.crash("m0")
                 await asyncio.sleep(0.2)
-            self.assertEqual(b"running", world.store.items["status/2"].value)
-            world.stop()
+            self.assertEqual(b"running", machine_harness.store.items["status/2"].value)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -413,19 +415,19 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=2)
-            world.platform.asked = (wave(world, most=1),)
-            world.platform.busy = {"m0", "m1"}
-            await world.start()
+            machine_harness = MachineHarness(antenna=2)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.busy = {"m0", "m1"}
+            await machine_harness.start()
             for _ in range(30):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            world.tell("antenna")
-            world.platform.busy = set()
+            machine_harness.publish_demand("antenna")
+            machine_harness.platform.busy = set()
             await asyncio.sleep(4)
-            self.assertEqual([], world.platform.orders)
-            self.assertTrue(world.machine_records.controller.due)
-            world.stop()
+            self.assertEqual([], machine_harness.platform.orders)
+            self.assertTrue(machine_harness.machine_records.controller.due)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -439,27 +441,27 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=4, coverage=2)
-            machines = tuple(name for name in world.platform.machines)[:4]
+            machine_harness = MachineHarness(antenna=4, coverage=2)
+            machines = tuple(name for name in machine_harness.platform.machines)[:4]
             maintenance_wave = MaintenanceWave(
                 wave=1, machines=machines, duration_s=duration_s, most_at_once=2
             )
-            world.platform.asked = (maintenance_wave,)
-            world.follow_keeper()
-            world.tell("antenna", free=True)
-            world.tell("coverage", lacking=3)
-            await world.start()
+            machine_harness.platform.asked = (maintenance_wave,)
+            machine_harness.follow_keeper()
+            machine_harness.publish_demand("antenna", free=True)
+            machine_harness.publish_demand("coverage", lacking=3)
+            await machine_harness.start()
             await asyncio.sleep(1.5)
-            upkeeps = [order for order in world.platform.orders if order[0] == "upkeep"]
+            upkeeps = [order for order in machine_harness.platform.orders if order[0] == "upkeep"]
             self.assertEqual(begun, len(upkeeps))
             if not begun:
-                self.assertEqual(2, len(world.moves()))
+                self.assertEqual(2, len(machine_harness.moves()))
             for _ in range(60):
-                world.tell("antenna", free=True)
-                world.tell("coverage", free=True)
+                machine_harness.publish_demand("antenna", free=True)
+                machine_harness.publish_demand("coverage", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(b"completed", world.store.items["status/1"].value)
-            world.stop()
+            self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -471,16 +473,16 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=4)
-            world.platform.lose_answers = True
-            world.platform.asked = (wave(world, most=1),)
-            await world.start()
+            machine_harness = MachineHarness(antenna=4)
+            machine_harness.platform.lose_answers = True
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            await machine_harness.start()
             for _ in range(150):
-                world.tell("antenna", free=True)
+                machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(1, world.platform.most_down)
-            self.assertEqual(b"completed", world.store.items["status/1"].value)
-            world.stop()
+            self.assertEqual(1, machine_harness.platform.most_down)
+            self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -488,14 +490,14 @@
         """Two holders that take turns on a machine within the time that is allowed apart."""
 
         async def scenario() -> None:
-            world = World(antenna=2)
-            world.platform.asked = (wave(world, most=1),)
-            world.tell("antenna", free=True)
+            machine_harness = MachineHarness(antenna=2)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.publish_demand("antenna", free=True)
             begun_s = asyncio.get_running_loop().time()
-            await world.start()
+            await machine_harness.start()
             await asyncio.sleep(6)
-            self.assertGreater(world.platform.orders[0][2] - begun_s, 3.0)
-            world.stop()
+            self.assertGreater(machine_harness.platform.orders[0][2] - begun_s, 3.0)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -508,17 +510,17 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=2, spare=3)
-            world.follow_keeper("m2")
+            machine_harness = MachineHarness(antenna=2, spare=3)
+            machine_harness.follow_keeper("m2")
             begun_s = asyncio.get_running_loop().time()
-            world.tell("antenna", lacking=3)
-            await world.start()
+            machine_harness.publish_demand("antenna", lacking=3)
+            await machine_harness.start()
             await asyncio.sleep(4.0)
-            moved_s = {name: at_s - begun_s for _, name, at_s in world.moves()}
+            moved_s = {name: at_s - begun_s for _, name, at_s in machine_harness.moves()}
             self.assertLess(moved_s["m3"], 0.5)
             self.assertLess(moved_s["m4"], 0.5)
             self.assertGreater(moved_s["m2"], 3.0)
-            world.stop()
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -529,16 +531,16 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=1, spare=2)
-            world.follow_keeper()
-            world.tell("antenna", lacking=2)
-            await world.start()
+            machine_harness = MachineHarness(antenna=1, spare=2)
+            machine_harness.follow_keeper()
+            machine_harness.publish_demand("antenna", lacking=2)
+            await machine_harness.start()
             await asyncio.sleep(1.0)
-            world.tell("antenna")
-            self.assertEqual(("m1", "m2"), world.named())
+            machine_harness.publish_demand("antenna")
+            self.assertEqual(("m1", "m2"), machine_harness.named())
             await asyncio.sleep(5.0)
-            self.assertEqual((), world.named())
-            world.stop()
+            self.assertEqual((), machine_harness.named())
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -547,17 +549,17 @@
         """Two holders that take turns on a machine, since the second did not know of an order."""
 
         async def scenario() -> None:
-            world = World(antenna=2, spare=2)
+            machine_harness = MachineHarness(antenna=2, spare=2)
             if order == "upkeep":
-                world.platform.asked = (wave(world, most=2),)
-                world.tell("antenna", free=True)
+                machine_harness.platform.asked = (wave(machine_harness, most=2),)
+                machine_harness.publish_demand("antenna", free=True)
             else:
-                world.tell("antenna", lacking=2)
-            await world.start()
+                machine_harness.publish_demand("antenna", lacking=2)
+            await machine_harness.start()
             await asyncio.sleep(5.0)
-            self.assertTrue(world.platform.orders)
-            self.assertEqual([], world.unnamed)
-            world.stop()
+            self.assertTrue(machine_harness.platform.orders)
+            self.assertEqual([], machine_harness.unnamed)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -565,15 +567,15 @@
         """A keeper whose key is another's by now orders a machine that it can't name."""
 
         async def scenario() -> None:
-            world = World(antenna=2, spare=2)
-            world.follow_keeper()
-            holder = await world.start()
+            machine_harness = MachineHarness(antenna=2, spare=2)
+            machine_harness.follow_keeper()
+            holder = await machine_harness.start()
             await asyncio.sleep(0.5)
-            world.store.delete(holder.key)
-            world.tell("antenna", lacking=2)
+            machine_harness.store.delete(holder.key)
+            machine_harness.publish_demand("antenna", lacking=2)
             await asyncio.sleep(1.5)
-            self.assertEqual([], world.moves())
-            world.stop()
+            self.assertEqual([], machine_harness.moves())
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -584,17 +586,17 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=1)
-            world.platform.asked = (wave(world, most=1),)
-            await world.start()
-            world.tell("antenna", free=True)
+            machine_harness = MachineHarness(antenna=1)
+            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            await machine_harness.start()
+            machine_harness.publish_demand("antenna", free=True)
             await asyncio.sleep(1)
-            world.tasks[0].cancel()
+            machine_harness.tasks[0].cancel()
             await asyncio.sleep(0.1)
-            world.tell("antenna")
+            machine_harness.publish_demand("antenna")
             await asyncio.sleep(6)
-            self.assertEqual([], world.platform.orders)
-            world.stop()
+            self.assertEqual([], machine_harness.platform.orders)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -604,21 +606,21 @@
         """Machines go where callers wait, from the standby pool first, and home afterwards."""
 
         async def scenario() -> None:
-            world = World(antenna=2, coverage=3, spare=2)
-            await world.start()
-            world.tell("antenna", lacking=4)
-            world.tell("coverage", free=True)
+            machine_harness = MachineHarness(antenna=2, coverage=3, spare=2)
+            await machine_harness.start()
+            machine_harness.publish_demand("antenna", lacking=4)
+            machine_harness.publish_demand("coverage", free=True)
             await asyncio.sleep(4.5)
-            self.assertEqual(6, world.size("antenna"))
-            self.assertEqual(0, world.size("spare"))
-            self.assertEqual(1, world.size("coverage"))
+            self.assertEqual(6, machine_harness.size("antenna"))
+            self.assertEqual(0, machine_harness.size("spare"))
+            self.assertEqual(1, machine_harness.size("coverage"))
             await asyncio.sleep(2)
-            world.tell("coverage")
-            world.tell("antenna", free=True)
+            machine_harness.publish_demand("coverage")
+            machine_harness.publish_demand("antenna", free=True)
             await asyncio.sleep(5)
-            sizes = {pool: world.size(pool) for pool in ("antenna", "coverage", "spare")}
+            sizes = {pool: machine_harness.size(pool) for pool in ("antenna", "coverage", "spare")}
             self.assertEqual({"antenna": 2, "coverage": 3, "spare": 2}, sizes)
-            world.stop()
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -626,13 +628,13 @@
         """A need that is told again and again is met once."""
 
         async def scenario() -> None:
-            world = World(antenna=1, spare=5)
-            await world.start()
+            machine_harness = MachineHarness(antenna=1, spare=5)
+            await machine_harness.start()
             for _ in range(22):
-                world.tell("antenna", lacking=2)
+                machine_harness.publish_demand("antenna", lacking=2)
                 await asyncio.sleep(0.2)
-            self.assertEqual(2, len(world.moves()))
-            world.stop()
+            self.assertEqual(2, len(machine_harness.moves()))
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -644,15 +646,15 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=1, spare=5)
-            world.follow_keeper()
-            world.tell("antenna", lacking=2)
-            await world.start()
+            machine_harness = MachineHarness(antenna=1, spare=5)
+            machine_harness.follow_keeper()
+            machine_harness.publish_demand("antenna", lacking=2)
+            await machine_harness.start()
             await asyncio.sleep(MOVE_S)
-            self.assertEqual(2, len(world.moves()))
+            self.assertEqual(2, len(machine_harness.moves()))
             await asyncio.sleep(1.3)
-            self.assertEqual(4, len(world.moves()))
-            world.stop()
+            self.assertEqual(4, len(machine_harness.moves()))
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -663,14 +665,14 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=2, coverage=16)
-            world.follow_keeper()
-            world.tell("coverage", free=True)
-            world.tell("antenna", lacking=8)
-            await world.start(answer_s=0.3)
+            machine_harness = MachineHarness(antenna=2, coverage=16)
+            machine_harness.follow_keeper()
+            machine_harness.publish_demand("coverage", free=True)
+            machine_harness.publish_demand("antenna", lacking=8)
+            await machine_harness.start(answer_s=0.3)
             await asyncio.sleep(2.5)
-            self.assertEqual(8, len(world.moves()))
-            world.stop()
+            self.assertEqual(8, len(machine_harness.moves()))
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -682,20 +684,20 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=1, coverage=1, spare=4)
-            world.follow_keeper()
-            world.tell("antenna", lacking=4)
-            await world.start()
+            machine_harness = MachineHarness(antenna=1, coverage=1, spare=4)
+            machine_harness.follow_keeper()
+            machine_harness.publish_demand("antenna", lacking=4)
+            await machine_harness.start()
             await asyncio.sleep(2.0)
-            world.tell("antenna")
-            world.tell("coverage", lacking=3)
+            machine_harness.publish_demand("antenna")
+            machine_harness.publish_demand("coverage", lacking=3)
             await asyncio.sleep(0.5)
-            self.assertEqual({"antenna": 3}, world.machine_records.controller.recalls)
-            world.tell("antenna", lacking=9)
-            world.tell("coverage", lacking=9)
+            self.assertEqual({"antenna": 3}, machine_harness.machine_records.controller.recalls)
+            machine_harness.publish_demand("antenna", lacking=9)
+            machine_harness.publish_demand("coverage", lacking=9)
             await asyncio.sleep(0.5)
-            self.assertEqual({"antenna": 4}, world.machine_records.controller.recalls)
-            world.stop()
+            self.assertEqual({"antenna": 4}, machine_harness.machine_records.controller.recalls)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -707,23 +709,23 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=1, coverage=1, spare=4)
-            world.follow_keeper()
-            world.tell("antenna", lacking=4)
-            await world.start()
+            machine_harness = MachineHarness(antenna=1, coverage=1, spare=4)
+            machine_harness.follow_keeper()
+            machine_harness.publish_demand("antenna", lacking=4)
+            await machine_harness.start()
             await asyncio.sleep(3.0)
-            world.tell("antenna", free=True)
+            machine_harness.publish_demand("antenna", free=True)
             await asyncio.sleep(1.0)
-            world.tell("coverage", lacking=4)
+            machine_harness.publish_demand("coverage", lacking=4)
             await asyncio.sleep(1.0)
-            world.tell("coverage")
+            machine_harness.publish_demand("coverage")
             await asyncio.sleep(1.5)
-            self.assertEqual(5, world.size("coverage"))
-            self.assertEqual(8, len(world.moves()))
-            world.tell("coverage", free=True)
+            self.assertEqual(5, machine_harness.size("coverage"))
+            self.assertEqual(8, len(machine_harness.moves()))
+            machine_harness.publish_demand("coverage", free=True)
             await asyncio.sleep(5.0)
-            self.assertEqual(4, world.size("spare"))
-            world.stop()
+            self.assertEqual(4, machine_harness.size("spare"))
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -731,15 +733,15 @@
         """Tasks that wait five seconds for the lease of a worker that was taken away."""
 
         async def scenario() -> None:
-            world = World(antenna=1, coverage=1)
-            await world.start()
-            world.tell("coverage", free=True)
-            world.tell("antenna", lacking=1)
+            machine_harness = MachineHarness(antenna=1, coverage=1)
+            await machine_harness.start()
+            machine_harness.publish_demand("coverage", free=True)
+            machine_harness.publish_demand("antenna", lacking=1)
             await asyncio.sleep(4)
-            self.assertEqual(("w2",), world.machine_records.controller.over)
-            record = json.loads(world.store.items[MACHINES_PREFIX + "keeper"].value)
+            self.assertEqual(("w2",), machine_harness.machine_records.controller.over)
+            record = json.loads(machine_harness.store.items[MACHINES_PREFIX + "keeper"].value)
             self.assertEqual(["w2"], record["over"])
-            world.stop()
+            machine_harness.stop()
 
         run_scenario(scenario())
 
@@ -751,20 +753,20 @@
         """
 
         async def scenario() -> None:
-            world = World(antenna=2, coverage=3)
+            machine_harness = MachineHarness(antenna=2, coverage=3)
             before = MachineControllerRecord(over=("w0",))
-            world.store.put(MACHINES_PREFIX + "keeper", before.encode())
-            await world.start()
-            world.tell("coverage", free=True)
-            world.tell("antenna", lacking=1)
+            machine_harness.store.put(MACHINES_PREFIX + "keeper", before.encode())
+            await machine_harness.start()
+            machine_harness.publish_demand("coverage", free=True)
+            machine_harness.publish_demand("antenna", lacking=1)
             await asyncio.sleep(4.5)
-            over = world.machine_records.controller.over
+            over = machine_harness.machine_records.controller.over
             self.assertEqual(("w0", 2), (over[0], len(over)))
             await asyncio.sleep(16)
-            world.tell("antenna", lacking=3)
+            machine_harness.publish_demand("antenna", lacking=3)
             await asyncio.sleep(1)
-            self.assertNotIn("w0", world.machine_records.controller.over)
-            world.stop()
+            self.assertNotIn("w0", machine_harness.machine_records.controller.over)
+            machine_harness.stop()
 
         run_scenario(scenario())
 
