--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -24,7 +24,7 @@
 PATIENCE_S = 1.5
 
 
-class World:
+class SubmissionHarness:
     """A store and a desk on it."""
 
     def __init__(self, **faults: object) -> None:
@@ -66,10 +66,10 @@
         """A refused job is never stored, an accepted one is; in between the outcome is unknown."""
 
         async def scenario() -> None:
-            world = World(**faults)
-            self.assertIs(expected, await world.submit())
+            harness = SubmissionHarness(**faults)
+            self.assertIs(expected, await harness.submit())
             await asyncio.sleep(10)
-            self.assertEqual(is_stored, KEYS.job(JOB.job_id) in world.store.items)
+            self.assertEqual(is_stored, KEYS.job(JOB.job_id) in harness.store.items)
 
         run_scenario(scenario())
 
@@ -82,13 +82,13 @@
         """
 
         async def scenario() -> None:
-            world = World(late_part=1.0, late_s=4.0)
+            harness = SubmissionHarness(late_part=1.0, late_s=4.0)
             asyncio.get_running_loop().call_later(
-                0.5, lambda: setattr(world.view.faults, "is_down", True)
+                0.5, lambda: setattr(harness.view.faults, "is_down", True)
             )
-            self.assertIs(JobRequestStatus.UNKNOWN, await world.submit())
+            self.assertIs(JobRequestStatus.UNKNOWN, await harness.submit())
             await asyncio.sleep(10)
-            self.assertIn(KEYS.job(JOB.job_id), world.store.items)
+            self.assertIn(KEYS.job(JOB.job_id), harness.store.items)
 
         run_scenario(scenario())
 
@@ -96,11 +96,11 @@
         """The second try meets the first one's records, and the job is accepted."""
 
         async def scenario() -> None:
-            world = World(lost_part=1.0)
+            harness = SubmissionHarness(lost_part=1.0)
             asyncio.get_running_loop().call_later(
-                0.5, lambda: setattr(world.view.faults, "lost_part", 0.0)
+                0.5, lambda: setattr(harness.view.faults, "lost_part", 0.0)
             )
-            self.assertIs(JobRequestStatus.ACCEPTED, await world.submit())
+            self.assertIs(JobRequestStatus.ACCEPTED, await harness.submit())
 
         run_scenario(scenario())
 
@@ -108,13 +108,13 @@
         """Also after it was completed."""
 
         async def scenario() -> None:
-            world = World()
-            await world.submit()
+            harness = SubmissionHarness()
+            await harness.submit()
             key = KEYS.progress(JOB.job_id)
             done = JobProgress(queue="sweeps", state=JobState.COMPLETED)
-            world.store.put(key, encode_progress(done))
-            self.assertIs(JobRequestStatus.ACCEPTED, await world.submit())
-            self.assertIs(JobState.COMPLETED, await world.state())
+            harness.store.put(key, encode_progress(done))
+            self.assertIs(JobRequestStatus.ACCEPTED, await harness.submit())
+            self.assertIs(JobState.COMPLETED, await harness.state())
 
         run_scenario(scenario())
 
@@ -124,12 +124,12 @@
         """An accepted job is never denied: not while the store is down either."""
 
         async def scenario() -> None:
-            world = World()
-            self.assertIs(JobRequestStatus.NO_SUCH_JOB, await world.state())
-            await world.submit()
-            self.assertIs(JobState.QUEUED, await world.state())
-            world.view.faults.is_down = True
-            self.assertIs(JobRequestStatus.REFUSED, await world.state())
+            harness = SubmissionHarness()
+            self.assertIs(JobRequestStatus.NO_SUCH_JOB, await harness.state())
+            await harness.submit()
+            self.assertIs(JobState.QUEUED, await harness.state())
+            harness.view.faults.is_down = True
+            self.assertIs(JobRequestStatus.REFUSED, await harness.state())
 
         run_scenario(scenario())
 
@@ -139,11 +139,11 @@
         """And the job stays cancelled."""
 
         async def scenario() -> None:
-            world = World()
-            self.assertIs(JobRequestStatus.NO_SUCH_JOB, await world.cancel())
-            await world.submit()
-            self.assertIs(JobRequestStatus.ACCEPTED, await world.cancel())
-            self.assertIs(JobState.CANCELLED, await world.state())
+            harness = SubmissionHarness()
+            self.assertIs(JobRequestStatus.NO_SUCH_JOB, await harness.cancel())
+            await harness.submit()
+            self.assertIs(JobRequestStatus.ACCEPTED, await harness.cancel())
+            self.assertIs(JobState.CANCELLED, await harness.state())
 
         run_scenario(scenario())
 
@@ -151,12 +151,12 @@
         """A cancel that comes late is acknowledged and changes nothing."""
 
         async def scenario() -> None:
-            world = World()
-            await world.submit()
+            harness = SubmissionHarness()
+            await harness.submit()
             done = JobProgress(queue="sweeps", state=JobState.COMPLETED)
-            world.store.put(KEYS.progress(JOB.job_id), encode_progress(done))
-            self.assertIs(JobRequestStatus.ACCEPTED, await world.cancel())
-            self.assertIs(JobState.COMPLETED, await world.state())
+            harness.store.put(KEYS.progress(JOB.job_id), encode_progress(done))
+            self.assertIs(JobRequestStatus.ACCEPTED, await harness.cancel())
+            self.assertIs(JobState.COMPLETED, await harness.state())
 
         run_scenario(scenario())
 
@@ -164,15 +164,15 @@
         """A scheduler's write between the cancel's reading and writing is not lost."""
 
         async def scenario() -> None:
-            world = World()
-            await world.submit()
+            harness = SubmissionHarness()
+            await harness.submit()
             key = KEYS.progress(JOB.job_id)
             running = JobProgress(queue="sweeps", state=JobState.RUNNING, done={(0, 0): 1})
             loop = asyncio.get_running_loop()
-            loop.call_later(0.006, world.store.put, key, encode_progress(running))
-            self.assertIs(JobRequestStatus.ACCEPTED, await world.cancel())
-            self.assertIn(b'"done"', world.store.items[key].value)
-            self.assertIs(JobState.CANCELLED, await world.state())
+            loop.call_later(0.006, harness.store.put, key, encode_progress(running))
+            self.assertIs(JobRequestStatus.ACCEPTED, await harness.cancel())
+            self.assertIn(b'"done"', harness.store.items[key].value)
+            self.assertIs(JobState.CANCELLED, await harness.state())
 
         run_scenario(scenario())
 
