--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -25,7 +25,7 @@
     SchedulerDependencies,
     ServiceScheduler,
 )
-from shallotworks.store import Holder, HolderTimes, Mirror
+from shallotworks.store import HeldLease, LeaseTiming, Mirror
 
 from ._configuration import OPERATORS_PREFIX, Configuration, OperatorsBook
 from ._http import HttpClient, close_all
@@ -109,7 +109,7 @@
         self._workers_heard_s = -math.inf
         self._book = OperatorsBook(on_configuration=self._configured, log=self._log)
         self._machine_records = MachineRecords(log=self._log)
-        self._held_times = HolderTimes(ttl_s=max(HolderTimes().ttl_s, settings.smallest_ttl_s))
+        self._lease_timing = LeaseTiming(ttl_s=max(LeaseTiming().ttl_s, settings.smallest_ttl_s))
         self._dependencies = self._make_dependencies()
         self._elector = LeaderElector(
             store=self._store,
@@ -118,7 +118,7 @@
             instance=settings.instance,
             run_epoch=self._run_duty,
             clock=boot_clock,
-            times=self._held_times,
+            times=self._lease_timing,
             log=self._log,
             strength=_strength_of(settings),
         )
@@ -212,15 +212,13 @@
         except TimeoutError as error:
             self._log.line("stop-late", reason=repr(error))
 
-    async def _run_duty(self, duty: str, holder: Holder) -> None:
+    async def _run_duty(self, duty: str, lease: HeldLease) -> None:
         self._follow_fleet()
         if duty == KEEPER_DUTY:
-            await self._run_keeper(holder)
+            await self._run_keeper(lease)
             return
         service = duty.removeprefix(SCHEDULER_DUTY)
-        await ServiceScheduler(
-            service=service, holder=holder, dependencies=self._dependencies
-        ).run()
+        await ServiceScheduler(service=service, lease=lease, dependencies=self._dependencies).run()
 
     def _follow_fleet(self) -> None:
         """Follow workers and machines from the first duty on; who only answers callers need not."""
@@ -250,7 +248,7 @@
         await workers.synced.wait()
         self._registry.is_synced = True
 
-    async def _run_keeper(self, holder: Holder) -> None:
+    async def _run_keeper(self, lease: HeldLease) -> None:
         dependencies = MachineControllerDependencies(
             machines=PlatformMachines(
                 client=self._machines_client, instance=self._settings.instance
@@ -264,7 +262,7 @@
             log=self._log,
             turns_apart_s=self._settings.bounds.turns_apart_s,
         )
-        await MachineController(holder=holder, dependencies=dependencies).run()
+        await MachineController(lease=lease, dependencies=dependencies).run()
 
     def _workers_heard(self) -> None:
         self._workers_heard_s = boot_clock()
@@ -310,7 +308,7 @@
 
 
 def _mark_of(duty: str) -> str:
-    """Return the second key of a duty, among the records that it works on; see `Holder`."""
+    """Return the second key of a duty, among the records that it works on; see `HeldLease`."""
     if duty == KEEPER_DUTY:
         return f"{MACHINES_PREFIX}!{duty}"
     return JobKeys(service=duty.removeprefix(SCHEDULER_DUTY)).holder_mark
--- a/src/shallotworks/scheduling/_active_workers.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from shallotworks.logs import StructuredLog
-from shallotworks.store import HeldRecord, Holder, Store
+from shallotworks.store import HeldLease, HeldRecord, Store
 
 __all__ = ["ActiveWorker", "ActiveWorkersRecord", "active_workers_key"]
 
@@ -48,17 +48,17 @@
 
     Args:
         service: The service.
-        holder: The held key.
+        lease: The held key.
         store: The store.
         log: What the record can't be read for.
     """
 
     __slots__ = ("_key", "_lock", "_log", "_record", "_stored", "active_workers")
 
-    def __init__(self, *, service: str, holder: Holder, store: Store, log: StructuredLog) -> None:
+    def __init__(self, *, service: str, lease: HeldLease, store: Store, log: StructuredLog) -> None:
         self._key = active_workers_key(service)
         self._log = log
-        self._record = HeldRecord(key=self._key, holder=holder, store=store, log=log)
+        self._record = HeldRecord(key=self._key, lease=lease, store=store, log=log)
         self._lock = asyncio.Lock()
         self._stored: bytes | None = None
         self.active_workers: dict[str, ActiveWorker] = {}
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 
 from shallotworks.logs import StructuredLog
-from shallotworks.store import Holder, HolderTimes, Item, Mirror, Store
+from shallotworks.store import HeldLease, Item, LeaseTiming, Mirror, Store
 
 __all__ = ["LeaderElector"]
 
@@ -31,7 +31,7 @@
     Args:
         store: The store.
         root: Prefix of the keys, each duty's name after it.
-        mark: Returns a second key for a duty's name; see `Holder.acquire`.
+        mark: Returns a second key for a duty's name; see `HeldLease.acquire`.
         instance: This instance's name, written into the keys.
         run_epoch: Runs a term until its key is lost.
         clock: Seconds, counting suspended time.
@@ -44,9 +44,9 @@
         "_bids",
         "_clock",
         "_held",
-        "_holders",
         "_instance",
         "_is_stopping",
+        "_leases",
         "_log",
         "_mark",
         "_mirror",
@@ -66,9 +66,9 @@
         root: str,
         mark: Callable[[str], str],
         instance: str,
-        run_epoch: Callable[[str, Holder], Awaitable[None]],
+        run_epoch: Callable[[str, HeldLease], Awaitable[None]],
         clock: Callable[[], float],
-        times: HolderTimes,
+        times: LeaseTiming,
         log: StructuredLog,
         strength: float = 1.0,
     ) -> None:
@@ -83,7 +83,7 @@
         self._log = log
         self._held: dict[str, int] = {}
         """Tokens of the keys that are held, as far as is known."""
-        self._holders: dict[str, Holder] = {}
+        self._leases: dict[str, HeldLease] = {}
         self._bids: dict[str, asyncio.Task[None]] = {}
         self._news = asyncio.Event()
         self._under_way = 0
@@ -100,20 +100,20 @@
             self._bids[service] = asyncio.create_task(self._bid(service))
         for service in set(self._bids) - services:
             self._bids.pop(service).cancel()
-            holder = self._holders.get(service)
-            if holder is not None:
-                holder.lose("the service is gone from the configuration")
+            lease = self._leases.get(service)
+            if lease is not None:
+                lease.lose("the service is gone from the configuration")
 
     def held(self) -> list[str]:
         """Return the duties whose keys this instance holds."""
-        return sorted(self._holders)
+        return sorted(self._leases)
 
     async def stop(self) -> None:
         """Give all keys back, so that successors begin at once."""
         self._is_stopping = True
-        holders = list(self._holders.values())
-        for holder in holders:
-            holder.lose("stopping")
+        leases = list(self._leases.values())
+        for lease in leases:
+            lease.lose("stopping")
         await asyncio.wait_for(
             asyncio.gather(*self._bids.values(), return_exceptions=True), timeout=2.0
         )
@@ -124,9 +124,9 @@
         """Hear who holds a key."""
         service = item.key.removeprefix(self._root)
         self._held[service] = max(item.created, self._held.get(service, 0))
-        holder = self._holders.get(service)
-        if holder is not None and item.created > holder.token:
-            holder.lose("another holds its key")
+        lease = self._leases.get(service)
+        if lease is not None and item.created > lease.token:
+            lease.lose("another holds its key")
 
     def deleted(self, key: str, revision: int) -> None:
         """Hear that a key is free.
@@ -136,9 +136,9 @@
         was deleted after a key's creation was that key.
         """
         service = key.removeprefix(self._root)
-        holder = self._holders.get(service)
-        if holder is not None and revision > holder.token:
-            holder.lose("its key was deleted")
+        lease = self._leases.get(service)
+        if lease is not None and revision > lease.token:
+            lease.lose("its key was deleted")
         if revision > self._held.get(service, 0):
             self._held.pop(service, None)
             self._news.set()
@@ -156,16 +156,16 @@
             if service in self._held or self._is_stopping or self._load > load:
                 # Also where another key was bid for or won meanwhile: others come first now.
                 continue
-            holder = await self._acquire(service)
-            if holder is None:
+            lease = await self._acquire(service)
+            if lease is None:
                 await asyncio.sleep(RETRY_S)
                 continue
-            await self._hold(service, holder)
+            await self._hold(service, lease)
 
-    async def _acquire(self, service: str) -> Holder | None:
+    async def _acquire(self, service: str) -> HeldLease | None:
         self._under_way += 1
         try:
-            return await Holder.acquire(
+            return await HeldLease.acquire(
                 store=self._store,
                 key=self._root + service,
                 mark=self._mark(service),
@@ -180,22 +180,22 @@
     @property
     def _load(self) -> int:
         """Keys that this instance holds or is about to hold."""
-        return len(self._holders) + self._under_way
+        return len(self._leases) + self._under_way
 
-    async def _hold(self, service: str, holder: Holder) -> None:
-        self._held[service] = holder.token
-        self._holders[service] = holder
-        self._log.line("duty-acquired", key=holder.key, token=holder.token)
+    async def _hold(self, service: str, lease: HeldLease) -> None:
+        self._held[service] = lease.token
+        self._leases[service] = lease
+        self._log.line("duty-acquired", key=lease.key, token=lease.token)
         try:
-            await self._run_epoch(service, holder)
+            await self._run_epoch(service, lease)
         except Exception as error:
             # A fault in one term must not end the instance: the key goes to another instance.
             self._log.line("term-fault", service=service, reason=repr(error))
         finally:
-            holder.lose("the term has ended")
-            del self._holders[service]
-            await holder.release()
-            if self._held.get(service) == holder.token:
+            lease.lose("the term has ended")
+            del self._leases[service]
+            await lease.release()
+            if self._held.get(service) == lease.token:
                 del self._held[service]
 
     async def _await_news(self) -> None:
--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -9,7 +9,7 @@
 
 from returns.result import Success
 
-from shallotworks.store import Holder
+from shallotworks.store import HeldLease
 
 from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_controller_ledger import MachineControllerLedger
@@ -27,28 +27,26 @@
     """One term of the keeper.
 
     Args:
-        holder: The keeper's key; its token fences each order.
+        lease: The keeper's key; its token fences each order.
         dependencies: What it works with.
     """
 
-    __slots__ = ("_dependencies", "_holder", "_rebalancer", "_record", "_waves")
+    __slots__ = ("_dependencies", "_lease", "_rebalancer", "_record", "_waves")
 
-    def __init__(self, *, holder: Holder, dependencies: MachineControllerDependencies) -> None:
-        self._holder = holder
+    def __init__(self, *, lease: HeldLease, dependencies: MachineControllerDependencies) -> None:
+        self._lease = lease
         self._dependencies = dependencies
-        self._record = MachineControllerLedger(holder=holder, dependencies=dependencies)
-        orders = MachineOrderDispatcher(
-            holder=holder, dependencies=dependencies, record=self._record
-        )
-        self._waves = WaveExecutor(holder=holder, dependencies=dependencies, orders=orders)
-        self._rebalancer = PoolRebalancer(holder=holder, dependencies=dependencies, orders=orders)
+        self._record = MachineControllerLedger(lease=lease, dependencies=dependencies)
+        orders = MachineOrderDispatcher(lease=lease, dependencies=dependencies, record=self._record)
+        self._waves = WaveExecutor(lease=lease, dependencies=dependencies, orders=orders)
+        self._rebalancer = PoolRebalancer(lease=lease, dependencies=dependencies, orders=orders)
 
     async def run(self) -> None:
         """Keep machines until the key is lost."""
-        keep = asyncio.create_task(self._holder.keep())
+        keep = asyncio.create_task(self._lease.keep())
         try:
-            while not self._holder.lost.is_set():
-                if not self._holder.may_act:
+            while not self._lease.lost.is_set():
+                if not self._lease.may_act:
                     self._record.note_suspension()
                 else:
                     if self._has_work():
--- a/src/shallotworks/scheduling/_machine_controller_ledger.py
+++ b/src/shallotworks/scheduling/_machine_controller_ledger.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from shallotworks.store import HeldRecord, Holder
+from shallotworks.store import HeldLease, HeldRecord
 
 from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_records import MachineControllerRecord, machine_controller_key
@@ -37,7 +37,7 @@
     predecessor may have ordered of late, and only those machines have to wait.
 
     Args:
-        holder: The keeper's key.
+        lease: The keeper's key.
         dependencies: What it works with.
     """
 
@@ -46,7 +46,7 @@
         "_blocked",
         "_dependencies",
         "_forgot_s",
-        "_holder",
+        "_lease",
         "_ordered",
         "_over",
         "_record",
@@ -56,12 +56,12 @@
         "published",
     )
 
-    def __init__(self, *, holder: Holder, dependencies: MachineControllerDependencies) -> None:
-        self._holder = holder
+    def __init__(self, *, lease: HeldLease, dependencies: MachineControllerDependencies) -> None:
+        self._lease = lease
         self._dependencies = dependencies
         self._record = HeldRecord(
             key=machine_controller_key(),
-            holder=holder,
+            lease=lease,
             store=dependencies.store,
             log=dependencies.log,
         )
--- a/src/shallotworks/scheduling/_machine_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_machine_order_dispatcher.py
@@ -6,7 +6,7 @@
 
 from returns.result import Success
 
-from shallotworks.store import Holder
+from shallotworks.store import HeldLease
 
 from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_controller_ledger import MachineControllerLedger
@@ -20,21 +20,21 @@
     """Gives the orders of one term of the keeper.
 
     Args:
-        holder: The keeper's key; its token fences each order.
+        lease: The keeper's key; its token fences each order.
         dependencies: What it works with.
         record: Where machines are named before they are ordered.
     """
 
-    __slots__ = ("_dependencies", "_holder", "_record")
+    __slots__ = ("_dependencies", "_lease", "_record")
 
     def __init__(
         self,
         *,
-        holder: Holder,
+        lease: HeldLease,
         dependencies: MachineControllerDependencies,
         record: MachineControllerLedger,
     ) -> None:
-        self._holder = holder
+        self._lease = lease
         self._dependencies = dependencies
         self._record = record
 
@@ -60,20 +60,20 @@
                 where the upkeep is over: the worker that is on the machine by then lives on, and
                 tasks that were taken for ended would run twice.
         """
-        if not self._holder.may_act:
+        if not self._lease.may_act:
             return MachineOrderStatus.REFUSED
         status = await self._dependencies.machines.start_maintenance(
-            machine.name, wave=wave, token=self._holder.token
+            machine.name, wave=wave, token=self._lease.token
         )
         self._note("upkeep", machine, status, is_over=is_first, wave=wave)
         return status
 
     async def move(self, machine: Machine, service: str) -> MachineOrderStatus:
         """Move a machine into another service's pool."""
-        if not self._holder.may_act:
+        if not self._lease.may_act:
             return MachineOrderStatus.REFUSED
         status = await self._dependencies.machines.move(
-            machine.name, pool=service, token=self._holder.token
+            machine.name, pool=service, token=self._lease.token
         )
         self._note("move", machine, status, is_over=True, to=service)
         return status
@@ -128,11 +128,11 @@
             machine=machine.name,
             worker=machine.worker_id,
             pool=machine.pool,
-            token=self._holder.token,
+            token=self._lease.token,
             outcome=status.value,
             **inputs,
         )
         if status is MachineOrderStatus.FENCED:
-            self._holder.lose(f"a later holder has given orders for {machine.name}")
+            self._lease.lose(f"a later holder has given orders for {machine.name}")
         if status is MachineOrderStatus.OBEYED and machine.worker_id and is_over:
             self._record.note_over(machine.worker_id)
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -9,7 +9,7 @@
 
 from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
-from shallotworks.store import Holder
+from shallotworks.store import HeldLease
 
 from ._model import (
     OrderOutcome,
@@ -92,7 +92,7 @@
 
     Args:
         scheduler_state: What is known.
-        holder: Whether orders may be given, asked before each.
+        lease: Whether orders may be given, asked before each.
         orders: Sends them.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
@@ -107,8 +107,8 @@
     __slots__ = (
         "_clock",
         "_followers",
-        "_holder",
         "_in_flight",
+        "_lease",
         "_log",
         "_may_use",
         "_metrics",
@@ -125,7 +125,7 @@
         self,
         *,
         scheduler_state: SchedulerState,
-        holder: Holder,
+        lease: HeldLease,
         orders: WorkerOrders,
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
@@ -136,7 +136,7 @@
         on_progress: Callable[[], None],
     ) -> None:
         self._scheduler_state = scheduler_state
-        self._holder = holder
+        self._lease = lease
         self._orders = orders
         self._clock = clock
         self._wall_clock = wall_clock
@@ -235,7 +235,7 @@
     def _order_finished(self, task: asyncio.Task[None]) -> None:
         self._in_flight.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._holder.lose(f"a fault: {task.exception()!r}")
+            self._lease.lose(f"a fault: {task.exception()!r}")
 
     # ---- looks
 
@@ -243,12 +243,12 @@
         try:
             while self._scheduler_state.workers.get(worker.worker_id) is worker:
                 await self._await_reason(worker)
-                if not self._holder.may_act:
+                if not self._lease.may_act:
                     await asyncio.sleep(SETTLE_WAIT_S)
                     continue
                 await self._look(worker)
         except Exception as error:
-            self._holder.lose(f"a fault: {error!r}")
+            self._lease.lose(f"a fault: {error!r}")
             raise
 
     async def _await_reason(self, worker: Worker) -> None:
@@ -352,7 +352,7 @@
         if not worker.clock_ms or not self._may_use(worker.worker_id):
             return None
         age_s = sent_s - worker.clock_at_s
-        lease_s = min(self._times.lease_s, self._times.horizon_s - self._holder.unconfirmed_s)
+        lease_s = min(self._times.lease_s, self._times.horizon_s - self._lease.unconfirmed_s)
         if lease_s <= 0:
             return None
         ends_s = sent_s + lease_s + CLOCK_SKEW_PART * (lease_s + age_s) + MARGIN_S
@@ -362,7 +362,7 @@
     def _common_failure(self, worker: Worker, outcome: OrderOutcome) -> bool:
         """Handle what ends more than one order; return whether it was that."""
         if outcome.status is OrderStatus.FENCED:
-            self._holder.lose(f"a later scheduler has fenced {worker.worker_id}")
+            self._lease.lose(f"a later scheduler has fenced {worker.worker_id}")
             return True
         if outcome.status is OrderStatus.GONE:
             self._scheduler_state.replaced(worker.worker_id, self._clock(), self._wall_clock())
@@ -378,7 +378,7 @@
         lease_ms = self._extend(worker, sent_s) if worker is not None else None
         if worker is None or (run.name, run.run_id) not in worker.runs:
             return
-        if lease_ms is None or not self._holder.may_act:
+        if lease_ms is None or not self._lease.may_act:
             self._scheduler_state.start_failed(run, sent_s)
             return
         outcome = await self._orders.start(
@@ -442,7 +442,7 @@
     async def _stop(self, order: StopOrder) -> None:
         run = order.run
         worker = self._scheduler_state.workers.get(run.worker_id)
-        if worker is None or not self._holder.may_act:
+        if worker is None or not self._lease.may_act:
             return
         outcome = await self._orders.stop(worker.view, order, token=self._scheduler_state.token)
         self._metrics.count(f"scheduler.stop.{outcome.status.value}")
@@ -462,7 +462,7 @@
 
     async def _pace(self, order: PaceOrder) -> None:
         worker = self._scheduler_state.workers.get(order.run.worker_id)
-        if worker is None or not self._holder.may_act:
+        if worker is None or not self._lease.may_act:
             return
         outcome = await self._orders.pace(worker.view, order, token=self._scheduler_state.token)
         self._metrics.count(f"scheduler.pace.{outcome.status.value}")
--- a/src/shallotworks/scheduling/_pool_rebalancer.py
+++ b/src/shallotworks/scheduling/_pool_rebalancer.py
@@ -9,7 +9,7 @@
 
 from returns.result import Success
 
-from shallotworks.store import Commit, Committed, Condition, Holder, Write
+from shallotworks.store import Commit, Committed, Condition, HeldLease, Write
 
 from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_order_dispatcher import MachineOrderDispatcher
@@ -64,16 +64,16 @@
     """Moves machines during one term of the keeper.
 
     Args:
-        holder: The keeper's key.
+        lease: The keeper's key.
         dependencies: What it works with.
         orders: Gives orders.
     """
 
     __slots__ = (
         "_dependencies",
-        "_holder",
         "_home",
         "_idle_since",
+        "_lease",
         "_misfits",
         "_moving",
         "_orders",
@@ -82,11 +82,11 @@
     def __init__(
         self,
         *,
-        holder: Holder,
+        lease: HeldLease,
         dependencies: MachineControllerDependencies,
         orders: MachineOrderDispatcher,
     ) -> None:
-        self._holder = holder
+        self._lease = lease
         self._dependencies = dependencies
         self._orders = orders
         self._home: dict[str, int] | None = None
@@ -224,7 +224,7 @@
             value = json.dumps(sizes).encode()
             saved = await self._dependencies.store.commit(
                 Commit(
-                    conditions=(self._holder.condition, Condition(key=HOME_KEY, revision=0)),
+                    conditions=(self._lease.condition, Condition(key=HOME_KEY, revision=0)),
                     writes=(Write(key=HOME_KEY, value=value),),
                 )
             )
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -11,7 +11,7 @@
 from shallotworks.jobs import JobKeys, decode_progress, encode_progress
 from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
-from shallotworks.store import Commit, Committed, Condition, Conflicted, Holder, Store, Write
+from shallotworks.store import Commit, Committed, Condition, Conflicted, HeldLease, Store, Write
 
 from ._scheduler_state import SchedulerState, StoredProgress
 from ._tracked_jobs import TrackedJob
@@ -40,7 +40,7 @@
 
     Args:
         scheduler_state: What is known.
-        holder: The scheduler's key.
+        lease: The scheduler's key.
         store: The store.
         log: Failures and conflicts.
         metrics: Counters.
@@ -48,10 +48,10 @@
     """
 
     __slots__ = (
-        "_holder",
         "_is_key_gone",
         "_is_settled",
         "_keys",
+        "_lease",
         "_log",
         "_metrics",
         "_on_stored",
@@ -64,14 +64,14 @@
         self,
         *,
         scheduler_state: SchedulerState,
-        holder: Holder,
+        lease: HeldLease,
         store: Store,
         log: StructuredLog,
         metrics: Metrics,
         on_stored: Callable[[], None],
     ) -> None:
         self._scheduler_state = scheduler_state
-        self._holder = holder
+        self._lease = lease
         self._store = store
         self._log = log
         self._metrics = metrics
@@ -114,7 +114,7 @@
         outcome = await self._store.commit(
             Commit(
                 conditions=(
-                    self._holder.condition,
+                    self._lease.condition,
                     *(Condition(key=key, revision=entry.revision) for key, entry in keys.items()),
                 ),
                 writes=tuple(
@@ -150,10 +150,10 @@
 
     def _learn_conflict(self, conflict: Conflicted, keys: dict[str, TrackedJob]) -> None:
         current = {item.key: item for item in conflict.current}
-        own = current.get(self._holder.key)
-        if own is None or own.revision != self._holder.token:
+        own = current.get(self._lease.key)
+        if own is None or own.revision != self._lease.token:
             self._is_key_gone = True
-            self._holder.lose("its key is gone or another's")
+            self._lease.lose("its key is gone or another's")
             return
         for key, entry in keys.items():
             item = current.get(key)
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -15,8 +15,8 @@
 from shallotworks.metrics import Metrics
 from shallotworks.store import (
     Commit,
+    HeldLease,
     HeldRecord,
-    Holder,
     Item,
     Mirror,
     Store,
@@ -99,7 +99,7 @@
 
     Args:
         service: The service.
-        holder: The held key.
+        lease: The held key.
         dependencies: What it works with.
     """
 
@@ -107,8 +107,8 @@
         "_demand",
         "_dependencies",
         "_has_mark",
-        "_holder",
         "_keys",
+        "_lease",
         "_mirror",
         "_order_dispatcher",
         "_pending",
@@ -125,14 +125,14 @@
     )
 
     def __init__(
-        self, *, service: str, holder: Holder, dependencies: SchedulerDependencies
+        self, *, service: str, lease: HeldLease, dependencies: SchedulerDependencies
     ) -> None:
         self.service = service
-        self._holder = holder
+        self._lease = lease
         self._dependencies = dependencies
         self._keys = JobKeys(service=service)
         self.scheduler_state = SchedulerState(
-            service=service, token=holder.token, log=dependencies.log
+            service=service, token=lease.token, log=dependencies.log
         )
         self.decision_engine = DecisionEngine(scheduler_state=self.scheduler_state)
         self._sizer = PoolSizer(scheduler_state=self.scheduler_state, limits=SizingLimits())
@@ -142,7 +142,7 @@
         self._workers = WorkerTracker(
             scheduler_state=self.scheduler_state,
             record=ActiveWorkersRecord(
-                service=service, holder=holder, store=dependencies.store, log=dependencies.log
+                service=service, lease=lease, store=dependencies.store, log=dependencies.log
             ),
             directory=dependencies.directory,
             machine_records=dependencies.machine_records,
@@ -152,7 +152,7 @@
         )
         self._order_dispatcher = OrderDispatcher(
             scheduler_state=self.scheduler_state,
-            holder=holder,
+            lease=lease,
             orders=dependencies.orders,
             clock=dependencies.clock,
             wall_clock=dependencies.wall_clock,
@@ -164,7 +164,7 @@
         )
         self._writer = ProgressWriter(
             scheduler_state=self.scheduler_state,
-            holder=holder,
+            lease=lease,
             store=dependencies.store,
             log=dependencies.log,
             metrics=dependencies.metrics,
@@ -187,14 +187,14 @@
     def _own_record(self, key: str) -> HeldRecord:
         dependencies = self._dependencies
         return HeldRecord(
-            key=key, holder=self._holder, store=dependencies.store, log=dependencies.log
+            key=key, lease=self._lease, store=dependencies.store, log=dependencies.log
         )
 
     async def run(self) -> None:
         """Schedule until the key is lost."""
         self._log("term-begun")
         loops = (
-            self._holder.keep(),
+            self._lease.keep(),
             self._mirror.run(),
             self._schedule(),
             self._writer.run(),
@@ -203,12 +203,12 @@
             self._size_pool(),
         )
         tasks = [asyncio.create_task(loop) for loop in loops]
-        lost = asyncio.create_task(self._holder.lost.wait())
+        lost = asyncio.create_task(self._lease.lost.wait())
         try:
             done, _ = await asyncio.wait([*tasks, lost], return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 if task is not lost and task.exception() is not None:
-                    self._holder.lose(f"a fault: {task.exception()!r}")
+                    self._lease.lose(f"a fault: {task.exception()!r}")
                     raise task.exception() or RuntimeError
             await self._order_dispatcher.settle(STOP_PATIENCE_S)
             self._order_dispatcher.stop_polling()
@@ -227,13 +227,13 @@
         The load: instances are stopped in turn, and each successor would wait for all workers that
         its predecessors had used of late, most of them moved away since.
         """
-        is_silent = self._holder.unconfirmed_s > HAND_OVER_FRESH_S
+        is_silent = self._lease.unconfirmed_s > HAND_OVER_FRESH_S
         if not is_silent and self.is_prepared.is_set():
             await self._writer.settle(STOP_PATIENCE_S)
             await self._workers.hand_over()
 
     def _log(self, event: str, **fields: object) -> None:
-        self._dependencies.log.line(event, service=self.service, token=self._holder.token, **fields)
+        self._dependencies.log.line(event, service=self.service, token=self._lease.token, **fields)
 
     def _workers_changed(self) -> None:
         self._order_dispatcher.sync_workers()
@@ -247,9 +247,9 @@
     def written(self, item: Item) -> None:
         """Hear of a job or of its progress."""
         if item.key == self._keys.holder_mark:
-            self._has_mark = item.created == self._holder.token
-            if item.created > self._holder.token:
-                self._holder.lose("another's mark stands among the jobs")
+            self._has_mark = item.created == self._lease.token
+            if item.created > self._lease.token:
+                self._lease.lose("another's mark stands among the jobs")
             return
         job_id, is_progress = self._keys.parse(item.key)
         if not is_progress:
@@ -282,7 +282,7 @@
             decode_job(record.value),
             progress,
             revision=item.revision,
-            is_old=record.revision < self._holder.token,
+            is_old=record.revision < self._lease.token,
             wall_s=self._dependencies.wall_clock(),
         )
 
@@ -293,7 +293,7 @@
         that was accepted after its successor began, and that the successor may start at once.
         """
         if key == self._keys.holder_mark:
-            self._holder.lose("its mark among the jobs was deleted")
+            self._lease.lose("its mark among the jobs was deleted")
             return
         job_id, is_progress = self._keys.parse(key)
         if is_progress:
@@ -311,7 +311,7 @@
             if directory.done():
                 directory.result()
             began_s = self._dependencies.clock()
-            has_more = self._holder.may_act and self._decide()
+            has_more = self._lease.may_act and self._decide()
             await asyncio.sleep((self._dependencies.clock() - began_s) * DECIDE_PAUSE_PART)
             if not has_more:
                 await self._order_dispatcher.wait(DECIDE_EVERY_S)
@@ -343,14 +343,14 @@
         """Learn what earlier terms left: jobs, and workers that may still run their tasks."""
         await self._mirror.synced.wait()
         if not self._has_mark:
-            self._holder.lose("its mark among the jobs is not there")
+            self._lease.lose("its mark among the jobs is not there")
         while not self._dependencies.directory.is_synced:
             await asyncio.sleep(DIRECTORY_EVERY_S)
         recorded = await self._workers.await_earlier()
         while not await self._demand.read():
             await asyncio.sleep(STORE_RETRY_S)
         # Offers of an earlier term must not be taken for this one's.
-        while not await self._publish_demand(PoolDemand(token=self._holder.token)):
+        while not await self._publish_demand(PoolDemand(token=self._lease.token)):
             await asyncio.sleep(STORE_RETRY_S)
         self._log(
             "term-prepared",
@@ -408,7 +408,7 @@
                 now_s=self._dependencies.clock(),
                 wall_s=self._dependencies.wall_clock(),
             )
-            need = replace(need, woke=wakes.count(may_act=self._holder.may_act))
+            need = replace(need, woke=wakes.count(may_act=self._lease.may_act))
             self._sizer.yield_some(machine_records.controller.recalls.get(self.service, 0))
             for worker in self._sizer.emptying():
                 self.decision_engine.evacuate(worker)
@@ -457,7 +457,7 @@
             for job_id in old[:MOST_CLEANED]:
                 keys = (self._keys.job(job_id), self._keys.progress(job_id))
                 await self._dependencies.store.commit(
-                    Commit(conditions=(self._holder.condition,), deletes=keys)
+                    Commit(conditions=(self._lease.condition,), deletes=keys)
                 )
 
 
--- a/src/shallotworks/scheduling/_wave_executor.py
+++ b/src/shallotworks/scheduling/_wave_executor.py
@@ -6,7 +6,7 @@
 
 from returns.result import Success
 
-from shallotworks.store import Commit, Committed, Condition, Conflicted, Holder, Write
+from shallotworks.store import Commit, Committed, Condition, Conflicted, HeldLease, Write
 
 from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_order_dispatcher import MachineOrderDispatcher
@@ -43,7 +43,7 @@
     it: the slot is taken in the store first, so that a predecessor's late order is counted too.
 
     Args:
-        holder: The keeper's key.
+        lease: The keeper's key.
         dependencies: What it works with.
         orders: Gives orders.
     """
@@ -53,7 +53,7 @@
         "_begun",
         "_completed",
         "_dependencies",
-        "_holder",
+        "_lease",
         "_ordered",
         "_orders",
     )
@@ -61,11 +61,11 @@
     def __init__(
         self,
         *,
-        holder: Holder,
+        lease: HeldLease,
         dependencies: MachineControllerDependencies,
         orders: MachineOrderDispatcher,
     ) -> None:
-        self._holder = holder
+        self._lease = lease
         self._dependencies = dependencies
         self._orders = orders
         self._completed: set[int] = set()
@@ -320,7 +320,7 @@
         key = wave_key(wave.wave)
         outcome = await self._dependencies.store.commit(
             Commit(
-                conditions=(self._holder.condition, Condition(key=key, revision=revision)),
+                conditions=(self._lease.condition, Condition(key=key, revision=revision)),
                 writes=(
                     Write(key=key, value=record.encode()),
                     Write(
@@ -340,8 +340,8 @@
         result = outcome.unwrap()
         if isinstance(result, Conflicted):
             current = {item.key: item.revision for item in result.current}
-            if current.get(self._holder.key) != self._holder.token:
-                self._holder.lose("its key is gone or another's")
+            if current.get(self._lease.key) != self._lease.token:
+                self._lease.lose("its key is gone or another's")
             return None
         committed: Committed = result
         return committed.revision
--- a/src/shallotworks/store/__init__.py
+++ b/src/shallotworks/store/__init__.py
@@ -1,12 +1,12 @@
 """The store in which everything that must last or be agreed on is kept, as the product sees it.
 
 Other packages see only the protocol and types named here. `Mirror` keeps a copy of all keys under
-a prefix up to date; `Holder` keeps a leased key, with a fencing token, while it can be kept;
+a prefix up to date; `HeldLease` keeps a leased key, with a fencing token, while it can be kept;
 `HeldRecord` is the last word of such a holder under a key.
 """
 
+from ._held_lease import HeldLease, LeaseTiming
 from ._held_record import HeldRecord
-from ._holder import Holder, HolderTimes
 from ._mirror import Mirror, MirrorListener
 from ._protocols import (
     Changes,
@@ -29,8 +29,8 @@
     "Conflicted",
     "Deletion",
     "HeldRecord",
-    "Holder",
-    "HolderTimes",
+    "HeldLease",
+    "LeaseTiming",
     "Item",
     "Mirror",
     "MirrorListener",
--- a/src/shallotworks/store/_holder.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -13,11 +13,11 @@
 
 from ._protocols import Commit, Committed, Condition, Store, Write
 
-__all__ = ["Holder", "HolderTimes"]
+__all__ = ["HeldLease", "LeaseTiming"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HolderTimes:
+class LeaseTiming:
     """Times of a held key.
 
     Args:
@@ -37,7 +37,7 @@
     grace_s: float = 4.0
 
 
-class Holder:
+class HeldLease:
     """One held key, from its creation until it is lost.
 
     A key can be taken away with no call that shows it, so whoever holds one also watches it and
@@ -76,7 +76,7 @@
         token: int,
         sent_s: float,
         clock: Callable[[], float],
-        times: HolderTimes,
+        times: LeaseTiming,
         log: StructuredLog,
     ) -> None:
         self._store = store
@@ -98,9 +98,9 @@
         mark: str,
         value: bytes,
         clock: Callable[[], float],
-        times: HolderTimes,
+        times: LeaseTiming,
         log: StructuredLog,
-    ) -> Holder | None:
+    ) -> HeldLease | None:
         """Create the key, if it does not exist; ``None`` where that failed or may have failed.
 
         Args:
--- a/src/shallotworks/store/_held_record.py
+++ b/src/shallotworks/store/_held_record.py
@@ -6,7 +6,7 @@
 
 from shallotworks.logs import StructuredLog
 
-from ._holder import Holder
+from ._held_lease import HeldLease
 from ._protocols import Commit, Condition, Conflicted, Item, Store, Write
 
 __all__ = ["HeldRecord"]
@@ -25,16 +25,16 @@
 
     Args:
         key: The key.
-        holder: The held key of the duty.
+        lease: The held key of the duty.
         store: The store.
         log: A write that was carried out after all.
     """
 
-    __slots__ = ("_holder", "_key", "_log", "_revision", "_store", "doubtful", "value")
+    __slots__ = ("_key", "_lease", "_log", "_revision", "_store", "doubtful", "value")
 
-    def __init__(self, *, key: str, holder: Holder, store: Store, log: StructuredLog) -> None:
+    def __init__(self, *, key: str, lease: HeldLease, store: Store, log: StructuredLog) -> None:
         self._key = key
-        self._holder = holder
+        self._lease = lease
         self._store = store
         self._log = log
         self._revision = 0
@@ -67,7 +67,7 @@
             outcome = await self._store.commit(
                 Commit(
                     conditions=(
-                        self._holder.condition,
+                        self._lease.condition,
                         Condition(key=self._key, revision=self._revision),
                     ),
                     writes=(Write(key=self._key, value=value),),
@@ -91,9 +91,9 @@
     def _conflicted(self, conflict: Conflicted) -> bool:
         """Learn what stands there; return whether the duty's key is still its holder's."""
         current = {item.key: item for item in conflict.current}
-        own = current.get(self._holder.key)
-        if own is None or own.revision != self._holder.token:
-            self._holder.lose("its key has another revision")
+        own = current.get(self._lease.key)
+        if own is None or own.revision != self._lease.token:
+            self._lease.lose("its key has another revision")
             return False
         if self._key in current:
             self._learn(current[self._key])
--- a/tests/held_keys.py
+++ b/tests/held_leases.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from shallotworks.jobs import JobKeys
-from shallotworks.store import Holder, HolderTimes, Store
+from shallotworks.store import HeldLease, LeaseTiming, Store
 from tests.scheduling_fakes import quiet_log
 
 SERVICE = "antenna"
@@ -15,16 +15,16 @@
     *,
     key: str = DUTY,
     mark: str = JobKeys(service=SERVICE).holder_mark,
-    times: HolderTimes | None = None,
-) -> Holder | None:
+    times: LeaseTiming | None = None,
+) -> HeldLease | None:
     """Return the holder of a key; ``None`` where another has it."""
-    return await Holder.acquire(
+    return await HeldLease.acquire(
         store=store,
         key=key,
         mark=mark,
         value=b"n0",
         clock=asyncio.get_running_loop().time,
-        times=times or HolderTimes(),
+        times=times or LeaseTiming(),
         log=quiet_log(),
     )
 
@@ -34,9 +34,9 @@
     *,
     key: str = DUTY,
     mark: str = JobKeys(service=SERVICE).holder_mark,
-    times: HolderTimes | None = None,
-) -> Holder:
+    times: LeaseTiming | None = None,
+) -> HeldLease:
     """Return the holder of a key, which is free."""
-    holder = await try_acquire(store, key=key, mark=mark, times=times)
-    assert holder is not None
-    return holder
+    lease = await try_acquire(store, key=key, mark=mark, times=times)
+    assert lease is not None
+    return lease
--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -48,7 +48,7 @@
     TaskWorker,
     TaskWorkers,
 )
-from shallotworks.store import Holder, Mirror
+from shallotworks.store import HeldLease, Mirror
 from tests.scheduling_fakes import policy, quiet_log, step, view
 from tests.scheduling_simulation import SERVICE, AllAllowed, Instance
 
@@ -162,7 +162,7 @@
             await self.elector.stop()
         await self.kill()
 
-    async def _run_epoch(self, service: str, holder: Holder) -> None:
+    async def _run_epoch(self, service: str, lease: HeldLease) -> None:
         self.terms_begun_s.append(self.now_s())
         self._follow()
         dependencies = SchedulerDependencies(
@@ -178,7 +178,7 @@
             metrics=Metrics(),
         )
         service_scheduler = ServiceScheduler(
-            service=service, holder=holder, dependencies=dependencies
+            service=service, lease=lease, dependencies=dependencies
         )
         self.service_schedulers.append(service_scheduler)
         await service_scheduler.run()
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -34,7 +34,7 @@
     RecordStore,
     TaskWorkers,
 )
-from shallotworks.store import Holder, HolderTimes
+from shallotworks.store import HeldLease, LeaseTiming
 from tests.scheduling_fakes import policy, quiet_log, step, view
 
 SERVICE = "antenna"
@@ -71,7 +71,7 @@
             instance=name,
             run_epoch=self._run_epoch,
             clock=self.now_s,
-            times=HolderTimes(),
+            times=LeaseTiming(),
             log=quiet_log(),
         )
 
@@ -92,7 +92,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, *self.elector._bids.values(), return_exceptions=True)
 
-    async def _run_epoch(self, service: str, holder: Holder) -> None:
+    async def _run_epoch(self, service: str, lease: HeldLease) -> None:
         dependencies = SchedulerDependencies(
             store=self.view,
             orders=self.orders,
@@ -106,7 +106,7 @@
             metrics=Metrics(),
         )
         service_scheduler = ServiceScheduler(
-            service=service, holder=holder, dependencies=dependencies
+            service=service, lease=lease, dependencies=dependencies
         )
         self.service_schedulers.append(service_scheduler)
         await service_scheduler.run()
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -29,8 +29,8 @@
     RecordStore,
     TaskWorkers,
 )
-from shallotworks.store import HolderTimes
-from tests.held_keys import acquire
+from shallotworks.store import LeaseTiming
+from tests.held_leases import acquire
 from tests.lasting_task_simulation import RUNS_AGAIN_S
 from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
 from tests.scheduling_simulation import SERVICE, SchedulingSimulation
@@ -39,7 +39,7 @@
 JOB_ID = "00000000000000ab"
 NAME = TaskName(JOB_ID, 0, 0, 0)
 BEGUN_S = 5.0
-LONG = HolderTimes(ttl_s=60.0)
+LONG = LeaseTiming(ttl_s=60.0)
 
 
 def _recorded(simulation: SchedulingSimulation) -> set[str]:
@@ -116,10 +116,8 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             late = FaultInjectingStore(store=store)
-            holder = await acquire(late, times=LONG)
-            record = ActiveWorkersRecord(
-                service=SERVICE, holder=holder, store=late, log=quiet_log()
-            )
+            lease = await acquire(late, times=LONG)
+            record = ActiveWorkersRecord(service=SERVICE, lease=lease, store=late, log=quiet_log())
             await record.read()
             one, two = ActiveWorker(address="a:1"), ActiveWorker(address="b:1")
             late.faults.late_part = 1.0
@@ -129,7 +127,7 @@
             await asyncio.sleep(4.0)
             item = store.items[active_workers_key(SERVICE)]
             self.assertEqual({"one": one, "two": two}, ActiveWorkersRecord.decode(item.value))
-            self.assertFalse(holder.lost.is_set())
+            self.assertFalse(lease.lost.is_set())
 
         run_scenario(scenario())
 
@@ -139,9 +137,9 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             caller = FaultInjectingStore(store=store)
-            holder = await acquire(caller, times=LONG)
+            lease = await acquire(caller, times=LONG)
             record = ActiveWorkersRecord(
-                service=SERVICE, holder=holder, store=caller, log=quiet_log()
+                service=SERVICE, lease=lease, store=caller, log=quiet_log()
             )
             caller.faults.lost_part = 1.0
             self.assertFalse(await record.keep(lambda: {"one": ActiveWorker(address="a:1")}))
@@ -150,7 +148,7 @@
             both = {"one": ActiveWorker(address="a:1"), "two": ActiveWorker(address="b:1")}
             self.assertTrue(await record.keep(lambda: both))
             self.assertTrue(record.may_use("two"))
-            self.assertFalse(holder.lost.is_set())
+            self.assertFalse(lease.lost.is_set())
 
         run_scenario(scenario())
 
@@ -186,10 +184,10 @@
         async def scenario() -> None:
             loop = asyncio.get_running_loop()
             store = RecordStore(rng=random.Random(1))
-            holder = await acquire(FaultInjectingStore(store=store), times=LONG)
+            lease = await acquire(FaultInjectingStore(store=store), times=LONG)
             record = ActiveWorkersRecord(
                 service=SERVICE,
-                holder=holder,
+                lease=lease,
                 store=FaultInjectingStore(store=store),
                 log=quiet_log(),
             )
@@ -275,10 +273,10 @@
                 since_s=loop.time(),
             )
             worker.start(StartOrder(run=run, spec="x"), 8, worker.clock_ms + 3000)
-            holder = await acquire(FaultInjectingStore(store=RecordStore(rng=random.Random(1))))
+            lease = await acquire(FaultInjectingStore(store=RecordStore(rng=random.Random(1))))
             order_dispatcher = OrderDispatcher(
                 scheduler_state=scheduler_state,
-                holder=holder,
+                lease=lease,
                 orders=FaultInjectingOrders(fleet=fleet),
                 clock=loop.time,
                 wall_clock=loop.time,
@@ -288,7 +286,7 @@
                 metrics=Metrics(),
                 on_progress=lambda: None,
             )
-            keep = asyncio.create_task(holder.keep())
+            keep = asyncio.create_task(lease.keep())
             order_dispatcher.sync_workers()
             await asyncio.sleep(4.0)
             worker.end_due_runs()
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -43,8 +43,8 @@
     RecordStore,
     TaskWorkers,
 )
-from shallotworks.store import Holder, Mirror
-from tests.held_keys import acquire
+from shallotworks.store import HeldLease, Mirror
+from tests.held_leases import acquire
 from tests.scheduling_fakes import policy, quiet_log, step, view
 from tests.scheduling_simulation import AllAllowed
 from tests.virtual_clock import run_scenario
@@ -118,12 +118,12 @@
         self,
         *,
         service_scheduler: ServiceScheduler,
-        holder: Holder,
+        lease: HeldLease,
         store: FaultInjectingStore,
         orders: FaultInjectingOrders,
     ) -> None:
         self.service_scheduler = service_scheduler
-        self.holder = holder
+        self.lease = lease
         self.store = store
         self.orders = orders
         self.tasks: list[asyncio.Task[None]] = []
@@ -240,7 +240,7 @@
     async def begin_keeper(self) -> None:
         """Begin a term of the keeper, and let its wait before the first order pass."""
         store = FaultInjectingStore(store=self.store)
-        holder = await acquire(store, key="keeper", mark="keeper-mark")
+        lease = await acquire(store, key="keeper", mark="keeper-mark")
         dependencies = MachineControllerDependencies(
             machines=self,
             maintenance_schedule=self,
@@ -254,7 +254,7 @@
         mirror = Mirror(
             store=store, prefix=MACHINES_PREFIX, listener=self.controller_records, log=quiet_log()
         )
-        controller = MachineController(holder=holder, dependencies=dependencies)
+        controller = MachineController(lease=lease, dependencies=dependencies)
         self._tasks += [asyncio.create_task(mirror.run()), asyncio.create_task(controller.run())]
         await asyncio.sleep(KEEPER_WAITS_S + 0.1)
 
@@ -267,7 +267,7 @@
         store = FaultInjectingStore(store=self.store)
         orders = FaultInjectingOrders(fleet=self.fleet, faults=OrderFaults(cut=cut or set()))
         mark = JobKeys(service=SERVICE).holder_mark
-        holder = await acquire(store, key=f"shallotworks/duty/scheduler/{SERVICE}", mark=mark)
+        lease = await acquire(store, key=f"shallotworks/duty/scheduler/{SERVICE}", mark=mark)
         machine_records = MachineRecords(log=quiet_log())
         mirror = Mirror(
             store=store, prefix=MACHINES_PREFIX, listener=machine_records, log=quiet_log()
@@ -287,10 +287,10 @@
         mirroring = asyncio.create_task(mirror.run())
         await mirror.synced.wait()
         service_scheduler = ServiceScheduler(
-            service=SERVICE, holder=holder, dependencies=dependencies
+            service=SERVICE, lease=lease, dependencies=dependencies
         )
         handle = SchedulerHandle(
-            service_scheduler=service_scheduler, holder=holder, store=store, orders=orders
+            service_scheduler=service_scheduler, lease=lease, store=store, orders=orders
         )
         handle.tasks = [mirroring, asyncio.create_task(service_scheduler.run())]
         self._tasks += handle.tasks
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -22,8 +22,8 @@
 from shallotworks.scheduling import EndKind, LeaderElector, RunningTask, StopOrder
 from shallotworks.scheduling._progress_writer import ProgressWriter
 from shallotworks.standins import FaultInjectingStore, RecordStore
-from shallotworks.store import Commit, Holder, HolderTimes, Write
-from tests.held_keys import acquire
+from shallotworks.store import Commit, HeldLease, LeaseTiming, Write
+from tests.held_leases import acquire
 from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
 from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
@@ -73,7 +73,7 @@
                     outcome = self.store.apply_commit(commit)
                     return Success(outcome)
 
-            holder = await acquire(FaultInjectingStore(store=store))
+            lease = await acquire(FaultInjectingStore(store=store))
             for number in range(30):
                 name = f"{number:04}"
                 one = job(name, step(1))
@@ -84,7 +84,7 @@
                 harness.scheduler_state.entries[name].revision = store.revision
             writer = ProgressWriter(
                 scheduler_state=harness.scheduler_state,
-                holder=holder,
+                lease=lease,
                 store=Counting(store=store),
                 log=quiet_log(),
                 metrics=Metrics(),
@@ -111,7 +111,7 @@
             loop = asyncio.get_running_loop()
             store = FaultInjectingStore(store=RecordStore(rng=random.Random(1)))
             harness = SchedulingHarness(view("a", cpu_millicores=90_000, memory_mb=90_000))
-            holder = await acquire(store)
+            lease = await acquire(store)
             for number in range(60):
                 name = f"{number:04}"
                 harness.add_job(job(name, step(2)))
@@ -123,7 +123,7 @@
             store.faults.delay_s = 0.05
             writer = ProgressWriter(
                 scheduler_state=harness.scheduler_state,
-                holder=holder,
+                lease=lease,
                 store=store,
                 log=quiet_log(),
                 metrics=Metrics(),
@@ -232,8 +232,8 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
 
-            async def hold(_duty: str, holder: Holder) -> None:
-                await holder.lost.wait()
+            async def hold(_duty: str, lease: HeldLease) -> None:
+                await lease.lost.wait()
 
             electors = [
                 LeaderElector(
@@ -243,7 +243,7 @@
                     instance=f"n{number}",
                     run_epoch=hold,
                     clock=asyncio.get_running_loop().time,
-                    times=HolderTimes(ttl_s=60.0),
+                    times=LeaseTiming(ttl_s=60.0),
                     log=quiet_log(),
                 )
                 for number in range(3)
@@ -253,7 +253,7 @@
                 one.serve({f"s{number}" for number in range(6)})
                 await asyncio.sleep(0.1)
             await asyncio.sleep(3.0)
-            held = [len(one._holders) for one in electors]
+            held = [len(one._leases) for one in electors]
             self.assertEqual(6, sum(held))
             self.assertLessEqual(max(held), 3)
             for one in electors:
@@ -279,14 +279,16 @@
                 instance=name,
                 run_epoch=None,  # type: ignore[arg-type]
                 clock=lambda: 0.0,
-                times=HolderTimes(),
+                times=LeaseTiming(),
                 log=quiet_log(),
                 strength=strength,
             )
 
         for number in range(20):
             strong = elector(f"s{number}", 1.0)
-            strong._holders = dict.fromkeys(map(str, range(strong_duties)), mock.Mock(spec=Holder))
+            strong._leases = dict.fromkeys(
+                map(str, range(strong_duties)), mock.Mock(spec=HeldLease)
+            )
             weak = elector(f"w{number}", weak_strength)
             self.assertLess(strong._delay_s("antenna"), weak._delay_s("antenna"))
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -19,8 +19,8 @@
     pool_demand_key,
 )
 from shallotworks.standins import FaultInjectingStore, RecordStore
-from shallotworks.store import Holder, Item
-from tests.held_keys import acquire
+from shallotworks.store import HeldLease, Item
+from tests.held_leases import acquire
 from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
 from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.test_machine_controller import MachineHarness
@@ -60,9 +60,9 @@
     """Return a store in which the record names two workers."""
     store = RecordStore(rng=random.Random(1))
     caller = FaultInjectingStore(store=store)
-    holder = await acquire(caller)
-    asyncio.get_running_loop().create_task(holder.keep())
-    record = ActiveWorkersRecord(service=SERVICE, holder=holder, store=caller, log=quiet_log())
+    lease = await acquire(caller)
+    asyncio.get_running_loop().create_task(lease.keep())
+    record = ActiveWorkersRecord(service=SERVICE, lease=lease, store=caller, log=quiet_log())
     await record.read()
     assert await record.keep(lambda: {"one": ONE, "two": TWO})
     return store, caller, record
@@ -160,13 +160,13 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             deaf = _Deaf(store=store)
-            holder = await acquire(deaf)
-            keep = asyncio.create_task(holder.keep())
+            lease = await acquire(deaf)
+            keep = asyncio.create_task(lease.keep())
             await asyncio.sleep(1.0)
             deaf.is_deaf = True
             await asyncio.sleep(UNANSWERED_S)
             store.expire()
-            self.assertFalse(holder.may_act)
+            self.assertFalse(lease.may_act)
             await acquire(FaultInjectingStore(store=store))
             keep.cancel()
 
@@ -206,13 +206,13 @@
 
 
 class KeeperTests(unittest.TestCase):
-    async def _rest(self, machine_harness: MachineHarness, holder: Holder) -> None:
+    async def _rest(self, machine_harness: MachineHarness, lease: HeldLease) -> None:
         """Keep the store away for so long that the keeper rests, while leases stand still."""
         machine_harness.store.are_leases_paused = True
-        holder._store.faults.is_silent = True
+        lease._store.faults.is_silent = True
         await asyncio.sleep(AWAY_S)
-        self.assertFalse(holder.may_act)
-        holder._store.faults.is_silent = False
+        self.assertFalse(lease.may_act)
+        lease._store.faults.is_silent = False
 
     def test_a_keeper_that_wakes_takes_no_machine_on_a_word_from_before_the_outage(self) -> None:
         """A machine was taken away under tasks that its scheduler had started in an outage.
@@ -224,16 +224,16 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=4, radar=2, spare=0)
-            holder = await machine_harness.start()
+            lease = await machine_harness.start()
             machine_harness.publish_demand("antenna", free=True)
             await asyncio.sleep(5.0)
-            await self._rest(machine_harness, holder)
+            await self._rest(machine_harness, lease)
             # What lacks machines has written first.
             machine_harness.publish_demand("radar", lacking=1)
             await asyncio.sleep(WRITE_AGAIN_S)
             machine_harness.publish_demand("antenna")
             await asyncio.sleep(5.0)
-            self.assertTrue(holder.may_act)
+            self.assertTrue(lease.may_act)
             self.assertEqual([], machine_harness.moves())
             machine_harness.stop()
 
@@ -249,15 +249,15 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=4, radar=2, sonar=3, spare=2)
-            holder = await machine_harness.start()
+            lease = await machine_harness.start()
             machine_harness.publish_demand("antenna", free=True)
             machine_harness.publish_demand("sonar", free=True)
             await asyncio.sleep(5.0)
-            await self._rest(machine_harness, holder)
+            await self._rest(machine_harness, lease)
             machine_harness.publish_demand("radar", lacking=8, woke=1)
             machine_harness.publish_demand("sonar", free=True, woke=1)
             await asyncio.sleep(2.0)
-            self.assertTrue(holder.may_act)
+            self.assertTrue(lease.may_act)
             taken = {machine for _, machine, _ in machine_harness.moves()}
             self.assertFalse({"m0", "m1", "m2", "m3"} & taken, "a word from before the outage")
             self.assertTrue({"m9", "m10"} <= taken, "machines that are off")
@@ -275,8 +275,8 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
-            holder = await machine_harness.start()
-            faults = holder._store.faults
+            lease = await machine_harness.start()
+            faults = lease._store.faults
             controller = machine_harness.controller
             assert controller is not None
             faults.lost_part = 1.0
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -26,8 +26,8 @@
 )
 from shallotworks.scheduling._machine_records import MachineControllerRecord
 from shallotworks.standins import FaultInjectingStore, RecordStore
-from shallotworks.store import Holder, Mirror
-from tests.held_keys import acquire
+from shallotworks.store import HeldLease, Mirror
+from tests.held_leases import acquire
 from tests.scheduling_fakes import quiet_log
 from tests.virtual_clock import run_scenario
 
@@ -141,11 +141,11 @@
             self.store.items[MACHINES_PREFIX + "keeper"].value
         ).ordered
 
-    async def start(self, *, answer_s: float = 0.0) -> Holder:
+    async def start(self, *, answer_s: float = 0.0) -> HeldLease:
         """Start a keeper, whose store answers this much later."""
         view = FaultInjectingStore(store=self.store)
         clock = asyncio.get_running_loop().time
-        holder = await acquire(view, key="keeper", mark="mark")
+        lease = await acquire(view, key="keeper", mark="mark")
         view.faults.delay_s = answer_s
         mirror = Mirror(
             store=view, prefix=MACHINES_PREFIX, listener=self.machine_records, log=quiet_log()
@@ -160,9 +160,9 @@
             wall_clock=clock,
             log=quiet_log(),
         )
-        self.controller = MachineController(holder=holder, dependencies=dependencies)
+        self.controller = MachineController(lease=lease, dependencies=dependencies)
         self.tasks = [asyncio.create_task(mirror.run()), asyncio.create_task(self.controller.run())]
-        return holder
+        return lease
 
     def publish_demand(
         self, service: str, *, lacking: int = 0, free: bool = False, woke: int = 0
@@ -569,9 +569,9 @@
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2, spare=2)
             machine_harness.follow_keeper()
-            holder = await machine_harness.start()
+            lease = await machine_harness.start()
             await asyncio.sleep(0.5)
-            machine_harness.store.delete(holder.key)
+            machine_harness.store.delete(lease.key)
             machine_harness.publish_demand("antenna", lacking=2)
             await asyncio.sleep(1.5)
             self.assertEqual([], machine_harness.moves())
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -17,7 +17,7 @@
     pool_demand_key,
 )
 from shallotworks.standins import FaultInjectingStore, RecordStore
-from shallotworks.store import Changes, Holder, HolderTimes
+from shallotworks.store import Changes, HeldLease, LeaseTiming
 from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, quiet_log, step, view
 from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
@@ -140,12 +140,12 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             watched = _SlowWatch(store=store)
-            holders: list[Holder] = []
+            leases: list[HeldLease] = []
 
-            async def run_epoch(service: str, holder: Holder) -> None:
-                holders.append(holder)
-                keep = asyncio.create_task(holder.keep())
-                await holder.lost.wait()
+            async def run_epoch(service: str, lease: HeldLease) -> None:
+                leases.append(lease)
+                keep = asyncio.create_task(lease.keep())
+                await lease.lost.wait()
                 keep.cancel()
 
             elector = LeaderElector(
@@ -155,7 +155,7 @@
                 instance="n0",
                 run_epoch=run_epoch,
                 clock=asyncio.get_running_loop().time,
-                times=HolderTimes(),
+                times=LeaseTiming(),
                 log=quiet_log(),
             )
             follow = asyncio.create_task(elector.run())
@@ -164,11 +164,11 @@
             watched.is_late = True
             store.end_lease(store.items["duty/antenna"].lease_id)
             await asyncio.sleep(3.0)
-            self.assertEqual(2, len(holders))
+            self.assertEqual(2, len(leases))
             watched.is_late = False
             await asyncio.sleep(2.0)
-            self.assertEqual(2, len(holders))
-            self.assertFalse(holders[1].lost.is_set())
+            self.assertEqual(2, len(leases))
+            self.assertFalse(leases[1].lost.is_set())
             follow.cancel()
             await elector.stop()
 
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -158,8 +158,8 @@
             await asyncio.sleep(0.5)
             service_scheduler = instance.service_schedulers[-1]
             instance.view.faults.is_down = True
-            service_scheduler._holder._sent_s -= 60.0
-            self.assertFalse(service_scheduler._holder.may_act)
+            service_scheduler._lease._sent_s -= 60.0
+            self.assertFalse(service_scheduler._lease.may_act)
             service_scheduler.decision_engine._started = MOST_STARTS
             plain, waits = OrderDispatcher.wait, 0
 
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -10,7 +10,7 @@
 from shallotworks.errors import Failure
 from shallotworks.standins import FaultInjectingStore, RecordFaults, RecordStore
 from shallotworks.store import Changes, Item, Mirror, Page
-from tests.held_keys import acquire, try_acquire
+from tests.held_leases import acquire, try_acquire
 from tests.scheduling_fakes import quiet_log
 from tests.virtual_clock import run_scenario
 
@@ -182,7 +182,7 @@
         run_scenario(scenario())
 
 
-class HolderTests(unittest.TestCase):
+class HeldLeaseTests(unittest.TestCase):
     def test_one_holder_at_a_time_and_tokens_rise(self) -> None:
         """A second bid fails until the key is free; its token is higher."""
 
@@ -208,20 +208,20 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
-            holder = await acquire(view, key="key", mark="mark")
-            keep = asyncio.create_task(holder.keep())
+            lease = await acquire(view, key="key", mark="mark")
+            keep = asyncio.create_task(lease.keep())
             await asyncio.sleep(3)
-            self.assertTrue(holder.may_act)
+            self.assertTrue(lease.may_act)
             view.faults = RecordFaults(**faults)  # type: ignore[arg-type]
             await asyncio.sleep(2.5)
-            self.assertTrue(holder.may_act)
+            self.assertTrue(lease.may_act)
             for _ in range(30):
-                await asyncio.sleep(2.0 if holder.may_act else 0.1)
-                self.assertFalse(holder.may_act)
+                await asyncio.sleep(2.0 if lease.may_act else 0.1)
+                self.assertFalse(lease.may_act)
             view.faults = RecordFaults()
             await asyncio.sleep(1.5)
-            self.assertFalse(holder.may_act)
-            self.assertTrue(holder.lost.is_set())
+            self.assertFalse(lease.may_act)
+            self.assertTrue(lease.lost.is_set())
             keep.cancel()
 
         run_scenario(scenario())
@@ -240,21 +240,21 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
-            holder = await acquire(view, key="key", mark="mark")
-            keep = asyncio.create_task(holder.keep())
+            lease = await acquire(view, key="key", mark="mark")
+            keep = asyncio.create_task(lease.keep())
             await asyncio.sleep(1)
             view.faults.is_silent = True
             store.are_leases_paused = True
             await asyncio.sleep(6)
-            self.assertFalse(holder.may_act)
-            self.assertFalse(holder.lost.is_set())
+            self.assertFalse(lease.may_act)
+            self.assertFalse(lease.lost.is_set())
             if is_revoked:
                 store.revoke("key")
             view.faults.is_silent = False
             await asyncio.sleep(1.2)
             store.are_leases_paused = False
-            self.assertEqual(goes_on, holder.may_act)
-            self.assertEqual(not goes_on, holder.lost.is_set())
+            self.assertEqual(goes_on, lease.may_act)
+            self.assertEqual(not goes_on, lease.lost.is_set())
             keep.cancel()
 
         run_scenario(scenario())
@@ -264,11 +264,11 @@
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
-            holder = await acquire(FaultInjectingStore(store=store), key="key", mark="mark")
-            keep = asyncio.create_task(holder.keep())
+            lease = await acquire(FaultInjectingStore(store=store), key="key", mark="mark")
+            keep = asyncio.create_task(lease.keep())
             store.end_lease(1)
             await asyncio.sleep(0.6)
-            self.assertTrue(holder.lost.is_set())
+            self.assertTrue(lease.lost.is_set())
             keep.cancel()
 
         run_scenario(scenario())
