--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -46,7 +46,7 @@
         keep = asyncio.create_task(self._lease.keep())
         try:
             while not self._lease.lost.is_set():
-                if not self._lease.may_act:
+                if not self._lease.is_valid:
                     self._record.note_suspension()
                 else:
                     if self._has_work():
--- a/src/shallotworks/scheduling/_machine_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_machine_order_dispatcher.py
@@ -60,7 +60,7 @@
                 where the upkeep is over: the worker that is on the machine by then lives on, and
                 tasks that were taken for ended would run twice.
         """
-        if not self._lease.may_act:
+        if not self._lease.is_valid:
             return MachineOrderStatus.REFUSED
         status = await self._dependencies.machines.start_maintenance(
             machine.name, wave=wave, token=self._lease.token
@@ -70,7 +70,7 @@
 
     async def move(self, machine: Machine, service: str) -> MachineOrderStatus:
         """Move a machine into another service's pool."""
-        if not self._lease.may_act:
+        if not self._lease.is_valid:
             return MachineOrderStatus.REFUSED
         status = await self._dependencies.machines.move(
             machine.name, pool=service, token=self._lease.token
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -243,7 +243,7 @@
         try:
             while self._scheduler_state.workers.get(worker.worker_id) is worker:
                 await self._await_reason(worker)
-                if not self._lease.may_act:
+                if not self._lease.is_valid:
                     await asyncio.sleep(SETTLE_WAIT_S)
                     continue
                 await self._look(worker)
@@ -378,7 +378,7 @@
         lease_ms = self._extend(worker, sent_s) if worker is not None else None
         if worker is None or (run.name, run.run_id) not in worker.runs:
             return
-        if lease_ms is None or not self._lease.may_act:
+        if lease_ms is None or not self._lease.is_valid:
             self._scheduler_state.start_failed(run, sent_s)
             return
         outcome = await self._orders.start(
@@ -442,7 +442,7 @@
     async def _stop(self, order: StopOrder) -> None:
         run = order.run
         worker = self._scheduler_state.workers.get(run.worker_id)
-        if worker is None or not self._lease.may_act:
+        if worker is None or not self._lease.is_valid:
             return
         outcome = await self._orders.stop(worker.view, order, token=self._scheduler_state.token)
         self._metrics.count(f"scheduler.stop.{outcome.status.value}")
@@ -462,7 +462,7 @@
 
     async def _pace(self, order: PaceOrder) -> None:
         worker = self._scheduler_state.workers.get(order.run.worker_id)
-        if worker is None or not self._lease.may_act:
+        if worker is None or not self._lease.is_valid:
             return
         outcome = await self._orders.pace(worker.view, order, token=self._scheduler_state.token)
         self._metrics.count(f"scheduler.pace.{outcome.status.value}")
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -311,7 +311,7 @@
             if directory.done():
                 directory.result()
             began_s = self._dependencies.clock()
-            has_more = self._lease.may_act and self._decide()
+            has_more = self._lease.is_valid and self._decide()
             await asyncio.sleep((self._dependencies.clock() - began_s) * DECIDE_PAUSE_PART)
             if not has_more:
                 await self._order_dispatcher.wait(DECIDE_EVERY_S)
@@ -408,7 +408,7 @@
                 now_s=self._dependencies.clock(),
                 wall_s=self._dependencies.wall_clock(),
             )
-            need = replace(need, woke=wakes.count(may_act=self._lease.may_act))
+            need = replace(need, woke=wakes.count(may_act=self._lease.is_valid))
             self._sizer.yield_some(machine_records.controller.recalls.get(self.service, 0))
             for worker in self._sizer.emptying():
                 self.decision_engine.evacuate(worker)
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -144,7 +144,7 @@
         return None
 
     @property
-    def may_act(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether orders may still be given; to be asked before each one."""
         return not self.lost.is_set() and self.unconfirmed_s < self._times.grace_s
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -166,7 +166,7 @@
             deaf.is_deaf = True
             await asyncio.sleep(UNANSWERED_S)
             store.expire()
-            self.assertFalse(lease.may_act)
+            self.assertFalse(lease.is_valid)
             await acquire(FaultInjectingStore(store=store))
             keep.cancel()
 
@@ -211,7 +211,7 @@
         machine_harness.store.are_leases_paused = True
         lease._store.faults.is_silent = True
         await asyncio.sleep(AWAY_S)
-        self.assertFalse(lease.may_act)
+        self.assertFalse(lease.is_valid)
         lease._store.faults.is_silent = False
 
     def test_a_keeper_that_wakes_takes_no_machine_on_a_word_from_before_the_outage(self) -> None:
@@ -233,7 +233,7 @@
             await asyncio.sleep(WRITE_AGAIN_S)
             machine_harness.publish_demand("antenna")
             await asyncio.sleep(5.0)
-            self.assertTrue(lease.may_act)
+            self.assertTrue(lease.is_valid)
             self.assertEqual([], machine_harness.moves())
             machine_harness.stop()
 
@@ -257,7 +257,7 @@
             machine_harness.publish_demand("radar", lacking=8, woke=1)
             machine_harness.publish_demand("sonar", free=True, woke=1)
             await asyncio.sleep(2.0)
-            self.assertTrue(lease.may_act)
+            self.assertTrue(lease.is_valid)
             taken = {machine for _, machine, _ in machine_harness.moves()}
             self.assertFalse({"m0", "m1", "m2", "m3"} & taken, "a word from before the outage")
             self.assertTrue({"m9", "m10"} <= taken, "machines that are off")
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -159,7 +159,7 @@
             service_scheduler = instance.service_schedulers[-1]
             instance.view.faults.is_down = True
             service_scheduler._lease._sent_s -= 60.0
-            self.assertFalse(service_scheduler._lease.may_act)
+            self.assertFalse(service_scheduler._lease.is_valid)
             service_scheduler.decision_engine._started = MOST_STARTS
             plain, waits = OrderDispatcher.wait, 0
 
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -211,16 +211,16 @@
             lease = await acquire(view, key="key", mark="mark")
             keep = asyncio.create_task(lease.keep())
             await asyncio.sleep(3)
-            self.assertTrue(lease.may_act)
+            self.assertTrue(lease.is_valid)
             view.faults = RecordFaults(**faults)  # type: ignore[arg-type]
             await asyncio.sleep(2.5)
-            self.assertTrue(lease.may_act)
+            self.assertTrue(lease.is_valid)
             for _ in range(30):
-                await asyncio.sleep(2.0 if lease.may_act else 0.1)
-                self.assertFalse(lease.may_act)
+                await asyncio.sleep(2.0 if lease.is_valid else 0.1)
+                self.assertFalse(lease.is_valid)
             view.faults = RecordFaults()
             await asyncio.sleep(1.5)
-            self.assertFalse(lease.may_act)
+            self.assertFalse(lease.is_valid)
             self.assertTrue(lease.lost.is_set())
             keep.cancel()
 
@@ -246,14 +246,14 @@
             view.faults.is_silent = True
             store.are_leases_paused = True
             await asyncio.sleep(6)
-            self.assertFalse(lease.may_act)
+            self.assertFalse(lease.is_valid)
             self.assertFalse(lease.lost.is_set())
             if is_revoked:
                 store.revoke("key")
             view.faults.is_silent = False
             await asyncio.sleep(1.2)
             store.are_leases_paused = False
-            self.assertEqual(goes_on, lease.may_act)
+            self.assertEqual(goes_on, lease.is_valid)
             self.assertEqual(not goes_on, lease.lost.is_set())
             keep.cancel()
 
