--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -352,7 +352,7 @@
         if not worker.clock_ms or not self._may_use(worker.worker_id):
             return None
         age_s = sent_s - worker.clock_at_s
-        lease_s = min(self._times.lease_s, self._times.horizon_s - self._lease.unconfirmed_s)
+        lease_s = min(self._times.lease_s, self._times.horizon_s - self._lease.since_renewal_s)
         if lease_s <= 0:
             return None
         ends_s = sent_s + lease_s + CLOCK_SKEW_PART * (lease_s + age_s) + MARGIN_S
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -227,7 +227,7 @@
         The load: instances are stopped in turn, and each successor would wait for all workers that
         its predecessors had used of late, most of them moved away since.
         """
-        is_silent = self._lease.unconfirmed_s > HAND_OVER_FRESH_S
+        is_silent = self._lease.since_renewal_s > HAND_OVER_FRESH_S
         if not is_silent and self.is_prepared.is_set():
             await self._writer.settle(STOP_PATIENCE_S)
             await self._workers.hand_over()
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -146,10 +146,10 @@
     @property
     def is_valid(self) -> bool:
         """Whether orders may still be given; to be asked before each one."""
-        return not self.lost.is_set() and self.unconfirmed_s < self._times.grace_s
+        return not self.lost.is_set() and self.since_renewal_s < self._times.grace_s
 
     @property
-    def unconfirmed_s(self) -> float:
+    def since_renewal_s(self) -> float:
         """Seconds since the last confirmed renewal was sent."""
         return self._clock() - self._sent_s
 
@@ -192,7 +192,7 @@
 
     @property
     def _has_run_out(self) -> bool:
-        return self.unconfirmed_s >= self._times.grace_s
+        return self.since_renewal_s >= self._times.grace_s
 
     async def _is_still_own(self) -> bool:
         """Whether the store answers that the key is still there, after the duty has rested.
@@ -216,7 +216,7 @@
                 event,
                 key=self.key,
                 token=self.token,
-                unconfirmed_s=round(self.unconfirmed_s, 2),
+                unconfirmed_s=round(self.since_renewal_s, 2),
             )
 
     async def release(self) -> None:
