--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -45,7 +45,7 @@
         """Keep machines until the key is lost."""
         keep = asyncio.create_task(self._lease.keep())
         try:
-            while not self._lease.lost.is_set():
+            while not self._lease.lost_event.is_set():
                 if not self._lease.is_valid:
                     self._record.note_suspension()
                 else:
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -203,7 +203,7 @@
             self._size_pool(),
         )
         tasks = [asyncio.create_task(loop) for loop in loops]
-        lost = asyncio.create_task(self._lease.lost.wait())
+        lost = asyncio.create_task(self._lease.lost_event.wait())
         try:
             done, _ = await asyncio.wait([*tasks, lost], return_when=asyncio.FIRST_COMPLETED)
             for task in done:
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -63,7 +63,7 @@
         "_store",
         "_times",
         "key",
-        "lost",
+        "lost_event",
         "token",
     )
 
@@ -87,7 +87,7 @@
         self._log = log
         self.key = key
         self.token = token
-        self.lost = asyncio.Event()
+        self.lost_event = asyncio.Event()
 
     @classmethod
     async def acquire(
@@ -146,7 +146,7 @@
     @property
     def is_valid(self) -> bool:
         """Whether orders may still be given; to be asked before each one."""
-        return not self.lost.is_set() and self.since_renewal_s < self._times.grace_s
+        return not self.lost_event.is_set() and self.since_renewal_s < self._times.grace_s
 
     @property
     def since_renewal_s(self) -> float:
@@ -160,9 +160,9 @@
 
     def lose(self, reason: str) -> None:
         """Give the duty up without a word to the store."""
-        if not self.lost.is_set():
+        if not self.lost_event.is_set():
             self._log.line("duty-lost", key=self.key, token=self.token, reason=reason)
-            self.lost.set()
+            self.lost_event.set()
 
     async def keep(self) -> None:
         """Renew until the key is lost.
@@ -172,7 +172,7 @@
         would still stand for its time to live, and nobody could act until then.
         """
         pause_s = self._times.renewal_s
-        while not self.lost.is_set():
+        while not self.lost_event.is_set():
             await asyncio.sleep(pause_s)
             has_rested = self._has_run_out
             if not has_rested or await self._is_still_own():
@@ -207,10 +207,10 @@
         item = outcome.unwrap()
         if item is None or item.revision != self.token:
             self.lose("its key was gone after an outage")
-        return not self.lost.is_set()
+        return not self.lost_event.is_set()
 
     def _note_rest(self, has_rested: bool) -> None:
-        if self._has_run_out != has_rested and not self.lost.is_set():
+        if self._has_run_out != has_rested and not self.lost_event.is_set():
             event = "duty-resumed" if has_rested else "duty-rests"
             self._log.line(
                 event,
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -127,7 +127,7 @@
             await asyncio.sleep(4.0)
             item = store.items[active_workers_key(SERVICE)]
             self.assertEqual({"one": one, "two": two}, ActiveWorkersRecord.decode(item.value))
-            self.assertFalse(lease.lost.is_set())
+            self.assertFalse(lease.lost_event.is_set())
 
         run_scenario(scenario())
 
@@ -148,7 +148,7 @@
             both = {"one": ActiveWorker(address="a:1"), "two": ActiveWorker(address="b:1")}
             self.assertTrue(await record.keep(lambda: both))
             self.assertTrue(record.may_use("two"))
-            self.assertFalse(lease.lost.is_set())
+            self.assertFalse(lease.lost_event.is_set())
 
         run_scenario(scenario())
 
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -233,7 +233,7 @@
             store = RecordStore(rng=random.Random(1))
 
             async def hold(_duty: str, lease: HeldLease) -> None:
-                await lease.lost.wait()
+                await lease.lost_event.wait()
 
             electors = [
                 LeaderElector(
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -145,7 +145,7 @@
             async def run_epoch(service: str, lease: HeldLease) -> None:
                 leases.append(lease)
                 keep = asyncio.create_task(lease.keep())
-                await lease.lost.wait()
+                await lease.lost_event.wait()
                 keep.cancel()
 
             elector = LeaderElector(
@@ -168,7 +168,7 @@
             watched.is_late = False
             await asyncio.sleep(2.0)
             self.assertEqual(2, len(leases))
-            self.assertFalse(leases[1].lost.is_set())
+            self.assertFalse(leases[1].lost_event.is_set())
             follow.cancel()
             await elector.stop()
 
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -221,7 +221,7 @@
             view.faults = RecordFaults()
             await asyncio.sleep(1.5)
             self.assertFalse(lease.is_valid)
-            self.assertTrue(lease.lost.is_set())
+            self.assertTrue(lease.lost_event.is_set())
             keep.cancel()
 
         run_scenario(scenario())
@@ -247,14 +247,14 @@
             store.are_leases_paused = True
             await asyncio.sleep(6)
             self.assertFalse(lease.is_valid)
-            self.assertFalse(lease.lost.is_set())
+            self.assertFalse(lease.lost_event.is_set())
             if is_revoked:
                 store.revoke("key")
             view.faults.is_silent = False
             await asyncio.sleep(1.2)
             store.are_leases_paused = False
             self.assertEqual(goes_on, lease.is_valid)
-            self.assertEqual(not goes_on, lease.lost.is_set())
+            self.assertEqual(not goes_on, lease.lost_event.is_set())
             keep.cancel()
 
         run_scenario(scenario())
@@ -268,7 +268,7 @@
             keep = asyncio.create_task(lease.keep())
             store.end_lease(1)
             await asyncio.sleep(0.6)
-            self.assertTrue(lease.lost.is_set())
+            self.assertTrue(lease.lost_event.is_set())
             keep.cancel()
 
         run_scenario(scenario())
