--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -102,7 +102,7 @@
             self._bids.pop(service).cancel()
             lease = self._leases.get(service)
             if lease is not None:
-                lease.lose("the service is gone from the configuration")
+                lease.mark_lost("the service is gone from the configuration")
 
     def held(self) -> list[str]:
         """Return the duties whose keys this instance holds."""
@@ -113,7 +113,7 @@
         self._is_stopping = True
         leases = list(self._leases.values())
         for lease in leases:
-            lease.lose("stopping")
+            lease.mark_lost("stopping")
         await asyncio.wait_for(
             asyncio.gather(*self._bids.values(), return_exceptions=True), timeout=2.0
         )
@@ -126,7 +126,7 @@
         self._held[service] = max(item.created, self._held.get(service, 0))
         lease = self._leases.get(service)
         if lease is not None and item.created > lease.token:
-            lease.lose("another holds its key")
+            lease.mark_lost("another holds its key")
 
     def deleted(self, key: str, revision: int) -> None:
         """Hear that a key is free.
@@ -138,7 +138,7 @@
         service = key.removeprefix(self._root)
         lease = self._leases.get(service)
         if lease is not None and revision > lease.token:
-            lease.lose("its key was deleted")
+            lease.mark_lost("its key was deleted")
         if revision > self._held.get(service, 0):
             self._held.pop(service, None)
             self._news.set()
@@ -192,7 +192,7 @@
             # A fault in one term must not end the instance: the key goes to another instance.
             self._log.line("term-fault", service=service, reason=repr(error))
         finally:
-            lease.lose("the term has ended")
+            lease.mark_lost("the term has ended")
             del self._leases[service]
             await lease.release()
             if self._held.get(service) == lease.token:
--- a/src/shallotworks/scheduling/_machine_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_machine_order_dispatcher.py
@@ -133,6 +133,6 @@
             **inputs,
         )
         if status is MachineOrderStatus.FENCED:
-            self._lease.lose(f"a later holder has given orders for {machine.name}")
+            self._lease.mark_lost(f"a later holder has given orders for {machine.name}")
         if status is MachineOrderStatus.OBEYED and machine.worker_id and is_over:
             self._record.note_over(machine.worker_id)
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -235,7 +235,7 @@
     def _order_finished(self, task: asyncio.Task[None]) -> None:
         self._in_flight.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._lease.lose(f"a fault: {task.exception()!r}")
+            self._lease.mark_lost(f"a fault: {task.exception()!r}")
 
     # ---- looks
 
@@ -248,7 +248,7 @@
                     continue
                 await self._look(worker)
         except Exception as error:
-            self._lease.lose(f"a fault: {error!r}")
+            self._lease.mark_lost(f"a fault: {error!r}")
             raise
 
     async def _await_reason(self, worker: Worker) -> None:
@@ -362,7 +362,7 @@
     def _common_failure(self, worker: Worker, outcome: OrderOutcome) -> bool:
         """Handle what ends more than one order; return whether it was that."""
         if outcome.status is OrderStatus.FENCED:
-            self._lease.lose(f"a later scheduler has fenced {worker.worker_id}")
+            self._lease.mark_lost(f"a later scheduler has fenced {worker.worker_id}")
             return True
         if outcome.status is OrderStatus.GONE:
             self._scheduler_state.replaced(worker.worker_id, self._clock(), self._wall_clock())
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -153,7 +153,7 @@
         own = current.get(self._lease.key)
         if own is None or own.revision != self._lease.token:
             self._is_key_gone = True
-            self._lease.lose("its key is gone or another's")
+            self._lease.mark_lost("its key is gone or another's")
             return
         for key, entry in keys.items():
             item = current.get(key)
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -208,7 +208,7 @@
             done, _ = await asyncio.wait([*tasks, lost], return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 if task is not lost and task.exception() is not None:
-                    self._lease.lose(f"a fault: {task.exception()!r}")
+                    self._lease.mark_lost(f"a fault: {task.exception()!r}")
                     raise task.exception() or RuntimeError
             await self._order_dispatcher.settle(STOP_PATIENCE_S)
             self._order_dispatcher.stop_polling()
@@ -249,7 +249,7 @@
         if item.key == self._keys.holder_mark:
             self._has_mark = item.created == self._lease.token
             if item.created > self._lease.token:
-                self._lease.lose("another's mark stands among the jobs")
+                self._lease.mark_lost("another's mark stands among the jobs")
             return
         job_id, is_progress = self._keys.parse(item.key)
         if not is_progress:
@@ -293,7 +293,7 @@
         that was accepted after its successor began, and that the successor may start at once.
         """
         if key == self._keys.holder_mark:
-            self._lease.lose("its mark among the jobs was deleted")
+            self._lease.mark_lost("its mark among the jobs was deleted")
             return
         job_id, is_progress = self._keys.parse(key)
         if is_progress:
@@ -343,7 +343,7 @@
         """Learn what earlier terms left: jobs, and workers that may still run their tasks."""
         await self._mirror.synced.wait()
         if not self._has_mark:
-            self._lease.lose("its mark among the jobs is not there")
+            self._lease.mark_lost("its mark among the jobs is not there")
         while not self._dependencies.directory.is_synced:
             await asyncio.sleep(DIRECTORY_EVERY_S)
         recorded = await self._workers.await_earlier()
--- a/src/shallotworks/scheduling/_wave_executor.py
+++ b/src/shallotworks/scheduling/_wave_executor.py
@@ -341,7 +341,7 @@
         if isinstance(result, Conflicted):
             current = {item.key: item.revision for item in result.current}
             if current.get(self._lease.key) != self._lease.token:
-                self._lease.lose("its key is gone or another's")
+                self._lease.mark_lost("its key is gone or another's")
             return None
         committed: Committed = result
         return committed.revision
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -41,7 +41,7 @@
     """One held key, from its creation until it is lost.
 
     A key can be taken away with no call that shows it, so whoever holds one also watches it and
-    calls `lose`.
+    calls `mark_lost`.
 
     Args:
         store: The store.
@@ -158,7 +158,7 @@
         """What a commit of this holder demands: that the key is still its own."""
         return Condition(key=self.key, revision=self.token)
 
-    def lose(self, reason: str) -> None:
+    def mark_lost(self, reason: str) -> None:
         """Give the duty up without a word to the store."""
         if not self.lost_event.is_set():
             self._log.line("duty-lost", key=self.key, token=self.token, reason=reason)
@@ -187,7 +187,7 @@
             self._sent_s = sent_s
             return True
         if outcome.failure().kind is ErrorKind.LEASE_LOST:
-            self.lose("its lease has ended")
+            self.mark_lost("its lease has ended")
         return False
 
     @property
@@ -206,7 +206,7 @@
             return False
         item = outcome.unwrap()
         if item is None or item.revision != self.token:
-            self.lose("its key was gone after an outage")
+            self.mark_lost("its key was gone after an outage")
         return not self.lost_event.is_set()
 
     def _note_rest(self, has_rested: bool) -> None:
@@ -221,5 +221,5 @@
 
     async def release(self) -> None:
         """End the lease, so that a successor can begin at once."""
-        self.lose("released")
+        self.mark_lost("released")
         await self._store.end_lease(self._lease_id)
--- a/src/shallotworks/store/_held_record.py
+++ b/src/shallotworks/store/_held_record.py
@@ -93,7 +93,7 @@
         current = {item.key: item for item in conflict.current}
         own = current.get(self._lease.key)
         if own is None or own.revision != self._lease.token:
-            self._lease.lose("its key has another revision")
+            self._lease.mark_lost("its key has another revision")
             return False
         if self._key in current:
             self._learn(current[self._key])
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -366,7 +366,7 @@
                 await asyncio.sleep(0.2)
             await asyncio.sleep(0.1)
             name = machine_harness.platform.orders[0][1]
-            first.lose("killed")
+            first.mark_lost("killed")
             machine_harness.stop()
             await first.release()
             machine_harness.publish_demand("antenna")
