--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -43,7 +43,7 @@
 
     async def run(self) -> None:
         """Keep machines until the key is lost."""
-        keep = asyncio.create_task(self._lease.keep())
+        keep = asyncio.create_task(self._lease.renew_until_lost())
         try:
             while not self._lease.lost_event.is_set():
                 if not self._lease.is_valid:
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -194,7 +194,7 @@
         """Schedule until the key is lost."""
         self._log("term-begun")
         loops = (
-            self._lease.keep(),
+            self._lease.renew_until_lost(),
             self._mirror.run(),
             self._schedule(),
             self._writer.run(),
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -164,7 +164,7 @@
             self._log.line("duty-lost", key=self.key, token=self.token, reason=reason)
             self.lost_event.set()
 
-    async def keep(self) -> None:
+    async def renew_until_lost(self) -> None:
         """Renew until the key is lost.
 
         Beyond the grace the duty rests and is not given up: where the store's leases stood still
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -286,7 +286,7 @@
                 metrics=Metrics(),
                 on_progress=lambda: None,
             )
-            keep = asyncio.create_task(lease.keep())
+            keep = asyncio.create_task(lease.renew_until_lost())
             order_dispatcher.sync_workers()
             await asyncio.sleep(4.0)
             worker.end_due_runs()
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -61,7 +61,7 @@
     store = RecordStore(rng=random.Random(1))
     caller = FaultInjectingStore(store=store)
     lease = await acquire(caller)
-    asyncio.get_running_loop().create_task(lease.keep())
+    asyncio.get_running_loop().create_task(lease.renew_until_lost())
     record = ActiveWorkersRecord(service=SERVICE, lease=lease, store=caller, log=quiet_log())
     await record.read()
     assert await record.keep(lambda: {"one": ONE, "two": TWO})
@@ -161,7 +161,7 @@
             store = RecordStore(rng=random.Random(1))
             deaf = _Deaf(store=store)
             lease = await acquire(deaf)
-            keep = asyncio.create_task(lease.keep())
+            keep = asyncio.create_task(lease.renew_until_lost())
             await asyncio.sleep(1.0)
             deaf.is_deaf = True
             await asyncio.sleep(UNANSWERED_S)
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -144,7 +144,7 @@
 
             async def run_epoch(service: str, lease: HeldLease) -> None:
                 leases.append(lease)
-                keep = asyncio.create_task(lease.keep())
+                keep = asyncio.create_task(lease.renew_until_lost())
                 await lease.lost_event.wait()
                 keep.cancel()
 
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -209,7 +209,7 @@
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
             lease = await acquire(view, key="key", mark="mark")
-            keep = asyncio.create_task(lease.keep())
+            keep = asyncio.create_task(lease.renew_until_lost())
             await asyncio.sleep(3)
             self.assertTrue(lease.is_valid)
             view.faults = RecordFaults(**faults)  # type: ignore[arg-type]
@@ -241,7 +241,7 @@
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
             lease = await acquire(view, key="key", mark="mark")
-            keep = asyncio.create_task(lease.keep())
+            keep = asyncio.create_task(lease.renew_until_lost())
             await asyncio.sleep(1)
             view.faults.is_silent = True
             store.are_leases_paused = True
@@ -265,7 +265,7 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             lease = await acquire(FaultInjectingStore(store=store), key="key", mark="mark")
-            keep = asyncio.create_task(lease.keep())
+            keep = asyncio.create_task(lease.renew_until_lost())
             store.end_lease(1)
             await asyncio.sleep(0.6)
             self.assertTrue(lease.lost_event.is_set())
