--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -168,7 +168,7 @@
             return await HeldLease.acquire(
                 store=self._store,
                 key=self._root + service,
-                mark=self._mark(service),
+                marker_key=self._mark(service),
                 value=self._instance.encode(),
                 clock=self._clock,
                 times=self._times,
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -95,7 +95,7 @@
         *,
         store: Store,
         key: str,
-        mark: str,
+        marker_key: str,
         value: bytes,
         clock: Callable[[], float],
         times: LeaseTiming,
@@ -106,9 +106,9 @@
         Args:
             store: The store.
             key: The key.
-            mark: A second key under the same lease, among the records that the duty works on: its
-                deletion stands in their order, so that a holder which follows them learns of its
-                loss before it learns of anything that was written after.
+            marker_key: A second key under the same lease, among the records that the duty works on:
+                its deletion stands in their order, so that a holder which follows them learns of
+                its loss before it learns of anything that was written after.
             value: Value of both.
             clock: Seconds, counting suspended time.
             times: Times.
@@ -122,8 +122,10 @@
         sent_s = clock()
         outcome = await store.commit(
             Commit(
-                conditions=tuple(Condition(key=one, revision=0) for one in (key, mark)),
-                writes=tuple(Write(key=one, value=value, lease_id=lease_id) for one in (key, mark)),
+                conditions=tuple(Condition(key=one, revision=0) for one in (key, marker_key)),
+                writes=tuple(
+                    Write(key=one, value=value, lease_id=lease_id) for one in (key, marker_key)
+                ),
             )
         )
         if isinstance(outcome, Success) and isinstance(outcome.unwrap(), Committed):
--- a/tests/held_leases.py
+++ b/tests/held_leases.py
@@ -14,14 +14,14 @@
     store: Store,
     *,
     key: str = DUTY,
-    mark: str = JobKeys(service=SERVICE).holder_mark,
+    marker_key: str = JobKeys(service=SERVICE).holder_mark,
     times: LeaseTiming | None = None,
 ) -> HeldLease | None:
     """Return the holder of a key; ``None`` where another has it."""
     return await HeldLease.acquire(
         store=store,
         key=key,
-        mark=mark,
+        marker_key=marker_key,
         value=b"n0",
         clock=asyncio.get_running_loop().time,
         times=times or LeaseTiming(),
@@ -33,10 +33,10 @@
     store: Store,
     *,
     key: str = DUTY,
-    mark: str = JobKeys(service=SERVICE).holder_mark,
+    marker_key: str = JobKeys(service=SERVICE).holder_mark,
     times: LeaseTiming | None = None,
 ) -> HeldLease:
     """Return the holder of a key, which is free."""
-    lease = await try_acquire(store, key=key, mark=mark, times=times)
+    lease = await try_acquire(store, key=key, marker_key=marker_key, times=times)
     assert lease is not None
     return lease
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -240,7 +240,7 @@
     async def begin_keeper(self) -> None:
         """Begin a term of the keeper, and let its wait before the first order pass."""
         store = FaultInjectingStore(store=self.store)
-        lease = await acquire(store, key="keeper", mark="keeper-mark")
+        lease = await acquire(store, key="keeper", marker_key="keeper-mark")
         dependencies = MachineControllerDependencies(
             machines=self,
             maintenance_schedule=self,
@@ -267,7 +267,7 @@
         store = FaultInjectingStore(store=self.store)
         orders = FaultInjectingOrders(fleet=self.fleet, faults=OrderFaults(cut=cut or set()))
         mark = JobKeys(service=SERVICE).holder_mark
-        lease = await acquire(store, key=f"shallotworks/duty/scheduler/{SERVICE}", mark=mark)
+        lease = await acquire(store, key=f"shallotworks/duty/scheduler/{SERVICE}", marker_key=mark)
         machine_records = MachineRecords(log=quiet_log())
         mirror = Mirror(
             store=store, prefix=MACHINES_PREFIX, listener=machine_records, log=quiet_log()
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -145,7 +145,7 @@
         """Start a keeper, whose store answers this much later."""
         view = FaultInjectingStore(store=self.store)
         clock = asyncio.get_running_loop().time
-        lease = await acquire(view, key="keeper", mark="mark")
+        lease = await acquire(view, key="keeper", marker_key="mark")
         view.faults.delay_s = answer_s
         mirror = Mirror(
             store=view, prefix=MACHINES_PREFIX, listener=self.machine_records, log=quiet_log()
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -208,7 +208,7 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
-            lease = await acquire(view, key="key", mark="mark")
+            lease = await acquire(view, key="key", marker_key="mark")
             keep = asyncio.create_task(lease.renew_until_lost())
             await asyncio.sleep(3)
             self.assertTrue(lease.is_valid)
@@ -240,7 +240,7 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
-            lease = await acquire(view, key="key", mark="mark")
+            lease = await acquire(view, key="key", marker_key="mark")
             keep = asyncio.create_task(lease.renew_until_lost())
             await asyncio.sleep(1)
             view.faults.is_silent = True
@@ -264,7 +264,7 @@
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
-            lease = await acquire(FaultInjectingStore(store=store), key="key", mark="mark")
+            lease = await acquire(FaultInjectingStore(store=store), key="key", marker_key="mark")
             keep = asyncio.create_task(lease.renew_until_lost())
             store.end_lease(1)
             await asyncio.sleep(0.6)
