--- a/src/shallotworks/scheduling/_active_workers.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from shallotworks.logs import StructuredLog
-from shallotworks.store import HeldLease, HeldRecord, Store
+from shallotworks.store import FencedRecord, HeldLease, Store
 
 __all__ = ["ActiveWorker", "ActiveWorkersRecord", "active_workers_key"]
 
@@ -58,7 +58,7 @@
     def __init__(self, *, service: str, lease: HeldLease, store: Store, log: StructuredLog) -> None:
         self._key = active_workers_key(service)
         self._log = log
-        self._record = HeldRecord(key=self._key, lease=lease, store=store, log=log)
+        self._record = FencedRecord(key=self._key, lease=lease, store=store, log=log)
         self._lock = asyncio.Lock()
         self._stored: bytes | None = None
         self.active_workers: dict[str, ActiveWorker] = {}
--- a/src/shallotworks/scheduling/_machine_controller_ledger.py
+++ b/src/shallotworks/scheduling/_machine_controller_ledger.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from shallotworks.store import HeldLease, HeldRecord
+from shallotworks.store import FencedRecord, HeldLease
 
 from ._machine_controller_dependencies import MachineControllerDependencies
 from ._machine_records import MachineControllerRecord, machine_controller_key
@@ -59,7 +59,7 @@
     def __init__(self, *, lease: HeldLease, dependencies: MachineControllerDependencies) -> None:
         self._lease = lease
         self._dependencies = dependencies
-        self._record = HeldRecord(
+        self._record = FencedRecord(
             key=machine_controller_key(),
             lease=lease,
             store=dependencies.store,
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -15,8 +15,8 @@
 from shallotworks.metrics import Metrics
 from shallotworks.store import (
     Commit,
+    FencedRecord,
     HeldLease,
-    HeldRecord,
     Item,
     Mirror,
     Store,
@@ -184,9 +184,9 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.is_prepared = asyncio.Event()
 
-    def _own_record(self, key: str) -> HeldRecord:
+    def _own_record(self, key: str) -> FencedRecord:
         dependencies = self._dependencies
-        return HeldRecord(
+        return FencedRecord(
             key=key, lease=self._lease, store=dependencies.store, log=dependencies.log
         )
 
--- a/src/shallotworks/store/__init__.py
+++ b/src/shallotworks/store/__init__.py
@@ -2,11 +2,11 @@
 
 Other packages see only the protocol and types named here. `Mirror` keeps a copy of all keys under
 a prefix up to date; `HeldLease` keeps a leased key, with a fencing token, while it can be kept;
-`HeldRecord` is the last word of such a holder under a key.
+`FencedRecord` is the last word of such a holder under a key.
 """
 
+from ._fenced_record import FencedRecord
 from ._held_lease import HeldLease, LeaseTiming
-from ._held_record import HeldRecord
 from ._mirror import Mirror, MirrorListener
 from ._protocols import (
     Changes,
@@ -28,7 +28,7 @@
     "Condition",
     "Conflicted",
     "Deletion",
-    "HeldRecord",
+    "FencedRecord",
     "HeldLease",
     "LeaseTiming",
     "Item",
--- a/src/shallotworks/store/_held_record.py
+++ b/src/shallotworks/store/_fenced_record.py
@@ -9,13 +9,13 @@
 from ._held_lease import HeldLease
 from ._protocols import Commit, Condition, Conflicted, Item, Store, Write
 
-__all__ = ["HeldRecord"]
+__all__ = ["FencedRecord"]
 
 MOST_TRIES = 2
 """A write that meets an earlier one of the same holder is made again, with that one's revision."""
 
 
-class HeldRecord:
+class FencedRecord:
     """The last word of a duty's holder under one key; one write at a time.
 
     The failure that it guards against: a write whose answer was lost is carried out seconds later,
