--- a/src/shallotworks/scheduling/_active_workers.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -75,7 +75,9 @@
     def may_use(self, worker_id: str) -> bool:
         """Whether tasks may be started on a worker: whatever stands there, the record names it."""
         active_worker = self.active_workers.get(worker_id)
-        is_doubtful = any(worker_id not in self.decode(one) for one in self._record.doubtful)
+        is_doubtful = any(
+            worker_id not in self.decode(one) for one in self._record.unconfirmed_values
+        )
         return active_worker is not None and active_worker.left_s is None and not is_doubtful
 
     async def read(self) -> None:
--- a/src/shallotworks/scheduling/_machine_controller_ledger.py
+++ b/src/shallotworks/scheduling/_machine_controller_ledger.py
@@ -149,7 +149,7 @@
             return True
         now_s = self._dependencies.clock()
         self._ordered |= dict.fromkeys(names, now_s)
-        if names <= set(self.published.ordered or ()) and not self._record.doubtful:
+        if names <= set(self.published.ordered or ()) and not self._record.unconfirmed_values:
             return True
         return await self._put(self.published.due, self.published.recalls)
 
@@ -174,7 +174,7 @@
             recalls,
             self._over_told(),
         )
-        if not is_same or self._record.doubtful:
+        if not is_same or self._record.unconfirmed_values:
             await self._put(due, recalls)
 
     async def _put(self, due: frozenset[str], recalls: dict[str, int]) -> bool:
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -413,7 +413,9 @@
             for worker in self._sizer.emptying():
                 self.decision_engine.evacuate(worker)
                 self._order_dispatcher.wake()
-            if (need != told or self._demand.doubtful) and await self._publish_demand(need):
+            if (need != told or self._demand.unconfirmed_values) and await self._publish_demand(
+                need
+            ):
                 told = need
             await asyncio.sleep(SIZE_EVERY_S)
 
@@ -434,7 +436,7 @@
     def _standing_offers(self) -> set[str]:
         """Return the workers that may stand as free in the store."""
         offered: set[str] = set()
-        for word in self._demand.possible():
+        for word in self._demand.possible_values():
             try:
                 offered.update(PoolDemand.decode(word).free)
             except (ValueError, KeyError, TypeError) as error:
--- a/src/shallotworks/store/_fenced_record.py
+++ b/src/shallotworks/store/_fenced_record.py
@@ -30,7 +30,7 @@
         log: A write that was carried out after all.
     """
 
-    __slots__ = ("_key", "_lease", "_log", "_revision", "_store", "doubtful", "value")
+    __slots__ = ("_key", "_lease", "_log", "_revision", "_store", "unconfirmed_values", "value")
 
     def __init__(self, *, key: str, lease: HeldLease, store: Store, log: StructuredLog) -> None:
         self._key = key
@@ -40,7 +40,7 @@
         self._revision = 0
         self.value: bytes | None = None
         """What the store has, but for what is doubtful; ``None`` before it is known."""
-        self.doubtful: list[bytes] = []
+        self.unconfirmed_values: list[bytes] = []
         """What may stand there instead: writes on their way or without an answer."""
 
     async def read(self) -> bool:
@@ -53,17 +53,17 @@
             self._learn(item)
         return True
 
-    def possible(self) -> list[bytes]:
+    def possible_values(self) -> list[bytes]:
         """Return all that may stand there."""
         known = [] if self.value is None else [self.value]
-        return known + self.doubtful
+        return known + self.unconfirmed_values
 
     async def put(self, value: bytes) -> bool:
         """Write, unless the value stands there for certain; return whether it does."""
-        if value == self.value and not self.doubtful:
+        if value == self.value and not self.unconfirmed_values:
             return True
         for _ in range(MOST_TRIES):
-            self.doubtful.append(value)
+            self.unconfirmed_values.append(value)
             outcome = await self._store.commit(
                 Commit(
                     conditions=(
@@ -78,7 +78,7 @@
             done = outcome.unwrap()
             if not isinstance(done, Conflicted):
                 self.value, self._revision = value, done.revision
-                self.doubtful.clear()
+                self.unconfirmed_values.clear()
                 return True
             if not self._conflicted(done):
                 return False
@@ -86,7 +86,7 @@
 
     def _learn(self, item: Item) -> None:
         self.value, self._revision = item.value, item.revision
-        self.doubtful.clear()
+        self.unconfirmed_values.clear()
 
     def _conflicted(self, conflict: Conflicted) -> bool:
         """Learn what stands there; return whether the duty's key is still its holder's."""
