--- a/src/shallotworks/platform/_configuration.py
+++ b/src/shallotworks/platform/_configuration.py
@@ -70,7 +70,7 @@
 
 
 class OperatorsBook:
-    """Follows what operators write; implements `MaintenanceSchedule` and `MirrorListener`.
+    """Follows what operators write; implements `MaintenanceSchedule` and `WatchListener`.
 
     The failure it guards against: a configuration that is followed by an older one in the same
     process, so that a route which callers already use is gone again. Only a higher version counts.
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -25,7 +25,7 @@
     SchedulerDependencies,
     ServiceScheduler,
 )
-from shallotworks.store import HeldLease, LeaseTiming, Mirror
+from shallotworks.store import HeldLease, LeaseTiming, PrefixWatcher
 
 from ._configuration import OPERATORS_PREFIX, Configuration, OperatorsBook
 from ._http import HttpClient, close_all
@@ -167,7 +167,7 @@
             "start", data_centre=settings.data_centre, callers_address=settings.callers_address
         )
         self._handle_signals()
-        operators = Mirror(
+        operators = PrefixWatcher(
             store=self._store, prefix=OPERATORS_PREFIX, listener=self._book, log=self._log
         )
         await self._ingress.listen_for_readiness(settings.ready_address)
@@ -224,7 +224,7 @@
         """Follow workers and machines from the first duty on; who only answers callers need not."""
         if self._followers:
             return
-        workers = Mirror(
+        workers = PrefixWatcher(
             store=self._store,
             prefix=REGISTRY_PREFIX,
             listener=self._registry,
@@ -232,7 +232,7 @@
             on_heard=self._workers_heard,
             pause_s=REGISTRY_PAUSE_S,
         )
-        machines = Mirror(
+        machines = PrefixWatcher(
             store=self._store,
             prefix=MACHINES_PREFIX,
             listener=self._machine_records,
@@ -244,7 +244,7 @@
             for work in (workers.run(), machines.run(), self._note_synced(workers))
         ]
 
-    async def _note_synced(self, workers: Mirror) -> None:
+    async def _note_synced(self, workers: PrefixWatcher) -> None:
         await workers.synced.wait()
         self._registry.is_synced = True
 
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -209,7 +209,7 @@
 
 
 class WorkerRegistry:
-    """The workers that register themselves; implements `WorkerDirectory` and `MirrorListener`.
+    """The workers that register themselves; implements `WorkerDirectory` and `WatchListener`.
 
     The failure it guards against: an entry that another writer has left, or has written over a
     worker's own, is acted upon. An entry that can't be decoded names no worker to use: neither is
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 
 from shallotworks.logs import StructuredLog
-from shallotworks.store import HeldLease, Item, LeaseTiming, Mirror, Store
+from shallotworks.store import HeldLease, Item, LeaseTiming, PrefixWatcher, Store
 
 __all__ = ["LeaderElector"]
 
@@ -49,7 +49,6 @@
         "_leases",
         "_log",
         "_mark",
-        "_mirror",
         "_news",
         "_root",
         "_run_epoch",
@@ -57,6 +56,7 @@
         "_strength",
         "_times",
         "_under_way",
+        "_watcher",
     )
 
     def __init__(
@@ -88,11 +88,11 @@
         self._news = asyncio.Event()
         self._under_way = 0
         self._is_stopping = False
-        self._mirror = Mirror(store=store, prefix=root, listener=self, log=log)
+        self._watcher = PrefixWatcher(store=store, prefix=root, listener=self, log=log)
 
     async def run(self) -> None:
         """Follow who holds what, until cancelled."""
-        await self._mirror.run()
+        await self._watcher.run()
 
     def serve(self, services: set[str]) -> None:
         """Say which services there are; terms of services that are gone are given up."""
@@ -118,7 +118,7 @@
             asyncio.gather(*self._bids.values(), return_exceptions=True), timeout=2.0
         )
 
-    # ---- what the mirror tells
+    # ---- what the watcher tells
 
     def written(self, item: Item) -> None:
         """Hear who holds a key."""
@@ -132,7 +132,7 @@
         """Hear that a key is free.
 
         The failure: this instance bids as soon as its own term has ended, and may win before the
-        mirror tells that the earlier key is gone; the new term then ended at its start. Only what
+        watcher tells that the earlier key is gone; the new term then ended at its start. Only what
         was deleted after a key's creation was that key.
         """
         service = key.removeprefix(self._root)
@@ -146,7 +146,7 @@
     # ---- bids
 
     async def _bid(self, service: str) -> None:
-        await self._mirror.synced.wait()
+        await self._watcher.synced.wait()
         while not self._is_stopping:
             if service in self._held:
                 await self._await_news()
--- a/src/shallotworks/scheduling/_machine_records.py
+++ b/src/shallotworks/scheduling/_machine_records.py
@@ -121,7 +121,7 @@
 
 
 class MachineRecords:
-    """Both kinds of records as they were last read; implements `MirrorListener`.
+    """Both kinds of records as they were last read; implements `WatchListener`.
 
     Args:
         log: Records that can't be read.
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -18,7 +18,7 @@
     FencedRecord,
     HeldLease,
     Item,
-    Mirror,
+    PrefixWatcher,
     Store,
 )
 
@@ -109,13 +109,13 @@
         "_has_mark",
         "_keys",
         "_lease",
-        "_mirror",
         "_order_dispatcher",
         "_pending",
         "_pending_jobs",
         "_sizer",
         "_tasks",
         "_waits",
+        "_watcher",
         "_workers",
         "_writer",
         "decision_engine",
@@ -170,7 +170,7 @@
             metrics=dependencies.metrics,
             on_stored=self._order_dispatcher.wake,
         )
-        self._mirror = Mirror(
+        self._watcher = PrefixWatcher(
             store=dependencies.store,
             prefix=self._keys.prefix,
             listener=self,
@@ -195,7 +195,7 @@
         self._log("term-begun")
         loops = (
             self._lease.renew_until_lost(),
-            self._mirror.run(),
+            self._watcher.run(),
             self._schedule(),
             self._writer.run(),
             self._publish(),
@@ -242,7 +242,7 @@
     def _note_progress(self) -> None:
         self._writer.wake.set()
 
-    # ---- what the mirror tells
+    # ---- what the watcher tells
 
     def written(self, item: Item) -> None:
         """Hear of a job or of its progress."""
@@ -341,7 +341,7 @@
 
     async def _prepare(self) -> None:
         """Learn what earlier terms left: jobs, and workers that may still run their tasks."""
-        await self._mirror.synced.wait()
+        await self._watcher.synced.wait()
         if not self._has_mark:
             self._lease.mark_lost("its mark among the jobs is not there")
         while not self._dependencies.directory.is_synced:
--- a/src/shallotworks/store/__init__.py
+++ b/src/shallotworks/store/__init__.py
@@ -1,13 +1,13 @@
 """The store in which everything that must last or be agreed on is kept, as the product sees it.
 
-Other packages see only the protocol and types named here. `Mirror` keeps a copy of all keys under
-a prefix up to date; `HeldLease` keeps a leased key, with a fencing token, while it can be kept;
-`FencedRecord` is the last word of such a holder under a key.
+Other packages see only the protocol and types named here. `PrefixWatcher` keeps a copy of all keys
+under a prefix up to date; `HeldLease` keeps a leased key, with a fencing token, while it can be
+kept; `FencedRecord` is the last word of such a holder under a key.
 """
 
 from ._fenced_record import FencedRecord
 from ._held_lease import HeldLease, LeaseTiming
-from ._mirror import Mirror, MirrorListener
+from ._prefix_watcher import PrefixWatcher, WatchListener
 from ._protocols import (
     Changes,
     Commit,
@@ -32,8 +32,8 @@
     "HeldLease",
     "LeaseTiming",
     "Item",
-    "Mirror",
-    "MirrorListener",
+    "PrefixWatcher",
+    "WatchListener",
     "Page",
     "Store",
     "Write",
--- a/src/shallotworks/store/_mirror.py
+++ b/src/shallotworks/store/_prefix_watcher.py
@@ -14,7 +14,7 @@
 
 from ._protocols import Deletion, Item, Store
 
-__all__ = ["Mirror", "MirrorListener"]
+__all__ = ["PrefixWatcher", "WatchListener"]
 
 WATCH_WAIT_S = 1.0
 """One watch's wait. A connection that fell silent is noticed after this and the client's grace,
@@ -26,11 +26,11 @@
 """An answer with so many tells that more may wait: it is followed by the next one at once."""
 FIRST_BACKOFF_S = 0.05
 HIGHEST_BACKOFF_S = 0.4
-"""Between tries while the store fails: 2.5 calls a second for each mirror at the most."""
+"""Between tries while the store fails: 2.5 calls a second for each watcher at the most."""
 
 
-class MirrorListener(Protocol):
-    """Hears what the mirror learns, in order of revision for each key."""
+class WatchListener(Protocol):
+    """Hears what the watcher learns, in order of revision for each key."""
 
     def written(self, item: Item) -> None:
         """Hear that a key was written; the same write may be told twice."""
@@ -41,7 +41,7 @@
         ...
 
 
-class Mirror:
+class PrefixWatcher:
     """Keeps a copy of the keys under a prefix.
 
     The failure it guards against: a watch whose history the store dropped would skip changes
@@ -75,7 +75,7 @@
         *,
         store: Store,
         prefix: str,
-        listener: MirrorListener,
+        listener: WatchListener,
         log: StructuredLog,
         on_heard: Callable[[], None] | None = None,
         pause_s: float = 0.0,
@@ -143,7 +143,7 @@
                 self._delete(event.key, event.revision)
             else:
                 self._write(event)
-        # A mirror that pauses behind a full answer falls behind for good where changes come faster
+        # A watcher that pauses behind a full answer falls behind for good where changes come faster
         # than its answers hold: a worker that leaves is seen to be ready for many seconds more.
         if self._pause_s and 0 < len(changes.events) < MANY_EVENTS:
             await asyncio.sleep(self._pause_s)
--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -1,6 +1,6 @@
 """Lasting tasks on the stand-ins, through faults that scenarios cause, judged all the while.
 
-Instances, terms, bidders, their mirrors and the list of workers are the product's own; the store,
+Instances, terms, bidders, their watchers and the list of workers are the product's own; the store,
 the workers and the keeper of machines are stand-ins. Workers register in the store as the
 platform's do, so that instances learn of them late or not at all while the store is down.
 """
@@ -48,7 +48,7 @@
     TaskWorker,
     TaskWorkers,
 )
-from shallotworks.store import HeldLease, Mirror
+from shallotworks.store import HeldLease, PrefixWatcher
 from tests.scheduling_fakes import policy, quiet_log, step, view
 from tests.scheduling_simulation import SERVICE, AllAllowed, Instance
 
@@ -189,7 +189,7 @@
             return
         self._is_following = True
         workers, machines = (
-            Mirror(store=self.view, prefix=prefix, listener=listener, log=quiet_log())
+            PrefixWatcher(store=self.view, prefix=prefix, listener=listener, log=quiet_log())
             for prefix, listener in (
                 (REGISTRY_PREFIX, self._registry),
                 (MACHINES_PREFIX, self._book),
@@ -198,7 +198,7 @@
         for work in (workers.run(), machines.run(), self._note_synced(workers)):
             self._tasks.add(asyncio.create_task(work))
 
-    async def _note_synced(self, workers: Mirror) -> None:
+    async def _note_synced(self, workers: PrefixWatcher) -> None:
         await workers.synced.wait()
         self._registry.is_synced = True
 
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -43,7 +43,7 @@
     RecordStore,
     TaskWorkers,
 )
-from shallotworks.store import HeldLease, Mirror
+from shallotworks.store import HeldLease, PrefixWatcher
 from tests.held_leases import acquire
 from tests.scheduling_fakes import policy, quiet_log, step, view
 from tests.scheduling_simulation import AllAllowed
@@ -251,11 +251,11 @@
             wall_clock=now_s,
             log=quiet_log(),
         )
-        mirror = Mirror(
+        watcher = PrefixWatcher(
             store=store, prefix=MACHINES_PREFIX, listener=self.controller_records, log=quiet_log()
         )
         controller = MachineController(lease=lease, dependencies=dependencies)
-        self._tasks += [asyncio.create_task(mirror.run()), asyncio.create_task(controller.run())]
+        self._tasks += [asyncio.create_task(watcher.run()), asyncio.create_task(controller.run())]
         await asyncio.sleep(KEEPER_WAITS_S + 0.1)
 
     async def begin_term(self, *, cut: set[str] | None = None) -> SchedulerHandle:
@@ -269,7 +269,7 @@
         mark = JobKeys(service=SERVICE).holder_mark
         lease = await acquire(store, key=f"shallotworks/duty/scheduler/{SERVICE}", marker_key=mark)
         machine_records = MachineRecords(log=quiet_log())
-        mirror = Mirror(
+        watcher = PrefixWatcher(
             store=store, prefix=MACHINES_PREFIX, listener=machine_records, log=quiet_log()
         )
         dependencies = SchedulerDependencies(
@@ -284,15 +284,15 @@
             log=quiet_log(),
             metrics=Metrics(),
         )
-        mirroring = asyncio.create_task(mirror.run())
-        await mirror.synced.wait()
+        watching = asyncio.create_task(watcher.run())
+        await watcher.synced.wait()
         service_scheduler = ServiceScheduler(
             service=SERVICE, lease=lease, dependencies=dependencies
         )
         handle = SchedulerHandle(
             service_scheduler=service_scheduler, lease=lease, store=store, orders=orders
         )
-        handle.tasks = [mirroring, asyncio.create_task(service_scheduler.run())]
+        handle.tasks = [watching, asyncio.create_task(service_scheduler.run())]
         self._tasks += handle.tasks
         return handle
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -32,7 +32,7 @@
 from shallotworks.scheduling import MachineState, OrderStatus, SchedulerState
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.standins._http_listener import HttpListener, answer_json
-from shallotworks.store import Item, Mirror
+from shallotworks.store import Item, PrefixWatcher
 from tests.scheduling_fakes import quiet_log, step
 from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
@@ -466,10 +466,12 @@
         recorder = Recorder()
 
         async def scenario(store: PlatformStore) -> None:
-            mirror = Mirror(store=store, prefix="servers/", listener=recorder, log=quiet_log())
-            task = asyncio.create_task(mirror.run())
+            watcher = PrefixWatcher(
+                store=store, prefix="servers/", listener=recorder, log=quiet_log()
+            )
+            task = asyncio.create_task(watcher.run())
             async with asyncio.timeout(FOLLOW_S):
-                while raw.told < len(raw.events) or not mirror.synced.is_set():
+                while raw.told < len(raw.events) or not watcher.synced.is_set():
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.05)
             self.assertFalse(task.done())
@@ -530,7 +532,7 @@
         self.told.append(f"{key} gone")
 
 
-class MirrorTests(unittest.TestCase):
+class PrefixWatcherTests(unittest.TestCase):
     def test_goes_on_when_its_listener_fails_on_one_key(self) -> None:
         """No configuration, worker or job is heard of any more, after a fault on one record.
 
@@ -542,13 +544,13 @@
             store, listener = RecordStore(rng=random.Random(1)), FaultyListener()
             for number in range(1, 4):
                 store.put(f"a/{number}", b"")
-            mirror = Mirror(
+            watcher = PrefixWatcher(
                 store=FaultInjectingStore(store=store),
                 prefix="a/",
                 listener=listener,
                 log=quiet_log(),
             )
-            task = asyncio.create_task(mirror.run())
+            task = asyncio.create_task(watcher.run())
             await asyncio.sleep(1)
             for key in ("a/2", "a/3"):
                 store.delete(key)
@@ -624,13 +626,13 @@
 
     async def play(self, scenario: Callable[[RegisteredFleet], Awaitable[None]]) -> None:
         """Play a scenario once both workers are known."""
-        mirror = Mirror(
+        watcher = PrefixWatcher(
             store=FaultInjectingStore(store=self.simulation.store),
             prefix="servers/",
             listener=self._registry,
             log=quiet_log(),
         )
-        follower = asyncio.create_task(mirror.run())
+        follower = asyncio.create_task(watcher.run())
         for worker_id in self.simulation.fleet.workers:
             self.register(worker_id)
         self._instance.start()
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -259,7 +259,7 @@
 
         The store serves nobody, terms end without handing over, and tasks lapse. A worker left
         before, leaves during the outage or just after it; the next term waits for it, since its
-        record still stands. Or nobody leaves, and the bidder whose mirror lags
+        record still stands. Or nobody leaves, and the bidder whose watcher lags
         behind takes the deletion of an earlier key for that of its own.
         """
         for for_s in OUTAGES_S:
@@ -290,8 +290,9 @@
     def test_one_term_begins(self, _name: str, is_silent: bool) -> None:
         """All that a new term has learnt is lost 0.1 s after it began, and the next learns it anew.
 
-        An instance bids as soon as the store answers, and wins. Then its mirror of the keys catches
-        up, and tells that the key of before the outage is gone; the bidder takes that for its own.
+        An instance bids as soon as the store answers, and wins. Then its watcher of the keys
+        catches up, and tells that the key of before the outage is gone; the bidder takes that for
+        its own.
         """
         for for_s in OUTAGES_S:
             for case, before in (("all workers stay", None), ("a worker left", one_leaves)):
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -26,7 +26,7 @@
 )
 from shallotworks.scheduling._machine_records import MachineControllerRecord
 from shallotworks.standins import FaultInjectingStore, RecordStore
-from shallotworks.store import HeldLease, Mirror
+from shallotworks.store import HeldLease, PrefixWatcher
 from tests.held_leases import acquire
 from tests.scheduling_fakes import quiet_log
 from tests.virtual_clock import run_scenario
@@ -147,7 +147,7 @@
         clock = asyncio.get_running_loop().time
         lease = await acquire(view, key="keeper", marker_key="mark")
         view.faults.delay_s = answer_s
-        mirror = Mirror(
+        watcher = PrefixWatcher(
             store=view, prefix=MACHINES_PREFIX, listener=self.machine_records, log=quiet_log()
         )
         dependencies = MachineControllerDependencies(
@@ -161,7 +161,10 @@
             log=quiet_log(),
         )
         self.controller = MachineController(lease=lease, dependencies=dependencies)
-        self.tasks = [asyncio.create_task(mirror.run()), asyncio.create_task(self.controller.run())]
+        self.tasks = [
+            asyncio.create_task(watcher.run()),
+            asyncio.create_task(self.controller.run()),
+        ]
         return lease
 
     def publish_demand(
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -10,7 +10,7 @@
 from shallotworks.platform._workers import WorkerRegistry
 from shallotworks.scheduling import EndKind, RunningTask, StopOrder
 from shallotworks.standins import FaultInjectingStore, RecordStore
-from shallotworks.store import Mirror
+from shallotworks.store import PrefixWatcher
 from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, quiet_log, step, view
 from tests.virtual_clock import run_scenario
 
@@ -92,20 +92,20 @@
         self.assertEqual([StopOrder], [type(one) for one in decisions])
         self.assertEqual(["k"], [one.run.name.job_id for one in harness.start_orders()])
 
-    def test_a_mirror_tells_that_it_has_heard_only_while_the_store_answers(self) -> None:
+    def test_a_watcher_tells_that_it_has_heard_only_while_the_store_answers(self) -> None:
         """A copy that is ten seconds old passes for a new one."""
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             one, heard = FaultInjectingStore(store=store), []
-            mirror = Mirror(
+            watcher = PrefixWatcher(
                 store=one,
                 prefix="servers/",
                 listener=WorkerRegistry(log=quiet_log()),
                 log=quiet_log(),
                 on_heard=lambda: heard.append(asyncio.get_running_loop().time()),
             )
-            following = asyncio.create_task(mirror.run())
+            following = asyncio.create_task(watcher.run())
             await asyncio.sleep(5.0)
             self.assertGreater(len(heard), 2)
             one.faults.is_silent = True
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.store`: mirrors that follow the store, and keys that are held."""
+"""Tests of `shallotworks.store`: watchers that follow the store, and keys that are held."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 
 from shallotworks.errors import Failure
 from shallotworks.standins import FaultInjectingStore, RecordFaults, RecordStore
-from shallotworks.store import Changes, Item, Mirror, Page
+from shallotworks.store import Changes, Item, Page, PrefixWatcher
 from tests.held_leases import acquire, try_acquire
 from tests.scheduling_fakes import quiet_log
 from tests.virtual_clock import run_scenario
@@ -19,7 +19,7 @@
 
 
 class Listener:
-    """Keeps what a mirror tells."""
+    """Keeps what a watcher tells."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -34,16 +34,16 @@
         self.told.append(f"{key} gone")
 
 
-class MirrorTests(unittest.TestCase):
+class PrefixWatcherTests(unittest.TestCase):
     def test_follows_writes_and_deletions(self) -> None:
         """Each change is told once, in order, and only under the prefix."""
 
         async def scenario() -> None:
-            store, listener, mirror = _mirror()
+            store, listener, watcher = _watcher()
             store.put("a/1", b"x")
             store.put("b/1", b"x")
-            task = asyncio.create_task(mirror.run())
-            await mirror.synced.wait()
+            task = asyncio.create_task(watcher.run())
+            await watcher.synced.wait()
             store.put("a/2", b"y")
             await asyncio.sleep(0.5)
             store.delete("a/1")
@@ -57,11 +57,11 @@
         """All of them are read."""
 
         async def scenario() -> None:
-            store, listener, mirror = _mirror()
+            store, listener, watcher = _watcher()
             for number in range(1203):
                 store.put(f"a/{number:05d}", b"x")
-            task = asyncio.create_task(mirror.run())
-            await mirror.synced.wait()
+            task = asyncio.create_task(watcher.run())
+            await watcher.synced.wait()
             self.assertEqual(1203, len(listener.values))
             task.cancel()
 
@@ -76,10 +76,10 @@
         """
 
         async def scenario() -> None:
-            store, listener, _ = _mirror()
+            store, listener, _ = _watcher()
             view = FaultInjectingStore(store=store)
-            mirror = Mirror(store=view, prefix="a/", listener=listener, log=quiet_log())
-            following = asyncio.create_task(mirror.run())
+            watcher = PrefixWatcher(store=view, prefix="a/", listener=listener, log=quiet_log())
+            following = asyncio.create_task(watcher.run())
             await asyncio.sleep(1.0)
             for outage_s in (3.0, 3.3, 3.6, 3.9, 4.2, 4.5):
                 view.faults.is_silent = True
@@ -101,18 +101,18 @@
         """
 
         async def scenario() -> None:
-            store, listener, mirror = _mirror()
+            store, listener, watcher = _watcher()
             store.put("a/1", b"x")
-            task = asyncio.create_task(mirror.run())
-            await mirror.synced.wait()
-            mirror_view = mirror._store
-            assert isinstance(mirror_view, FaultInjectingStore)
-            mirror_view.faults.is_down = True
+            task = asyncio.create_task(watcher.run())
+            await watcher.synced.wait()
+            watcher_view = watcher._store
+            assert isinstance(watcher_view, FaultInjectingStore)
+            watcher_view.faults.is_down = True
             await asyncio.sleep(1.2)
             store.delete("a/1")
             store.put("a/2", b"y")
             store.compact_history()
-            mirror_view.faults.is_down = False
+            watcher_view.faults.is_down = False
             await asyncio.sleep(2)
             self.assertEqual({"a/2": b"y"}, listener.values)
             task.cancel()
@@ -151,11 +151,11 @@
 
 
 class LagTests(unittest.TestCase):
-    def test_a_mirror_keeps_up_with_changes_that_come_faster_than_an_answer_holds(self) -> None:
+    def test_a_watcher_keeps_up_with_changes_that_come_faster_than_an_answer_holds(self) -> None:
         """A worker gets new tasks five seconds after it said that it leaves.
 
-        Fifteen hundred workers write their entries every second or so. The mirror of them asked for
-        the next changes 0.4 s after each answer, which held a part of what had come meanwhile.
+        Fifteen hundred workers write their entries every second or so. The watcher of them asked
+        for the next changes 0.4 s after each answer, which held a part of what had come meanwhile.
         """
 
         async def scenario() -> None:
@@ -167,14 +167,14 @@
                 latest = max(latest, item.revision)
 
             listener.written = written  # type: ignore[method-assign]
-            mirror = Mirror(
+            watcher = PrefixWatcher(
                 store=store,  # type: ignore[arg-type]
                 prefix="a/",
                 listener=listener,
                 log=quiet_log(),
                 pause_s=0.4,
             )
-            task = asyncio.create_task(mirror.run())
+            task = asyncio.create_task(watcher.run())
             await asyncio.sleep(10.0)
             self.assertLess(store.revision - latest, store.CHANGES_A_SECOND)
             task.cancel()
@@ -274,11 +274,15 @@
         run_scenario(scenario())
 
 
-def _mirror() -> tuple[RecordStore, Listener, Mirror]:
+def _watcher() -> tuple[RecordStore, Listener, PrefixWatcher]:
     store = RecordStore(rng=random.Random(1))
     listener = Listener()
     view = FaultInjectingStore(store=store)
-    return store, listener, Mirror(store=view, prefix="a/", listener=listener, log=quiet_log())
+    return (
+        store,
+        listener,
+        PrefixWatcher(store=view, prefix="a/", listener=listener, log=quiet_log()),
+    )
 
 
 if __name__ == "__main__":
