--- a/src/shallotworks/platform/_configuration.py
+++ b/src/shallotworks/platform/_configuration.py
@@ -90,7 +90,7 @@
         self._waves: dict[int, MaintenanceWave] = {}
         self.configuration: Configuration | None = None
 
-    def written(self, item: Item) -> None:
+    def on_write(self, item: Item) -> None:
         """Hear that an operator wrote something."""
         try:
             if item.key == CONFIGURATION_KEY:
@@ -102,7 +102,7 @@
         except UNREADABLE as error:
             self._log.line("operators-record-unreadable", key=item.key, reason=repr(error))
 
-    def deleted(self, key: str, revision: int) -> None:
+    def on_delete(self, key: str, revision: int) -> None:
         """Hear that a record is gone; the configuration in force stays."""
         wave = key.removeprefix(WAVES_PREFIX)
         # A key that names no wave never stood for one.
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -229,7 +229,7 @@
             prefix=REGISTRY_PREFIX,
             listener=self._registry,
             log=self._log,
-            on_heard=self._workers_heard,
+            on_answer=self._workers_heard,
             pause_s=REGISTRY_PAUSE_S,
         )
         machines = PrefixWatcher(
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -235,7 +235,7 @@
         """Return the listed workers of a service by id."""
         return {key: view for key, view in self._workers.items() if view.service == service}
 
-    def written(self, item: Item) -> None:
+    def on_write(self, item: Item) -> None:
         """Hear that a worker registered, or changed its entry."""
         worker_id = item.key.removeprefix(REGISTRY_PREFIX)
         decoded = decode_entry(worker_id, item.value)
@@ -244,7 +244,7 @@
         else:
             self._refuse(worker_id, decoded.failure(), item.revision)
 
-    def deleted(self, key: str, revision: int) -> None:
+    def on_delete(self, key: str, revision: int) -> None:
         """Hear that a worker's entry is gone."""
         worker_id = key.removeprefix(REGISTRY_PREFIX)
         self._faults.pop(worker_id, None)
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -120,7 +120,7 @@
 
     # ---- what the watcher tells
 
-    def written(self, item: Item) -> None:
+    def on_write(self, item: Item) -> None:
         """Hear who holds a key."""
         service = item.key.removeprefix(self._root)
         self._held[service] = max(item.created, self._held.get(service, 0))
@@ -128,7 +128,7 @@
         if lease is not None and item.created > lease.token:
             lease.mark_lost("another holds its key")
 
-    def deleted(self, key: str, revision: int) -> None:
+    def on_delete(self, key: str, revision: int) -> None:
         """Hear that a key is free.
 
         The failure: this instance bids as soon as its own term has ended, and may win before the
--- a/src/shallotworks/scheduling/_machine_records.py
+++ b/src/shallotworks/scheduling/_machine_records.py
@@ -134,7 +134,7 @@
         self.demands: dict[str, PoolDemand] = {}
         self.controller = MachineControllerRecord()
 
-    def written(self, item: Item) -> None:
+    def on_write(self, item: Item) -> None:
         """Hear that a record was written."""
         try:
             if item.key == machine_controller_key():
@@ -146,7 +146,7 @@
         except (ValueError, KeyError, TypeError) as error:
             self._log.line("machines-record-unreadable", key=item.key, reason=repr(error))
 
-    def deleted(self, key: str, revision: int) -> None:
+    def on_delete(self, key: str, revision: int) -> None:
         """Hear that a record is gone."""
         if key == machine_controller_key():
             self.controller = MachineControllerRecord()
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -244,7 +244,7 @@
 
     # ---- what the watcher tells
 
-    def written(self, item: Item) -> None:
+    def on_write(self, item: Item) -> None:
         """Hear of a job or of its progress."""
         if item.key == self._keys.holder_mark:
             self._has_mark = item.created == self._lease.token
@@ -286,7 +286,7 @@
             wall_s=self._dependencies.wall_clock(),
         )
 
-    def deleted(self, key: str, revision: int) -> None:
+    def on_delete(self, key: str, revision: int) -> None:
         """Hear that a record is gone.
 
         The failure that the mark guards against: a scheduler whose key was taken away starts a job
--- a/src/shallotworks/store/_prefix_watcher.py
+++ b/src/shallotworks/store/_prefix_watcher.py
@@ -32,11 +32,11 @@
 class WatchListener(Protocol):
     """Hears what the watcher learns, in order of revision for each key."""
 
-    def written(self, item: Item) -> None:
+    def on_write(self, item: Item) -> None:
         """Hear that a key was written; the same write may be told twice."""
         ...
 
-    def deleted(self, key: str, revision: int) -> None:
+    def on_delete(self, key: str, revision: int) -> None:
         """Hear that a key is gone; a key of that name may have been created after the revision."""
         ...
 
@@ -53,7 +53,7 @@
         prefix: The keys' prefix.
         listener: Who hears of changes.
         log: Where lost and regained contact is written.
-        on_heard: Called with each answer of the store: the copy is then as new as the answer.
+        on_answer: Called with each answer of the store: the copy is then as new as the answer.
         pause_s: Left between a change and the next watch, so that changes which come close
             together are told in one answer: each call is paid for.
     """
@@ -63,7 +63,7 @@
         "_items",
         "_listener",
         "_log",
-        "_on_heard",
+        "_on_answer",
         "_pause_s",
         "_prefix",
         "_store",
@@ -77,14 +77,14 @@
         prefix: str,
         listener: WatchListener,
         log: StructuredLog,
-        on_heard: Callable[[], None] | None = None,
+        on_answer: Callable[[], None] | None = None,
         pause_s: float = 0.0,
     ) -> None:
         self._store = store
         self._prefix = prefix
         self._listener = listener
         self._log = log
-        self._on_heard = on_heard
+        self._on_answer = on_answer
         self._pause_s = pause_s
         self._items: dict[str, int] = {}
         self._is_failing = False
@@ -101,8 +101,8 @@
                 revision = outcome.unwrap()
                 backoff_s = FIRST_BACKOFF_S
                 self._note_contact(None)
-                if self._on_heard is not None and revision is not None:
-                    self._on_heard()
+                if self._on_answer is not None and revision is not None:
+                    self._on_answer()
                 continue
             self._note_contact(outcome.failure())
             await asyncio.sleep(backoff_s)
@@ -154,7 +154,7 @@
             return
         self._items[item.key] = item.revision
         try:
-            self._listener.written(item)
+            self._listener.on_write(item)
         except Exception as error:
             self._note_fault(item.key, error)
 
@@ -164,7 +164,7 @@
             return
         del self._items[key]
         try:
-            self._listener.deleted(key, revision)
+            self._listener.on_delete(key, revision)
         except Exception as error:
             self._note_fault(key, error)
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -181,7 +181,7 @@
     def write(self, worker_id: str, value: bytes) -> None:
         """Let an entry be written."""
         self._revision += 1
-        self.registry.written(
+        self.registry.on_write(
             Item(key=f"servers/{worker_id}", value=value, revision=self._revision, created=1)
         )
 
@@ -295,7 +295,7 @@
         at = Registry()
         at.write("i-2", b"x")
         version = at.registry.version
-        at.registry.deleted("servers/i-2", 99)
+        at.registry.on_delete("servers/i-2", 99)
         self.assertEqual(version, at.registry.version)
         self.assertEqual([], at.lines("worker-unlisted"))
         at.write("i-2", b"x")
@@ -488,12 +488,12 @@
         self.seen: list[set[str]] = []
         self._registry = WorkerRegistry(log=quiet_log())
 
-    def written(self, item: Item) -> None:
-        self._registry.written(item)
+    def on_write(self, item: Item) -> None:
+        self._registry.on_write(item)
         self._note()
 
-    def deleted(self, key: str, revision: int) -> None:
-        self._registry.deleted(key, revision)
+    def on_delete(self, key: str, revision: int) -> None:
+        self._registry.on_delete(key, revision)
         self._note()
 
     def _note(self) -> None:
@@ -521,12 +521,12 @@
     def __init__(self) -> None:
         self.told: list[str] = []
 
-    def written(self, item: Item) -> None:
+    def on_write(self, item: Item) -> None:
         if item.key == "a/2":
             raise AttributeError(item.key)
         self.told.append(item.key)
 
-    def deleted(self, key: str, revision: int) -> None:
+    def on_delete(self, key: str, revision: int) -> None:
         if key == "a/2":
             raise AttributeError(key)
         self.told.append(f"{key} gone")
@@ -838,9 +838,9 @@
         """Neither when it is written nor when it is deleted."""
         book = OperatorsBook(on_configuration=lambda _: None, log=quiet_log())
         good = json.dumps(CONFIGURATION).encode()
-        book.written(Item(key="op/config", value=good, revision=1, created=1))
-        book.written(Item(key=key, value=value, revision=2, created=1))
-        book.deleted(key, 99)
+        book.on_write(Item(key="op/config", value=good, revision=1, created=1))
+        book.on_write(Item(key=key, value=value, revision=2, created=1))
+        book.on_delete(key, 99)
         assert book.configuration is not None
         self.assertEqual((2, ()), (book.configuration.version, book.waves()))
 
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -91,15 +91,15 @@
         taken: list[Configuration] = []
         book = OperatorsBook(on_configuration=taken.append, log=quiet_log())
         for version in (2, 7, 3, 7):
-            book.written(self._item("op/config", _configuration(version)))
+            book.on_write(self._item("op/config", _configuration(version)))
         self.assertEqual([2, 7], [one.version for one in taken])
 
     def test_what_can_not_be_read_changes_nothing(self) -> None:
         """The configuration in force stays."""
         book = OperatorsBook(on_configuration=lambda _: None, log=quiet_log())
-        book.written(self._item("op/config", _configuration(2)))
-        book.written(self._item("op/config", {"version": 3}))
-        book.deleted("op/config", 9)
+        book.on_write(self._item("op/config", _configuration(2)))
+        book.on_write(self._item("op/config", {"version": 3}))
+        book.on_delete("op/config", 9)
         assert book.configuration is not None
         self.assertEqual(2, book.configuration.version)
 
@@ -107,12 +107,12 @@
         """As operators write them."""
         book = OperatorsBook(on_configuration=lambda _: None, log=quiet_log())
         record = {"wave": 4, "machines": ["m1"], "durationS": 20, "maxCount": 2}
-        book.written(self._item("op/wave/4", record))
+        book.on_write(self._item("op/wave/4", record))
         self.assertEqual(
             [(4, ("m1",), 20.0, 2)],
             [(one.wave, one.machines, one.duration_s, one.most_at_once) for one in book.waves()],
         )
-        book.deleted("op/wave/4", 9)
+        book.on_delete("op/wave/4", 9)
         self.assertEqual((), book.waves())
 
     @staticmethod
@@ -136,12 +136,12 @@
             "capacity": {"cpu": 16000, "memMb": 32768, "gpu": 0},
             "labels": ["a", "r1-3"],
         }
-        registry.written(_entry("i-1", entry))
-        registry.written(_entry("i-2", {"service": "s"}))
+        registry.on_write(_entry("i-1", entry))
+        registry.on_write(_entry("i-2", {"service": "s"}))
         view = registry.workers_of("s")["i-1"]
         self.assertEqual(("r1-3", 16000, True), (view.rack, view.cpu_millicores, view.is_draining))
         self.assertEqual(1, len(registry.workers_of("s")))
-        registry.deleted("servers/i-1", 9)
+        registry.on_delete("servers/i-1", 9)
         self.assertEqual({}, registry.workers_of("s"))
 
     @parameterized.expand(
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -103,7 +103,7 @@
                 prefix="servers/",
                 listener=WorkerRegistry(log=quiet_log()),
                 log=quiet_log(),
-                on_heard=lambda: heard.append(asyncio.get_running_loop().time()),
+                on_answer=lambda: heard.append(asyncio.get_running_loop().time()),
             )
             following = asyncio.create_task(watcher.run())
             await asyncio.sleep(5.0)
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -25,11 +25,11 @@
         self.values: dict[str, bytes] = {}
         self.told: list[str] = []
 
-    def written(self, item: Item) -> None:
+    def on_write(self, item: Item) -> None:
         self.values[item.key] = item.value
         self.told.append(f"{item.key}={item.value.decode()}")
 
-    def deleted(self, key: str, revision: int) -> None:
+    def on_delete(self, key: str, revision: int) -> None:
         del self.values[key]
         self.told.append(f"{key} gone")
 
@@ -162,11 +162,11 @@
             store, listener = BusyStore(), Listener()
             latest = 0
 
-            def written(item: Item) -> None:
+            def on_write(item: Item) -> None:
                 nonlocal latest
                 latest = max(latest, item.revision)
 
-            listener.written = written  # type: ignore[method-assign]
+            listener.on_write = on_write  # type: ignore[method-assign]
             watcher = PrefixWatcher(
                 store=store,  # type: ignore[arg-type]
                 prefix="a/",
