--- a/bench/plans.py
+++ b/bench/plans.py
@@ -35,7 +35,7 @@
     apply,
     precondition_digest,
 )
-from shallotworks.kv import LeaseHolder
+from shallotworks.kv import LeaseCandidate
 from shallotworks.node._duty import LeaseDuty
 from shallotworks.plans import (
     Alternative,
@@ -99,14 +99,14 @@
     def __init__(self, state: FleetState, *, ttl_s: float = 4.0, seed: int = SEED, **rest: Any):
         super().__init__(state, **rest)
         self.stores: dict[str, ProcessStore] = {}
-        self.holders: dict[str, LeaseHolder] = {}
+        self.candidates: dict[str, LeaseCandidate] = {}
         self._ttl_s = ttl_s
         self._rng = random.Random(seed)
 
     def plan_lease_of(self, digest: str, name: str) -> LeaseDuty:
         """Return one process's duty of a plan, over its own way to the store."""
         self.stores[name] = ProcessStore(self.store)
-        self.holders[name] = LeaseHolder(
+        self.candidates[name] = LeaseCandidate(
             store=self.stores[name],
             duty=f"plan/{digest}",
             holder=name,
@@ -115,7 +115,7 @@
             rng=self._rng,
             ttl_s=self._ttl_s,
         )
-        return LeaseDuty(holder=self.holders[name], should_stand=lambda: True, held=set())
+        return LeaseDuty(candidate=self.candidates[name], should_stand=lambda: True, held=set())
 
     async def crash(self, task: asyncio.Task[None], name: str) -> None:
         """End a conductor whose last words no longer reach the store."""
@@ -345,7 +345,7 @@
     tasks = [harness.start_conductor() for _ in range(3)]
     plan = await _confirmed(harness, Maintain(selection=InPool(pool="archive")))
     await asyncio.sleep(20.0 + kill * 1.7)
-    holder = next(name for name, held in harness.holders.items() if held.still_held())
+    holder = next(name for name, held in harness.candidates.items() if held.still_held())
     token = max(_tokens(harness))
     await harness.crash(tasks[int(holder.rsplit("-", 1)[1])], holder)
     killed_s = asyncio.get_running_loop().time()
--- a/src/shallotworks/kv/__init__.py
+++ b/src/shallotworks/kv/__init__.py
@@ -6,7 +6,7 @@
 
 from ._calls import PlatformLimits
 from ._http_store import HttpInstanceList, HttpKeyValueStore
-from ._lease_holder import Holding, LeaseHolder
+from ._lease_candidate import LeaseCandidate, LeaseRecord
 from ._protocols import (
     InstanceList,
     KeyValueStore,
@@ -17,13 +17,13 @@
 )
 
 __all__ = [
-    "Holding",
+    "LeaseRecord",
     "HttpInstanceList",
     "HttpKeyValueStore",
     "InstanceList",
     "KeyValueStore",
     "Lease",
-    "LeaseHolder",
+    "LeaseCandidate",
     "ListedInstance",
     "PlatformLimits",
     "Versioned",
--- a/src/shallotworks/kv/_lease_holder.py
+++ b/src/shallotworks/kv/_lease_candidate.py
@@ -17,7 +17,7 @@
 
 from ._protocols import KeyValueStore, Lease
 
-__all__ = ["Holding", "LeaseHolder"]
+__all__ = ["LeaseRecord", "LeaseCandidate"]
 
 DEFAULT_TTL_S = 12.0
 MARGIN_PART = 0.2
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Holding:
+class LeaseRecord:
     """A duty that is held; also the value of its key.
 
     Args:
@@ -46,16 +46,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Held:
-    holding: Holding
+    lease_record: LeaseRecord
     lease: Lease
     expires_at_s: float
     renew_at_s: float
 
 
-_HOLDING = TypeAdapter(Holding)
+_LEASE_RECORD = TypeAdapter(LeaseRecord)
 
 
-class LeaseHolder:
+class LeaseCandidate:
     """One candidate for one duty; lives on the event loop.
 
     Whoever acts for the duty asks `still_held` before each act, and sends the fencing token along,
@@ -114,9 +114,9 @@
         """Name of the duty."""
         return self._duty
 
-    def holding(self) -> Holding | None:
+    def lease_record(self) -> LeaseRecord | None:
         """Return the duty with its token while it is held, by this process's own clock."""
-        return self._held.holding if self._held is not None and self.still_held() else None
+        return self._held.lease_record if self._held is not None and self.still_held() else None
 
     def still_held(self) -> bool:
         """Say whether the duty may be acted for now.
@@ -129,12 +129,12 @@
         held = self._held
         return held is not None and asyncio.get_running_loop().time() < held.expires_at_s
 
-    async def wait_until_held(self) -> Holding:
+    async def wait_until_held(self) -> LeaseRecord:
         """Wait until the duty is held."""
         while True:
-            holding = self.holding()
-            if holding is not None:
-                return holding
+            lease_record = self.lease_record()
+            if lease_record is not None:
+                return lease_record
             self._taken.clear()
             await self._taken.wait()
 
@@ -173,18 +173,20 @@
         if not isinstance(granted, Success):
             return False
         lease = granted.unwrap()
-        holding = Holding(duty=self._duty, holder=self._holder, fencing_token=lease.fencing_token)
-        if not await self._create_key(lease, holding):
+        lease_record = LeaseRecord(
+            duty=self._duty, holder=self._holder, fencing_token=lease.fencing_token
+        )
+        if not await self._create_key(lease, lease_record):
             await self._store.revoke_lease(lease.lease_id)
             return False
-        self._held = _Held(holding=holding, lease=lease, expires_at_s=0.0, renew_at_s=0.0)
+        self._held = _Held(lease_record=lease_record, lease=lease, expires_at_s=0.0, renew_at_s=0.0)
         self._prolong(self._held, asked_at_s)
         self._note(EventKind.LEASE_TAKEN, "taken")
         self._taken.set()
         return True
 
-    async def _create_key(self, lease: Lease, holding: Holding) -> bool:
-        value = _HOLDING.dump_json(holding)
+    async def _create_key(self, lease: Lease, lease_record: LeaseRecord) -> bool:
+        value = _LEASE_RECORD.dump_json(lease_record)
         outcome = await self._store.create(self._key, value, lease_id=lease.lease_id)
         if isinstance(outcome, Success):
             return True
@@ -240,6 +242,6 @@
 
     def _note(self, kind: EventKind, what: str) -> None:
         assert self._held is not None
-        token = self._held.holding.fencing_token
+        token = self._held.lease_record.fencing_token
         self._timeline.record(kind, subject=Subject(), detail=f"{self._duty} #{token} {what}")
         self._metrics.count("lease.taken" if kind is EventKind.LEASE_TAKEN else "lease.lost")
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -17,7 +17,7 @@
 from shallotworks.config import ConfigStore, Entry
 from shallotworks.errors import ErrorKind, Failure, ShallotworksError
 from shallotworks.fleet import Condition, SetCondition
-from shallotworks.kv import HttpInstanceList, HttpKeyValueStore, LeaseHolder
+from shallotworks.kv import HttpInstanceList, HttpKeyValueStore, LeaseCandidate
 from shallotworks.listener import Listener
 from shallotworks.metrics import Metrics
 from shallotworks.operators import OperatorsServer
@@ -327,7 +327,7 @@
                 await self._plan_registry.prune()
 
     def _duty(self, digest: str) -> LeaseDuty:
-        holder = LeaseHolder(
+        candidate = LeaseCandidate(
             store=self._store,
             duty=f"plan/{digest}",
             holder=self._process,
@@ -337,7 +337,7 @@
             ttl_s=self._settings.plans.lease_ttl_s,
         )
         return LeaseDuty(
-            holder=holder,
+            candidate=candidate,
             should_stand=self.peers.should_watch,
             patience=lambda: self._patience(digest),
             held=self._duties,
--- a/tests/test_lease_holder.py
+++ b/tests/test_lease_candidate.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.kv.LeaseHolder`."""
+"""Tests of `shallotworks.kv.LeaseCandidate`."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 
 import looptime
 
-from shallotworks.kv import KeyValueStore, LeaseHolder
+from shallotworks.kv import KeyValueStore, LeaseCandidate
 from shallotworks.metrics import Metrics
 from shallotworks.standins import MemoryStore, StoreFaults
 from shallotworks.timeline import EventKind, Timeline
@@ -23,10 +23,10 @@
         loop.close()
 
 
-class LeaseHolderTests(unittest.TestCase):
-    def candidate(self, store: KeyValueStore, name: str) -> LeaseHolder:
+class LeaseCandidateTests(unittest.TestCase):
+    def candidate(self, store: KeyValueStore, name: str) -> LeaseCandidate:
         self.timeline = Timeline(process=name, wall_clock_s=lambda: 0.0)
-        return LeaseHolder(
+        return LeaseCandidate(
             store=store,
             duty="plan/1",
             holder=name,
@@ -110,7 +110,7 @@
             tasks.append(asyncio.create_task(second.run()))
             new = await second.wait_until_held()
             self.assertFalse(first.still_held())
-            self.assertIsNone(first.holding())
+            self.assertIsNone(first.lease_record())
             self.assertGreater(new.fencing_token, old.fencing_token)
             await stop(tasks)
 
