--- a/bench/plans.py
+++ b/bench/plans.py
@@ -345,7 +345,7 @@
     tasks = [harness.start_conductor() for _ in range(3)]
     plan = await _confirmed(harness, Maintain(selection=InPool(pool="archive")))
     await asyncio.sleep(20.0 + kill * 1.7)
-    holder = next(name for name, held in harness.candidates.items() if held.still_held())
+    holder = next(name for name, held in harness.candidates.items() if held.is_held())
     token = max(_tokens(harness))
     await harness.crash(tasks[int(holder.rsplit("-", 1)[1])], holder)
     killed_s = asyncio.get_running_loop().time()
--- a/src/shallotworks/kv/_lease_candidate.py
+++ b/src/shallotworks/kv/_lease_candidate.py
@@ -58,7 +58,7 @@
 class LeaseCandidate:
     """One candidate for one duty; lives on the event loop.
 
-    Whoever acts for the duty asks `still_held` before each act, and sends the fencing token along,
+    Whoever acts for the duty asks `is_held` before each act, and sends the fencing token along,
     so that an act that was under way when the lease lapsed is refused where it arrives.
 
     A candidate that waits costs one read per half to whole time to live, so let only a few
@@ -116,9 +116,9 @@
 
     def lease_record(self) -> LeaseRecord | None:
         """Return the duty with its token while it is held, by this process's own clock."""
-        return self._held.lease_record if self._held is not None and self.still_held() else None
+        return self._held.lease_record if self._held is not None and self.is_held() else None
 
-    def still_held(self) -> bool:
+    def is_held(self) -> bool:
         """Say whether the duty may be acted for now.
 
         The failure: this process is paused past its lease and another one takes the duty over; on
@@ -205,7 +205,7 @@
             if not should_stand():
                 await self._give_back()
                 return
-            if not self.still_held():
+            if not self.is_held():
                 self._lose("it was not renewed in time")
                 return
             asked_at_s = loop.time()
--- a/src/shallotworks/node/_duty.py
+++ b/src/shallotworks/node/_duty.py
@@ -46,9 +46,9 @@
         self._held.add(self._candidate.duty)
         return lease_record.fencing_token
 
-    def still_held(self) -> bool:
+    def is_held(self) -> bool:
         """Return whether it is held by the local clock."""
-        return self._candidate.still_held()
+        return self._candidate.is_held()
 
     async def release(self) -> None:
         """Give it up, where it is held."""
--- a/src/shallotworks/plans/_protocols.py
+++ b/src/shallotworks/plans/_protocols.py
@@ -36,7 +36,7 @@
         """Wait until it is held; returns its fencing token, which grows with every holder."""
         ...
 
-    def still_held(self) -> bool:
+    def is_held(self) -> bool:
         """Return whether it is held by the local clock, which may be too late to know."""
         ...
 
--- a/src/shallotworks/plans/_writer.py
+++ b/src/shallotworks/plans/_writer.py
@@ -96,7 +96,7 @@
         shows as two conductors acting. Asked before each act outside the log; acts inside the log
         are refused by their token as well.
         """
-        if not self._lease.still_held():
+        if not self._lease.is_held():
             raise ShallotworksError(
                 Failure(kind=ErrorKind.LEASE_LOST, reason=f"the duty of plan {self._digest} lapsed")
             )
--- a/tests/plan_fakes.py
+++ b/tests/plan_fakes.py
@@ -165,7 +165,7 @@
         self.believes = True
         return self._lease.token
 
-    def still_held(self) -> bool:
+    def is_held(self) -> bool:
         return self.believes or self._lease.holder is self
 
     async def release(self) -> None:
--- a/tests/test_lease_candidate.py
+++ b/tests/test_lease_candidate.py
@@ -44,10 +44,10 @@
             candidates = [self.candidate(store, f"e{n}") for n in range(5)]
             tasks = [asyncio.create_task(each.run()) for each in candidates]
             await asyncio.sleep(1)
-            holder = [each for each in candidates if each.still_held()]
+            holder = [each for each in candidates if each.is_held()]
             for _ in range(100):
                 await asyncio.sleep(1)
-                self.assertEqual([each for each in candidates if each.still_held()], holder)
+                self.assertEqual([each for each in candidates if each.is_held()], holder)
             # At most one read per half time to live from each that waits, and the renewals.
             self.assertLessEqual(store.calls["get"], 5 + 5 * 100 / (TTL_S / 2))
             await stop(tasks)
@@ -67,7 +67,7 @@
             await asyncio.sleep(10)
             before = store.calls["get"]
             await asyncio.sleep(1000)
-            self.assertEqual(sum(each.still_held() for each in candidates), 1)
+            self.assertEqual(sum(each.is_held() for each in candidates), 1)
             alike = 5 * 1000 / (TTL_S * 0.75)
             self.assertLessEqual(store.calls["get"] - before, alike)
             await stop(tasks)
@@ -83,7 +83,7 @@
             task = asyncio.create_task(first.run())
             held = await first.wait_until_held()
             await stop([task])
-            self.assertFalse(first.still_held())
+            self.assertFalse(first.is_held())
             task = asyncio.create_task(second.run())
             taken = await second.wait_until_held()
             self.assertGreater(taken.fencing_token, held.fencing_token)
@@ -109,7 +109,7 @@
             await asyncio.sleep(TTL_S * 0.79)
             tasks.append(asyncio.create_task(second.run()))
             new = await second.wait_until_held()
-            self.assertFalse(first.still_held())
+            self.assertFalse(first.is_held())
             self.assertIsNone(first.lease_record())
             self.assertGreater(new.fencing_token, old.fencing_token)
             await stop(tasks)
@@ -130,7 +130,7 @@
             old = await holder.wait_until_held()
             store.set_faults(StoreFaults(down=True))
             await asyncio.sleep(TTL_S * 0.81)
-            self.assertFalse(holder.still_held())
+            self.assertFalse(holder.is_held())
             await asyncio.sleep(60)
             store.set_faults(StoreFaults())
             new = await holder.wait_until_held()
