--- a/bench/plans.py
+++ b/bench/plans.py
@@ -115,7 +115,7 @@
             rng=self._rng,
             ttl_s=self._ttl_s,
         )
-        return LeaseDuty(candidate=self.candidates[name], should_stand=lambda: True, held=set())
+        return LeaseDuty(candidate=self.candidates[name], is_eligible=lambda: True, held=set())
 
     async def crash(self, task: asyncio.Task[None], name: str) -> None:
         """End a conductor whose last words no longer reach the store."""
--- a/src/shallotworks/kv/_lease_candidate.py
+++ b/src/shallotworks/kv/_lease_candidate.py
@@ -141,26 +141,26 @@
     async def run(
         self,
         *,
-        should_stand: Callable[[], bool] = lambda: True,
-        patience: Callable[[], float] = lambda: 1.0,
+        is_eligible: Callable[[], bool] = lambda: True,
+        pause_factor: Callable[[], float] = lambda: 1.0,
     ) -> None:
         """Stand for the duty, keep it, and stand again when it is lost, until cancelled.
 
         Args:
-            should_stand: Asked before each attempt and renewal; when it says no, a duty that is
+            is_eligible: Asked before each attempt and renewal; when it says no, a duty that is
                 held is given back.
-            patience: Multiplies the pauses between attempts. Candidates that are ranked, each with
-                the patience of its rank, together ask as often as a few do, and the first in the
-                ranking that is alive mostly takes the duty.
+            pause_factor: Multiplies the pauses between attempts. Candidates that are ranked, each
+                with the patience of its rank, together ask as often as a few do, and the first in
+                the ranking that is alive mostly takes the duty.
         """
         await asyncio.sleep(self._rng.uniform(0, FIRST_TRY_SPREAD_S))
         try:
             while True:
-                if should_stand() and await self._take():
-                    await self._keep(should_stand)
+                if is_eligible() and await self._take():
+                    await self._keep(is_eligible)
                 # Candidates spread their tries, so that a lapse is not met by all at once.
                 pause_s = self._rng.uniform(self._ttl_s / 2, self._ttl_s)
-                await asyncio.sleep(pause_s * patience())
+                await asyncio.sleep(pause_s * pause_factor())
         finally:
             await self._give_back()
 
@@ -196,13 +196,13 @@
         present = (await self._store.get(self._key)).value_or(None)
         return present is not None and present.value == value
 
-    async def _keep(self, should_stand: Callable[[], bool]) -> None:
+    async def _keep(self, is_eligible: Callable[[], bool]) -> None:
         held = self._held
         assert held is not None
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(max(0.0, held.renew_at_s - loop.time()))
-            if not should_stand():
+            if not is_eligible():
                 await self._give_back()
                 return
             if not self.is_held():
--- a/src/shallotworks/node/_duty.py
+++ b/src/shallotworks/node/_duty.py
@@ -16,31 +16,33 @@
 
     Args:
         candidate: The candidate for the duty.
-        should_stand: Whether this process is among the few that stand for duties.
-        patience: See `LeaseCandidate.run`.
+        is_eligible: Whether this process is among the few that stand for duties.
+        pause_factor: See `LeaseCandidate.run`.
         held: Names of the duties held by this process, for operators.
     """
 
-    __slots__ = ("_candidate", "_held", "_patience", "_should_stand", "_standing")
+    __slots__ = ("_candidate", "_held", "_is_eligible", "_pause_factor", "_standing")
 
     def __init__(
         self,
         *,
         candidate: LeaseCandidate,
-        should_stand: Callable[[], bool],
-        patience: Callable[[], float],
+        is_eligible: Callable[[], bool],
+        pause_factor: Callable[[], float],
         held: set[str],
     ) -> None:
-        self._patience = patience
+        self._pause_factor = pause_factor
         self._candidate = candidate
-        self._should_stand = should_stand
+        self._is_eligible = is_eligible
         self._held = held
         self._standing: asyncio.Task[None] | None = None
 
     async def acquire(self) -> int:
         """Wait until it is held; returns its fencing token."""
         if self._standing is None:
-            work = self._candidate.run(should_stand=self._should_stand, patience=self._patience)
+            work = self._candidate.run(
+                is_eligible=self._is_eligible, pause_factor=self._pause_factor
+            )
             self._standing = asyncio.create_task(work)
         lease_record = await self._candidate.wait_until_held()
         self._held.add(self._candidate.duty)
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -338,8 +338,8 @@
         )
         return LeaseDuty(
             candidate=candidate,
-            should_stand=self.peers.should_watch,
-            patience=lambda: self._patience(digest),
+            is_eligible=self.peers.should_watch,
+            pause_factor=lambda: self._pause_factor(digest),
             held=self._duties,
         )
 
@@ -361,7 +361,7 @@
             subject = Subject(instance=name, plan=change.plan)
             self.timeline.record(kind, subject=subject, detail=f"revision {entry.revision}")
 
-    def _patience(self, digest: str) -> float:
+    def _pause_factor(self, digest: str) -> float:
         """Return the factor on the pauses of this process's candidacy, by its data centre's rank.
 
         With 22 data centres whose watchers all stood alike, each open plan would cost the store 14
--- a/tests/test_lease_candidate.py
+++ b/tests/test_lease_candidate.py
@@ -61,7 +61,7 @@
             store = MemoryStore()
             candidates = [self.candidate(store, f"e{n}") for n in range(22)]
             tasks = [
-                asyncio.create_task(each.run(patience=lambda rank=rank: 1.0 + rank))
+                asyncio.create_task(each.run(pause_factor=lambda rank=rank: 1.0 + rank))
                 for rank, each in enumerate(candidates)
             ]
             await asyncio.sleep(10)
