--- a/src/shallotworks/platform/_configuration.py
+++ b/src/shallotworks/platform/_configuration.py
@@ -14,7 +14,7 @@
 
 from ._fields import UNREADABLE, table
 
-__all__ = ["OPERATORS_PREFIX", "Configuration", "OperatorsBook", "Queue"]
+__all__ = ["OPERATORS_PREFIX", "Configuration", "OperatorRecords", "Queue"]
 
 OPERATORS_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
@@ -69,7 +69,7 @@
         return None
 
 
-class OperatorsBook:
+class OperatorRecords:
     """Follows what operators write; implements `MaintenanceSchedule` and `WatchListener`.
 
     The failure it guards against: a configuration that is followed by an older one in the same
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -27,7 +27,7 @@
 )
 from shallotworks.store import HeldLease, LeaseTiming, PrefixWatcher
 
-from ._configuration import OPERATORS_PREFIX, Configuration, OperatorsBook
+from ._configuration import OPERATORS_PREFIX, Configuration, OperatorRecords
 from ._http import HttpClient, close_all
 from ._ingress import Ingress
 from ._machines import PlatformAdvice, PlatformMachines
@@ -107,7 +107,7 @@
         self._orders = PlatformOrders()
         self._registry = WorkerRegistry(log=self._log)
         self._workers_heard_s = -math.inf
-        self._book = OperatorsBook(on_configuration=self._configured, log=self._log)
+        self._operator_records = OperatorRecords(on_configuration=self._configured, log=self._log)
         self._machine_records = MachineRecords(log=self._log)
         self._lease_timing = LeaseTiming(ttl_s=max(LeaseTiming().ttl_s, settings.smallest_ttl_s))
         self._dependencies = self._make_dependencies()
@@ -126,7 +126,7 @@
             job_handler=JobRequestHandler(
                 store=self._store, metrics=self._metrics, log=self._log, wall_clock=time.time
             ),
-            configuration=lambda: self._book.configuration,
+            configuration=lambda: self._operator_records.configuration,
             is_store_lost=lambda: self._store.is_lost,
             outage_s=lambda: self._store.outage_s,
             log=self._log,
@@ -168,7 +168,10 @@
         )
         self._handle_signals()
         operators = PrefixWatcher(
-            store=self._store, prefix=OPERATORS_PREFIX, listener=self._book, log=self._log
+            store=self._store,
+            prefix=OPERATORS_PREFIX,
+            listener=self._operator_records,
+            log=self._log,
         )
         await self._ingress.listen_for_readiness(settings.ready_address)
         await self._ingress.listen(settings.callers_address)
@@ -253,7 +256,7 @@
             machines=PlatformMachines(
                 client=self._machines_client, instance=self._settings.instance
             ),
-            maintenance_schedule=self._book,
+            maintenance_schedule=self._operator_records,
             machine_records=self._machine_records,
             standby=self._standby,
             store=self._store,
@@ -269,12 +272,12 @@
 
     def _is_capacity_known(self, service: str) -> bool:
         """Whether workers' capacities are known of late, or are guarded by the workers."""
-        configuration = self._book.configuration
+        configuration = self._operator_records.configuration
         is_guarded = configuration is not None and service in configuration.guarded
         return is_guarded or boot_clock() - self._workers_heard_s < LIST_FRESH_S
 
     def _standby(self) -> frozenset[str]:
-        configuration = self._book.configuration
+        configuration = self._operator_records.configuration
         return configuration.standby if configuration is not None else frozenset()
 
     def _configured(self, configuration: Configuration) -> None:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -24,7 +24,7 @@
 from shallotworks.errors import ErrorKind
 from shallotworks.logs import StructuredLog
 from shallotworks.metrics import Metrics
-from shallotworks.platform._configuration import OperatorsBook
+from shallotworks.platform._configuration import OperatorRecords
 from shallotworks.platform._http import HttpAnswer, HttpClient
 from shallotworks.platform._machines import PlatformAdvice, PlatformMachines
 from shallotworks.platform._store import PlatformStore
@@ -836,7 +836,7 @@
     )
     def test_changes_nothing(self, _name: str, key: str, value: bytes) -> None:
         """Neither when it is written nor when it is deleted."""
-        book = OperatorsBook(on_configuration=lambda _: None, log=quiet_log())
+        book = OperatorRecords(on_configuration=lambda _: None, log=quiet_log())
         good = json.dumps(CONFIGURATION).encode()
         book.on_write(Item(key="op/config", value=good, revision=1, created=1))
         book.on_write(Item(key=key, value=value, revision=2, created=1))
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -12,7 +12,7 @@
 from shallotworks.cli._main import run as run_command
 from shallotworks.errors import ErrorKind
 from shallotworks.platform import load_platform_settings
-from shallotworks.platform._configuration import Configuration, OperatorsBook
+from shallotworks.platform._configuration import Configuration, OperatorRecords
 from shallotworks.platform._http import HttpAnswer
 from shallotworks.platform._workers import WorkerRegistry, _outcome
 from shallotworks.scheduling import EndKind, OrderStatus
@@ -89,14 +89,14 @@
         last. What is in force must stay.
         """
         taken: list[Configuration] = []
-        book = OperatorsBook(on_configuration=taken.append, log=quiet_log())
+        book = OperatorRecords(on_configuration=taken.append, log=quiet_log())
         for version in (2, 7, 3, 7):
             book.on_write(self._item("op/config", _configuration(version)))
         self.assertEqual([2, 7], [one.version for one in taken])
 
     def test_what_can_not_be_read_changes_nothing(self) -> None:
         """The configuration in force stays."""
-        book = OperatorsBook(on_configuration=lambda _: None, log=quiet_log())
+        book = OperatorRecords(on_configuration=lambda _: None, log=quiet_log())
         book.on_write(self._item("op/config", _configuration(2)))
         book.on_write(self._item("op/config", {"version": 3}))
         book.on_delete("op/config", 9)
@@ -105,7 +105,7 @@
 
     def test_waves(self) -> None:
         """As operators write them."""
-        book = OperatorsBook(on_configuration=lambda _: None, log=quiet_log())
+        book = OperatorRecords(on_configuration=lambda _: None, log=quiet_log())
         record = {"wave": 4, "machines": ["m1"], "durationS": 20, "maxCount": 2}
         book.on_write(self._item("op/wave/4", record))
         self.assertEqual(
