--- a/bench/jobs.py
+++ b/bench/jobs.py
@@ -53,7 +53,7 @@
             store=store, metrics=Metrics(), log=quiet_log(), wall_clock=time.time
         ),
         configuration=lambda: configuration,
-        is_store_lost=lambda: False,
+        is_store_unavailable=lambda: False,
         outage_s=lambda: 0.0,
         log=quiet_log(),
         metrics=Metrics(),
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -127,7 +127,7 @@
                 store=self._store, metrics=self._metrics, log=self._log, wall_clock=time.time
             ),
             configuration=lambda: self._operator_records.configuration,
-            is_store_lost=lambda: self._store.is_lost,
+            is_store_unavailable=lambda: self._store.is_unavailable,
             outage_s=lambda: self._store.outage_s,
             log=self._log,
             metrics=self._metrics,
--- a/src/shallotworks/platform/_ingress.py
+++ b/src/shallotworks/platform/_ingress.py
@@ -47,7 +47,7 @@
     Args:
         job_handler: Answers about jobs.
         configuration: Returns the configuration in force; ``None`` before the first.
-        is_store_lost: Whether the store can't be reached at present.
+        is_store_unavailable: Whether the store can't be reached at present.
         outage_s: How long the store has not answered, while calls to it fail.
         log: Refusals that the desk does not see.
         metrics: Counters and latencies.
@@ -55,7 +55,7 @@
 
     __slots__ = (
         "_configuration",
-        "_is_store_lost",
+        "_is_store_unavailable",
         "_job_handler",
         "_log",
         "_metrics",
@@ -69,14 +69,14 @@
         *,
         job_handler: JobRequestHandler,
         configuration: Callable[[], Configuration | None],
-        is_store_lost: Callable[[], bool],
+        is_store_unavailable: Callable[[], bool],
         outage_s: Callable[[], float],
         log: StructuredLog,
         metrics: Metrics,
     ) -> None:
         self._job_handler = job_handler
         self._configuration = configuration
-        self._is_store_lost = is_store_lost
+        self._is_store_unavailable = is_store_unavailable
         self._outage_s = outage_s
         self._log = log
         self._metrics = metrics
@@ -123,7 +123,7 @@
     def is_ready(self) -> bool:
         """Whether new connections should come here."""
         has_configuration = self._configuration() is not None
-        return has_configuration and not self.is_stopping and not self._is_store_lost()
+        return has_configuration and not self.is_stopping and not self._is_store_unavailable()
 
     async def _handle_ready(self, request: web.BaseRequest) -> web.StreamResponse:
         return web.Response(status=200 if self.is_ready else 503)
@@ -208,7 +208,7 @@
             reason = decoded.failure().reason
             self._log.line("job-invalid", id=job_id, queue=queue.policy.queue, reason=reason)
             return _said(400, reason)
-        if self._is_store_lost():
+        if self._is_store_unavailable():
             # Refused before anything is sent, so that it is certain not to be run.
             self._log.line("job-submit", id=job_id, outcome="refused", reason="store lost")
             return self._store_refused()
--- a/src/shallotworks/platform/_store.py
+++ b/src/shallotworks/platform/_store.py
@@ -70,19 +70,19 @@
         self._is_failing = False
 
     @property
-    def is_lost(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether calls have failed for a while, so that another one is likely to fail too."""
-        return self._is_failing and self.silent_s > LOST_AFTER_S
+        return self._is_failing and self.since_answer_s > LOST_AFTER_S
 
     @property
-    def silent_s(self) -> float:
+    def since_answer_s(self) -> float:
         """Seconds since the store last answered."""
         return time.monotonic() - self._answered_s
 
     @property
     def outage_s(self) -> float:
         """Seconds since the store last answered, where calls fail; else 0."""
-        return self.silent_s if self._is_failing else 0.0
+        return self.since_answer_s if self._is_failing else 0.0
 
     async def get(self, key: str) -> Result[Item | None, Failure]:
         """Read one key; ``None`` where it does not exist."""
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -44,14 +44,14 @@
         self.store = RecordStore(rng=random.Random(1))
         self.view = FaultInjectingStore(store=self.store)
         self.configuration: Configuration | None = decode_configuration(CONFIGURATION)
-        self.is_store_lost = False
+        self.is_store_unavailable = False
         self.outage_s = 0.0
         self.ingress = Ingress(
             job_handler=JobRequestHandler(
                 store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=time.time
             ),
             configuration=lambda: self.configuration,
-            is_store_lost=lambda: self.is_store_lost,
+            is_store_unavailable=lambda: self.is_store_unavailable,
             outage_s=lambda: self.outage_s,
             log=quiet_log(),
             metrics=Metrics(),
@@ -166,7 +166,7 @@
         """Refused at once, truly: nothing is sent to the store."""
 
         async def scenario(harness: IngressHarness) -> None:
-            harness.is_store_lost = True
+            harness.is_store_unavailable = True
             began_s = time.monotonic()
             self.assertEqual(503, (await harness.call("POST", f"/stock/{ID}", JOB)).status)
             self.assertLess(time.monotonic() - began_s, 0.5)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -129,10 +129,10 @@
             self.assertIs(ErrorKind.OUTCOME_UNKNOWN, (await store.commit(PUT)).failure().kind)
             self.assertIn("a/1", server.store.items)
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, (await store.get("a/1")).failure().kind)
-            self.assertTrue(store.is_lost)
+            self.assertTrue(store.is_unavailable)
             server.lose_answers = False
             self.assertIsInstance(await store.get("a/1"), Success)
-            self.assertFalse(store.is_lost)
+            self.assertFalse(store.is_unavailable)
 
         run(scenario)
 
