--- a/src/shallotworks/platform/_http.py
+++ b/src/shallotworks/platform/_http.py
@@ -15,7 +15,7 @@
 
 from ._http_connection import Connection, ConnectionLostError
 
-__all__ = ["HttpAnswer", "HttpClient", "HttpLost"]
+__all__ = ["HttpAnswer", "HttpClient", "HttpNoAnswer"]
 
 CONNECT_S = 0.4
 """Time for a connection: one way takes 1 to 12 ms, and a lost opening packet is sent again after a
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HttpLost:
+class HttpNoAnswer:
     """No answer came.
 
     Args:
@@ -87,7 +87,7 @@
         silence_s: float | None = None,
         body: dict[str, Any] | None = None,
         headers: dict[str, str] | None = None,
-    ) -> HttpAnswer | HttpLost:
+    ) -> HttpAnswer | HttpNoAnswer:
         """Make one call; never repeated here.
 
         Args:
@@ -103,7 +103,7 @@
             request = self._encode(method, path, body, headers)
             connection = await self._connected(ends_s)
         except TimeoutError:
-            return HttpLost(is_unsent=True, detail="no connection in time")
+            return HttpNoAnswer(is_unsent=True, detail="no connection in time")
         except (OSError, ValueError) as error:
             return _lost(error, is_unsent=True)
         try:
@@ -111,7 +111,9 @@
             return HttpAnswer(status=status, body=_decode(raw))
         except TimeoutError:
             self._renew()
-            return HttpLost(is_unsent=False, detail=f"no answer in {silence_s or timeout_s:.2f} s")
+            return HttpNoAnswer(
+                is_unsent=False, detail=f"no answer in {silence_s or timeout_s:.2f} s"
+            )
         except (ConnectionLostError, ValueError) as error:
             return _lost(error, is_unsent=False)
         finally:
@@ -213,8 +215,8 @@
             self._purge_later()
 
 
-def _lost(error: Exception, *, is_unsent: bool) -> HttpLost:
-    return HttpLost(is_unsent=is_unsent, detail=repr(error)[:MOST_DETAIL_CHARACTERS])
+def _lost(error: Exception, *, is_unsent: bool) -> HttpNoAnswer:
+    return HttpNoAnswer(is_unsent=is_unsent, detail=repr(error)[:MOST_DETAIL_CHARACTERS])
 
 
 def _decode(raw: bytes) -> dict[str, Any]:
--- a/src/shallotworks/platform/_machines.py
+++ b/src/shallotworks/platform/_machines.py
@@ -12,7 +12,7 @@
 from shallotworks.scheduling import Machine, MachineOrderStatus, MachineState, Permits
 
 from ._fields import UNREADABLE, number, rows, text
-from ._http import HttpAnswer, HttpClient, HttpLost
+from ._http import HttpAnswer, HttpClient, HttpNoAnswer
 
 __all__ = ["PlatformAdvice", "PlatformMachines"]
 
@@ -55,7 +55,7 @@
         path = "/v1/machines"
         while True:
             answer = await self._client.call("GET", path, timeout_s=CALL_S)
-            if isinstance(answer, HttpLost) or answer.status != 200:
+            if isinstance(answer, HttpNoAnswer) or answer.status != 200:
                 return Err(Failure(kind=ErrorKind.UNREACHABLE, reason=f"machines: {answer}"))
             try:
                 machines.extend(_decode_machines(answer.body["machines"]))
@@ -81,7 +81,7 @@
             "Shallotworks-Fencing-Token": str(token),
         }
         answer = await self._client.call("POST", path, body=body, headers=headers, timeout_s=CALL_S)
-        if isinstance(answer, HttpLost):
+        if isinstance(answer, HttpNoAnswer):
             return MachineOrderStatus.REFUSED if answer.is_unsent else MachineOrderStatus.UNANSWERED
         if answer.status == 409:
             return _REASONS.get(str(answer.body.get("reason", "")), MachineOrderStatus.BUSY)
--- a/src/shallotworks/platform/_store.py
+++ b/src/shallotworks/platform/_store.py
@@ -23,7 +23,7 @@
 )
 
 from ._fields import UNREADABLE, rows, table, text, whole
-from ._http import HttpAnswer, HttpClient, HttpLost
+from ._http import HttpAnswer, HttpClient, HttpNoAnswer
 
 __all__ = ["UNREADABLE_VALUE", "PlatformStore"]
 
@@ -181,7 +181,7 @@
         body: dict[str, Any] | None = None,
         timeout_s: float = CALL_S,
         silence_s: float | None = None,
-    ) -> HttpAnswer | HttpLost:
+    ) -> HttpAnswer | HttpNoAnswer:
         sent_s = time.monotonic()
         answer = await self._client.call(
             method, path, body=body, timeout_s=timeout_s, silence_s=silence_s
@@ -200,14 +200,14 @@
 
 
 def _read(
-    answer: HttpAnswer | HttpLost,
+    answer: HttpAnswer | HttpNoAnswer,
     decode: Any,
     *,
     status: int = 200,
     lost: ErrorKind = ErrorKind.STORE_UNAVAILABLE,
     unreadable: ErrorKind = ErrorKind.STORE_UNAVAILABLE,
 ) -> Result[Any, Failure]:
-    if isinstance(answer, HttpLost):
+    if isinstance(answer, HttpNoAnswer):
         kind = ErrorKind.STORE_UNAVAILABLE if answer.is_unsent else lost
         return Err(_failure(kind, answer.detail))
     if answer.status == status:
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -23,7 +23,7 @@
 from shallotworks.store import Item
 
 from ._fields import UNREADABLE, number, rows, text, whole
-from ._http import HttpAnswer, HttpClient, HttpLost
+from ._http import HttpAnswer, HttpClient, HttpNoAnswer
 from ._worker_entries import EntryFault, decode_entry
 
 __all__ = ["REGISTRY_PREFIX", "PlatformOrders", "WorkerRegistry"]
@@ -135,7 +135,7 @@
             timeout_s=timeout_s,
             headers={INCARNATION_HEADER: worker.worker_id},
         )
-        if isinstance(answer, HttpLost):
+        if isinstance(answer, HttpNoAnswer):
             order_status = OrderStatus.UNSENT if answer.is_unsent else OrderStatus.UNANSWERED
             return OrderOutcome(status=order_status, detail=answer.detail)
         return _outcome(answer, is_look)
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -7,7 +7,7 @@
 
 from parameterized import parameterized
 
-from shallotworks.platform._http import HttpAnswer, HttpClient, HttpLost
+from shallotworks.platform._http import HttpAnswer, HttpClient, HttpNoAnswer
 from shallotworks.platform._http_connection import Connection
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -131,7 +131,7 @@
 
         async def scenario(_server: Server, client: HttpClient) -> None:
             answer = await client.call("GET", "/", timeout_s=2.0)
-            assert isinstance(answer, HttpLost), answer
+            assert isinstance(answer, HttpNoAnswer), answer
             self.assertFalse(answer.is_unsent)
 
         play(serve, scenario)
@@ -189,7 +189,7 @@
             await asyncio.gather(*both)
             silent.update((0, 1))
             lost = await client.call("GET", "/", timeout_s=0.2)
-            assert isinstance(lost, HttpLost), lost
+            assert isinstance(lost, HttpNoAnswer), lost
             self.assertFalse(lost.is_unsent)
             self.assertIsInstance(await client.call("GET", "/", timeout_s=0.5), HttpAnswer)
             self.assertEqual(3, server.connections)
@@ -211,7 +211,7 @@
             loop = asyncio.get_running_loop()
             began_s = loop.time()
             answer = await client.call("GET", "/", timeout_s=5.0, silence_s=0.3)
-            self.assertIsInstance(answer, HttpLost)
+            self.assertIsInstance(answer, HttpNoAnswer)
             self.assertTrue(0.4 < loop.time() - began_s < 1.5)
 
         play(serve, scenario)
@@ -249,7 +249,7 @@
         async def scenario(server: Server, client: HttpClient) -> None:
             await server.stop()
             answer = await client.call("GET", "/", timeout_s=1.0)
-            assert isinstance(answer, HttpLost), answer
+            assert isinstance(answer, HttpNoAnswer), answer
             self.assertTrue(answer.is_unsent)
 
         play(answer_all, scenario)
@@ -291,7 +291,7 @@
             answers = await asyncio.gather(
                 *(client.call("GET", "/", timeout_s=0.3) for _ in range(60))
             )
-            self.assertTrue(all(isinstance(answer, HttpLost) for answer in answers))
+            self.assertTrue(all(isinstance(answer, HttpNoAnswer) for answer in answers))
             self.assertLess(loop.time() - began_s, 1.0)
 
         play(serve, scenario)
@@ -336,7 +336,7 @@
 
         async def scenario(server: Server, client: HttpClient) -> None:
             answer = await client.call("GET", path, timeout_s=1.0, headers=headers)
-            assert isinstance(answer, HttpLost), answer
+            assert isinstance(answer, HttpNoAnswer), answer
             self.assertTrue(answer.is_unsent)
             self.assertEqual(0, server.connections)
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -11,7 +11,7 @@
 
 from shallotworks.errors import ErrorKind
 from shallotworks.metrics import Metrics
-from shallotworks.platform._http import HttpClient, HttpLost
+from shallotworks.platform._http import HttpClient, HttpNoAnswer
 from shallotworks.platform._store import PlatformStore
 from shallotworks.standins import FaultInjectingStore, RecordStore, StoreServer
 from shallotworks.store import Commit, Committed, Condition, Conflicted, Deletion, Item, Write
@@ -195,7 +195,7 @@
             call = asyncio.create_task(client.call("GET", "/", timeout_s=5.0))
             await asyncio.sleep(0.05)
             await client.close()
-            self.assertIsInstance(await call, HttpLost)
+            self.assertIsInstance(await call, HttpNoAnswer)
             for writer in writers:
                 writer.close()
             server.close()
