--- a/src/shallotworks/platform/_worker_entries.py
+++ b/src/shallotworks/platform/_worker_entries.py
@@ -16,7 +16,7 @@
 
 from ._fields import UNREADABLE, number, rows, table, text, whole
 
-__all__ = ["EntryFault", "FaultKind", "decode_entry"]
+__all__ = ["EntryProblem", "EntryProblemKind", "decode_entry"]
 
 MOST_MILLICORES = 10_000_000
 MOST_MEMORY_MB = 100_000_000
@@ -33,7 +33,7 @@
 
 
 @unique
-class FaultKind(Enum):
+class EntryProblemKind(Enum):
     """Why an entry names no worker to use."""
 
     BAD_ID = "bad-id"
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class EntryFault:
+class EntryProblem:
     """What is wrong with an entry.
 
     It holds nothing of the entry's values, so that a fault which is written again and again, with
@@ -57,19 +57,19 @@
         field: The field at fault, parts of a table after a dot; empty for the entry as a whole.
     """
 
-    kind: FaultKind
+    kind: EntryProblemKind
     field: str = ""
 
 
 class _FaultyEntryError(ValueError):
     """An entry can't be decoded; never leaves this module."""
 
-    def __init__(self, kind: FaultKind, field: str = "") -> None:
+    def __init__(self, kind: EntryProblemKind, field: str = "") -> None:
         super().__init__(kind, field)
-        self.fault = EntryFault(kind=kind, field=field)
+        self.fault = EntryProblem(kind=kind, field=field)
 
 
-def decode_entry(worker_id: str, value: bytes) -> Result[WorkerView, EntryFault]:
+def decode_entry(worker_id: str, value: bytes) -> Result[WorkerView, EntryProblem]:
     """Decode the entry of a worker.
 
     The failure: tasks are given to a worker that does not exist, or that is not one of ours, since
@@ -83,7 +83,7 @@
     """
     try:
         if not _WORKER_ID.fullmatch(worker_id):
-            raise _FaultyEntryError(FaultKind.BAD_ID)
+            raise _FaultyEntryError(EntryProblemKind.BAD_ID)
         entry = _read_fields(_load(value), _ENTRY)
     except _FaultyEntryError as error:
         return Err(error.fault)
@@ -111,9 +111,9 @@
             value.decode(), object_pairs_hook=_unique_fields, parse_constant=_refuse_constant
         )
     except UNREADABLE:
-        raise _FaultyEntryError(FaultKind.NOT_JSON) from None
+        raise _FaultyEntryError(EntryProblemKind.NOT_JSON) from None
     if not isinstance(decoded, dict):
-        raise _FaultyEntryError(FaultKind.WRONG_TYPE)
+        raise _FaultyEntryError(EntryProblemKind.WRONG_TYPE)
     return decoded
 
 
@@ -140,11 +140,11 @@
     for name, reader in readers.items():
         field = prefix + name
         if name not in given:
-            raise _FaultyEntryError(FaultKind.MISSING, field)
+            raise _FaultyEntryError(EntryProblemKind.MISSING, field)
         try:
             read[name] = reader(given[name], field)
         except TypeError:
-            raise _FaultyEntryError(FaultKind.WRONG_TYPE, field) from None
+            raise _FaultyEntryError(EntryProblemKind.WRONG_TYPE, field) from None
     return read
 
 
@@ -162,27 +162,27 @@
 
 def _name(value: Any, field: str) -> str:
     if not text(value):
-        raise _FaultyEntryError(FaultKind.OUT_OF_RANGE, field)
+        raise _FaultyEntryError(EntryProblemKind.OUT_OF_RANGE, field)
     return str(value)
 
 
 def _address(value: Any, field: str) -> str:
     match = _ADDRESS.fullmatch(text(value))
     if match is None or not 0 < int(match[1]) <= HIGHEST_PORT:
-        raise _FaultyEntryError(FaultKind.OUT_OF_RANGE, field)
+        raise _FaultyEntryError(EntryProblemKind.OUT_OF_RANGE, field)
     return str(value)
 
 
 def _state(value: Any, field: str) -> str:
     if text(value) not in (READY, DRAINING):
-        raise _FaultyEntryError(FaultKind.UNKNOWN_STATE, field)
+        raise _FaultyEntryError(EntryProblemKind.UNKNOWN_STATE, field)
     return str(value)
 
 
 def _up_to(most: int) -> _Reader:
     def read(value: Any, field: str) -> int:
         if not 0 <= whole(value) <= most:
-            raise _FaultyEntryError(FaultKind.OUT_OF_RANGE, field)
+            raise _FaultyEntryError(EntryProblemKind.OUT_OF_RANGE, field)
         return int(value)
 
     return read
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -24,7 +24,7 @@
 
 from ._fields import UNREADABLE, number, rows, text, whole
 from ._http import HttpAnswer, HttpClient, HttpNoAnswer
-from ._worker_entries import EntryFault, decode_entry
+from ._worker_entries import EntryProblem, decode_entry
 
 __all__ = ["REGISTRY_PREFIX", "PlatformOrders", "WorkerRegistry"]
 
@@ -227,7 +227,7 @@
     def __init__(self, *, log: StructuredLog) -> None:
         self._log = log
         self._workers: dict[str, WorkerView] = {}
-        self._faults: dict[str, EntryFault] = {}
+        self._faults: dict[str, EntryProblem] = {}
         self.is_synced = False
         self.version = 0
 
@@ -261,7 +261,7 @@
             state = "draining" if view.is_draining else "ready"
             self._log.line("worker-listed", worker=view.worker_id, state=state, revision=revision)
 
-    def _refuse(self, worker_id: str, fault: EntryFault, revision: int) -> None:
+    def _refuse(self, worker_id: str, fault: EntryProblem, revision: int) -> None:
         earlier = self._workers.pop(worker_id, None)
         self.version += earlier is not None
         # Entries are written anew every second or two: the same fault again is no news.
