--- a/src/shallotworks/peers/_network.py
+++ b/src/shallotworks/peers/_network.py
@@ -337,7 +337,7 @@
                     stream=stream,
                     member=self._table.own,
                     keys=self._settings.keys,
-                    spoken=self._settings.spoken,
+                    supported_versions=self._settings.supported_versions,
                 )
         except ShallotworksError as error:
             self._metrics.count(f"peers.handshakes.refused.{error.failure.kind.value}")
--- a/src/shallotworks/peers/_settings.py
+++ b/src/shallotworks/peers/_settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from shallotworks.protocol import SPOKEN, FleetKeys, VersionRange
+from shallotworks.protocol import SUPPORTED_VERSIONS, FleetKeys, VersionRange
 
 __all__ = ["PeerSettings", "PeerTiming"]
 
@@ -64,7 +64,7 @@
         keys: The fleet's keys.
         seeds: Addresses to dial first, in any data centre.
         timing: Intervals, waits and bounds.
-        spoken: Versions of the protocol to speak.
+        supported_versions: Versions of the protocol to speak.
     """
 
     name: str
@@ -74,4 +74,4 @@
     keys: FleetKeys
     seeds: tuple[str, ...] = ()
     timing: PeerTiming = field(default_factory=PeerTiming)
-    spoken: VersionRange = SPOKEN
+    supported_versions: VersionRange = SUPPORTED_VERSIONS
--- a/src/shallotworks/protocol/__init__.py
+++ b/src/shallotworks/protocol/__init__.py
@@ -13,7 +13,7 @@
     FrameReader,
     FrameWriter,
 )
-from ._handshake import SPOKEN, Session, VersionRange, accept, dial, negotiate
+from ._handshake import SUPPORTED_VERSIONS, Session, VersionRange, accept, dial, negotiate
 from ._keys import FleetKeys, load_keys
 from ._messages import (
     NO_RELAY_SLOT,
@@ -34,7 +34,7 @@
     "GREETING_LIMIT_BYTES",
     "MESSAGE_LIMIT_BYTES",
     "NO_RELAY_SLOT",
-    "SPOKEN",
+    "SUPPORTED_VERSIONS",
     "ByteStream",
     "Entries",
     "EntriesRequest",
--- a/src/shallotworks/protocol/_handshake.py
+++ b/src/shallotworks/protocol/_handshake.py
@@ -19,7 +19,7 @@
 from ._keys import FleetKeys
 from ._messages import Hello, MemberRecord, Message, Proof
 
-__all__ = ["SPOKEN", "Session", "VersionRange", "accept", "dial", "negotiate"]
+__all__ = ["SUPPORTED_VERSIONS", "Session", "VersionRange", "accept", "dial", "negotiate"]
 
 NONCE_BYTES = 16
 DIALLER = b"dialler"
@@ -36,7 +36,7 @@
     highest: int
 
 
-SPOKEN = VersionRange(lowest=1, highest=1)
+SUPPORTED_VERSIONS = VersionRange(lowest=1, highest=1)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -73,7 +73,11 @@
 
 
 async def dial(
-    *, stream: ByteStream, member: MemberRecord, keys: FleetKeys, spoken: VersionRange = SPOKEN
+    *,
+    stream: ByteStream,
+    member: MemberRecord,
+    keys: FleetKeys,
+    supported_versions: VersionRange = SUPPORTED_VERSIONS,
 ) -> Session:
     """Greet as the end that opened the connection.
 
@@ -83,11 +87,11 @@
         OSError: The connection broke.
     """
     reader, writer = FrameReader(stream=stream), FrameWriter(stream=stream)
-    sent = encode(_hello(member, spoken))
+    sent = encode(_hello(member, supported_versions))
     await writer.write_encoded(sent)
     received = await reader.read_encoded(limit_bytes=GREETING_LIMIT_BYTES)
     hello = _expect(received, Hello)
-    version = negotiate(spoken, _range(hello))
+    version = negotiate(supported_versions, _range(hello))
     transcript = sent + received
     key = await _check_proof(reader, keys, LISTENER, transcript)
     await writer.write(Proof(digest=keys.prove(key=key, role=DIALLER, transcript=transcript)))
@@ -96,15 +100,19 @@
 
 
 async def accept(
-    *, stream: ByteStream, member: MemberRecord, keys: FleetKeys, spoken: VersionRange = SPOKEN
+    *,
+    stream: ByteStream,
+    member: MemberRecord,
+    keys: FleetKeys,
+    supported_versions: VersionRange = SUPPORTED_VERSIONS,
 ) -> Session:
     """Greet as the end that was dialled; raises as `dial` does."""
     reader, writer = FrameReader(stream=stream), FrameWriter(stream=stream)
     received = await reader.read_encoded(limit_bytes=GREETING_LIMIT_BYTES)
     hello = _expect(received, Hello)
-    sent = encode(_hello(member, spoken))
+    sent = encode(_hello(member, supported_versions))
     await writer.write_encoded(sent)
-    version = negotiate(spoken, _range(hello))
+    version = negotiate(supported_versions, _range(hello))
     transcript = received + sent
     offered = keys.prove(key=keys.keys[0], role=LISTENER, transcript=transcript)
     await writer.write(Proof(digest=offered))
@@ -113,10 +121,10 @@
     return Session(member=hello.member, version=version, reader=reader, writer=writer)
 
 
-def _hello(member: MemberRecord, spoken: VersionRange) -> Hello:
+def _hello(member: MemberRecord, supported_versions: VersionRange) -> Hello:
     return Hello(
-        lowest_version=spoken.lowest,
-        highest_version=spoken.highest,
+        lowest_version=supported_versions.lowest,
+        highest_version=supported_versions.highest,
         member=member,
         nonce=secrets.token_bytes(NONCE_BYTES),
     )
