--- a/bench/_peer_nodes.py
+++ b/bench/_peer_nodes.py
@@ -111,7 +111,7 @@
                 region="r",
                 keys=KEYS,
                 seeds=seeds,
-                timing=timing or PeerTiming(connect_within_s=10.0),
+                timing=timing or PeerTiming(connect_timeout_s=10.0),
             ),
             replica=self.config,
             metrics=metrics,
--- a/src/shallotworks/peers/_distribution.py
+++ b/src/shallotworks/peers/_distribution.py
@@ -180,7 +180,7 @@
         # While a snapshot arrives each new entry leaves a gap; asking would start it over.
         if self._parts or now_s < max(self._asked_until_s, link.ask_after_s):
             return
-        self._asked_until_s = now_s + self._timing.reply_within_s
+        self._asked_until_s = now_s + self._timing.reply_timeout_s
         link = self._nearest(link)
         held = self._replica.revision()
         whole = held == 0 or link.revision - held > SNAPSHOT_GAP
--- a/src/shallotworks/peers/_link.py
+++ b/src/shallotworks/peers/_link.py
@@ -217,7 +217,7 @@
         if self._reply_due:
             return
         self._reply_due = True
-        self._deadline_s = min(self._deadline_s, _now_s() + self._timing.reply_within_s)
+        self._deadline_s = min(self._deadline_s, _now_s() + self._timing.reply_timeout_s)
         if self._patience is not None and not self._patience.expired():
             self._patience.reschedule(self._deadline_s)
 
--- a/src/shallotworks/peers/_network.py
+++ b/src/shallotworks/peers/_network.py
@@ -316,7 +316,7 @@
     async def _dial(self, address: str) -> asyncio.Task[None] | None:
         """Dial an address; returns the task that serves the connection, or nothing."""
         try:
-            async with asyncio.timeout(self._settings.timing.connect_within_s):
+            async with asyncio.timeout(self._settings.timing.connect_timeout_s):
                 stream = await self._transport.connect(address)
         except (OSError, ValueError, TimeoutError):
             self._metrics.count("peers.dials.failed")
@@ -332,7 +332,7 @@
     async def _greet(self, stream: ByteStream, *, dialled: bool) -> Session | None:
         greet = dial if dialled else accept
         try:
-            async with asyncio.timeout(self._settings.timing.connect_within_s):
+            async with asyncio.timeout(self._settings.timing.connect_timeout_s):
                 return await greet(
                     stream=stream,
                     member=self._table.own,
--- a/src/shallotworks/peers/_settings.py
+++ b/src/shallotworks/peers/_settings.py
@@ -21,9 +21,9 @@
         suspect_after_s: Time without a sign of life after which a member is suspect.
         remove_after_s: Time without one after which it no longer counts as live.
         forget_after_s: Time without one after which it is no longer dialled.
-        reply_within_s: Wait for any message after entries were sent, before the connection is
+        reply_timeout_s: Wait for any message after entries were sent, before the connection is
             taken for silent.
-        connect_within_s: Wait for a connection, and again for its handshake.
+        connect_timeout_s: Wait for a connection, and again for its handshake.
         backoff_base_s: Longest wait before the first redial; doubles with each failure.
         backoff_cap_s: Longest wait before any redial.
         settle_s: Time after the start in which this process takes no duty while peers may answer.
@@ -40,8 +40,8 @@
     suspect_after_s: float = 4.5
     remove_after_s: float = 9.0
     forget_after_s: float = 900.0
-    reply_within_s: float = 1.5
-    connect_within_s: float = 1.0
+    reply_timeout_s: float = 1.5
+    connect_timeout_s: float = 1.0
     backoff_base_s: float = 0.2
     backoff_cap_s: float = 2.0
     settle_s: float = 3.0
