--- a/src/shallotworks/node/_backend.py
+++ b/src/shallotworks/node/_backend.py
@@ -21,7 +21,7 @@
 from shallotworks.requests import PoolDispatcher
 from shallotworks.settings import Settings
 
-__all__ = ["NodeBackend", "Parts"]
+__all__ = ["NodeBackend", "BackendDependencies"]
 
 _STATES = {
     MemberState.ALIVE: PeerState.UP,
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Parts:
+class BackendDependencies:
     """The parts that operators look into.
 
     Args:
@@ -63,51 +63,51 @@
     """Implements `shallotworks.operators.OperatorBackend` over the parts of one node.
 
     Args:
-        parts: The parts.
+        dependencies: The parts.
     """
 
-    __slots__ = ("_parts",)
+    __slots__ = ("_dependencies",)
 
-    def __init__(self, *, parts: Parts) -> None:
-        self._parts = parts
+    def __init__(self, *, dependencies: BackendDependencies) -> None:
+        self._dependencies = dependencies
 
     async def status(self) -> StatusView:
         """Return how the instance is doing."""
-        parts = self._parts
-        own = parts.settings.instance
-        revisions = parts.peers.linked_revisions()
-        age_s = parts.config.age_s()
-        fault = parts.config.fault()
+        dependencies = self._dependencies
+        own = dependencies.settings.instance
+        revisions = dependencies.peers.linked_revisions()
+        age_s = dependencies.config.age_s()
+        fault = dependencies.config.fault()
         return StatusView(
             process=own.name,
             version=__version__,
             data_centre=own.data_centre,
             region=own.region,
-            uptime_s=asyncio.get_running_loop().time() - parts.started_at_s,
-            stopping=parts.is_stopping(),
-            revision=parts.config.revision(),
+            uptime_s=asyncio.get_running_loop().time() - dependencies.started_at_s,
+            stopping=dependencies.is_stopping(),
+            revision=dependencies.config.revision(),
             config_age_s=age_s if math.isfinite(age_s) else None,
-            store_up=parts.is_store_up(),
+            store_up=dependencies.is_store_up(),
             store_fault=fault.reason if fault is not None else "",
-            requests_queued=parts.dispatcher.waiting,
-            requests_in_flight=parts.dispatcher.in_flight,
-            duties=parts.duties(),
-            peers=tuple(_peer_view(member, revisions) for member in parts.peers.members()),
+            requests_queued=dependencies.dispatcher.waiting,
+            requests_in_flight=dependencies.dispatcher.in_flight,
+            duties=dependencies.duties(),
+            peers=tuple(_peer_view(member, revisions) for member in dependencies.peers.members()),
         )
 
     async def fleet(self) -> FleetState:
         """Return the state in force here."""
-        return self._parts.config.state()
+        return self._dependencies.config.state()
 
     async def propose_change(self, change: Change, *, operator: str) -> Result[Accepted, Failure]:
         """Append one change to the configuration log."""
-        return await self._parts.config.propose(change, author=operator)
+        return await self._dependencies.config.propose(change, author=operator)
 
     async def changes_after(
         self, revision: int, *, limit: int
     ) -> Result[tuple[Entry, ...], Failure]:
         """Return accepted changes that follow a revision, oldest first."""
-        entries = self._parts.config.entries_after(revision, limit=limit)
+        entries = self._dependencies.config.entries_after(revision, limit=limit)
         if entries is None:
             reason = f"changes that follow revision {revision} are not kept any more"
             return Err(Failure(kind=ErrorKind.NOT_FOUND, reason=reason))
@@ -115,36 +115,36 @@
 
     async def restore_store(self, *, operator: str) -> Result[int, Failure]:
         """Write the state held here into a store that came back empty or older."""
-        return await self._parts.config.restore_store()
+        return await self._dependencies.config.restore_store()
 
     async def propose_plan(self, intent: Intent, *, operator: str) -> Result[PlanView, Failure]:
         """Work out a plan for an intent and store it; nothing acts on it."""
-        planned = await self._parts.plan_registry.propose(intent, author=operator)
+        planned = await self._dependencies.plan_registry.propose(intent, author=operator)
         return planned.map(self._view)
 
     async def plans(self) -> Result[tuple[PlanView, ...], Failure]:
         """Return proposals and confirmed plans, by base revision."""
-        listed = await self._parts.plan_registry.list()
+        listed = await self._dependencies.plan_registry.list()
         return listed.map(lambda plans: tuple(self._view(entry.plan) for entry in plans))
 
     async def plan(self, digest: str) -> Result[PlanView, Failure]:
         """Return one plan by its digest or the unambiguous beginning of it."""
-        found = await self._parts.plan_registry.show(digest)
+        found = await self._dependencies.plan_registry.show(digest)
         return found.map(self._view)
 
     async def confirm_plan(self, digest: str, *, operator: str) -> Result[PlanView, Failure]:
         """Confirm a proposal."""
-        confirmed = await self._parts.plan_registry.confirm(digest, operator=operator)
+        confirmed = await self._dependencies.plan_registry.confirm(digest, operator=operator)
         return await self._view_of(confirmed)
 
     async def cancel_plan(self, digest: str, *, operator: str) -> Result[PlanView, Failure]:
         """Cancel a confirmed plan."""
-        cancelled = await self._parts.plan_registry.cancel(digest, operator=operator)
+        cancelled = await self._dependencies.plan_registry.cancel(digest, operator=operator)
         return await self._view_of(cancelled)
 
     async def metrics(self) -> FrozenMetrics:
         """Return a copy of all metrics."""
-        return self._parts.metrics.freeze()
+        return self._dependencies.metrics.freeze()
 
     async def _view_of(self, record: Result[PlanRecord, Failure]) -> Result[PlanView, Failure]:
         if not isinstance(record, Success):
@@ -152,7 +152,7 @@
         return await self.plan(record.unwrap().digest)
 
     def _view(self, plan: Plan) -> PlanView:
-        state = self._parts.config.state()
+        state = self._dependencies.config.state()
         return plan_view(plan, state.plans.get(plan.digest), state)
 
 
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -37,7 +37,7 @@
 
 from . import _limits
 from ._acknowledgements import PeerAcknowledgements
-from ._backend import NodeBackend, Parts
+from ._backend import BackendDependencies, NodeBackend
 from ._duty import LeaseDuty
 from ._leaving import LeavingWatch
 
@@ -277,7 +277,7 @@
         )
 
     def _build_operators(self) -> None:
-        parts = Parts(
+        dependencies = BackendDependencies(
             settings=self._settings,
             config=self.config,
             peers=self.peers,
@@ -293,7 +293,7 @@
             settings=self._settings.operators,
             process=self._settings.instance.name,
             loop=self._loop,
-            backend=NodeBackend(parts=parts),
+            backend=NodeBackend(dependencies=dependencies),
             timeline=self.timeline,
             metrics=self.metrics,
         )
