--- a/src/shallotworks/node/_leaving.py
+++ b/src/shallotworks/node/_instance_list_watcher.py
@@ -13,7 +13,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.requests import PoolDispatcher
 
-__all__ = ["LeavingWatch"]
+__all__ = ["InstanceListWatcher"]
 
 POLL_S = 1.0
 """Pause between two reads of the list where one process reads it."""
@@ -21,7 +21,7 @@
 """Pause before a process that does not read asks again whether it should."""
 
 
-class LeavingWatch:
+class InstanceListWatcher:
     """Reads the platform's list of instances and acts on it.
 
     Only the few processes that watch the store read the list, so that its calls do not grow with
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -39,7 +39,7 @@
 from ._acknowledgements import PeerAcknowledgements
 from ._backend import BackendDependencies, NodeBackend
 from ._duty import LeaseDuty
-from ._leaving import LeavingWatch
+from ._instance_list_watcher import InstanceListWatcher
 
 __all__ = ["Node"]
 
@@ -234,7 +234,7 @@
             receive_timeout_s=callers.header_timeout_s,
             stop_timeout_s=self._settings.log.stop_timeout_s,
         )
-        self._leaving = LeavingWatch(
+        self._leaving = InstanceListWatcher(
             data_centre=self._settings.instance.data_centre,
             instances=self._instances,
             view=self.config,
--- a/tests/test_leaving.py
+++ b/tests/test_instance_list_watcher.py
@@ -17,7 +17,7 @@
 from shallotworks.fleet import Change, FleetState, Instance, SetHealth
 from shallotworks.kv import ListedInstance
 from shallotworks.metrics import Metrics
-from shallotworks.node._leaving import LeavingWatch
+from shallotworks.node._instance_list_watcher import InstanceListWatcher
 
 Listing = tuple[tuple[str, bool], ...]
 
@@ -73,7 +73,7 @@
         self.leaving = names
 
 
-class LeavingWatchTests(unittest.TestCase):
+class InstanceListWatcherTests(unittest.TestCase):
     @parameterized.expand(
         [
             ("nothing new", {"b1": True}, [(("b1", False),)], [], set()),
@@ -96,7 +96,7 @@
         """Only a change of one's own data centre's instances is put into the configuration."""
         config = _Config(healthy)
         dispatcher = _Dispatcher()
-        watch = LeavingWatch(
+        watch = InstanceListWatcher(
             data_centre="bergen",
             instances=_List(list(listings)),
             view=config,
@@ -117,7 +117,7 @@
         self.assertEqual(dispatcher.leaving, frozenset(leaving))
 
 
-async def _run_for(watch: LeavingWatch, *, seconds: float) -> None:
+async def _run_for(watch: InstanceListWatcher, *, seconds: float) -> None:
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
             await watch.run()
