--- a/src/shallotworks/config/_snapshots.py
+++ b/src/shallotworks/config/_snapshots.py
@@ -185,7 +185,7 @@
     if present is None:
         outcome = await store.create(POINTER_KEY, value)
     else:
-        outcome = await store.swap(POINTER_KEY, value, version=present.version)
+        outcome = await store.compare_and_swap(POINTER_KEY, value, version=present.version)
     if isinstance(outcome, Success):
         return Success(pointer)
     if outcome.failure().kind is not ErrorKind.OUTCOME_UNKNOWN:
--- a/src/shallotworks/kv/_http_store.py
+++ b/src/shallotworks/kv/_http_store.py
@@ -107,7 +107,9 @@
         body = wire.CreateCall(key=key, value=value, lease_id=lease_id)
         return _version(await self._write(CREATE, wire.CREATE_PATH, body, wire.WRITTEN))
 
-    async def swap(self, key: str, value: bytes, *, version: int) -> Result[int, Failure]:
+    async def compare_and_swap(
+        self, key: str, value: bytes, *, version: int
+    ) -> Result[int, Failure]:
         """Write a key that still has this version; else ``CONFLICT``. Returns the new version."""
         body = wire.SwapCall(key=key, value=value, version=version)
         return _version(await self._write(SWAP, wire.SWAP_PATH, body, wire.WRITTEN))
--- a/src/shallotworks/kv/_protocols.py
+++ b/src/shallotworks/kv/_protocols.py
@@ -110,7 +110,9 @@
         """Create a key; ``CONFLICT`` where it exists. Returns its version."""
         ...
 
-    async def swap(self, key: str, value: bytes, *, version: int) -> Result[int, Failure]:
+    async def compare_and_swap(
+        self, key: str, value: bytes, *, version: int
+    ) -> Result[int, Failure]:
         """Write a key that still has this version; else ``CONFLICT``. Returns the new version."""
         ...
 
--- a/src/shallotworks/requests/_claim_ledger.py
+++ b/src/shallotworks/requests/_claim_ledger.py
@@ -140,7 +140,9 @@
         if ending.record is None:
             kind = _kind_of(await self._store.delete(key, version=version))
         else:
-            kind = _kind_of(await self._store.swap(key, ending.record.encode(), version=version))
+            kind = _kind_of(
+                await self._store.compare_and_swap(key, ending.record.encode(), version=version)
+            )
         if kind is None:
             self._forget(key, ending)
             return True
--- a/src/shallotworks/requests/_idempotency.py
+++ b/src/shallotworks/requests/_idempotency.py
@@ -292,7 +292,9 @@
         holds the key. It shows as two runs. Only a write over the very version that was read
         proves that the record still stands.
         """
-        swapped = await self._store.swap(present.key, mine.encode(), version=present.version)
+        swapped = await self._store.compare_and_swap(
+            present.key, mine.encode(), version=present.version
+        )
         if isinstance(swapped, Success):
             self._ledger.drop_ending(present.key)
             return self._claimed(request, mine, swapped.unwrap(), floor)
--- a/src/shallotworks/standins/_memory_store.py
+++ b/src/shallotworks/standins/_memory_store.py
@@ -164,7 +164,9 @@
             return _down()
         return await self._finish_write(self._create(key, value, lease_id))
 
-    async def swap(self, key: str, value: bytes, *, version: int) -> Result[int, Failure]:
+    async def compare_and_swap(
+        self, key: str, value: bytes, *, version: int
+    ) -> Result[int, Failure]:
         """Write a key that still has this version; else ``CONFLICT``. Returns the new version."""
         self.calls["swap"] += 1
         if not await self._arrive():
--- a/src/shallotworks/standins/_platform_routes.py
+++ b/src/shallotworks/standins/_platform_routes.py
@@ -147,7 +147,9 @@
 
     async def _swap(self, call: HttpCall) -> HttpAnswer:
         body = _SWAP.validate_json(call.body)
-        return _written(await self.store.swap(body.key, body.value, version=body.version))
+        return _written(
+            await self.store.compare_and_swap(body.key, body.value, version=body.version)
+        )
 
     async def _delete(self, call: HttpCall) -> HttpAnswer:
         body = _DELETE.validate_json(call.body)
--- a/tests/test_http_store.py
+++ b/tests/test_http_store.py
@@ -33,8 +33,8 @@
     said: list[object] = [await store.get("a")]
     said.append(await store.create("a/1", b"\x00\xff"))
     said.append(await store.create("a/1", b"again"))
-    said.append(await store.swap("a/1", b"two", version=1))
-    said.append(await store.swap("a/1", b"three", version=1))
+    said.append(await store.compare_and_swap("a/1", b"two", version=1))
+    said.append(await store.compare_and_swap("a/1", b"three", version=1))
     said.append(await store.create("a/2", b""))
     said.append(await store.list("a/", after_key="a/1", limit=5))
     said.append(await store.watch("a/", after_version=2, wait_s=1))
--- a/tests/test_memory_store.py
+++ b/tests/test_memory_store.py
@@ -34,10 +34,10 @@
             store = MemoryStore()
             first = (await store.create("a", b"1")).unwrap()
             self.assertEqual(kind_of(await store.create("a", b"2")), ErrorKind.CONFLICT)
-            second = (await store.swap("a", b"2", version=first)).unwrap()
+            second = (await store.compare_and_swap("a", b"2", version=first)).unwrap()
             self.assertGreater(second, first)
             self.assertEqual(
-                kind_of(await store.swap("a", b"3", version=first)), ErrorKind.CONFLICT
+                kind_of(await store.compare_and_swap("a", b"3", version=first)), ErrorKind.CONFLICT
             )
             self.assertEqual(kind_of(await store.delete("a", version=first)), ErrorKind.CONFLICT)
             self.assertEqual((await store.get("a")).unwrap().value, b"2")
@@ -109,7 +109,7 @@
             store = MemoryStore()
             first = (await store.create("a", b"1")).unwrap()
             store.set_faults(StoreFaults(stale=True))
-            await store.swap("a", b"2", version=first)
+            await store.compare_and_swap("a", b"2", version=first)
             self.assertEqual((await store.get("a")).unwrap().value, b"1")
             store.set_faults(StoreFaults())
             self.assertEqual((await store.get("a")).unwrap().value, b"2")
