--- a/src/shallotworks/platform/_store.py
+++ b/src/shallotworks/platform/_store.py
@@ -167,7 +167,7 @@
             return Err(_failure(ErrorKind.LEASE_LOST, "the lease has ended"))
         return _read(answer, lambda body: None)
 
-    async def end_lease(self, lease_id: int) -> Result[None, Failure]:
+    async def revoke_lease(self, lease_id: int) -> Result[None, Failure]:
         """End a lease and delete its keys."""
         answer = await self._call("DELETE", f"/v1/kv-lease-end/{lease_id}", "end-lease")
         return _read(answer, lambda body: None)
--- a/src/shallotworks/standins/_record_store.py
+++ b/src/shallotworks/standins/_record_store.py
@@ -121,7 +121,7 @@
         now_s = asyncio.get_running_loop().time()
         over = [lease_id for lease_id, lease in self._leases.items() if lease.ends_s <= now_s]
         for lease_id in over:
-            self.end_lease(lease_id)
+            self.revoke_lease(lease_id)
 
     # ---- what callers do
 
@@ -165,7 +165,7 @@
         lease.ends_s = asyncio.get_running_loop().time() + lease.ttl_s
         return True
 
-    def end_lease(self, lease_id: int) -> None:
+    def revoke_lease(self, lease_id: int) -> None:
         """End a lease and delete its keys."""
         self._leases.pop(lease_id, None)
         for key in [key for key, item in self.items.items() if item.lease_id == lease_id]:
@@ -304,12 +304,12 @@
             return Err(Failure(kind=ErrorKind.LEASE_LOST, reason="the lease has ended"))
         return Success(None)
 
-    async def end_lease(self, lease_id: int) -> Result[None, Failure]:
+    async def revoke_lease(self, lease_id: int) -> Result[None, Failure]:
         """End a lease."""
         failure = await self._pass()
         if failure:
             return Err(failure)
-        self.store.end_lease(lease_id)
+        self.store.revoke_lease(lease_id)
         return Success(None)
 
     async def _carry_out_late(self, commit: Commit) -> None:
--- a/src/shallotworks/standins/_store_http.py
+++ b/src/shallotworks/standins/_store_http.py
@@ -86,7 +86,7 @@
             return granted.map(lambda number: answer_json({"lease": number, "ttlMs": ttl_ms}))
         number = int(request.path.rsplit("/", 1)[1])
         if request.method == "DELETE":
-            ended = await self.view.end_lease(number)
+            ended = await self.view.revoke_lease(number)
             return ended.map(lambda _: answer_json({}))
         renewed = await self.view.renew_lease(number)
         return renewed.map(lambda _: answer_json({"ttlMs": 1}))
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -140,7 +140,7 @@
                 log=log,
             )
         # Also where the outcome is unknown: a key that was created after all ends with its lease.
-        await store.end_lease(lease_id)
+        await store.revoke_lease(lease_id)
         if not isinstance(outcome, Success):
             log.line("duty-not-acquired", key=key, reason=str(outcome.failure()))
         return None
@@ -224,4 +224,4 @@
     async def release(self) -> None:
         """End the lease, so that a successor can begin at once."""
         self.mark_lost("released")
-        await self._store.end_lease(self._lease_id)
+        await self._store.revoke_lease(self._lease_id)
--- a/src/shallotworks/store/_protocols.py
+++ b/src/shallotworks/store/_protocols.py
@@ -164,6 +164,6 @@
         """Renew a lease; ``LEASE_LOST`` where it has ended."""
         ...
 
-    async def end_lease(self, lease_id: int) -> Result[None, Failure]:
+    async def revoke_lease(self, lease_id: int) -> Result[None, Failure]:
         """End a lease and delete its keys."""
         ...
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -162,7 +162,7 @@
             elector.serve({"antenna"})
             await asyncio.sleep(2.0)
             watched.is_late = True
-            store.end_lease(store.items["duty/antenna"].lease_id)
+            store.revoke_lease(store.items["duty/antenna"].lease_id)
             await asyncio.sleep(3.0)
             self.assertEqual(2, len(leases))
             watched.is_late = False
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -100,7 +100,7 @@
             write = Write(key="a/1", value=b"", lease_id=lease)
             await store.commit(Commit(writes=(write,)))
             self.assertIsInstance(await store.renew_lease(lease), Success)
-            await store.end_lease(lease)
+            await store.revoke_lease(lease)
             self.assertIsNone((await store.get("a/1")).unwrap())
             self.assertIs(ErrorKind.LEASE_LOST, (await store.renew_lease(lease)).failure().kind)
             late = await store.commit(Commit(writes=(write,)))
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -266,7 +266,7 @@
             store = RecordStore(rng=random.Random(1))
             lease = await acquire(FaultInjectingStore(store=store), key="key", marker_key="mark")
             keep = asyncio.create_task(lease.renew_until_lost())
-            store.end_lease(1)
+            store.revoke_lease(1)
             await asyncio.sleep(0.6)
             self.assertTrue(lease.lost_event.is_set())
             keep.cancel()
