--- a/bench/plans.py
+++ b/bench/plans.py
@@ -36,7 +36,7 @@
     precondition_digest,
 )
 from shallotworks.kv import LeaseCandidate
-from shallotworks.node._duty import LeaseDuty
+from shallotworks.node._plan_lease import StorePlanLease
 from shallotworks.plans import (
     Alternative,
     ConductorPolicy,
@@ -103,7 +103,7 @@
         self._ttl_s = ttl_s
         self._rng = random.Random(seed)
 
-    def plan_lease_of(self, digest: str, name: str) -> LeaseDuty:
+    def plan_lease_of(self, digest: str, name: str) -> StorePlanLease:
         """Return one process's duty of a plan, over its own way to the store."""
         self.stores[name] = ProcessStore(self.store)
         self.candidates[name] = LeaseCandidate(
@@ -115,7 +115,7 @@
             rng=self._rng,
             ttl_s=self._ttl_s,
         )
-        return LeaseDuty(candidate=self.candidates[name], is_eligible=lambda: True, held=set())
+        return StorePlanLease(candidate=self.candidates[name], is_eligible=lambda: True, held=set())
 
     async def crash(self, task: asyncio.Task[None], name: str) -> None:
         """End a conductor whose last words no longer reach the store."""
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -38,8 +38,8 @@
 from . import _limits
 from ._acknowledgements import PeerAcknowledgements
 from ._backend import BackendDependencies, NodeBackend
-from ._duty import LeaseDuty
 from ._instance_list_watcher import InstanceListWatcher
+from ._plan_lease import StorePlanLease
 
 __all__ = ["Node"]
 
@@ -326,7 +326,7 @@
             if self.peers.should_watch():
                 await self._plan_registry.prune()
 
-    def _duty(self, digest: str) -> LeaseDuty:
+    def _duty(self, digest: str) -> StorePlanLease:
         candidate = LeaseCandidate(
             store=self._store,
             duty=f"plan/{digest}",
@@ -336,7 +336,7 @@
             rng=self._rng,
             ttl_s=self._settings.plans.lease_ttl_s,
         )
-        return LeaseDuty(
+        return StorePlanLease(
             candidate=candidate,
             is_eligible=self.peers.should_watch,
             pause_factor=lambda: self._pause_factor(digest),
--- a/src/shallotworks/node/_duty.py
+++ b/src/shallotworks/node/_plan_lease.py
@@ -8,10 +8,10 @@
 
 from shallotworks.kv import LeaseCandidate
 
-__all__ = ["LeaseDuty"]
+__all__ = ["StorePlanLease"]
 
 
-class LeaseDuty:
+class StorePlanLease:
     """Implements `shallotworks.plans.PlanLease` with a `LeaseCandidate`.
 
     Args:
