--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -209,3 +209,22 @@
     """Runs the sessions; a failure prints the steps that lead to it."""
 
     settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
+
+
+class LostRevisionTests(unittest.TestCase):
+    """Sessions that have shown a fault, played again step by step."""
+
+    def test_revision_that_one_process_never_heard_of(self) -> None:
+        """Two processes read a revision as the store loses it; a third must not write it anew.
+
+        Reads are stale until the moment of the loss, so no process knows the revision before it.
+        """
+        session = ConfigHistory()
+        session.start(seed=0)
+        session.change_faults(delay_s=0.0, down=False, lost_answers=0, stale=True)
+        session.propose(count=1, index=1)
+        session.advance(duration_s=0.5)
+        session.restart(after_load=False, index=1)
+        session.come_back_older(lost_writes=1)
+        session.propose(count=1, index=1)
+        session.teardown()
