--- a/src/shallotworks/jobs/_crashes.py
+++ b/src/shallotworks/jobs/_crashes.py
@@ -8,11 +8,11 @@
 
 __all__ = ["Blame", "LostRun", "is_crash_looping", "is_suspect"]
 
-MOST_EARLY_CRASHES = 2
+MAX_EARLY_CRASHES = 2
 """Crashes shortly after a task's starts, the last with it as sole suspect, that fail its job ..."""
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 """... or of all crashes this many; or this many early ones, whoever else may have caused them."""
-MOST_LATE_CRASHES = 2
+MIN_SUSPECT_CRASHES = 2
 """Other crashes of a task's workers after which it is a suspect."""
 
 
@@ -48,13 +48,11 @@
     """Whether a task is given up for the crashes of its runs."""
     crashes = [one.blame for one in lost if one.is_certain]
     early = [blame for blame in crashes if blame is not Blame.LATE]
-    if crashes and crashes[-1] is Blame.SOLE and len(early) >= MOST_EARLY_CRASHES:
+    if crashes and crashes[-1] is Blame.SOLE and len(early) >= MAX_EARLY_CRASHES:
         return True
-    return len(early) >= MOST_CRASHES or (
-        len(crashes) >= MOST_CRASHES and crashes[-1] is Blame.SOLE
-    )
+    return len(early) >= MAX_CRASHES or (len(crashes) >= MAX_CRASHES and crashes[-1] is Blame.SOLE)
 
 
 def is_suspect(lost: Sequence[LostRun]) -> bool:
     """Whether a task is to be started in isolation."""
-    return len(lost) >= MOST_LATE_CRASHES or any(one.blame is not Blame.LATE for one in lost)
+    return len(lost) >= MIN_SUSPECT_CRASHES or any(one.blame is not Blame.LATE for one in lost)
--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -15,19 +15,19 @@
 from ._model import Run, RunPhase, Worker
 from ._tracked_jobs import TrackedJob
 
-__all__ = ["PROBATION_S", "CrashBlame"]
+__all__ = ["MIN_PROBATION_S", "CrashBlame"]
 
-PROBATION_S = 0.25
+MIN_PROBATION_S = 0.25
 """A run that its worker has confirmed for this long is no first suspect ..."""
-PROBATION_GROWTH = 2.0
+PROBATION_GROWTH_FACTOR = 2.0
 """... and this many times longer after each lost run of its task."""
-LONGEST_PROBATION_S = 8.0
-SAME_MOMENT_S = 0.05
-MASS_CRASH_WORKERS = 4
+MAX_PROBATION_S = 8.0
+MASS_CRASH_WINDOW_S = 0.05
+MIN_MASS_CRASH_WORKERS = 4
 """So many workers lost at the same moment were not crashed by single tasks."""
-FREQUENT_WINDOW_S = 10.0
-FREQUENT_CRASHES = 3
-MOST_DEATHS_KEPT = 256
+FREQUENT_CRASH_WINDOW_S = 10.0
+FREQUENT_CRASH_COUNT = 3
+MAX_CONNECTION_LOSSES_KEPT = 256
 
 
 class CrashBlame:
@@ -43,13 +43,13 @@
 
     __slots__ = (
         "_close",
+        "_connection_losses",
         "_crashes",
-        "_deaths",
         "_entries",
         "_first_run_id",
         "_log",
         "_may_miss_crashes",
-        "_unanswered",
+        "_unanswered_starts",
         "_workers",
     )
 
@@ -67,11 +67,11 @@
         self._first_run_id = first_run_id
         self._log = log
         self._close = close
-        self._crashes: deque[float] = deque(maxlen=FREQUENT_CRASHES)
-        """Time of day at which the last workers were lost with young runs."""
-        self._deaths: deque[tuple[float, str]] = deque(maxlen=MOST_DEATHS_KEPT)
+        self._crashes: deque[float] = deque(maxlen=FREQUENT_CRASH_COUNT)
+        """Time of day at which the last workers were lost with on_probation runs."""
+        self._connection_losses: deque[tuple[float, str]] = deque(maxlen=MAX_CONNECTION_LOSSES_KEPT)
         """When workers closed their connections, on the scheduler's clock, and which."""
-        self._unanswered: dict[int, Blame] = {}
+        self._unanswered_starts: dict[int, Blame] = {}
         """Blame of runs, by id, whose starts were under way when their workers were over."""
         self._may_miss_crashes = False
         """Whether a worker was lost that may have run tasks of an earlier term."""
@@ -86,15 +86,15 @@
         if worker.closed_s is not None:
             return
         worker.closed_s = now_s
-        self._deaths.append((now_s, worker.worker_id))
+        self._connection_losses.append((now_s, worker.worker_id))
         self.worker_silent(worker, wall_s)
 
     def worker_silent(self, worker: Worker, wall_s: float) -> None:
-        """Blame young runs for a worker that may have crashed."""
-        young = [one for one in self._blames(worker) if one[1] is not Blame.LATE]
-        if young:
+        """Blame on_probation runs for a worker that may have crashed."""
+        on_probation = [one for one in self._assign_blame(worker) if one[1] is not Blame.LATE]
+        if on_probation:
             self._crashes.append(wall_s)
-        for run, blame in young:
+        for run, blame in on_probation:
             self._note(run, blame, is_certain=False, wall_s=wall_s)
 
     def worker_ended(self, worker: Worker, wall_s: float, *, is_replaced: bool) -> None:
@@ -109,18 +109,18 @@
         for run in worker.runs.values():
             if run.phase is RunPhase.RESERVED:
                 self.survived(run)
-        for run, blame in self._blames(worker):
+        for run, blame in self._assign_blame(worker):
             if run.phase is RunPhase.STARTING:
-                self._unanswered[run.run_id] = blame
+                self._unanswered_starts[run.run_id] = blame
             else:
                 self._note(run, blame, is_certain=True, wall_s=wall_s)
-        for entry, name, lost in self._doubtful_on(worker.worker_id):
-            if lost.run_id not in self._unanswered:
-                self._confirm(entry, name, lost, wall_s, is_replaced=is_replaced)
+        for tracked_job, name, lost in self._uncertain_losses_on(worker.worker_id):
+            if lost.run_id not in self._unanswered_starts:
+                self._confirm(tracked_job, name, lost, wall_s, is_replaced=is_replaced)
 
     def start_answered(self, run: Run, wall_s: float, *, may_have_run: bool) -> None:
         """Hear what became of a start, whose worker may be known to be over by now."""
-        blame = self._unanswered.pop(run.run_id, None)
+        blame = self._unanswered_starts.pop(run.run_id, None)
         if blame is not None and may_have_run:
             self._note(run, blame, is_certain=True, wall_s=wall_s)
         elif blame is not None:
@@ -128,7 +128,7 @@
 
     def _confirm(
         self,
-        entry: TrackedJob,
+        tracked_job: TrackedJob,
         name: TaskName,
         lost: LostRun,
         wall_s: float,
@@ -142,7 +142,7 @@
         blame = lost.blame
         if blame is Blame.SOLE and not (is_replaced and lost.run_id > self._first_run_id):
             blame = Blame.SHARED
-        self.note_lost(entry, name, lost._replace(blame=blame, is_certain=True), wall_s)
+        self.note_lost(tracked_job, name, lost._replace(blame=blame, is_certain=True), wall_s)
 
     def earlier_runs_lost(self) -> None:
         """Take note that a worker was lost, and nobody knows what an earlier term ran there."""
@@ -154,51 +154,60 @@
         A scheduler that dies before it knows of a crash leaves no blame. So that the next one does,
         the start is stored beside being sent.
         """
-        entry = self._entries[run.name.job_id]
-        if self._may_miss_crashes and entry.is_old and not run.step.is_lasting:
+        tracked_job = self._entries[run.name.job_id]
+        if self._may_miss_crashes and tracked_job.is_old and not run.step.is_lasting:
             self._note(run, Blame.SHARED, is_certain=False, wall_s=wall_s)
 
-    def _blames(self, worker: Worker) -> list[tuple[Run, Blame]]:
+    def _assign_blame(self, worker: Worker) -> list[tuple[Run, Blame]]:
         started = [run for run in worker.runs.values() if run.phase is not RunPhase.RESERVED]
         if worker.isolated in started:
             others = [run for run in started if run is not worker.isolated]
-            return [(worker.isolated, Blame.SOLE), *_late(others)]
+            return [(worker.isolated, Blame.SOLE), *_late_blames(others)]
         if self._is_mass_crash(worker):
-            return _late(started)
+            return _late_blames(started)
         # Not until its connections were closed: a worker that lost power closes none.
         lived_s = worker.last_seen_s
-        young = {run for run in started if lived_s - run.confirmed_s < self.probation_s(run)}
+        on_probation = {run for run in started if lived_s - run.confirmed_s < self.probation_s(run)}
         tasks = {
-            (run.name if not run.step.is_gang else run.name._replace(number=0)) for run in young
+            (run.name if not run.step.is_gang else run.name._replace(number=0))
+            for run in on_probation
         }
         blame = Blame.SOLE if len(tasks) == 1 else Blame.SHARED
-        return [(run, blame) for run in young] + _late(run for run in started if run not in young)
+        return [(run, blame) for run in on_probation] + _late_blames(
+            run for run in started if run not in on_probation
+        )
 
     def _is_mass_crash(self, worker: Worker) -> bool:
         if worker.closed_s is None:
             return False
         near = {
             other
-            for at_s, other in self._deaths
-            if abs(at_s - worker.closed_s) <= SAME_MOMENT_S and other != worker.worker_id
+            for at_s, other in self._connection_losses
+            if abs(at_s - worker.closed_s) <= MASS_CRASH_WINDOW_S and other != worker.worker_id
         }
-        return len(near) >= MASS_CRASH_WORKERS - 1
+        return len(near) >= MIN_MASS_CRASH_WORKERS - 1
 
     def _note(self, run: Run, blame: Blame, *, is_certain: bool, wall_s: float) -> None:
-        entry = self._entries.get(run.name.job_id)
-        if entry is None or entry.progress.state.is_final or entry.progress.is_done(run.name):
+        tracked_job = self._entries.get(run.name.job_id)
+        if (
+            tracked_job is None
+            or tracked_job.progress.state.is_final
+            or tracked_job.progress.is_done(run.name)
+        ):
             return
         lost = LostRun(
             run_id=run.run_id, worker_id=run.worker_id, blame=blame, is_certain=is_certain
         )
-        self.note_lost(entry, run.name, lost, wall_s)
+        self.note_lost(tracked_job, run.name, lost, wall_s)
 
-    def note_lost(self, entry: TrackedJob, name: TaskName, lost: LostRun, wall_s: float) -> None:
+    def note_lost(
+        self, tracked_job: TrackedJob, name: TaskName, lost: LostRun, wall_s: float
+    ) -> None:
         """Put a lost run into its job's progress, and give the job up where it is one too many."""
-        if not entry.progress.note_lost(entry.job, name, lost, now_s=wall_s):
+        if not tracked_job.progress.note_lost(tracked_job.job, name, lost, now_s=wall_s):
             return
-        entry.changes += 1
-        is_given_up = entry.progress.state.is_final
+        tracked_job.changes += 1
+        is_given_up = tracked_job.progress.state.is_final
         self._log.line(
             "crash-blamed",
             id=name.job_id,
@@ -207,36 +216,40 @@
             worker=lost.worker_id,
             blame=lost.blame.value,
             is_certain=lost.is_certain,
-            runs_lost=len(entry.progress.lost_runs(entry.job, name)),
+            runs_lost=len(tracked_job.progress.lost_runs(tracked_job.job, name)),
             is_given_up=is_given_up,
         )
         if is_given_up:
-            self._close(entry, "crash-loop")
+            self._close(tracked_job, "crash-loop")
 
-    def _doubtful_on(self, worker_id: str) -> list[tuple[TrackedJob, TaskName, LostRun]]:
+    def _uncertain_losses_on(self, worker_id: str) -> list[tuple[TrackedJob, TaskName, LostRun]]:
         """Return what is not certain of runs on a worker, with their jobs and tasks."""
         return [
-            (entry, TaskName(entry.job.job_id, *key), lost)
-            for entry in self._entries.values()
-            if entry.progress.lost and not entry.progress.state.is_final
-            for key, runs in entry.progress.lost.items()
+            (tracked_job, TaskName(tracked_job.job.job_id, *key), lost)
+            for tracked_job in self._entries.values()
+            if tracked_job.progress.lost and not tracked_job.progress.state.is_final
+            for key, runs in tracked_job.progress.lost.items()
             for lost in runs
             if lost.worker_id == worker_id and not lost.is_certain
         ]
 
-    def resolve(self, entry: TrackedJob, wall_s: float) -> None:
+    def resolve(self, tracked_job: TrackedJob, wall_s: float) -> None:
         """Find out what became of workers that runs of a job, now over, may have crashed."""
-        for key, runs in list(entry.progress.lost.items()):
-            name = TaskName(entry.job.job_id, *key)
-            alive = {run.run_id for run in entry.live.get(name, ())}
+        for key, runs in list(tracked_job.progress.lost.items()):
+            name = TaskName(tracked_job.job.job_id, *key)
+            alive = {run.run_id for run in tracked_job.live.get(name, ())}
             for lost in runs:
-                if lost.is_certain or lost.run_id in alive or lost.run_id in self._unanswered:
+                if (
+                    lost.is_certain
+                    or lost.run_id in alive
+                    or lost.run_id in self._unanswered_starts
+                ):
                     continue
                 worker = self._workers.get(lost.worker_id)
                 if worker is None:
-                    self._confirm(entry, name, lost, wall_s, is_replaced=False)
+                    self._confirm(tracked_job, name, lost, wall_s, is_replaced=False)
                 elif worker.is_fenced:
-                    self._clear(entry, name, lost.run_id)
+                    self._clear(tracked_job, name, lost.run_id)
 
     # ---- no blame
 
@@ -244,38 +257,40 @@
         """Clear the runs of a worker that went as planned."""
         for run in worker.runs.values():
             self.survived(run)
-        for entry, name, lost in self._doubtful_on(worker.worker_id):
-            self._clear(entry, name, lost.run_id)
+        for tracked_job, name, lost in self._uncertain_losses_on(worker.worker_id):
+            self._clear(tracked_job, name, lost.run_id)
 
     def survived(self, run: Run) -> None:
         """Clear a run: its worker lives, or never had it."""
         worker = self._workers.get(run.worker_id)
         if worker is not None and worker.isolated is run:
             worker.isolated = None
-        entry = self._entries.get(run.name.job_id)
-        if entry is not None and entry.progress.lost:
-            self._clear(entry, run.name, run.run_id)
+        tracked_job = self._entries.get(run.name.job_id)
+        if tracked_job is not None and tracked_job.progress.lost:
+            self._clear(tracked_job, run.name, run.run_id)
 
     @staticmethod
-    def _clear(entry: TrackedJob, name: TaskName, run_id: int) -> None:
-        if entry.progress.note_survived(entry.job, name, run_id):
-            entry.changes += 1
+    def _clear(tracked_job: TrackedJob, name: TaskName, run_id: int) -> None:
+        if tracked_job.progress.note_survived(tracked_job.job, name, run_id):
+            tracked_job.changes += 1
 
     def are_frequent(self, wall_s: float) -> bool:
         """Whether tasks crash one worker after the other, so that each should run few jobs."""
         crashes = self._crashes
-        return len(crashes) == FREQUENT_CRASHES and wall_s - crashes[0] < FREQUENT_WINDOW_S
+        return (
+            len(crashes) == FREQUENT_CRASH_COUNT and wall_s - crashes[0] < FREQUENT_CRASH_WINDOW_S
+        )
 
     def probation_s(self, run: Run) -> float:
         """Return for how long a worker has to outlive a start before its run is no suspect."""
-        entry = self._entries.get(run.name.job_id)
-        if entry is None or not entry.progress.lost:
-            return PROBATION_S
-        earlier = entry.progress.lost_runs(entry.job, run.name)
+        tracked_job = self._entries.get(run.name.job_id)
+        if tracked_job is None or not tracked_job.progress.lost:
+            return MIN_PROBATION_S
+        earlier = tracked_job.progress.lost_runs(tracked_job.job, run.name)
         count = sum(1 for one in earlier if one.run_id != run.run_id)
-        return float(min(LONGEST_PROBATION_S, PROBATION_S * PROBATION_GROWTH**count))
+        return float(min(MAX_PROBATION_S, MIN_PROBATION_S * PROBATION_GROWTH_FACTOR**count))
 
 
-def _late(runs: Iterable[Run]) -> list[tuple[Run, Blame]]:
+def _late_blames(runs: Iterable[Run]) -> list[tuple[Run, Blame]]:
     """Blame runs least; lasting ones not at all, since crashes of no fault of theirs add up."""
     return [(run, Blame.LATE) for run in runs if not run.step.is_lasting]
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -23,20 +23,20 @@
 
 __all__ = ["DecisionEngine", "Decision"]
 
-STOP_RETRY_S = 0.7
+STOP_RETRY_INTERVAL_S = 0.7
 """A stop that was not answered is sent again after this; one takes a worker 0.2 to 0.9 s."""
-STANDSTILL_S = 2.5
+MIN_STALL_TIMEOUT_S = 2.5
 """A task whose progress did not change for this long hangs: the shortest tasks take 0.6 s, and a
 worker slowed sixfold still moves a task of 2 s by 5 percent in that time."""
-LEAST_STANDSTILL_PART = 0.3
+STALL_TIMEOUT_ESTIMATE_RATIO = 0.3
 """... or for this part of its estimate, for the longest tasks, whose percent changes seldom."""
-ADVICE_WORKERS = 12
+MAX_WORKERS_PER_ADVICE_REQUEST = 12
 """Workers asked about at once: the service takes some time for each."""
-ADVICE_RETRY_S = 1.0
-DRAIN_LEFT_S = 2.0
+ADVICE_RETRY_INTERVAL_S = 1.0
+MIN_DRAIN_REMAINING_S = 2.0
 """A draining worker serves on for this long at least; what needs longer and can go on elsewhere
 is moved at once."""
-MOST_STARTS = 64
+MAX_STARTS_PER_DECISION = 64
 """Tasks started in one decision; a gang is never split. The rest waits for the next one, behind
 what else the process has to do: renewals, looks, what its pool lacks."""
 
@@ -51,7 +51,15 @@
         order: Says which of the waiting steps gets room first, the smallest; see `urgency`.
     """
 
-    __slots__ = ("_held", "_now_s", "_order", "_room", "_scheduler_state", "_started", "_wall_s")
+    __slots__ = (
+        "_held_worker_ids",
+        "_now_s",
+        "_order",
+        "_room",
+        "_scheduler_state",
+        "_started",
+        "_wall_s",
+    )
 
     def __init__(
         self,
@@ -61,7 +69,7 @@
     ) -> None:
         self._scheduler_state = scheduler_state
         self._order = order
-        self._held: set[str] = set()
+        self._held_worker_ids: set[str] = set()
         """Workers whose room is held for lasting tasks, in this decision."""
         self._room = Room([], [])
         self._started = 0
@@ -77,27 +85,27 @@
             may_start: Whether tasks may be started now.
         """
         self._now_s, self._wall_s = now_s, wall_s
-        self._pass_time(now_s, wall_s)
-        yield from self._stops(now_s)
+        self._apply_timeouts(now_s, wall_s)
+        yield from self._decide_stops(now_s)
         for worker in self._scheduler_state.workers.values():
             yield from pace_orders(worker, now_s)
         self._started = 0
         if may_start:
-            yield from self._isolated_starts(now_s)
-            yield from self._starts(now_s, wall_s)
+            yield from self._decide_isolated_starts(now_s)
+            yield from self._decide_starts(now_s, wall_s)
 
     @property
     def is_cut_short(self) -> bool:
         """Whether the last decision has started as many tasks as one may, so that more may wait."""
-        return self._started >= MOST_STARTS
+        return self._started >= MAX_STARTS_PER_DECISION
 
     def evacuate(self, worker: Worker) -> None:
         """Stop lasting tasks on a worker that is to go, as many as their budgets allow now."""
         for run in list(worker.runs.values()):
-            if run.step.is_lasting and self.may_disturb(run):
+            if run.step.is_lasting and self.may_disrupt(run):
                 self._scheduler_state.request_stop(run, "evacuation")
 
-    def may_disturb(self, run: Run) -> bool:
+    def may_disrupt(self, run: Run) -> bool:
         """Whether a lasting task may be taken away now.
 
         The failure: a service whose tasks are moved faster than they come back, so that its users
@@ -106,10 +114,10 @@
         """
         if run.is_stop_requested:
             return False
-        entry = self._scheduler_state.entries.get(run.name.job_id)
-        if entry is None or entry.progress.state.is_final:
+        tracked_job = self._scheduler_state.entries.get(run.name.job_id)
+        if tracked_job is None or tracked_job.progress.state.is_final:
             return True
-        step = entry.steps.get((run.name.occurrence, run.name.step))
+        step = tracked_job.steps.get((run.name.occurrence, run.name.step))
         if step is None:
             return True
         away = self._scheduler_state.away(step, excluding=run, now_s=self._now_s)
@@ -117,7 +125,7 @@
 
     # ---- what time brings
 
-    def _pass_time(self, now_s: float, wall_s: float) -> None:
+    def _apply_timeouts(self, now_s: float, wall_s: float) -> None:
         scheduler_state = self._scheduler_state
         for job_id in list(scheduler_state.timed):
             scheduler_state.open_due(scheduler_state.entries[job_id], wall_s)
@@ -126,10 +134,10 @@
                 scheduler_state.crashes.earlier_runs_lost()
                 scheduler_state.recovered(worker_id, "leases out")
         for worker in list(scheduler_state.workers.values()):
-            self._pass_time_of(worker, now_s)
+            self._apply_worker_timeouts(worker, now_s)
 
-    def _pass_time_of(self, worker: Worker, now_s: float) -> None:
-        if now_s > worker.lease_ends_s and _is_settled(worker):
+    def _apply_worker_timeouts(self, worker: Worker, now_s: float) -> None:
+        if now_s > worker.lease_ends_s and _may_lease_lapse(worker):
             self._scheduler_state.lapse(worker, now_s, self._wall_s)
         if not worker.is_listed and not worker.runs and now_s > worker.lease_ends_s:
             reason = "no longer listed"
@@ -144,49 +152,49 @@
     def _check_run(self, worker: Worker, run: Run, now_s: float) -> None:
         step = run.step
         if worker.view.is_draining and step.is_checkpointed and not step.is_lasting:
-            left_s = step.estimated_s * (1 - run.percent / 100)
-            if left_s > DRAIN_LEFT_S:
+            remaining_s = step.estimated_s * (1 - run.percent / 100)
+            if remaining_s > MIN_DRAIN_REMAINING_S:
                 self._scheduler_state.request_stop(run, "worker-draining")
         if step.is_gang or step.is_lasting or run.pace_percent < 100:
             return
-        limit_s = max(STANDSTILL_S, step.estimated_s * LEAST_STANDSTILL_PART)
+        limit_s = max(MIN_STALL_TIMEOUT_S, step.estimated_s * STALL_TIMEOUT_ESTIMATE_RATIO)
         if worker.reported_s - run.progressed_s > limit_s:
             worker.avoid_until_s = now_s + limit_s
             self._scheduler_state.request_stop(run, "stands-still")
-            entry = self._scheduler_state.entries.get(run.name.job_id)
-            if entry is not None:
-                earlier = entry.avoid.get(run.name, frozenset())
-                entry.avoid[run.name] = earlier | {worker.worker_id}
+            tracked_job = self._scheduler_state.entries.get(run.name.job_id)
+            if tracked_job is not None:
+                avoided = tracked_job.avoid.get(run.name, frozenset())
+                tracked_job.avoid[run.name] = avoided | {worker.worker_id}
 
     # ---- stops
 
-    def _stops(self, now_s: float) -> Iterator[StopOrder]:
+    def _decide_stops(self, now_s: float) -> Iterator[StopOrder]:
         for run in list(self._scheduler_state.runs_to_stop):
             if run.phase in (RunPhase.RESERVED, RunPhase.STARTING, RunPhase.STOPPED):
                 continue
-            if now_s - run.stop_sent_s >= STOP_RETRY_S:
+            if now_s - run.stop_sent_s >= STOP_RETRY_INTERVAL_S:
                 run.stop_sent_s = now_s
                 run.enter(RunPhase.STOPPING, now_s)
                 yield StopOrder(run=run)
 
     # ---- starts
 
-    def _starts(self, now_s: float, wall_s: float) -> Iterator[StartOrder | AdviceRequest]:
+    def _decide_starts(self, now_s: float, wall_s: float) -> Iterator[StartOrder | AdviceRequest]:
         steps = sorted(
             self._scheduler_state.open_steps(), key=lambda step: self._order(step, wall_s)
         )
-        too_big: list[tuple[int, int, int]] = []
+        unplaced_sizes: list[tuple[int, int, int]] = []
         self._room = Room(self._scheduler_state.workers.values(), steps)
-        self._held.clear()
+        self._held_worker_ids.clear()
         for step in steps:
             if self.is_cut_short:
                 return
             if step.not_before_s > now_s:
                 continue
-            if self._room.is_short_of(step) or _needs_as_much_as(step, too_big):
+            if self._room.is_short_of(step) or _is_at_least_as_large(step, unplaced_sizes):
                 continue
             if step.tracked_job.job.policy.is_advised and not step.permits:
-                yield from self._ask(step, now_s)
+                yield from self._request_advice(step, now_s)
                 continue
             if step.step.is_gang:
                 yield from self._start_gang(step, now_s)
@@ -196,11 +204,13 @@
                 continue
             yield from self._start_tasks(step, step.waiting, now_s)
             if step.waiting and step.step.is_lasting:
-                self._hold_room(step, now_s)
-            if step.waiting and _is_plain(step) and not step.is_hopeless(wall_s):
-                too_big.append((step.step.cpu_millicores, step.step.memory_mb, step.step.gpus))
+                self._hold_worker_for_lasting(step, now_s)
+            if step.waiting and _waits_only_for_capacity(step) and not step.is_hopeless(wall_s):
+                unplaced_sizes.append(
+                    (step.step.cpu_millicores, step.step.memory_mb, step.step.gpus)
+                )
 
-    def _isolated_starts(self, now_s: float) -> Iterator[StartOrder]:
+    def _decide_isolated_starts(self, now_s: float) -> Iterator[StartOrder]:
         """Yield the starts of suspects whose workers are ready for them."""
         for run, may_be_sent in self._scheduler_state.isolation.ready(now_s):
             step = self._scheduler_state.open_step(run.name)
@@ -211,31 +221,33 @@
 
     def _start_beside_suspects(self, step: TrackedStep, now_s: float) -> Iterator[StartOrder]:
         """Start tasks of a job that has lost runs with crashed workers, suspects in isolation."""
-        isolation, entry = self._scheduler_state.isolation, step.tracked_job
+        isolation, tracked_job = self._scheduler_state.isolation, step.tracked_job
         indices = {step.name(index): index for index in step.waiting}
-        suspects = isolation.suspects(entry, indices, self._wall_s)
-        if entry.progress.state.is_final:
+        suspects = isolation.suspects(tracked_job, indices, self._wall_s)
+        if tracked_job.progress.state.is_final:
             return
-        for name in isolation.may_start(entry, suspects):
+        for name in isolation.startable_suspects(tracked_job, suspects):
             self._isolate(step, indices[name], now_s)
-        if not isolation.is_held(entry, suspects):
+        if not isolation.holds_other_tasks(tracked_job, suspects):
             others = [index for name, index in indices.items() if name not in suspects]
             yield from self._start_tasks(step, others, now_s)
 
     def _isolate(self, step: TrackedStep, index: int, now_s: float) -> None:
         """Keep a worker for a suspect, one where a crash would take the least with it."""
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s)
-        places = [
+        candidate_workers = [
             one
-            for one in self._scheduler_state.isolation.places()
-            if placement.obstacle(one) is None
+            for one in self._scheduler_state.isolation.candidate_workers()
+            if placement.rejection_reason(one) is None
         ]
-        if not places:
+        if not candidate_workers:
             return
         run = self._scheduler_state.new_run(
-            step, index, places[0], self._scheduler_state.next_run_id(), now_s
+            step, index, candidate_workers[0], self._scheduler_state.next_run_id(), now_s
+        )
+        self._scheduler_state.isolation.isolate(
+            run, candidate_workers[0], now_s=now_s, wall_s=self._wall_s
         )
-        self._scheduler_state.isolation.isolate(run, places[0], now_s=now_s, wall_s=self._wall_s)
         self._started += 1
 
     def _start_tasks(
@@ -254,7 +266,7 @@
             run_id = self._scheduler_state.next_run_id()
             run = self._scheduler_state.new_run(step, index, worker, run_id, now_s)
             self._scheduler_state.crashes.started(run, self._wall_s)
-            candidates.placed(worker)
+            candidates.note_placed(worker)
             self._started += 1
             yield self._start_order(step, run)
 
@@ -262,9 +274,11 @@
         if step.step.is_lasting:
             # Where its tasks run already matters, also on workers that are full.
             return list(self._scheduler_state.workers.values())
-        return [worker for worker in self._room.workers if worker.worker_id not in self._held]
+        return [
+            worker for worker in self._room.workers if worker.worker_id not in self._held_worker_ids
+        ]
 
-    def _hold_room(self, step: TrackedStep, now_s: float) -> None:
+    def _hold_worker_for_lasting(self, step: TrackedStep, now_s: float) -> None:
         """Keep tasks that end off one worker, where lasting tasks of a step find no room.
 
         The failure: a lasting task of a third of a worker's memory comes back in a turn. Whatever
@@ -276,14 +290,14 @@
         fitting = [
             worker
             for worker in self._scheduler_state.workers.values()
-            if placement.obstacle(worker) is WaitReason.ROOM
+            if placement.rejection_reason(worker) is WaitReason.ROOM
             and not worker.is_cordoned
             and worker.lasting_from_s <= now_s
             and worker.fits_beside_lasting(step.step)
         ]
         if fitting:
             chosen = min(fitting, key=lambda worker: worker.shortfall_for(step.step))
-            self._held.add(chosen.worker_id)
+            self._held_worker_ids.add(chosen.worker_id)
 
     def _start_gang(self, step: TrackedStep, now_s: float) -> Iterator[StartOrder]:
         """Start all members at once or none: a part of them would only hold room and wait."""
@@ -354,8 +368,8 @@
             ticket=step.permits.get(run.worker_id, ""),
         )
 
-    def _ask(self, step: TrackedStep, now_s: float) -> Iterator[AdviceRequest]:
-        if step.is_asking or now_s - step.advised_s < ADVICE_RETRY_S:
+    def _request_advice(self, step: TrackedStep, now_s: float) -> Iterator[AdviceRequest]:
+        if step.is_asking or now_s - step.advised_s < ADVICE_RETRY_INTERVAL_S:
             return
         usable = [
             worker
@@ -365,28 +379,32 @@
         usable.sort(key=lambda worker: worker.cpu_used / max(1, worker.view.cpu_millicores))
         if usable:
             step.is_asking = True
-            ids = tuple(worker.worker_id for worker in usable[:ADVICE_WORKERS])
+            ids = tuple(worker.worker_id for worker in usable[:MAX_WORKERS_PER_ADVICE_REQUEST])
             yield AdviceRequest(step=step.key, worker_ids=ids)
 
 
-def _is_settled(worker: Worker) -> bool:
+def _may_lease_lapse(worker: Worker) -> bool:
     """Whether something runs, and no start is on its way, which would grant a lease."""
     phases = {run.phase for run in worker.runs.values()}
     return bool(phases) and phases.isdisjoint((RunPhase.RESERVED, RunPhase.STARTING))
 
 
-def _is_plain(step: TrackedStep) -> bool:
+def _waits_only_for_capacity(step: TrackedStep) -> bool:
     """Whether only its size can keep a step's tasks waiting; lasting ones keep off some workers."""
-    wants = step.step
+    job_step = step.step
     return not (
-        wants.is_lasting or wants.label or wants.most_per_worker or wants.is_filler or step.permits
+        job_step.is_lasting
+        or job_step.label
+        or job_step.most_per_worker
+        or job_step.is_filler
+        or step.permits
     )
 
 
-def _needs_as_much_as(step: TrackedStep, too_big: list[tuple[int, int, int]]) -> bool:
-    wants = step.step
+def _is_at_least_as_large(step: TrackedStep, unplaced_sizes: list[tuple[int, int, int]]) -> bool:
+    job_step = step.step
     return any(
-        wants.cpu_millicores >= cpu and wants.memory_mb >= memory and wants.gpus >= gpus
-        for cpu, memory, gpus in too_big
-        if not wants.is_filler
+        job_step.cpu_millicores >= cpu and job_step.memory_mb >= memory and job_step.gpus >= gpus
+        for cpu, memory, gpus in unplaced_sizes
+        if not job_step.is_filler
     )
--- a/src/shallotworks/scheduling/_demand.py
+++ b/src/shallotworks/scheduling/_demand.py
@@ -1,8 +1,9 @@
-"""What a service's jobs ask for now, and will when a machine that is asked for now is there.
+"""Forecasts the cores that arriving jobs of a service will demand once a new machine could serve.
 
-The load that it answers: demand that comes by turns. For some seconds a queue asks for more with
-each second, and a machine comes about two seconds after it was asked for: a pool that is sized for
-what it has seen is too small until the turn is over its peak. No network.
+Demand comes in bursts called turns. For some seconds the demand of a queue grows every second, and
+a machine arrives about two seconds after it was requested. A pool that is sized for the demand
+measured so far is therefore too small until the peak of the turn is over. This module performs no
+network calls.
 """
 
 from __future__ import annotations
@@ -14,73 +15,75 @@
 __all__ = ["Arrival", "DemandLimits", "arriving_cores"]
 
 Arrival = tuple[float, float]
-"""Time of day and core-seconds of a job."""
+"""The arrival of a job: its time of day in seconds since 1970 and its estimated core-seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DemandLimits:
-    """Limits of the measure.
+    """Limits of the demand forecast.
 
     Args:
-        window_s: Demand is measured over this long: shorter follows the start of a turn sooner, and
-            single large jobs more.
-        onset_s: ... but where several jobs have come since a quiet moment, over the time since the
-            first of them, once that is this long: jobs of one moment show no rate.
-        onset_jobs: So many, beside the first: fewer may come close together by chance.
-        rise_jobs: A rise is carried on where so many jobs have come within a window at least.
-        lead_s: How far ahead a rise is carried on: a machine takes about two seconds to come, and
-            the window's middle is half a second ago.
-        most_rise_part: ... to so much more of what is asked for now at the most: no rise goes on
-            for ever.
+        window_s: Length of the measurement window in seconds. A shorter window follows the start of
+            a turn sooner, but reacts more to single large jobs.
+        min_onset_s: If several jobs have arrived after a quiet period, demand is measured over the
+            time since the first of them, once that time is at least this many seconds. Jobs that
+            arrive at one moment show no rate.
+        min_onset_jobs: Number of jobs that must have arrived after the first one for that
+            measurement. Fewer jobs may arrive close together by chance.
+        min_growth_jobs: Number of jobs within a window from which on growth is extrapolated.
+        forecast_s: Time in seconds over which growth is extrapolated. A machine takes about two
+            seconds to arrive, and the middle of the window is half a second ago.
+        max_growth_ratio: Upper bound of the extrapolated growth as a ratio of the present demand,
+            since no growth continues without limit.
     """
 
     window_s: float = 1.0
-    onset_s: float = 0.3
-    onset_jobs: int = 3
-    rise_jobs: int = 10
-    lead_s: float = 2.5
-    most_rise_part: float = 1.0
+    min_onset_s: float = 0.3
+    min_onset_jobs: int = 3
+    min_growth_jobs: int = 10
+    forecast_s: float = 2.5
+    max_growth_ratio: float = 1.0
 
 
 def arriving_cores(arrivals: Sequence[Arrival], *, wall_s: float, limits: DemandLimits) -> float:
-    """Return the cores that arriving jobs will ask for once new machines could be there.
+    """Return the cores that arriving jobs will demand once new machines could be available.
 
     Args:
-        arrivals: Jobs by time, the latest last.
-        wall_s: Time of day.
-        limits: Limits of the measure.
+        arrivals: Arrivals in order of time, the latest last.
+        wall_s: Time of day in seconds since 1970.
+        limits: Limits of the forecast.
     """
-    recent = _within(arrivals, wall_s - limits.window_s, wall_s)
-    earlier = _within(arrivals, wall_s - 2 * limits.window_s, wall_s - limits.window_s)
-    now_cores = _rate(recent, wall_s, limits)
-    return now_cores * (1 + _rise_part(len(recent), len(earlier), limits))
+    recent = _arrivals_between(arrivals, wall_s - limits.window_s, wall_s)
+    earlier = _arrivals_between(arrivals, wall_s - 2 * limits.window_s, wall_s - limits.window_s)
+    now_cores = _arrival_cores(recent, wall_s, limits)
+    return now_cores * (1 + _growth_ratio(len(recent), len(earlier), limits))
 
 
-def _within(arrivals: Sequence[Arrival], after_s: float, until_s: float) -> list[Arrival]:
+def _arrivals_between(arrivals: Sequence[Arrival], after_s: float, until_s: float) -> list[Arrival]:
     return [row for row in arrivals if after_s < row[0] <= until_s]
 
 
-def _rate(recent: list[Arrival], wall_s: float, limits: DemandLimits) -> float:
-    """Return the core-seconds that came in a second of late.
+def _arrival_cores(recent: list[Arrival], wall_s: float, limits: DemandLimits) -> float:
+    """Return the core-seconds that arrived per second in the recent past.
 
-    At the start of a turn a window holds quiet time too, and shows less than half of what the turn
-    takes. The jobs since the first one of the window show it, but for that first one, whose own
-    time is not known.
+    At the start of a turn the window also contains quiet time, and shows less than half of the
+    demand of the turn. The jobs that followed the first one of the window show that demand. The
+    first one is left out, because the interval before it is not known.
     """
-    whole = sum(core_s for _, core_s in recent) / limits.window_s
+    window_cores = sum(core_s for _, core_s in recent) / limits.window_s
     since_s = wall_s - recent[0][0] if recent else 0.0
-    if len(recent) <= limits.onset_jobs or since_s < limits.onset_s:
-        return whole
-    return max(whole, sum(core_s for _, core_s in recent[1:]) / since_s)
+    if len(recent) <= limits.min_onset_jobs or since_s < limits.min_onset_s:
+        return window_cores
+    return max(window_cores, sum(core_s for _, core_s in recent[1:]) / since_s)
 
 
-def _rise_part(jobs: int, earlier_jobs: int, limits: DemandLimits) -> float:
-    """Return by which part of itself demand will have grown when machines could be there.
+def _growth_ratio(jobs: int, earlier_jobs: int, limits: DemandLimits) -> float:
+    """Return the expected growth until new machines could serve, relative to present demand.
 
-    Half of what chance may do is left out: the difference of two counts of a steady queue is about
-    as large as the root of their sum.
+    Half of the variation that chance can cause is subtracted. The difference between two counts of
+    a steady queue is about as large as the square root of their sum.
     """
-    risen = jobs - earlier_jobs - math.sqrt(jobs + earlier_jobs) / 2
-    if risen <= 0 or jobs < limits.rise_jobs:
+    growth = jobs - earlier_jobs - math.sqrt(jobs + earlier_jobs) / 2
+    if growth <= 0 or jobs < limits.min_growth_jobs:
         return 0.0
-    return min(limits.most_rise_part, risen / jobs * limits.lead_s / limits.window_s)
+    return min(limits.max_growth_ratio, growth / jobs * limits.forecast_s / limits.window_s)
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -12,16 +12,16 @@
 from shallotworks.jobs import Blame, LostRun, TaskName, is_suspect
 from shallotworks.logs import StructuredLog
 
-from ._crash_blame import PROBATION_S, CrashBlame
+from ._crash_blame import MIN_PROBATION_S, CrashBlame
 from ._model import Run, RunPhase, Worker
 from ._tracked_jobs import TrackedJob
 
 __all__ = ["Isolation"]
 
-RESERVED_LIMIT_S = 2.0
+MAX_RESERVATION_S = 2.0
 """A start that is neither stored nor has its worker settled by then is given back, as is one whose
 worker leaves a look unanswered."""
-BUSY_PART = 1 / 8
+MAX_BUSY_WORKER_RATIO = 1 / 8
 """Part of the workers with other work on which suspects may be started at once."""
 
 
@@ -81,79 +81,87 @@
         if run is None:
             return None
         if run.phase is RunPhase.RESERVED:
-            return PROBATION_S
+            return MIN_PROBATION_S
         return max(0.0, min(run.confirmed_s, now_s) + self._blame.probation_s(run) - now_s)
 
     def suspects(
-        self, entry: TrackedJob, names: Iterable[TaskName], wall_s: float
+        self, tracked_job: TrackedJob, names: Iterable[TaskName], wall_s: float
     ) -> list[TaskName]:
         """Return which of some waiting tasks of a job have to be started in isolation."""
-        self._blame.resolve(entry, wall_s)
-        return [name for name in names if is_suspect(entry.progress.lost_runs(entry.job, name))]
+        self._blame.resolve(tracked_job, wall_s)
+        return [
+            name
+            for name in names
+            if is_suspect(tracked_job.progress.lost_runs(tracked_job.job, name))
+        ]
 
-    def may_start(self, entry: TrackedJob, suspects: list[TaskName]) -> list[TaskName]:
+    def startable_suspects(
+        self, tracked_job: TrackedJob, suspects: list[TaskName]
+    ) -> list[TaskName]:
         """Return the suspects of a job that may be started now, each in isolation.
 
-        The tasks of a job are much alike, so one of them goes first; see `is_held`.
+        The tasks of a job are much alike, so one of them goes first; see `holds_other_tasks`.
         """
-        if entry.job.job_id in self._cleared_jobs:
+        if tracked_job.job.job_id in self._cleared_jobs:
             return suspects
-        return [] if self._has_isolated_run(entry) else suspects[:1]
+        return [] if self._has_isolated_run(tracked_job) else suspects[:1]
 
-    def is_held(self, entry: TrackedJob, suspects: list[TaskName]) -> bool:
+    def holds_other_tasks(self, tracked_job: TrackedJob, suspects: list[TaskName]) -> bool:
         """Whether a job's other tasks wait: they may do the same as a suspect of the job."""
-        is_doubtful = bool(suspects) or self._has_isolated_run(entry)
-        return is_doubtful and entry.job.job_id not in self._cleared_jobs
+        has_open_suspect = bool(suspects) or self._has_isolated_run(tracked_job)
+        return has_open_suspect and tracked_job.job.job_id not in self._cleared_jobs
 
-    def _has_isolated_run(self, entry: TrackedJob) -> bool:
-        runs = entry.runs.values()
+    def _has_isolated_run(self, tracked_job: TrackedJob) -> bool:
+        runs = tracked_job.runs.values()
         return any(self._is_isolated(run) for run in runs)
 
     def _is_isolated(self, run: Run) -> bool:
         worker = self._workers.get(run.worker_id)
         return worker is not None and worker.isolated is run
 
-    def places(self) -> list[Worker]:
+    def candidate_workers(self) -> list[Worker]:
         """Return the workers that may be kept for a suspect, the least used first."""
         workers = list(self._workers.values())
         kept = [worker for worker in workers if worker.isolated is not None]
         busy = sum(1 for worker in kept if len(worker.runs) > 1)
-        may_use_busy = busy < max(1, int(len(workers) * BUSY_PART))
+        may_use_busy = busy < max(1, int(len(workers) * MAX_BUSY_WORKER_RATIO))
         free = [
             worker
             for worker in workers
             if worker.isolated is None and (may_use_busy or not worker.runs)
         ]
-        free.sort(key=_harm)
+        free.sort(key=_crash_cost)
         return free
 
     def isolate(self, run: Run, worker: Worker, *, now_s: float, wall_s: float) -> None:
         """Keep a worker for the start of a suspect, and have the start stored first."""
-        entry = self._entries[run.name.job_id]
+        tracked_job = self._entries[run.name.job_id]
         worker.isolated = run
         run.enter(RunPhase.RESERVED, now_s)
         lost = LostRun(
             run_id=run.run_id, worker_id=worker.worker_id, blame=Blame.SOLE, is_certain=False
         )
-        self._blame.note_lost(entry, run.name, lost, wall_s)
-        self._reserved[run] = (entry.changes, now_s)
+        self._blame.note_lost(tracked_job, run.name, lost, wall_s)
+        self._reserved[run] = (tracked_job.changes, now_s)
 
     def ready(self, now_s: float) -> Iterator[tuple[Run, bool]]:
         """Yield the starts that no longer wait, and whether they may be sent."""
         for run, (change, since_s) in list(self._reserved.items()):
             worker = self._workers.get(run.worker_id)
-            entry = self._entries.get(run.name.job_id)
+            tracked_job = self._entries.get(run.name.job_id)
             if worker is None or (run.name, run.run_id) not in worker.runs:
                 del self._reserved[run]
-            elif entry is None or run.is_stop_requested:
+            elif tracked_job is None or run.is_stop_requested:
                 del self._reserved[run]
                 yield run, False
-            elif entry.stored_changes >= change and _is_settled(worker, run, since_s):
+            elif tracked_job.stored_changes >= change and _is_ready_for_isolation(
+                worker, run, since_s
+            ):
                 del self._reserved[run]
                 run.since_s = now_s
                 run.enter(RunPhase.STARTING, now_s)
                 yield run, _may_start_on(worker)
-            elif now_s - since_s > RESERVED_LIMIT_S or worker.pause_until_s > now_s:
+            elif now_s - since_s > MAX_RESERVATION_S or worker.pause_until_s > now_s:
                 del self._reserved[run]
                 yield run, False
 
@@ -168,17 +176,17 @@
     return is_reached and not worker.view.is_draining and not worker.is_overfull
 
 
-def _is_settled(worker: Worker, run: Run, since_s: float) -> bool:
+def _is_ready_for_isolation(worker: Worker, run: Run, since_s: float) -> bool:
     """Whether a worker has lived since it was kept, and no other run would share the blame."""
-    return worker.reported_s >= since_s and not _has_young_run(worker, run)
+    return worker.reported_s >= since_s and not _has_run_on_probation(worker, run)
 
 
-def _has_young_run(worker: Worker, but: Run | None = None) -> bool:
-    others = [run for run in worker.runs.values() if run is not but]
-    return any(worker.reported_s - run.confirmed_s < PROBATION_S for run in others)
+def _has_run_on_probation(worker: Worker, excluding: Run | None = None) -> bool:
+    others = [run for run in worker.runs.values() if run is not excluding]
+    return any(worker.reported_s - run.confirmed_s < MIN_PROBATION_S for run in others)
 
 
-def _harm(worker: Worker) -> tuple[bool, bool, int, int]:
+def _crash_cost(worker: Worker) -> tuple[bool, bool, int, int]:
     """Return how badly a worker suits a suspect: by what would be lost, and how soon it may be."""
     has_lasting = any(run.step.is_lasting for run in worker.runs.values())
-    return (has_lasting, _has_young_run(worker), worker.cpu_used, len(worker.runs))
+    return (has_lasting, _has_run_on_probation(worker), worker.cpu_used, len(worker.runs))
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -359,11 +359,11 @@
 
     def fits_beside_lasting(self, step: Step) -> bool:
         """Whether a task of the step would fit once all tasks that end are over."""
-        alone = Worker(view=self.view)
+        lasting_only = Worker(view=self.view)
         for run in self.runs.values():
             if run.step.is_lasting:
-                alone.add(run)
-        return alone.fits(step)
+                lasting_only.add(run)
+        return lasting_only.fits(step)
 
     def shortfall_for(self, step: Step) -> float:
         """Return the larger part of its processor and memory that is missing for a task."""
--- a/src/shallotworks/scheduling/_pacing.py
+++ b/src/shallotworks/scheduling/_pacing.py
@@ -8,15 +8,15 @@
 
 __all__ = ["pace_orders"]
 
-SLOW_PART = 0.85
+SLOW_DOWN_RATIO = 0.85
 """Part of its target from which a serving task's tail slows the fillers beside it."""
-WELL_PART = 0.6
+SPEED_UP_RATIO = 0.6
 """Part of the target below which fillers may go faster again."""
-LOWER_BY = 0.5
-RAISE_BY_PERCENT = 10
-SETTLE_S = 0.6
+SLOW_DOWN_FACTOR = 0.5
+SPEED_UP_STEP_PERCENT = 10
+MIN_PACE_INTERVAL_S = 0.6
 """Between changes: the tail is measured over half a second, and a change takes 0.1 s."""
-LOWEST_PERCENT = 5
+MIN_PACE_PERCENT = 5
 """Below it a filler stands still."""
 
 
@@ -31,15 +31,15 @@
     ]
     if not fillers:
         return
-    ratio = _worst_ratio(worker)
+    ratio = _worst_latency_ratio(worker)
     for run in fillers:
         percent = _next_percent(run.pace_percent, ratio)
-        if percent == run.pace_percent or now_s - run.paced_s < SETTLE_S:
+        if percent == run.pace_percent or now_s - run.paced_s < MIN_PACE_INTERVAL_S:
             continue
         yield PaceOrder(run=run, percent=percent)
 
 
-def _worst_ratio(worker: Worker) -> float:
+def _worst_latency_ratio(worker: Worker) -> float:
     return max(
         (
             run.figure / 1000 / run.step.target_s
@@ -53,9 +53,9 @@
 def _next_percent(percent: int, ratio: float) -> int:
     if ratio >= 1.0:
         return 0
-    if ratio >= SLOW_PART:
-        lower = int(percent * LOWER_BY)
-        return lower if lower >= LOWEST_PERCENT else 0
-    if ratio < WELL_PART:
-        return min(100, percent + RAISE_BY_PERCENT)
+    if ratio >= SLOW_DOWN_RATIO:
+        lower = int(percent * SLOW_DOWN_FACTOR)
+        return lower if lower >= MIN_PACE_PERCENT else 0
+    if ratio < SPEED_UP_RATIO:
+        return min(100, percent + SPEED_UP_STEP_PERCENT)
     return percent
--- a/src/shallotworks/scheduling/_placement.py
+++ b/src/shallotworks/scheduling/_placement.py
@@ -1,4 +1,4 @@
-"""Which worker runs a task, and what speaks against the others."""
+"""Chooses the worker that runs a task, and says why other workers are rejected."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 __all__ = ["LEAST_WORKERS", "Candidates", "Placement"]
 
 LEAST_WORKERS = 3
-"""A lasting step is spread over as many workers at least, so that a crash takes a third of it.
+"""A lasting step is spread over at least this many workers, so that a crash stops at most a third
+of its tasks.
 
-More would cost: a worker with a lasting task on it can't be lent, and the part of a step that is
-expected to be down is the same either way."""
+More workers would cost more: a worker that runs a lasting task can't be lent, and the expected part
+of the step that is down is the same either way."""
 
 _ROOM = WaitReason.ROOM
 _CORDONED = WaitReason.CORDONED
-"""The usual reasons, read once: to read a member from its class takes as long as all the checks
-before it, and in an overload each decision meets thousands."""
+"""The most frequent reasons, looked up once. Reading a member from its enum class takes as long as
+all the checks before it, and in an overload each decision evaluates thousands of them."""
 
 
 class Placement:
@@ -29,13 +30,14 @@
 
     Args:
         step: The step.
-        job_id: Its job, and ...
-        occurrence: ... occurrence, and ...
-        number: ... its number in the job.
-        now_s: The scheduler's clock.
-        permits: Workers that may run it; ``None`` for all.
-        is_hopeless: Its job is late already, and keeps off workers that others wait for.
-        is_spread: Tasks go to the least used workers, and not to the fullest.
+        job_id: The job of the step.
+        occurrence: The occurrence of the job.
+        number: The number of the step in the job.
+        now_s: The scheduler's clock in seconds.
+        permits: Ids of the workers that the advice service allows; ``None`` allows all.
+        is_hopeless: Whether the job can't meet its objective any more. Its tasks then stay off
+            workers that are to return to their lenders.
+        is_spread: Whether tasks are placed on the least used workers instead of the fullest.
     """
 
     __slots__ = ("_is_hopeless", "_is_spread", "_key", "_now_s", "_permits", "_step")
@@ -61,44 +63,45 @@
 
     @classmethod
     def of(
-        cls, entry: TrackedStep, *, now_s: float, wall_s: float, is_spread: bool = False
+        cls, tracked_step: TrackedStep, *, now_s: float, wall_s: float, is_spread: bool = False
     ) -> Placement:
-        """Return the placement of an open step's tasks.
+        """Return the placement for the tasks of an open step.
 
         Args:
-            entry: The step.
-            now_s: The scheduler's clock.
+            tracked_step: The step.
+            now_s: The scheduler's clock in seconds.
             wall_s: Time of day in seconds since 1970.
-            is_spread: Tasks go to the least used workers.
+            is_spread: Whether tasks are placed on the least used workers.
         """
-        job = entry.tracked_job.job
+        job = tracked_step.tracked_job.job
         return cls(
-            step=entry.step,
+            step=tracked_step.step,
             job_id=job.job_id,
-            occurrence=entry.occurrence,
-            number=entry.number,
+            occurrence=tracked_step.occurrence,
+            number=tracked_step.number,
             now_s=now_s,
-            permits=frozenset(entry.permits) if job.policy.is_advised else None,
-            is_hopeless=entry.is_hopeless(wall_s),
+            permits=frozenset(tracked_step.permits) if job.policy.is_advised else None,
+            is_hopeless=tracked_step.is_hopeless(wall_s),
             is_spread=is_spread,
         )
 
     def choose(
         self, workers: Iterable[Worker], *, avoid: frozenset[str], rack: str = ""
     ) -> Worker | None:
-        """Return the best worker with room for one task, or ``None``; see `Candidates`."""
+        """Return the best worker with room for one task, or ``None``; see `Candidates.best`."""
         return Candidates(placement=self, workers=workers).best(avoid=avoid, rack=rack)
 
     @property
-    def is_crowding(self) -> bool:
-        """Whether a placed task changes what speaks for other workers than its own."""
+    def depends_on_siblings(self) -> bool:
+        """Whether placing a task changes the cost of workers other than its own."""
         return self._step.is_lasting
 
-    def obstacle(self, worker: Worker) -> WaitReason | None:
-        """Return the first reason against a worker, or ``None`` if it may run a task of this step.
+    def rejection_reason(self, worker: Worker) -> WaitReason | None:
+        """Return the first reason to reject a worker, or ``None`` if it may run a task of the step.
 
-        What makes it unsuitable is checked before what passes by itself, so that the reason of a
-        worker which only the scheduler keeps back is not hidden by another.
+        Conditions that make a worker unsuitable are checked before restrictions that the scheduler
+        itself sets and that expire. A restriction is therefore reported only for a worker that is
+        suitable otherwise.
         """
         view = worker.view
         if not worker.is_listed:
@@ -113,11 +116,11 @@
             return WaitReason.PERMIT
         if not worker.fits(self._step):
             return _ROOM
-        return self._kept_back(worker)
+        return self._restriction(worker)
 
-    def _kept_back(self, worker: Worker) -> WaitReason | None:
-        most = self._step.most_per_worker
-        if most and self._count_siblings(worker) >= most:
+    def _restriction(self, worker: Worker) -> WaitReason | None:
+        max_siblings = self._step.most_per_worker
+        if max_siblings and self._count_siblings(worker) >= max_siblings:
             return WaitReason.SPREAD
         if self._is_hopeless and worker.is_yielding:
             return WaitReason.YIELDING
@@ -132,112 +135,123 @@
         return None
 
     def cost(
-        self, worker: Worker, avoid: frozenset[str], rack: str, crowds: dict[str, int]
+        self, worker: Worker, avoid: frozenset[str], rack: str, siblings_by_rack: dict[str, int]
     ) -> tuple[float, ...]:
-        """Return how badly a worker suits a task; see `Candidates.best`."""
+        """Return the cost of placing a task on a worker; `Candidates.best` takes the lowest."""
         view = worker.view
         is_suspect = worker.avoid_until_s > self._now_s
         wanted_rack = self._step.near_rack or rack
-        is_far = bool(wanted_rack) and view.rack != wanted_rack
+        is_other_rack = bool(wanted_rack) and view.rack != wanted_rack
         load = worker.cpu_used / max(1, view.cpu_millicores)
         memory = worker.memory_used / max(1, view.memory_mb)
-        before = (is_suspect, worker.worker_id in avoid, is_far)
-        crowd = self._crowd_cost(worker, crowds) if self.is_crowding else (0, 0, 0)
+        before = (is_suspect, worker.worker_id in avoid, is_other_rack)
+        colocation = (
+            self._colocation_cost(worker, siblings_by_rack)
+            if self.depends_on_siblings
+            else (0, 0, 0)
+        )
         fullness = max(load, memory)
         if self._is_spread:
-            return (*before, *crowd, not self._count_siblings(worker), fullness)
-        return (*before, *crowd, _is_lendable(worker), -fullness)
+            return (*before, *colocation, not self._count_siblings(worker), fullness)
+        return (*before, *colocation, _is_lendable(worker), -fullness)
 
-    def _crowd_cost(self, worker: Worker, crowds: dict[str, int]) -> tuple[float, ...]:
-        """Say how badly a lasting task would stand on a worker beside others.
+    def _colocation_cost(
+        self, worker: Worker, siblings_by_rack: dict[str, int]
+    ) -> tuple[float, ...]:
+        """Return the cost of placing a lasting task beside the other tasks of a worker.
 
-        Tasks whose response times have a target disturb each other, so they keep apart. Others
-        stand together, up to their step's part of a worker, on workers that have lasting tasks
-        already, and on racks where the step has the fewest.
+        Tasks with a target for their response times disturb each other, so they are placed apart.
+        Other lasting tasks are placed together, up to their step's share of a worker, preferably on
+        workers that already run lasting tasks and on racks that run the fewest tasks of the step.
         """
         siblings = self._count_siblings(worker)
         lasting = sum(1 for run in worker.runs.values() if run.step.is_lasting)
         if self._step.target_s:
             return (siblings * 4 + lasting, 0, 0)
         is_full = siblings >= -(-self._step.count // LEAST_WORKERS)
-        return (siblings if is_full else 0, not lasting, crowds.get(worker.view.rack, 0))
+        return (siblings if is_full else 0, not lasting, siblings_by_rack.get(worker.view.rack, 0))
 
-    def crowds(self, workers: list[Worker]) -> dict[str, int]:
-        """Return for each rack how many tasks of the step run there, if that matters."""
-        crowds: dict[str, int] = {}
-        if not self.is_crowding:
-            return crowds
+    def siblings_by_rack(self, workers: list[Worker]) -> dict[str, int]:
+        """Return the number of tasks of the step per rack; empty if the cost ignores racks."""
+        siblings_by_rack: dict[str, int] = {}
+        if not self.depends_on_siblings:
+            return siblings_by_rack
         for worker in workers:
             rack = worker.view.rack
-            crowds[rack] = crowds.get(rack, 0) + self._count_siblings(worker)
-        return crowds
+            siblings_by_rack[rack] = siblings_by_rack.get(rack, 0) + self._count_siblings(worker)
+        return siblings_by_rack
 
     def _count_siblings(self, worker: Worker) -> int:
         return sum(1 for name, _ in worker.runs if _step_of(name) == self._key)
 
 
 class Candidates:
-    """The workers that may run tasks of one step, while its tasks are placed one after another.
+    """The workers that may run tasks of one step, while these are placed one after another.
 
-    The load: a turn's jobs have eight tasks and more, on pools of a hundred workers. All workers
-    are judged once for a step; where a task was placed, that worker alone is judged again.
+    The jobs of a turn have eight or more tasks, on pools of a hundred workers. All workers are
+    evaluated once per step. After a task is placed, only its worker is evaluated again.
 
     Args:
-        placement: Judges workers.
+        placement: Evaluates workers.
         workers: All workers of the service.
     """
 
-    __slots__ = ("_costs", "_fitting", "_known", "_placement", "_wish")
+    __slots__ = ("_cost_inputs", "_costs", "_fitting", "_placement", "_workers")
 
     def __init__(self, *, placement: Placement, workers: Iterable[Worker]) -> None:
         self._placement = placement
-        self._known = list(workers)
-        self._fitting = [one for one in self._known if placement.obstacle(one) is None]
-        self._wish: tuple[frozenset[str], str] = (frozenset(), "")
+        self._workers = list(workers)
+        self._fitting = [one for one in self._workers if placement.rejection_reason(one) is None]
+        self._cost_inputs: tuple[frozenset[str], str] = (frozenset(), "")
         self._costs: dict[str, tuple[float, ...]] = {}
-        """Costs of the fitting workers by id, for the last wish; those that changed are missing."""
+        """Costs of the fitting workers by id for the last cost inputs. Outdated costs are
+        removed."""
 
     def best(self, *, avoid: frozenset[str], rack: str = "") -> Worker | None:
         """Return the best worker with room, or ``None``.
 
         Args:
-            avoid: Workers on which this task failed; used last.
-            rack: Rack of the step's other tasks, where they are slower apart; empty for any.
+            avoid: Ids of the workers on which this task failed. They are used only if no other has
+                room.
+            rack: Preferred rack, which holds the other tasks of the step, if these are slower when
+                they are on different racks; empty for any.
         """
         if not self._fitting:
             return None
-        if self._wish != (avoid, rack):
-            self._wish = (avoid, rack)
+        if self._cost_inputs != (avoid, rack):
+            self._cost_inputs = (avoid, rack)
             self._costs.clear()
         if len(self._costs) < len(self._fitting):
-            self._reckon(avoid, rack)
+            self._compute_missing_costs(avoid, rack)
         return min(self._fitting, key=lambda worker: self._costs[worker.worker_id])
 
-    def _reckon(self, avoid: frozenset[str], rack: str) -> None:
-        crowds = self._placement.crowds(self._known)
+    def _compute_missing_costs(self, avoid: frozenset[str], rack: str) -> None:
+        siblings_by_rack = self._placement.siblings_by_rack(self._workers)
         for worker in self._fitting:
             if worker.worker_id not in self._costs:
-                self._costs[worker.worker_id] = self._placement.cost(worker, avoid, rack, crowds)
-
-    def placed(self, worker: Worker) -> None:
-        """Hear that a task of the step was placed on a worker."""
-        if self._placement.is_crowding:
-            # Where the step has its tasks decides about all workers of a rack.
+                self._costs[worker.worker_id] = self._placement.cost(
+                    worker, avoid, rack, siblings_by_rack
+                )
+
+    def note_placed(self, worker: Worker) -> None:
+        """Update the candidates after a task of the step was placed on a worker."""
+        if self._placement.depends_on_siblings:
+            # The cost of every worker of a rack depends on where the tasks of the step run.
             self._costs.clear()
         else:
             self._costs.pop(worker.worker_id, None)
-        if self._placement.obstacle(worker) is not None:
+        if self._placement.rejection_reason(worker) is not None:
             self._costs.pop(worker.worker_id, None)
             self._fitting.remove(worker)
 
 
 def _is_lendable(worker: Worker) -> bool:
-    """Whether a worker could be lent once its tasks that end are over.
+    """Whether a worker could be lent once its tasks that end have ended.
 
-    Tasks go first to workers that stay anyway, and then to the fullest, so that others come free
-    for the queue whose turn is next: at the end of a turn all its machines would stand at a third,
-    and none be idle. Beside tasks whose response times
-    have a target nothing is crowded.
+    Tasks that end are placed first on workers that can't be lent anyway, and then on the fullest,
+    so that other workers become idle for the queue that has its turn next. Otherwise, at the end of
+    a turn all its machines would be a third full, and none of them idle. A worker with a task that
+    has a target for its response times counts as lendable, so that no task is packed beside it.
     """
     lasting = [run for run in worker.runs.values() if run.step.is_lasting]
     return not lasting or any(run.step.target_s for run in lasting)
--- a/src/shallotworks/scheduling/_room.py
+++ b/src/shallotworks/scheduling/_room.py
@@ -26,10 +26,12 @@
     __slots__ = ("_cpu_millicores", "_gpus", "_memory_mb", "workers")
 
     def __init__(self, workers: Iterable[Worker], steps: list[TrackedStep]) -> None:
-        least_cpu_millicores = min((_cpu_of(entry.step) for entry in steps), default=0)
-        least_memory_mb = min((entry.step.memory_mb for entry in steps), default=0)
+        least_cpu_millicores = min(
+            (_own_cpu_millicores(tracked_step.step) for tracked_step in steps), default=0
+        )
+        least_memory_mb = min((tracked_step.step.memory_mb for tracked_step in steps), default=0)
         self.workers: list[Worker] = []
-        """Those with room for the least that any step wants."""
+        """Those with room for the least that any step job_step."""
         self._cpu_millicores = self._memory_mb = self._gpus = 0
         for worker in workers:
             view = worker.view
@@ -46,17 +48,17 @@
 
     def is_short_of(self, step: TrackedStep) -> bool:
         """Whether no worker surely has room for a task of a step of tasks that end."""
-        wants = step.step
-        if wants.is_lasting:
-            # Room is held for these; see `DecisionEngine._hold_room`.
+        job_step = step.step
+        if job_step.is_lasting:
+            # Room is held for these; see `DecisionEngine._hold_worker_for_lasting`.
             return False
         return (
-            _cpu_of(wants) > self._cpu_millicores
-            or wants.memory_mb > self._memory_mb
-            or wants.gpus > self._gpus
+            _own_cpu_millicores(job_step) > self._cpu_millicores
+            or job_step.memory_mb > self._memory_mb
+            or job_step.gpus > self._gpus
         )
 
 
-def _cpu_of(step: Step) -> int:
+def _own_cpu_millicores(step: Step) -> int:
     """Return the processor that a task takes from a worker's own."""
     return 0 if step.is_filler else step.cpu_millicores
--- a/src/shallotworks/scheduling/_tracked_jobs.py
+++ b/src/shallotworks/scheduling/_tracked_jobs.py
@@ -8,11 +8,11 @@
 
 __all__ = ["TrackedJob", "TrackedStep"]
 
-REFUSED_PAUSE_S = 1.0
+MIN_REFUSAL_BACKOFF_S = 1.0
 """After the first start that a worker refused as invalid; doubled with each further one ..."""
-LONGEST_REFUSED_PAUSE_S = 32.0
+MAX_REFUSAL_BACKOFF_S = 32.0
 """... up to this."""
-USE_OBJECTIVES = 3.0
+MAX_USEFUL_OBJECTIVES = 3.0
 """An answer later than this many objectives counts for nothing. Source: the platform's rules."""
 
 
@@ -38,7 +38,7 @@
         "refusals",
         "step",
         "tracked_job",
-        "use_ends_s",
+        "useful_until_s",
         "waiting",
     )
 
@@ -52,7 +52,7 @@
         self.rack = ""
         self.chain_s = tracked_job.chains_s[number]
         self.objective_ends_s = job.due_s(occurrence) + job.objective_s()
-        self.use_ends_s = job.due_s(occurrence) + job.objective_s() * USE_OBJECTIVES
+        self.useful_until_s = job.due_s(occurrence) + job.objective_s() * MAX_USEFUL_OBJECTIVES
         self.permits: dict[str, str] = {}
         """Tickets of the workers that the advice service allows."""
         self.advised_s = -1e9
@@ -68,17 +68,17 @@
 
     def refused(self, now_s: float) -> None:
         """Take note that a start was refused as invalid: any worker would refuse the next one."""
-        pause_s = min(LONGEST_REFUSED_PAUSE_S, REFUSED_PAUSE_S * 2**self.refusals)
+        backoff_s = min(MAX_REFUSAL_BACKOFF_S, MIN_REFUSAL_BACKOFF_S * 2**self.refusals)
         self.refusals += 1
-        self.not_before_s = now_s + pause_s
+        self.not_before_s = now_s + backoff_s
 
     def is_hopeless(self, wall_s: float) -> bool:
         """Whether its job can't meet its objective any more, even if the step began now."""
         return not self.step.is_lasting and wall_s > self.objective_ends_s - self.chain_s
 
-    def is_past_use(self, wall_s: float) -> bool:
+    def is_no_longer_useful(self, wall_s: float) -> bool:
         """Whether its job can't even be late, but only be done for nobody."""
-        return not self.step.is_lasting and wall_s > self.use_ends_s - self.chain_s
+        return not self.step.is_lasting and wall_s > self.useful_until_s - self.chain_s
 
     def name(self, index: int) -> TaskName:
         """Name one of its tasks."""
@@ -155,9 +155,9 @@
 
 def _chains_s(job: Job) -> list[float]:
     """Return for each step the estimated time from its start to the end of its occurrence."""
-    chains = [step.estimated_s for step in job.steps]
+    critical_paths = [step.estimated_s for step in job.steps]
     for number in range(len(job.steps) - 1, -1, -1):
         for earlier in job.steps[number].after:
-            longest = job.steps[earlier].estimated_s + chains[number]
-            chains[earlier] = max(chains[earlier], longest)
-    return chains
+            longest = job.steps[earlier].estimated_s + critical_paths[number]
+            critical_paths[earlier] = max(critical_paths[earlier], longest)
+    return critical_paths
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -30,14 +30,14 @@
     "waiting_reason",
 ]
 
-LONG_WAIT_S = 0.9
+MIN_LOGGED_WAIT_S = 0.9
 """Waits are logged from here on: those that the second of two looks a second apart still finds."""
-MOST_NAMED = 5
-MOST_EXAMINED = 64
+MAX_NAMED_WORKERS = 5
+MAX_EXAMINED_KINDS = 64
 """Kinds of steps examined in one look. To find that none of 100 full workers has room for 64 kinds
 takes 2.5 ms of the event loop."""
 MS_PER_S = 1000
-_CLOSENESS = {reason: rank for rank, reason in enumerate(WaitReason)}
+_RANKS = {reason: rank for rank, reason in enumerate(WaitReason)}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -86,7 +86,7 @@
         """Return it as fields of a log line."""
         return {
             "unseen_workers": len(self.unseen),
-            "unseen_named": name_some(self.unseen, MOST_NAMED),
+            "unseen_named": name_some(self.unseen, MAX_NAMED_WORKERS),
             "recovery_left_s": round(self.left_s, 1),
         }
 
@@ -110,9 +110,9 @@
     recovery: RecoveryWait | None = None
 
     @property
-    def is_long(self) -> bool:
+    def has_long_wait(self) -> bool:
         """Whether a task has waited for long enough to be told of."""
-        return self.longest is not None and self.longest.waited_s >= LONG_WAIT_S
+        return self.longest is not None and self.longest.waited_s >= MIN_LOGGED_WAIT_S
 
     def fields(self) -> dict[str, object]:
         """Return it as fields of a log line, whose number is bounded."""
@@ -151,11 +151,11 @@
     placement = Placement.of(step, now_s=now_s, wall_s=wall_s)
     closest = WaitReason.UNLISTED
     for worker in scheduler_state.workers.values():
-        obstacle = placement.obstacle(worker)
-        if obstacle is None:
+        rejection = placement.rejection_reason(worker)
+        if rejection is None:
             return _reason_beside_room(step)
-        if obstacle is not closest and _CLOSENESS[obstacle] > _CLOSENESS[closest]:
-            closest = obstacle
+        if rejection is not closest and _RANKS[rejection] > _RANKS[closest]:
+            closest = rejection
     return closest
 
 
@@ -168,7 +168,7 @@
 
 def tasks_recovering(scheduler_state: SchedulerState) -> int:
     """Return how many tasks wait until recovery is over."""
-    return sum(len(step.waiting) for step in _held_steps(scheduler_state))
+    return sum(len(step.waiting) for step in _steps_in_recovery(scheduler_state))
 
 
 def name_some(worker_ids: Iterable[str], most: int) -> list[str]:
@@ -181,7 +181,7 @@
     return sorted(worker_ids)[:most]
 
 
-def _held_steps(scheduler_state: SchedulerState) -> Iterator[TrackedStep]:
+def _steps_in_recovery(scheduler_state: SchedulerState) -> Iterator[TrackedStep]:
     """Yield the steps with tasks that wait and that the board holds back."""
     if not scheduler_state.pending_recovery:
         return
@@ -206,7 +206,7 @@
         log: One line for each look that finds a long wait.
     """
 
-    __slots__ = ("_log", "_looked_s", "_metrics", "_scheduler_state", "_since_s")
+    __slots__ = ("_last_report_s", "_log", "_metrics", "_scheduler_state", "_waiting_since_s")
 
     def __init__(
         self, *, scheduler_state: SchedulerState, metrics: Metrics, log: StructuredLog
@@ -214,8 +214,8 @@
         self._scheduler_state = scheduler_state
         self._metrics = metrics
         self._log = log
-        self._since_s: dict[TrackedStep, dict[int, float]] = {}
-        self._looked_s: float | None = None
+        self._waiting_since_s: dict[TrackedStep, dict[int, float]] = {}
+        self._last_report_s: float | None = None
 
     def report(self, *, now_s: float, wall_s: float) -> None:
         """Look, count, and log what has waited for long.
@@ -226,7 +226,7 @@
         """
         summary = self.summarise(now_s=now_s, wall_s=wall_s)
         self._count(summary, now_s)
-        if summary.is_long:
+        if summary.has_long_wait:
             scheduler_state = self._scheduler_state
             fields = summary.fields()
             self._log.line(
@@ -243,16 +243,18 @@
             now_s: The scheduler's clock.
             wall_s: Time of day in seconds since 1970.
         """
-        held, startable = list(_held_steps(self._scheduler_state)), list(
+        held, startable = list(_steps_in_recovery(self._scheduler_state)), list(
             self._scheduler_state.open_steps()
         )
-        self._remember([*held, *startable], now_s)
+        self._update_waiting_since([*held, *startable], now_s)
         # The longest waits come first, so that their reasons are among those that are found.
         startable.sort(key=lambda step: (self._oldest_s(step), not step.step.is_lasting))
-        examiner = _Examiner(scheduler_state=self._scheduler_state, now_s=now_s, wall_s=wall_s)
+        reason_finder = _ReasonFinder(
+            scheduler_state=self._scheduler_state, now_s=now_s, wall_s=wall_s
+        )
         waits = [_StepWait(step, WaitReason.RECOVERY, self._oldest_s(step)) for step in held]
         waits += [
-            _StepWait(step, examiner.reason(step), self._oldest_s(step)) for step in startable
+            _StepWait(step, reason_finder.reason(step), self._oldest_s(step)) for step in startable
         ]
         lasting = [wait for wait in waits if wait.step.step.is_lasting]
         return WaitSummary(
@@ -263,20 +265,20 @@
             recovery=self._recovery(now_s) if held else None,
         )
 
-    def _remember(self, steps: list[TrackedStep], now_s: float) -> None:
-        earlier, self._since_s = self._since_s, {}
+    def _update_waiting_since(self, steps: list[TrackedStep], now_s: float) -> None:
+        earlier, self._waiting_since_s = self._waiting_since_s, {}
         for step in steps:
             known = earlier.get(step, {})
-            self._since_s[step] = {index: known.get(index, now_s) for index in step.waiting}
+            self._waiting_since_s[step] = {index: known.get(index, now_s) for index in step.waiting}
 
     def _oldest_s(self, step: TrackedStep) -> float:
-        return min(self._since_s[step].values())
+        return min(self._waiting_since_s[step].values())
 
     def _longest(self, waits: list[_StepWait], now_s: float) -> TaskWait | None:
         if not waits:
             return None
         wait = min(waits, key=lambda one: (one.since_s, not one.step.step.is_lasting))
-        since_s = self._since_s[wait.step]
+        since_s = self._waiting_since_s[wait.step]
         return TaskWait(
             name=wait.step.name(min(since_s, key=lambda index: (since_s[index], index))),
             reason=wait.reason,
@@ -291,7 +293,7 @@
         )
 
     def _count(self, summary: WaitSummary, now_s: float) -> None:
-        last_s, self._looked_s = self._looked_s, now_s
+        last_s, self._last_report_s = self._last_report_s, now_s
         if last_s is None:
             return
         passed_ms = round((now_s - last_s) * MS_PER_S)
@@ -320,20 +322,20 @@
     is_hopeless: bool
 
 
-class _Examiner:
+class _ReasonFinder:
     """Finds the reasons of one look, each kind of step once and so many kinds only.
 
     The load: thousands of steps wait in an overload, mostly of a few sizes. To compare each with
     each worker would hold the event loop, and with it the renewal of the term's key.
     """
 
-    __slots__ = ("_by_kind", "_left", "_now_s", "_scheduler_state", "_wall_s")
+    __slots__ = ("_by_kind", "_examinations_left", "_now_s", "_scheduler_state", "_wall_s")
 
     def __init__(self, *, scheduler_state: SchedulerState, now_s: float, wall_s: float) -> None:
         self._scheduler_state = scheduler_state
         self._now_s = now_s
         self._wall_s = wall_s
-        self._left = MOST_EXAMINED
+        self._examinations_left = MAX_EXAMINED_KINDS
         self._by_kind: dict[_Kind, WaitReason] = {}
 
     def reason(self, step: TrackedStep) -> WaitReason:
@@ -341,9 +343,9 @@
         kind = self._kind(step)
         if kind is not None and kind in self._by_kind:
             return self._by_kind[kind]
-        if self._left <= 0:
+        if self._examinations_left <= 0:
             return WaitReason.NOT_EXAMINED
-        self._left -= 1
+        self._examinations_left -= 1
         reason = waiting_reason(self._scheduler_state, step, now_s=self._now_s, wall_s=self._wall_s)
         if kind is not None:
             self._by_kind[kind] = reason
@@ -371,4 +373,4 @@
     counts: Counter[WaitReason] = Counter()
     for wait in waits:
         counts[wait.reason] += len(wait.step.waiting)
-    return tuple(sorted(counts.items(), key=lambda row: _CLOSENESS[row[0]]))
+    return tuple(sorted(counts.items(), key=lambda row: _RANKS[row[0]]))
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -11,7 +11,7 @@
 
 from shallotworks.jobs import Step
 from shallotworks.scheduling import DecisionEngine, OrderDispatcher, StartOrder, StopOrder, Worker
-from shallotworks.scheduling._decisions import MOST_STARTS, Decision
+from shallotworks.scheduling._decisions import MAX_STARTS_PER_DECISION, Decision
 from shallotworks.scheduling._placement import Candidates, Placement
 from tests.scheduling_fakes import TOKEN, SchedulingHarness, job, step, view
 from tests.scheduling_simulation import Instance, SchedulingSimulation
@@ -41,15 +41,17 @@
         sizes = []
         for _ in range(6):
             sizes.append(len(harness.start_orders()))
-            self.assertEqual(sizes[-1] >= MOST_STARTS, harness.decision_engine.is_cut_short)
+            self.assertEqual(
+                sizes[-1] >= MAX_STARTS_PER_DECISION, harness.decision_engine.is_cut_short
+            )
         self.assertEqual([64, 64, 64, 64, 64, 0], sizes)
 
     def test_a_gang_is_not_split(self) -> None:
         """A part of a gang holds room and waits for members that are never started."""
         harness = bench_of(40)
-        harness.add_job(job("0" * 16, step(MOST_STARTS - 1)))
+        harness.add_job(job("0" * 16, step(MAX_STARTS_PER_DECISION - 1)))
         harness.add_job(job("1" * 16, step(30, is_gang=True, estimated_s=9.0)))
-        self.assertEqual(MOST_STARTS - 1 + 30, len(harness.start_orders()))
+        self.assertEqual(MAX_STARTS_PER_DECISION - 1 + 30, len(harness.start_orders()))
 
     def test_stops_go_before_starts(self) -> None:
         """A cancelled job runs on in a turn, since its stops wait behind starts."""
@@ -63,7 +65,9 @@
             harness.add_job(job(f"{number:016x}", step(8)))
         decisions = harness.decide()
         self.assertTrue(all(isinstance(one, StopOrder) for one in decisions[:4]))
-        self.assertEqual(MOST_STARTS, sum(isinstance(one, StartOrder) for one in decisions))
+        self.assertEqual(
+            MAX_STARTS_PER_DECISION, sum(isinstance(one, StartOrder) for one in decisions)
+        )
 
 
 class CandidatesTests(unittest.TestCase):
@@ -106,7 +110,7 @@
             chosen.append(worker.worker_id)
             run_id = TOKEN * 1_000_000 + 10_000 + index
             harness.scheduler_state.new_run(entry, index, worker, run_id, harness.now_s)
-            candidates.placed(worker)
+            candidates.note_placed(worker)
         return chosen
 
     @staticmethod
@@ -160,7 +164,7 @@
             instance.view.faults.is_down = True
             service_scheduler._lease._sent_s -= 60.0
             self.assertFalse(service_scheduler._lease.is_valid)
-            service_scheduler.decision_engine._started = MOST_STARTS
+            service_scheduler.decision_engine._started = MAX_STARTS_PER_DECISION
             plain, waits = OrderDispatcher.wait, 0
 
             async def counted(order_dispatcher: OrderDispatcher, longest_s: float) -> None:
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -21,7 +21,7 @@
     Worker,
     waiting_reason,
 )
-from shallotworks.scheduling._waiting import MOST_EXAMINED, MOST_NAMED
+from shallotworks.scheduling._waiting import MAX_EXAMINED_KINDS, MAX_NAMED_WORKERS
 from tests import scheduling_simulation
 from tests.scheduling_fakes import TOKEN, WALL_S, SchedulingHarness, job, policy, step, view
 from tests.scheduling_simulation import SchedulingSimulation
@@ -334,12 +334,12 @@
         harness.add_job(job("oldest", step(1, cpu_millicores=1)))
         harness.look()
         harness.now_s += 1.0
-        for number in range(MOST_EXAMINED + 10):
+        for number in range(MAX_EXAMINED_KINDS + 10):
             for copy in range(2):
                 harness.add_job(job(f"j{number}-{copy}", step(1, cpu_millicores=100 + number)))
         summary = harness.look()
         counts = dict(summary.counts)
-        self.assertEqual(2 * MOST_EXAMINED - 1, counts[WaitReason.ROOM])
+        self.assertEqual(2 * MAX_EXAMINED_KINDS - 1, counts[WaitReason.ROOM])
         self.assertEqual(2 * (10 + 1), counts[WaitReason.NOT_EXAMINED])
         assert summary.longest is not None
         self.assertIs(WaitReason.ROOM, summary.longest.reason)
@@ -398,7 +398,7 @@
     def test_fields(self) -> None:
         """The line names the task, its reason and the workers that are waited for, all bounded."""
         harness = WaitingHarness("a")
-        unseen = {f"w{number}": 120.0 for number in range(MOST_NAMED + 2)}
+        unseen = {f"w{number}": 120.0 for number in range(MAX_NAMED_WORKERS + 2)}
         harness.scheduler_state.pending_recovery.update(unseen)
         harness.add_job(job("ends", step(1, label="big")))
         harness.tell(0.0)
@@ -420,7 +420,7 @@
             "lasting_task": [0, 0, 0],
             "lasting_reason": "recovery",
             "lasting_wait_s": 1.0,
-            "unseen_workers": MOST_NAMED + 2,
+            "unseen_workers": MAX_NAMED_WORKERS + 2,
             "unseen_named": ["w0", "w1", "w2", "w3", "w4"],
             "recovery_left_s": 18.0,
         }
