--- a/src/shallotworks/jobs/_crashes.py
+++ b/src/shallotworks/jobs/_crashes.py
@@ -1,4 +1,4 @@
-"""Runs that were lost when their worker crashed, and when a task has lost too many."""
+"""Records runs lost in worker crashes, and decides when a task is suspect or crash looping."""
 
 from __future__ import annotations
 
@@ -9,33 +9,37 @@
 __all__ = ["Blame", "LostRun", "is_crash_looping", "is_suspect"]
 
 MAX_EARLY_CRASHES = 2
-"""Crashes shortly after a task's starts, the last with it as sole suspect, that fail its job ..."""
+"""A task is crash looping after this many crashes shortly after its starts, if it is the sole
+suspect of its last crash."""
 MAX_CRASHES = 3
-"""... or of all crashes this many; or this many early ones, whoever else may have caused them."""
+"""A task is crash looping after this many early crashes, whatever other runs may have caused them.
+It is also crash looping after this many crashes of any kind, if it is the sole suspect of the
+last."""
 MIN_SUSPECT_CRASHES = 2
-"""Other crashes of a task's workers after which it is a suspect."""
+"""A task is a suspect after this many lost runs, even if each of them gets late blame."""
 
 
 @unique
 class Blame(Enum):
-    """How likely a run has crashed its worker."""
+    """How likely it is that a run crashed its worker."""
 
     SOLE = "sole"
-    """No other run on the worker was as young."""
+    """No other run on the worker was on probation."""
     SHARED = "shared"
-    """Others were as young."""
+    """Other runs on the worker were on probation too."""
     LATE = "late"
-    """It had run for a while, or many workers were lost at that moment."""
+    """The run had passed its probation, or many workers were lost at the same moment."""
 
 
 class LostRun(NamedTuple):
-    """A run that was lost with its worker, or may have been.
+    """A run that was or may have been lost in a crash of its worker.
 
     Args:
         run_id: The run.
-        worker_id: Where it ran.
+        worker_id: The worker that it ran on.
         blame: How likely it was the cause.
-        is_certain: The worker has crashed; else it may have, or may yet.
+        is_certain: Whether the worker has crashed. Otherwise it may have crashed, or may still do
+            so.
     """
 
     run_id: int
@@ -45,7 +49,7 @@
 
 
 def is_crash_looping(lost: Sequence[LostRun]) -> bool:
-    """Whether a task is given up for the crashes of its runs."""
+    """Whether a task is given up because its runs keep crashing workers."""
     crashes = [one.blame for one in lost if one.is_certain]
     early = [blame for blame in crashes if blame is not Blame.LATE]
     if crashes and crashes[-1] is Blame.SOLE and len(early) >= MAX_EARLY_CRASHES:
@@ -54,5 +58,5 @@
 
 
 def is_suspect(lost: Sequence[LostRun]) -> bool:
-    """Whether a task is to be started in isolation."""
+    """Whether a task has to be started in isolation."""
     return len(lost) >= MIN_SUSPECT_CRASHES or any(one.blame is not Blame.LATE for one in lost)
--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -1,7 +1,8 @@
-"""Which runs are blamed for a crash of their worker; no network.
+"""Decides which runs are blamed for the crash of their worker; no network calls.
 
-A crashed worker says nothing of what it ran, so a crash is blamed on the runs that were on
-probation when it died. Blame is part of a job's progress, so that a successor knows of it.
+A crashed worker doesn't report what it ran, so the crash is blamed on the runs that were on
+probation when the worker died. The blame is stored in the progress of the job, so that a succeeding
+scheduler knows of it.
 """
 
 from __future__ import annotations
@@ -18,27 +19,31 @@
 __all__ = ["MIN_PROBATION_S", "CrashBlame"]
 
 MIN_PROBATION_S = 0.25
-"""A run that its worker has confirmed for this long is no first suspect ..."""
+"""A run is on probation until its worker has survived it for this long after confirming it. Runs on
+probation are the first suspects."""
 PROBATION_GROWTH_FACTOR = 2.0
-"""... and this many times longer after each lost run of its task."""
+"""The probation time is multiplied by this for each lost run of the same task."""
 MAX_PROBATION_S = 8.0
+"""Upper bound of the probation time."""
 MASS_CRASH_WINDOW_S = 0.05
+"""Workers lost within this time of each other count as lost at the same moment."""
 MIN_MASS_CRASH_WORKERS = 4
-"""So many workers lost at the same moment were not crashed by single tasks."""
+"""If this many workers are lost at the same moment, single tasks are not the cause."""
 FREQUENT_CRASH_WINDOW_S = 10.0
+"""Crashes are frequent if `FREQUENT_CRASH_COUNT` of them fall within this time."""
 FREQUENT_CRASH_COUNT = 3
 MAX_CONNECTION_LOSSES_KEPT = 256
 
 
 class CrashBlame:
-    """Blames crashes of workers on tasks, and gives jobs up whose tasks crash one after the other.
+    """Blames crashes of workers on tasks, and fails jobs whose tasks crash repeatedly.
 
     Args:
         entries: The service's jobs by id.
-        workers: Its workers by id.
-        first_run_id: Runs with lower ids are of earlier terms.
-        log: One line for each blame and each job that is given up.
-        close: Called for a job that has failed.
+        workers: The service's workers by id.
+        first_run_id: Runs with lower ids belong to earlier epochs.
+        log: Receives a line for each blame, which also says whether the job is failed.
+        close: Called with a job that has failed, and the reason.
     """
 
     __slots__ = (
@@ -68,20 +73,23 @@
         self._log = log
         self._close = close
         self._crashes: deque[float] = deque(maxlen=FREQUENT_CRASH_COUNT)
-        """Time of day at which the last workers were lost with on_probation runs."""
+        """Time of day, in seconds since 1970, of the latest losses of workers with runs on
+        probation."""
         self._connection_losses: deque[tuple[float, str]] = deque(maxlen=MAX_CONNECTION_LOSSES_KEPT)
-        """When workers closed their connections, on the scheduler's clock, and which."""
+        """Time on the scheduler's clock at which workers closed their connections, and their
+        ids."""
         self._unanswered_starts: dict[int, Blame] = {}
-        """Blame of runs, by id, whose starts were under way when their workers were over."""
+        """Blame by run id for runs whose start was unanswered when their worker ended."""
         self._may_miss_crashes = False
-        """Whether a worker was lost that may have run tasks of an earlier term."""
+        """Whether a worker was lost that may have run tasks of an earlier epoch."""
 
     # ---- blame
 
     def connection_closed(self, worker: Worker, now_s: float, wall_s: float) -> None:
-        """Take note that a worker closed its connections: it may have crashed just now.
+        """Record that a worker closed its connections, since it may have crashed just now.
 
-        Young runs are blamed in the store at once: this scheduler may be gone before it is certain.
+        Runs on probation are blamed and stored at once, because this scheduler may end before the
+        crash is certain.
         """
         if worker.closed_s is not None:
             return
@@ -90,7 +98,7 @@
         self.worker_silent(worker, wall_s)
 
     def worker_silent(self, worker: Worker, wall_s: float) -> None:
-        """Blame on_probation runs for a worker that may have crashed."""
+        """Blame the runs on probation of a worker that may have crashed."""
         on_probation = [one for one in self._assign_blame(worker) if one[1] is not Blame.LATE]
         if on_probation:
             self._crashes.append(wall_s)
@@ -98,13 +106,13 @@
             self._note(run, blame, is_certain=False, wall_s=wall_s)
 
     def worker_ended(self, worker: Worker, wall_s: float, *, is_replaced: bool) -> None:
-        """Blame runs for a worker that is over, also those that were given up before.
+        """Blame the runs of a worker that has ended, including runs that were given up before.
 
         Args:
             worker: The worker.
-            wall_s: Time of day.
-            is_replaced: Another incarnation has taken its place, so that it has crashed; else it
-                may be cut off.
+            wall_s: Time of day in seconds since 1970.
+            is_replaced: Whether another incarnation has taken the worker's place, so that it has
+                crashed. Otherwise it may only be unreachable.
         """
         for run in worker.runs.values():
             if run.phase is RunPhase.RESERVED:
@@ -119,7 +127,7 @@
                 self._confirm(tracked_job, name, lost, wall_s, is_replaced=is_replaced)
 
     def start_answered(self, run: Run, wall_s: float, *, may_have_run: bool) -> None:
-        """Hear what became of a start, whose worker may be known to be over by now."""
+        """Record the outcome of a start whose worker may have ended in the meantime."""
         blame = self._unanswered_starts.pop(run.run_id, None)
         if blame is not None and may_have_run:
             self._note(run, blame, is_certain=True, wall_s=wall_s)
@@ -135,9 +143,10 @@
         *,
         is_replaced: bool,
     ) -> None:
-        """Make a blame certain; it is less than sole where the worker may have lived on for long.
+        """Make a blame certain; sole blame becomes shared where the cause is in doubt.
 
-        Of an earlier term's run it is not known whether it was cleared, and that not stored.
+        A worker that was not replaced may have survived the run for long. Of a run of an earlier
+        epoch it is unknown whether it was cleared without that being stored.
         """
         blame = lost.blame
         if blame is Blame.SOLE and not (is_replaced and lost.run_id > self._first_run_id):
@@ -145,14 +154,14 @@
         self.note_lost(tracked_job, name, lost._replace(blame=blame, is_certain=True), wall_s)
 
     def earlier_runs_lost(self) -> None:
-        """Take note that a worker was lost, and nobody knows what an earlier term ran there."""
+        """Record that a worker was lost whose runs of an earlier epoch are unknown."""
         self._may_miss_crashes = True
 
     def started(self, run: Run, wall_s: float) -> None:
-        """Store where a task of an earlier term runs, if runs of it may have been lost before.
+        """Store where a task of an earlier epoch runs, if runs of it may have been lost unnoticed.
 
-        A scheduler that dies before it knows of a crash leaves no blame. So that the next one does,
-        the start is stored beside being sent.
+        A scheduler that ends before it detects a crash leaves no blame. The start is therefore
+        stored while it is sent, so that the next scheduler can blame it.
         """
         tracked_job = self._entries[run.name.job_id]
         if self._may_miss_crashes and tracked_job.is_old and not run.step.is_lasting:
@@ -165,7 +174,8 @@
             return [(worker.isolated, Blame.SOLE), *_late_blames(others)]
         if self._is_mass_crash(worker):
             return _late_blames(started)
-        # Not until its connections were closed: a worker that lost power closes none.
+        # The age counts to the last report, not to the close of the connections, because a worker
+        # that lost power closes none.
         lived_s = worker.last_seen_s
         on_probation = {run for run in started if lived_s - run.confirmed_s < self.probation_s(run)}
         tasks = {
@@ -203,7 +213,7 @@
     def note_lost(
         self, tracked_job: TrackedJob, name: TaskName, lost: LostRun, wall_s: float
     ) -> None:
-        """Put a lost run into its job's progress, and give the job up where it is one too many."""
+        """Add a lost run to the progress of its job, and close the job if that has failed."""
         if not tracked_job.progress.note_lost(tracked_job.job, name, lost, now_s=wall_s):
             return
         tracked_job.changes += 1
@@ -223,7 +233,7 @@
             self._close(tracked_job, "crash-loop")
 
     def _uncertain_losses_on(self, worker_id: str) -> list[tuple[TrackedJob, TaskName, LostRun]]:
-        """Return what is not certain of runs on a worker, with their jobs and tasks."""
+        """Return the uncertain lost runs on a worker, with their jobs and tasks."""
         return [
             (tracked_job, TaskName(tracked_job.job.job_id, *key), lost)
             for tracked_job in self._entries.values()
@@ -234,7 +244,11 @@
         ]
 
     def resolve(self, tracked_job: TrackedJob, wall_s: float) -> None:
-        """Find out what became of workers that runs of a job, now over, may have crashed."""
+        """Confirm or clear the uncertain lost runs of a job that are no longer tracked as alive.
+
+        A run is confirmed if its worker is not known any more, and cleared if its worker has
+        answered this scheduler.
+        """
         for key, runs in list(tracked_job.progress.lost.items()):
             name = TaskName(tracked_job.job.job_id, *key)
             alive = {run.run_id for run in tracked_job.live.get(name, ())}
@@ -254,14 +268,14 @@
     # ---- no blame
 
     def worker_left(self, worker: Worker) -> None:
-        """Clear the runs of a worker that went as planned."""
+        """Clear the runs of a worker that left as planned."""
         for run in worker.runs.values():
             self.survived(run)
         for tracked_job, name, lost in self._uncertain_losses_on(worker.worker_id):
             self._clear(tracked_job, name, lost.run_id)
 
     def survived(self, run: Run) -> None:
-        """Clear a run: its worker lives, or never had it."""
+        """Clear a run whose worker is alive or never received it."""
         worker = self._workers.get(run.worker_id)
         if worker is not None and worker.isolated is run:
             worker.isolated = None
@@ -275,14 +289,14 @@
             tracked_job.changes += 1
 
     def are_frequent(self, wall_s: float) -> bool:
-        """Whether tasks crash one worker after the other, so that each should run few jobs."""
+        """Whether workers crash so often that each of them should run few jobs."""
         crashes = self._crashes
         return (
             len(crashes) == FREQUENT_CRASH_COUNT and wall_s - crashes[0] < FREQUENT_CRASH_WINDOW_S
         )
 
     def probation_s(self, run: Run) -> float:
-        """Return for how long a worker has to outlive a start before its run is no suspect."""
+        """Return how many seconds a worker has to survive a run before the run is no suspect."""
         tracked_job = self._entries.get(run.name.job_id)
         if tracked_job is None or not tracked_job.progress.lost:
             return MIN_PROBATION_S
@@ -292,5 +306,8 @@
 
 
 def _late_blames(runs: Iterable[Run]) -> list[tuple[Run, Blame]]:
-    """Blame runs least; lasting ones not at all, since crashes of no fault of theirs add up."""
+    """Return late blame for runs; lasting ones are left out.
+
+    A lasting run would collect blame for unrelated crashes, one after the other.
+    """
     return [(run, Blame.LATE) for run in runs if not run.step.is_lasting]
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -1,4 +1,4 @@
-"""What the scheduler does next: starts, stops, paces and questions for advice; no network."""
+"""Decides which runs to start, stop and pace, and when to request advice; no network calls."""
 
 from __future__ import annotations
 
@@ -24,31 +24,38 @@
 __all__ = ["DecisionEngine", "Decision"]
 
 STOP_RETRY_INTERVAL_S = 0.7
-"""A stop that was not answered is sent again after this; one takes a worker 0.2 to 0.9 s."""
+"""An unanswered stop is sent again after this time. A worker takes 0.2 to 0.9 s to carry out a
+stop."""
 MIN_STALL_TIMEOUT_S = 2.5
-"""A task whose progress did not change for this long hangs: the shortest tasks take 0.6 s, and a
-worker slowed sixfold still moves a task of 2 s by 5 percent in that time."""
+"""A task whose progress has not changed for this long is considered hung. The shortest tasks take
+0.6 s, and a worker that is slowed down sixfold still advances a task of 2 s by 5 percent in this
+time."""
 STALL_TIMEOUT_ESTIMATE_RATIO = 0.3
-"""... or for this part of its estimate, for the longest tasks, whose percent changes seldom."""
+"""The stall timeout is at least this ratio of the task's estimated time, because the percentage of
+the longest tasks seldom changes."""
 MAX_WORKERS_PER_ADVICE_REQUEST = 12
-"""Workers asked about at once: the service takes some time for each."""
+"""Workers named in one advice request. The advice service takes some time for each of them."""
 ADVICE_RETRY_INTERVAL_S = 1.0
+"""Minimum time between two advice requests for a step."""
 MIN_DRAIN_REMAINING_S = 2.0
-"""A draining worker serves on for this long at least; what needs longer and can go on elsewhere
-is moved at once."""
+"""A draining worker keeps serving for at least this long. A checkpointed task that needs longer is
+moved at once."""
 MAX_STARTS_PER_DECISION = 64
-"""Tasks started in one decision; a gang is never split. The rest waits for the next one, behind
-what else the process has to do: renewals, looks, what its pool lacks."""
+"""Tasks started in one decision; a gang is never split. The remaining tasks wait for the next
+decision, so that the process can first renew leases, poll workers and publish the demand of its
+pool."""
 
 Decision = StartOrder | StopOrder | PaceOrder | AdviceRequest
+"""One order or advice request that a decision yields."""
 
 
 class DecisionEngine:
-    """Decides on a board.
+    """Decides on the basis of a scheduler state.
 
     Args:
-        scheduler_state: What is known.
-        order: Says which of the waiting steps gets room first, the smallest; see `urgency`.
+        scheduler_state: The known jobs, runs and workers.
+        order: Returns the sort key of a waiting step; the smallest is given room first. See
+            `urgency`.
     """
 
     __slots__ = (
@@ -70,17 +77,18 @@
         self._scheduler_state = scheduler_state
         self._order = order
         self._held_worker_ids: set[str] = set()
-        """Workers whose room is held for lasting tasks, in this decision."""
+        """Workers whose room is held for lasting tasks in this decision."""
         self._room = Room([], [])
         self._started = 0
         self._now_s = 0.0
         self._wall_s = 0.0
 
     def decide(self, *, now_s: float, wall_s: float, may_start: bool = True) -> Iterator[Decision]:
-        """Yield all that is to be done now; each run is counted as begun when it is yielded.
+        """Yield the orders and requests that are due now; a yielded run counts as started.
 
         Args:
-            now_s: The scheduler's clock, which counts suspended time.
+            now_s: The scheduler's clock in seconds, which includes the time that the machine was
+                suspended.
             wall_s: Time of day in seconds since 1970.
             may_start: Whether tasks may be started now.
         """
@@ -96,21 +104,22 @@
 
     @property
     def is_cut_short(self) -> bool:
-        """Whether the last decision has started as many tasks as one may, so that more may wait."""
+        """Whether the last decision reached its limit of starts, so that more tasks may wait."""
         return self._started >= MAX_STARTS_PER_DECISION
 
     def evacuate(self, worker: Worker) -> None:
-        """Stop lasting tasks on a worker that is to go, as many as their budgets allow now."""
+        """Request the stop of lasting tasks on a worker that is to leave, within their budgets."""
         for run in list(worker.runs.values()):
             if run.step.is_lasting and self.may_disrupt(run):
                 self._scheduler_state.request_stop(run, "evacuation")
 
     def may_disrupt(self, run: Run) -> bool:
-        """Whether a lasting task may be taken away now.
+        """Whether a lasting task may be stopped now.
 
-        The failure: a service whose tasks are moved faster than they come back, so that its users
-        meet fewer of them than its budget says. A task counts as away until it is seen at work
-        again. A step without a budget is moved a task at a time.
+        Without this check, the tasks of a service could be moved faster than they are restarted, so
+        that its users meet fewer tasks than the disruption budget of the step guarantees. A task
+        counts as unavailable until it is observed serving again. Tasks of a step without a budget
+        are moved one at a time.
         """
         if run.is_stop_requested:
             return False
@@ -123,7 +132,7 @@
         away = self._scheduler_state.away(step, excluding=run, now_s=self._now_s)
         return away < max(1, run.step.may_miss)
 
-    # ---- what time brings
+    # ---- timeouts
 
     def _apply_timeouts(self, now_s: float, wall_s: float) -> None:
         scheduler_state = self._scheduler_state
@@ -220,7 +229,7 @@
                 self._scheduler_state.start_failed(run, now_s)
 
     def _start_beside_suspects(self, step: TrackedStep, now_s: float) -> Iterator[StartOrder]:
-        """Start tasks of a job that has lost runs with crashed workers, suspects in isolation."""
+        """Start tasks of a job that lost runs in worker crashes, its suspects in isolation."""
         isolation, tracked_job = self._scheduler_state.isolation, step.tracked_job
         indices = {step.name(index): index for index in step.waiting}
         suspects = isolation.suspects(tracked_job, indices, self._wall_s)
@@ -233,7 +242,7 @@
             yield from self._start_tasks(step, others, now_s)
 
     def _isolate(self, step: TrackedStep, index: int, now_s: float) -> None:
-        """Keep a worker for a suspect, one where a crash would take the least with it."""
+        """Reserve a worker for a suspect, preferably one whose crash stops the least work."""
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s)
         candidate_workers = [
             one
@@ -272,19 +281,20 @@
 
     def _workers_for(self, step: TrackedStep) -> list[Worker]:
         if step.step.is_lasting:
-            # Where its tasks run already matters, also on workers that are full.
+            # Full workers are included, because the cost depends on where tasks of the step run.
             return list(self._scheduler_state.workers.values())
         return [
             worker for worker in self._room.workers if worker.worker_id not in self._held_worker_ids
         ]
 
     def _hold_worker_for_lasting(self, step: TrackedStep, now_s: float) -> None:
-        """Keep tasks that end off one worker, where lasting tasks of a step find no room.
+        """Keep tasks that end off one worker, if lasting tasks of a step find no room.
 
-        The failure: a lasting task of a third of a worker's memory comes back in a turn. Whatever
-        room comes free is taken at once by smaller tasks that wait behind it, and it is down until
-        the turn is over. The worker with the most room is held, and since nothing is started there,
-        it is the one with the most room next time too; tasks of a turn take a second or two.
+        Suppose that a lasting task which needs a third of a worker's memory has to be restarted in
+        a turn. Without the hold, smaller tasks that wait behind it take all room as soon as it
+        becomes free, and the lasting task is down until the turn is over. The worker with the most
+        room is held. Since nothing is started there, it has the most room in the next decision too.
+        Tasks of a turn take a second or two.
         """
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s)
         fitting = [
@@ -300,7 +310,7 @@
             self._held_worker_ids.add(chosen.worker_id)
 
     def _start_gang(self, step: TrackedStep, now_s: float) -> Iterator[StartOrder]:
-        """Start all members at once or none: a part of them would only hold room and wait."""
+        """Start all members at once or none, since some alone would only occupy room and wait."""
         if len(step.waiting) < step.step.count:
             return
         for rack in self._racks(step):
@@ -321,7 +331,10 @@
     def _place_gang(
         self, step: TrackedStep, rack: str, now_s: float
     ) -> list[tuple[int, Worker]] | None:
-        """Return a worker for each member, within a rack if one is named; ``None`` without room."""
+        """Return a worker for each member, or ``None`` if there is no room for all.
+
+        If a rack is named, only workers of that rack are considered.
+        """
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s)
         workers = [
             worker for worker in self._workers_for(step) if not rack or worker.view.rack == rack
@@ -384,13 +397,19 @@
 
 
 def _may_lease_lapse(worker: Worker) -> bool:
-    """Whether something runs, and no start is on its way, which would grant a lease."""
+    """Whether a worker has runs and none of them is reserved or starting.
+
+    A start that is under way grants the worker a lease.
+    """
     phases = {run.phase for run in worker.runs.values()}
     return bool(phases) and phases.isdisjoint((RunPhase.RESERVED, RunPhase.STARTING))
 
 
 def _waits_only_for_capacity(step: TrackedStep) -> bool:
-    """Whether only its size can keep a step's tasks waiting; lasting ones keep off some workers."""
+    """Whether tasks of a step can wait only because of their size.
+
+    Lasting tasks, for example, also stay off some workers for other reasons.
+    """
     job_step = step.step
     return not (
         job_step.is_lasting
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -1,8 +1,9 @@
-"""Starting suspects in isolation; no network.
+"""Starts suspects in isolation; no network calls.
 
-A suspect is started where no other run is on probation, and nothing else is started beside it until
-its worker has outlived the start. Its start is stored before it is sent, so that a successor knows
-of it. What crashes a worker that way is the cause.
+A suspect is a task that may have crashed a worker. It is started on a worker where no other run is
+on probation, and nothing else is started there until the worker has survived the start for the
+probation time. The start is stored in the job's progress before it is sent, so that a succeeding
+scheduler knows of it. If the worker crashes in that time, the suspect is the only run to blame.
 """
 
 from __future__ import annotations
@@ -19,20 +20,21 @@
 __all__ = ["Isolation"]
 
 MAX_RESERVATION_S = 2.0
-"""A start that is neither stored nor has its worker settled by then is given back, as is one whose
-worker leaves a look unanswered."""
+"""A reserved start is cancelled if it is not stored, or if its worker is not ready for it, within
+this time. It is also cancelled if the worker leaves a poll unanswered."""
 MAX_BUSY_WORKER_RATIO = 1 / 8
-"""Part of the workers with other work on which suspects may be started at once."""
+"""Of all workers, at most this ratio, but at least one, may be reserved for a suspect while they
+also have other runs."""
 
 
 class Isolation:
-    """Keeps workers for suspects, and starts these there.
+    """Reserves workers for suspects and releases the starts of these.
 
     Args:
         entries: The service's jobs by id.
-        workers: Its workers by id.
-        blame: Which tasks are suspect.
-        log: One line for each suspect whose worker has outlived it.
+        workers: The service's workers by id.
+        blame: Decides which tasks are suspects, and for how long runs are on probation.
+        log: Receives a line for each suspect that its worker has survived.
     """
 
     __slots__ = ("_blame", "_cleared_jobs", "_entries", "_log", "_reserved", "_workers")
@@ -50,13 +52,13 @@
         self._blame = blame
         self._log = log
         self._reserved: dict[Run, tuple[int, float]] = {}
-        """Starts that wait until they are stored and their workers have settled: the change of the
-        job that has to be stored, and since when."""
+        """Starts that wait until they are stored and their workers are ready. Each has the number
+        of the job's change that has to be stored, and the time at which it was reserved."""
         self._cleared_jobs: set[str] = set()
-        """Jobs of which a suspect has not crashed its worker."""
+        """Ids of jobs of which a suspect was started in isolation and did not crash its worker."""
 
     def answered(self, worker: Worker, now_s: float) -> None:
-        """Hear that a worker lives, and may have outlived the start in isolation."""
+        """End the isolation of a worker that has answered after the probation of its suspect."""
         run = worker.isolated
         if run is None or run.phase is RunPhase.RESERVED:
             return
@@ -73,9 +75,10 @@
         self._blame.survived(run)
 
     def left_s(self, worker: Worker, now_s: float) -> float | None:
-        """Return how long a worker has to live on for the run in isolation; ``None`` for none.
+        """Return how long a worker still has to survive its isolated run; ``None`` without one.
 
-        One that is kept for a run is to be seen often: the start follows a sign of life.
+        The time is in seconds. For a worker that is reserved, the shortest probation time is
+        returned, so that it is polled often: the start is sent only after the worker has answered.
         """
         run = worker.isolated
         if run is None:
@@ -100,14 +103,14 @@
     ) -> list[TaskName]:
         """Return the suspects of a job that may be started now, each in isolation.
 
-        The tasks of a job are much alike, so one of them goes first; see `holds_other_tasks`.
+        The tasks of a job are similar, so one suspect is started first; see `holds_other_tasks`.
         """
         if tracked_job.job.job_id in self._cleared_jobs:
             return suspects
         return [] if self._has_isolated_run(tracked_job) else suspects[:1]
 
     def holds_other_tasks(self, tracked_job: TrackedJob, suspects: list[TaskName]) -> bool:
-        """Whether a job's other tasks wait: they may do the same as a suspect of the job."""
+        """Whether the other tasks of a job wait, because they may crash workers too."""
         has_open_suspect = bool(suspects) or self._has_isolated_run(tracked_job)
         return has_open_suspect and tracked_job.job.job_id not in self._cleared_jobs
 
@@ -120,7 +123,7 @@
         return worker is not None and worker.isolated is run
 
     def candidate_workers(self) -> list[Worker]:
-        """Return the workers that may be kept for a suspect, the least used first."""
+        """Return the workers that may be reserved for a suspect, in order of `_crash_cost`."""
         workers = list(self._workers.values())
         kept = [worker for worker in workers if worker.isolated is not None]
         busy = sum(1 for worker in kept if len(worker.runs) > 1)
@@ -134,7 +137,7 @@
         return free
 
     def isolate(self, run: Run, worker: Worker, *, now_s: float, wall_s: float) -> None:
-        """Keep a worker for the start of a suspect, and have the start stored first."""
+        """Reserve a worker for the start of a suspect, and record the start for storing."""
         tracked_job = self._entries[run.name.job_id]
         worker.isolated = run
         run.enter(RunPhase.RESERVED, now_s)
@@ -145,7 +148,7 @@
         self._reserved[run] = (tracked_job.changes, now_s)
 
     def ready(self, now_s: float) -> Iterator[tuple[Run, bool]]:
-        """Yield the starts that no longer wait, and whether they may be sent."""
+        """Yield the reserved starts that no longer wait, each with whether it may be sent."""
         for run, (change, since_s) in list(self._reserved.items()):
             worker = self._workers.get(run.worker_id)
             tracked_job = self._entries.get(run.name.job_id)
@@ -166,18 +169,18 @@
                 yield run, False
 
     def forget(self, job_id: str) -> None:
-        """Forget a job that is over."""
+        """Drop what is known of a job that has ended."""
         self._cleared_jobs.discard(job_id)
 
 
 def _may_start_on(worker: Worker) -> bool:
-    """Whether a worker on which room is held for a start may still be given it."""
+    """Whether a worker that is reserved for a start may still be sent that start."""
     is_reached = worker.is_listed and worker.is_fenced
     return is_reached and not worker.view.is_draining and not worker.is_overfull
 
 
 def _is_ready_for_isolation(worker: Worker, run: Run, since_s: float) -> bool:
-    """Whether a worker has lived since it was kept, and no other run would share the blame."""
+    """Whether a worker has reported since it was reserved, and has no other run on probation."""
     return worker.reported_s >= since_s and not _has_run_on_probation(worker, run)
 
 
@@ -187,6 +190,9 @@
 
 
 def _crash_cost(worker: Worker) -> tuple[bool, bool, int, int]:
-    """Return how badly a worker suits a suspect: by what would be lost, and how soon it may be."""
+    """Return a sort key for reserving a worker; the smallest would lose the least in a crash.
+
+    A worker without runs on probation comes before one that would have to wait for them.
+    """
     has_lasting = any(run.step.is_lasting for run in worker.runs.values())
     return (has_lasting, _has_run_on_probation(worker), worker.cpu_used, len(worker.runs))
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -1,4 +1,4 @@
-"""What the scheduler knows of workers and of the runs of tasks on them."""
+"""The scheduler's model of workers, of runs on them, and of orders to them."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkerView:
-    """What discovery says of one incarnation of a worker.
+    """The entry of one incarnation of a worker in discovery.
 
     Args:
-        worker_id: Names this incarnation; a worker that restarts gets a new one.
-        service: The pool that it belongs to.
+        worker_id: Identifies this incarnation; a worker that restarts gets a new id.
+        service: The pool that the worker belongs to.
         address: ``ip:port``.
-        data_centre: Where it is.
-        cpu_millicores: Processor that its tasks may use together.
-        memory_mb: Memory that its tasks may use together.
-        gpus: Accelerators that its tasks may use together.
-        labels: Its kind, its rack, and whatever else a step may demand.
-        rack: Its failure domain within the data centre.
-        is_draining: It is about to leave and takes no new task.
+        data_centre: The data centre of the worker.
+        cpu_millicores: Processor capacity for all its tasks together.
+        memory_mb: Memory capacity for all its tasks together.
+        gpus: Accelerators for all its tasks together.
+        labels: The kind of the worker, its rack, and other properties that a step may demand.
+        rack: The failure domain of the worker within its data centre.
+        is_draining: Whether the worker is about to leave and accepts no new task.
     """
 
     worker_id: str
@@ -63,24 +63,24 @@
     FAILED = "failed"
     STOPPED = "stopped"
     LAPSED = "lapsed"
-    """The worker's lease ran out."""
+    """The worker's lease expired."""
     BROKEN = "broken"
     """Another member of its gang ended."""
     ALONE = "alone"
-    """The other members of its gang did not come in time."""
+    """The other members of its gang did not start in time."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunningTask:
-    """One task that a worker says it runs.
+    """A task that a worker reports as running.
 
     Args:
         name: The task.
-        run_id: Which of its runs.
-        checkpoint: Its latest; empty for none.
-        percent: How far it is; a lasting task is at work at 100.
-        figure: Tail of the response times in milliseconds for a task with a target, else the
-            millicores in use, over the last half second.
+        run_id: The run of the task.
+        checkpoint: The latest checkpoint; empty for none.
+        percent: Progress of the task; a lasting task serves at 100.
+        figure: Measured over the last half second: the tail of the response times in milliseconds
+            for a task with a target, otherwise the processor use in millicores.
     """
 
     name: TaskName
@@ -92,14 +92,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndedTask:
-    """One end that a worker tells until it is acknowledged.
+    """The end of a run, which a worker reports until it is acknowledged.
 
     Args:
-        number: Rises over the worker's ends.
+        number: Increases with each end on the worker.
         name: The task.
-        run_id: Which of its runs.
-        kind: How it ended.
-        checkpoint: Its last; empty for none.
+        run_id: The run of the task.
+        kind: How the run ended.
+        checkpoint: The last checkpoint; empty for none.
     """
 
     number: int
@@ -111,12 +111,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkerReport:
-    """A worker's answer to a look.
+    """A worker's answer to a poll.
 
     Args:
-        clock_ms: The worker's own steady clock.
-        running: What it runs.
-        ended: Ends that are not acknowledged yet, by number.
+        clock_ms: The worker's own monotonic clock.
+        running: The tasks that run on the worker.
+        ended: The ends that are not acknowledged yet, ordered by number.
     """
 
     clock_ms: int
@@ -126,26 +126,26 @@
 
 @unique
 class OrderStatus(Enum):
-    """What became of an order to a worker."""
+    """Outcome of an order to a worker."""
 
     OBEYED = "obeyed"
     FENCED = "fenced"
-    """A later scheduler has given orders there."""
+    """The worker has seen an order of a later scheduler."""
     GONE = "gone"
-    """Another incarnation answered: this one is over, with all that it ran."""
+    """Another incarnation answered, so this one and all its runs have ended."""
     NO_ROOM = "no-room"
     STALE_RUN = "stale-run"
-    """The worker has seen this run, or a later one, stopped or ended."""
+    """The worker has seen this run or a later one stop or end."""
     TOO_LATE = "too-late"
-    """The order's time had passed on the worker's clock."""
+    """The deadline of the order had passed on the worker's clock."""
     NO_TICKET = "no-ticket"
     UNHEALTHY = "unhealthy"
-    """The worker did nothing."""
+    """The worker did not carry out the order."""
     INVALID = "invalid"
     UNSENT = "unsent"
-    """No connection came about, so the worker knows nothing of it."""
+    """No connection was established, so the worker has not received the order."""
     UNANSWERED = "unanswered"
-    """It may have been carried out, or may be until its time has passed."""
+    """The order may have been carried out, or may still be until its deadline has passed."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -153,10 +153,10 @@
     """Outcome of one order.
 
     Args:
-        status: What became of it.
-        clock_ms: The worker's clock, where it answered; else 0.
-        report: The answer to a look.
-        detail: What the worker or the connection said.
+        status: The status of the order.
+        clock_ms: The worker's clock if it answered, otherwise 0.
+        report: The answer to a poll.
+        detail: The message of the worker or of the connection.
     """
 
     status: OrderStatus
@@ -167,33 +167,36 @@
 
 @unique
 class RunPhase(Enum):
-    """Phases of a run, as far as the scheduler knows."""
+    """Phases of a run, as known to the scheduler."""
 
     RESERVED = "reserved"
-    """Room is held for it; its start has not been sent."""
+    """Room is reserved for the run; its start has not been sent."""
     STARTING = "starting"
     RUNNING = "running"
     UNANSWERED = "unanswered"
-    """The start was not answered: it may run, or may begin until the order's time has passed."""
+    """The start was not answered: the run may be active, or may begin until the deadline of the
+    order."""
     STOPPING = "stopping"
     STOPPED = "stopped"
-    """The stop was obeyed; the end, or its absence, is still to be seen."""
+    """The worker obeyed the stop. Its next report still has to show the end or the absence of the
+    run."""
 
 
 UNKNOWN_STEP = Step(count=1)
-"""Stands for the step of a run whose job is not known any more, nor what it takes of a worker."""
+"""Placeholder for the step of a run whose job, and therefore whose resource demand, is not
+known."""
 
 
 class Run:
-    """One run of a task on a worker; it holds room there until its end is certain.
+    """One run of a task on a worker; it occupies room there until its end is certain.
 
     Args:
         name: The task.
-        run_id: Rises over the task's runs.
-        step: The task's step.
-        worker_id: Where.
-        phase: Its phase.
-        since_s: When it was started, on the scheduler's clock.
+        run_id: Increases with each run of the task.
+        step: The step of the task.
+        worker_id: The worker.
+        phase: The phase of the run.
+        since_s: Time of the start on the scheduler's clock.
     """
 
     __slots__ = (
@@ -235,12 +238,14 @@
         self.phase_s = since_s
         self.since_s = since_s
         self.confirmed_s = since_s if phase is RunPhase.RUNNING else math.inf
-        """When its worker first said that it runs."""
+        """Time at which its worker first confirmed that it runs; infinite until then."""
         self.progressed_s = since_s
+        """Time at which the reported progress last changed."""
         self.percent = 0
         self.figure = 0
         self.checkpoint = ""
         self.missing = 0
+        """Number of consecutive reports that did not list the run."""
         self.is_stop_requested = False
         self.stop_reason = ""
         self.stop_sent_s = -1e9
@@ -248,7 +253,7 @@
         self.paced_s = -1e9
 
     def enter(self, phase: RunPhase, now_s: float) -> None:
-        """Change its phase."""
+        """Change the phase."""
         self.phase = phase
         self.phase_s = now_s
         self.missing = 0
@@ -257,15 +262,15 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether a lasting task serves."""
+        """Whether the run is of a lasting task that serves its users."""
         return self.phase is RunPhase.RUNNING and self.percent >= 100
 
 
 class Worker:
-    """One incarnation of a worker, and what runs on it.
+    """One incarnation of a worker, and the runs on it.
 
     Args:
-        view: What discovery says of it.
+        view: The entry of the worker in discovery.
     """
 
     __slots__ = (
@@ -306,31 +311,37 @@
         self.pause_until_s = 0.0
         self.avoid_until_s = 0.0
         self.lasting_from_s = 0.0
-        """Lasting tasks are not placed here before: an order to take it away may still come."""
+        """Lasting tasks are not placed here before this time, because an order to remove the worker
+        may still arrive."""
         self.closed_s: float | None = None
-        """When it closed its connections, if it has not answered since."""
+        """Time at which the worker closed its connections, if it has not answered since."""
         self.isolated: Run | None = None
-        """A run that may crash the worker; nothing else is started here until it has not."""
+        """A suspect that may crash the worker; nothing else is started here until its probation is
+        over."""
         self.failed_jobs: dict[str, float] = {}
+        """Time at which a task of a job last failed here, by job id."""
         self.runs: dict[tuple[TaskName, int], Run] = {}
         self.cpu_used = 0
         self.memory_used = 0
         self.gpus_used = 0
         self.unknown_runs = 0
-        """Runs of which it is not known what they take."""
+        """Number of runs whose resource demand is not known."""
         self.acknowledged = 0
+        """Highest number of an end that was acknowledged to the worker."""
         self.seen_ends = 0
+        """Highest number of an end that the worker reported."""
         self.reported_s = -1e9
         self.unsettled: set[int] = set()
-        """Numbers of ends that must not be acknowledged before a job's progress is stored."""
+        """Numbers of the ends that must not be acknowledged before the progress of a job is
+        stored."""
 
     @property
     def worker_id(self) -> str:
-        """Names this incarnation."""
+        """Identifies this incarnation."""
         return self.view.worker_id
 
     def fits(self, step: Step) -> bool:
-        """Whether a task of the step fits beside what runs."""
+        """Whether a task of the step fits beside the present runs."""
         if self.unknown_runs:
             return False
         cpu = 0 if step.is_filler else step.cpu_millicores
@@ -342,13 +353,13 @@
 
     @property
     def last_seen_s(self) -> float:
-        """When it last reported, or confirmed a start."""
+        """Time of the worker's last report or last confirmation of a start."""
         confirmed = (run.confirmed_s for run in self.runs.values())
         return max((self.reported_s, *(at_s for at_s in confirmed if at_s < math.inf)))
 
     @property
     def is_overfull(self) -> bool:
-        """Whether what runs takes more than the capacity, which may have shrunk."""
+        """Whether the runs use more than the capacity, which may have shrunk."""
         view = self.view
         return (
             self.unknown_runs > 0
@@ -358,7 +369,7 @@
         )
 
     def fits_beside_lasting(self, step: Step) -> bool:
-        """Whether a task of the step would fit once all tasks that end are over."""
+        """Whether a task of the step would fit after all tasks that end have ended."""
         lasting_only = Worker(view=self.view)
         for run in self.runs.values():
             if run.step.is_lasting:
@@ -366,18 +377,18 @@
         return lasting_only.fits(step)
 
     def shortfall_for(self, step: Step) -> float:
-        """Return the larger part of its processor and memory that is missing for a task."""
+        """Return the larger of the missing processor and memory, as a ratio of the capacity."""
         cpu = self.cpu_used + step.cpu_millicores - self.view.cpu_millicores
         memory = self.memory_used + step.memory_mb - self.view.memory_mb
         return max(cpu / max(1, self.view.cpu_millicores), memory / max(1, self.view.memory_mb))
 
     def add(self, run: Run) -> None:
-        """Count a run's room as used."""
+        """Count the room of a run as used."""
         self.runs[(run.name, run.run_id)] = run
         self._use(run.step, 1)
 
     def remove(self, run: Run) -> None:
-        """Count a run's room as free."""
+        """Count the room of a run as free."""
         del self.runs[(run.name, run.run_id)]
         self._use(run.step, -1)
 
@@ -391,19 +402,19 @@
 
     @property
     def highest_settled(self) -> int:
-        """The highest number of an end that, with all before it, may be acknowledged."""
+        """The highest number up to which all ends may be acknowledged."""
         return min(self.unsettled) - 1 if self.unsettled else self.seen_ends
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartOrder:
-    """Start a run.
+    """Order to start a run.
 
     Args:
         run: The run.
-        spec: The caller's text.
-        checkpoint: Where it goes on; empty for the beginning.
-        ticket: Leave of the advice service; empty where none is needed.
+        spec: The job specification as the caller wrote it.
+        checkpoint: The checkpoint to resume from; empty to start from the beginning.
+        ticket: Permit of the advice service; empty if none is needed.
     """
 
     run: Run
@@ -414,18 +425,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StopOrder:
-    """Stop a run."""
+    """Order to stop a run."""
 
     run: Run
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdviceRequest:
-    """Ask which workers may run a step.
+    """Request to the advice service: which workers may run a step.
 
     Args:
-        step: The step, as its job, occurrence and number.
-        worker_ids: Workers to ask about, the best first.
+        step: The step, identified by its job, occurrence and number.
+        worker_ids: The workers to ask about, the best first.
     """
 
     step: tuple[str, int, int]
@@ -434,7 +445,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PaceOrder:
-    """Let a filler work at this share of its speed, in percent."""
+    """Order to run a filler at a percentage of its full speed."""
 
     run: Run
     percent: int
--- a/src/shallotworks/scheduling/_pacing.py
+++ b/src/shallotworks/scheduling/_pacing.py
@@ -1,4 +1,4 @@
-"""Slowing fillers where they disturb tasks that serve."""
+"""Slows filler tasks down when they disturb tasks that serve users on the same worker."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 __all__ = ["pace_orders"]
 
 SLOW_DOWN_RATIO = 0.85
-"""Part of its target from which a serving task's tail slows the fillers beside it."""
+"""Ratio of a serving task's tail latency to its target from which fillers are slowed down."""
 SPEED_UP_RATIO = 0.6
-"""Part of the target below which fillers may go faster again."""
+"""Ratio of the tail latency to the target below which fillers are sped up again."""
 SLOW_DOWN_FACTOR = 0.5
 SPEED_UP_STEP_PERCENT = 10
 MIN_PACE_INTERVAL_S = 0.6
-"""Between changes: the tail is measured over half a second, and a change takes 0.1 s."""
+"""Minimum time between two changes of a filler's pace. The tail latency is measured over half a
+second, and a change takes effect after 0.1 s."""
 MIN_PACE_PERCENT = 5
-"""Below it a filler stands still."""
+"""A filler whose pace would fall below this is stopped."""
 
 
 def pace_orders(worker: Worker, now_s: float) -> Iterator[PaceOrder]:
-    """Yield what a worker's latest report asks for: halve quickly, raise slowly.
+    """Yield the pace orders that follow from a worker's latest report.
 
-    The failure: fillers that work on beside a task whose tail is over its target. A tail over the
-    target stops them at once; near it they are halved, so that most of the time none is stopped.
+    Fillers must not keep working beside a task whose tail latency exceeds its target. Above the
+    target they are stopped at once. Near the target their pace is halved, so that a full stop is
+    rarely necessary. The pace is raised again in small steps.
     """
     fillers = [
         run for run in worker.runs.values() if run.step.is_filler and run.phase is RunPhase.RUNNING
--- a/src/shallotworks/scheduling/_room.py
+++ b/src/shallotworks/scheduling/_room.py
@@ -1,4 +1,4 @@
-"""The room that workers have when a decision begins; no network."""
+"""Free capacity of the workers at the start of a decision; no network calls."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 
 class Room:
-    """The room on workers, as it was when a decision began; it only shrinks meanwhile.
+    """Upper bounds of the room on workers, taken when a decision begins.
 
-    The load: in a turn hundreds of steps wait while a hundred workers are full, and each decision
-    would compare each with each.
+    Room only shrinks during a decision, so the bounds stay valid. In a turn hundreds of steps wait
+    while a hundred workers are full, and without the bounds each decision would compare every step
+    with every worker.
 
     Args:
         workers: All workers of the service.
-        steps: The steps that wait.
+        steps: The waiting steps.
     """
 
     __slots__ = ("_cpu_millicores", "_gpus", "_memory_mb", "workers")
@@ -31,7 +32,7 @@
         )
         least_memory_mb = min((tracked_step.step.memory_mb for tracked_step in steps), default=0)
         self.workers: list[Worker] = []
-        """Those with room for the least that any step job_step."""
+        """The workers with room for the smallest processor and memory demand of any step."""
         self._cpu_millicores = self._memory_mb = self._gpus = 0
         for worker in workers:
             view = worker.view
@@ -47,10 +48,10 @@
             self._gpus = max(self._gpus, view.gpus - worker.gpus_used)
 
     def is_short_of(self, step: TrackedStep) -> bool:
-        """Whether no worker surely has room for a task of a step of tasks that end."""
+        """Whether it is certain that no worker has room for a task of a step of tasks that end."""
         job_step = step.step
         if job_step.is_lasting:
-            # Room is held for these; see `DecisionEngine._hold_worker_for_lasting`.
+            # A worker is held for lasting tasks; see `DecisionEngine._hold_worker_for_lasting`.
             return False
         return (
             _own_cpu_millicores(job_step) > self._cpu_millicores
@@ -60,5 +61,5 @@
 
 
 def _own_cpu_millicores(step: Step) -> int:
-    """Return the processor that a task takes from a worker's own."""
+    """Return the processor that a task takes from the worker; a filler takes none."""
     return 0 if step.is_filler else step.cpu_millicores
--- a/src/shallotworks/scheduling/_tracked_jobs.py
+++ b/src/shallotworks/scheduling/_tracked_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as the scheduler keeps them: their steps that are open, and what is to be stored."""
+"""Jobs as the scheduler tracks them: their open steps, their runs, and what is to be stored."""
 
 from __future__ import annotations
 
@@ -9,20 +9,22 @@
 __all__ = ["TrackedJob", "TrackedStep"]
 
 MIN_REFUSAL_BACKOFF_S = 1.0
-"""After the first start that a worker refused as invalid; doubled with each further one ..."""
+"""Backoff after the first start that a worker refused as invalid. It doubles with each further
+refusal."""
 MAX_REFUSAL_BACKOFF_S = 32.0
-"""... up to this."""
+"""Upper bound of that backoff."""
 MAX_USEFUL_OBJECTIVES = 3.0
-"""An answer later than this many objectives counts for nothing. Source: the platform's rules."""
+"""An answer that takes longer than this many times the objective counts for nothing. Source: the
+platform's rules."""
 
 
 class TrackedStep:
-    """A step of one occurrence whose turn has come, until all its tasks are done.
+    """A step of one occurrence whose predecessors are done, until all its tasks are done.
 
     Args:
-        tracked_job: Its job.
-        occurrence: Which occurrence.
-        number: Its number in the job.
+        tracked_job: The job of the step.
+        occurrence: The occurrence of the job.
+        number: The number of the step in the job.
     """
 
     __slots__ = (
@@ -49,51 +51,55 @@
         self.number = number
         self.step: Step = job.steps[number]
         self.waiting: list[int] = []
+        """Indices of the tasks that wait to be started."""
         self.rack = ""
+        """The rack of the first task that was placed, if the step prefers one rack."""
         self.chain_s = tracked_job.chains_s[number]
+        """Estimated time from the start of the step to the end of its occurrence."""
         self.objective_ends_s = job.due_s(occurrence) + job.objective_s()
         self.useful_until_s = job.due_s(occurrence) + job.objective_s() * MAX_USEFUL_OBJECTIVES
         self.permits: dict[str, str] = {}
-        """Tickets of the workers that the advice service allows."""
+        """Tickets by worker id for the workers that the advice service allows."""
         self.advised_s = -1e9
         self.is_asking = False
         self.refusals = 0
-        """Starts that workers refused as invalid."""
+        """Number of starts that workers refused as invalid."""
         self.not_before_s = 0.0
+        """Time on the scheduler's clock before which no task is started."""
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """Names the step."""
+        """Identifies the step by its job, occurrence and number."""
         return (self.tracked_job.job.job_id, self.occurrence, self.number)
 
     def refused(self, now_s: float) -> None:
-        """Take note that a start was refused as invalid: any worker would refuse the next one."""
+        """Back off after a start was refused as invalid; any worker would refuse the next one."""
         backoff_s = min(MAX_REFUSAL_BACKOFF_S, MIN_REFUSAL_BACKOFF_S * 2**self.refusals)
         self.refusals += 1
         self.not_before_s = now_s + backoff_s
 
     def is_hopeless(self, wall_s: float) -> bool:
-        """Whether its job can't meet its objective any more, even if the step began now."""
+        """Whether the job can't meet its objective any more, even if the step started now."""
         return not self.step.is_lasting and wall_s > self.objective_ends_s - self.chain_s
 
     def is_no_longer_useful(self, wall_s: float) -> bool:
-        """Whether its job can't even be late, but only be done for nobody."""
+        """Whether the job's answer would be too late to be useful, even if the step started now."""
         return not self.step.is_lasting and wall_s > self.useful_until_s - self.chain_s
 
     def name(self, index: int) -> TaskName:
-        """Name one of its tasks."""
+        """Return the name of one of the step's tasks."""
         return TaskName(self.tracked_job.job.job_id, self.occurrence, self.number, index)
 
 
 class TrackedJob:
-    """A job, its progress, and what of it the store has.
+    """A job, its progress, and how much of the progress is stored.
 
     Args:
         job: The job.
-        progress: Its progress.
-        revision: The revision of its progress in the store.
-        is_old: It was accepted before this scheduler's term, so that an earlier one may have
-            started its tasks.
+        progress: The progress of the job.
+        revision: The revision of the progress in the store.
+        is_old: Whether the job was accepted before this scheduler's epoch, so that an earlier
+            scheduler may have started tasks of it.
     """
 
     __slots__ = (
@@ -119,27 +125,30 @@
         self.revision = revision
         self.is_old = is_old
         self.changes = 0
+        """Number of changes of the progress in this epoch."""
         self.stored_changes = 0
+        """Number of these changes that the store has."""
         self.next_occurrence = 0
         self.steps: dict[tuple[int, int], TrackedStep] = {}
         self.runs: dict[TaskName, Run] = {}
-        """The one run that counts of each task that has one."""
+        """The current run of each task that has one."""
         self.live: dict[TaskName, set[Run]] = {}
-        """All runs of each task that may be alive, with those that are being stopped."""
+        """All runs of each task that may be alive, including runs that are being stopped."""
         self.avoid: dict[TaskName, frozenset[str]] = {}
-        """Workers on which a task failed."""
+        """Ids of the workers on which a task failed or hung, by task."""
         self.checkpoints: dict[TaskName, str] = {}
+        """The latest checkpoint of each task that has one."""
         self.chains_s = _chains_s(job)
         self.work_core_s = sum(
             step.count * step.estimated_s * max(step.cpu_millicores, 1) / 1000 for step in job.steps
         )
 
     def add_run(self, run: Run) -> None:
-        """Count a run as alive."""
+        """Record that a run may be alive."""
         self.live.setdefault(run.name, set()).add(run)
 
     def remove_run(self, run: Run) -> None:
-        """Count a run as over."""
+        """Record that a run has ended."""
         if self.runs.get(run.name) is run:
             del self.runs[run.name]
         alive = self.live.get(run.name, set())
@@ -149,12 +158,12 @@
 
     @property
     def is_dirty(self) -> bool:
-        """Whether the store lacks the latest progress."""
+        """Whether the latest progress is not stored yet."""
         return self.changes > self.stored_changes
 
 
 def _chains_s(job: Job) -> list[float]:
-    """Return for each step the estimated time from its start to the end of its occurrence."""
+    """Return for each step the estimated seconds from its start to the end of its occurrence."""
     critical_paths = [step.estimated_s for step in job.steps]
     for number in range(len(job.steps) - 1, -1, -1):
         for earlier in job.steps[number].after:
--- a/src/shallotworks/scheduling/_wait_reason.py
+++ b/src/shallotworks/scheduling/_wait_reason.py
@@ -1,4 +1,4 @@
-"""Why a task waits."""
+"""Names the reasons why a task waits."""
 
 from __future__ import annotations
 
@@ -9,43 +9,50 @@
 
 @unique
 class WaitReason(Enum):
-    """Why a task waits: what keeps its step back, or what speaks against a worker.
+    """Why a task waits: what restricts its step, or why a worker is rejected for it.
 
-    From `UNLISTED` to `CORDONED` they stand in the order in which a worker is checked, so that a
-    later one means that a worker came closer to running the task: `CORDONED` is a worker that has
-    room and lacks nothing else.
+    The members from `UNLISTED` to `CORDONED` are in the order in which a worker is checked. A later
+    member means that a worker came closer to running the task: a worker rejected as `CORDONED` has
+    room and meets all other conditions.
     """
 
     RECOVERY = "recovery"
-    """An earlier term may still run it, on workers that this term has not seen yet."""
+    """A run of an earlier epoch may still be active on workers that this scheduler has not seen
+    yet."""
     UNLISTED = "no-worker-listed"
+    """No worker is listed by discovery."""
     UNREACHED = "no-worker-reached"
-    """None of the listed workers has answered this term, or since its lease ran out."""
+    """None of the listed workers has answered this scheduler, or none since its lease expired."""
     DRAINING = "draining"
+    """The worker is draining."""
     LABEL = "label"
+    """The worker lacks the label that the step demands."""
     PERMIT = "no-permit"
-    """The advice service has not allowed such a worker, or was not asked yet."""
+    """The advice service has not permitted the worker, or has not been asked yet."""
     ROOM = "no-room"
+    """The worker has too little free capacity."""
     SPREAD = "spread-limit"
-    """As many tasks of the step run there as may."""
+    """The worker runs as many tasks of the step as allowed."""
     YIELDING = "yielding"
-    """Late work keeps off workers that are to go back to their lenders."""
+    """The job can't meet its objective, and the worker is to return to its lender."""
     QUARANTINED = "quarantined"
-    """The worker is kept for a task that may crash it."""
+    """The worker is reserved for a task that may crash it."""
     PAUSED = "paused"
     """An order to the worker failed a moment ago."""
     CLOSED_TO_LASTING = "closed-to-lasting"
-    """The worker was offered and taken back: an order to take it away may still come."""
+    """The worker was offered for removal and the offer was withdrawn; the order to remove it may
+    still arrive."""
     CORDONED = "cordoned"
-    """The worker is offered to be taken away, or is being emptied."""
+    """The worker is offered for removal, or is being evacuated."""
     SUSPECT = "suspect"
-    """Runs of its job were lost with crashed workers: its suspects are started in isolation."""
+    """Runs of the job were lost with crashed workers, so its suspects are started in isolation."""
     REFUSED = "refused"
-    """A worker refused the last start as invalid; the next one waits, each time for longer."""
+    """A worker refused the last start as invalid. The next start is delayed, longer after each
+    refusal."""
     GANG = "gang"
-    """A worker may run one of its members, which start together: some of them are still being
-    stopped, or there is not room for all."""
+    """A worker may run a member of the gang, but members start together: some are still being
+    stopped, or there is not enough room for all."""
     READY = "ready"
-    """A worker may run it, and the next decision starts it, unless the term may not act."""
+    """A worker may run the task, and the next decision starts it, if the scheduler may act."""
     NOT_EXAMINED = "not-examined"
-    """Too many kinds of steps wait to look into each."""
+    """Too many kinds of steps wait for each of them to be examined."""
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -1,7 +1,7 @@
-"""Which tasks wait, since when and why; no network.
+"""Reports which tasks wait, since when and why; no network calls.
 
-What it answers: an on-call engineer sees that a task doesn't run, and nothing says whether its
-scheduler may not start it yet, finds no worker, or keeps the workers back itself.
+The reasons let an on-call engineer who sees that a task doesn't run tell three cases apart: its
+scheduler may not start it yet, finds no worker, or restricts the workers itself.
 """
 
 from __future__ import annotations
@@ -31,24 +31,26 @@
 ]
 
 MIN_LOGGED_WAIT_S = 0.9
-"""Waits are logged from here on: those that the second of two looks a second apart still finds."""
+"""Waits are logged from this duration on. Reports are a second apart, so a wait that two
+consecutive reports find is logged."""
 MAX_NAMED_WORKERS = 5
+"""Workers named in one log line."""
 MAX_EXAMINED_KINDS = 64
-"""Kinds of steps examined in one look. To find that none of 100 full workers has room for 64 kinds
-takes 2.5 ms of the event loop."""
+"""Kinds of steps examined for one report. To find that none of 100 full workers has room for 64
+kinds takes 2.5 ms of the event loop."""
 MS_PER_S = 1000
 _RANKS = {reason: rank for rank, reason in enumerate(WaitReason)}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TaskWait:
-    """A task that waits.
+    """A waiting task.
 
     Args:
         name: The task.
-        reason: Why.
-        is_lasting: It serves users as long as it runs.
-        waited_s: How long it has been seen to wait, in this term.
+        reason: Why it waits.
+        is_lasting: Whether it serves users as long as it runs.
+        waited_s: Time in seconds that this scheduler has seen it wait.
     """
 
     name: TaskName
@@ -57,10 +59,10 @@
     waited_s: float
 
     def fields(self, prefix: str = "") -> dict[str, object]:
-        """Return it as fields of a log line.
+        """Return the wait as fields of a log line.
 
         Args:
-            prefix: Put before the name of each field.
+            prefix: Prepended to the name of each field.
         """
         return {
             f"{prefix}id": self.name.job_id,
@@ -72,18 +74,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RecoveryWait:
-    """What a term waits for before it starts tasks of earlier terms.
+    """What a scheduler waits for before it starts tasks of earlier epochs.
 
     Args:
-        unseen: Workers not seen yet, by name.
-        left_s: Until whatever ran on the last of them has surely ended.
+        unseen: Ids of the workers that it has not seen yet, in order.
+        left_s: Time in seconds until all runs on the last of these workers must have ended.
     """
 
     unseen: tuple[str, ...]
     left_s: float
 
     def fields(self) -> dict[str, object]:
-        """Return it as fields of a log line."""
+        """Return the wait as fields of a log line."""
         return {
             "unseen_workers": len(self.unseen),
             "unseen_named": name_some(self.unseen, MAX_NAMED_WORKERS),
@@ -96,11 +98,11 @@
     """The tasks of one service that wait at one moment.
 
     Args:
-        counts: Tasks by reason; reasons without any are left out.
-        lasting: How many of them are lasting.
-        longest: The one that has waited longest, of equals a lasting one.
-        longest_lasting: The lasting one that has waited longest.
-        recovery: What is waited for, if the reason of some is `WaitReason.RECOVERY`.
+        counts: Number of tasks by reason; reasons without tasks are left out.
+        lasting: Number of lasting tasks among them.
+        longest: The task that has waited longest; of equal waits a lasting task.
+        longest_lasting: The lasting task that has waited longest.
+        recovery: What the scheduler waits for, if tasks wait with `WaitReason.RECOVERY`.
     """
 
     counts: tuple[tuple[WaitReason, int], ...] = ()
@@ -111,11 +113,11 @@
 
     @property
     def has_long_wait(self) -> bool:
-        """Whether a task has waited for long enough to be told of."""
+        """Whether a task has waited long enough to be logged."""
         return self.longest is not None and self.longest.waited_s >= MIN_LOGGED_WAIT_S
 
     def fields(self) -> dict[str, object]:
-        """Return it as fields of a log line, whose number is bounded."""
+        """Return the summary as a bounded number of fields of a log line."""
         fields: dict[str, object] = {
             "tasks": sum(count for _, count in self.counts),
             "tasks_lasting": self.lasting,
@@ -135,13 +137,13 @@
 ) -> WaitReason:
     """Return why the waiting tasks of a step that may be started wait.
 
-    Of the reasons against the workers it is that of the worker that came closest: workers that are
-    full tell nothing while an idle one is cordoned.
+    If all workers are rejected, the reason of the worker that came closest is returned. Otherwise
+    the reason of full workers would hide that an idle one is cordoned.
 
     Args:
-        scheduler_state: What is known.
+        scheduler_state: The known jobs, runs and workers.
         step: The step.
-        now_s: The scheduler's clock.
+        now_s: The scheduler's clock in seconds.
         wall_s: Time of day in seconds since 1970.
     """
     if step.step.is_gang and len(step.waiting) < step.step.count:
@@ -160,7 +162,7 @@
 
 
 def _reason_beside_room(step: TrackedStep) -> WaitReason:
-    """Return why tasks wait though a worker may run one of them."""
+    """Return why tasks of a step wait although a worker may run one of them."""
     if step.step.is_gang:
         return WaitReason.GANG
     return WaitReason.SUSPECT if step.tracked_job.progress.lost else WaitReason.READY
@@ -172,17 +174,17 @@
 
 
 def name_some(worker_ids: Iterable[str], most: int) -> list[str]:
-    """Return the first names in order, for a log line.
+    """Return the first worker ids in sorted order, for a log line.
 
     Args:
-        worker_ids: Workers.
-        most: The most names returned.
+        worker_ids: Ids of workers.
+        most: Maximum number of ids returned.
     """
     return sorted(worker_ids)[:most]
 
 
 def _steps_in_recovery(scheduler_state: SchedulerState) -> Iterator[TrackedStep]:
-    """Yield the steps with tasks that wait and that the board holds back."""
+    """Yield the steps with waiting tasks that the scheduler state doesn't open during recovery."""
     if not scheduler_state.pending_recovery:
         return
     startable = set(scheduler_state.open_steps())
@@ -193,17 +195,17 @@
 
 
 class WaitMonitor:
-    """Watches the waiting tasks of one service during a term.
+    """Observes the waiting tasks of one service while its scheduler is active.
 
-    A wait counts from the first look that finds it, so it may be longer by the time between two
-    looks; one that is broken by a run between two looks counts as one.
+    A wait is measured from the first report that finds it, so it may be longer by the interval
+    between two reports. A wait that is interrupted by a run between two reports counts as one.
 
     Args:
-        scheduler_state: What is known.
-        metrics: Counts the time that tasks wait by reason, in milliseconds times tasks: its rate
-            in a second, divided by 1,000, is the number of tasks that wait. A gauge would go on
-            telling the last number of a term that has ended.
-        log: One line for each look that finds a long wait.
+        scheduler_state: The known jobs, runs and workers.
+        metrics: Counts the time that tasks wait by reason, in milliseconds times tasks. The rate of
+            a counter per second, divided by 1,000, is the number of waiting tasks. A gauge would
+            keep the last value of a scheduler that has ended.
+        log: Receives a line for each report that finds a long wait.
     """
 
     __slots__ = ("_last_report_s", "_log", "_metrics", "_scheduler_state", "_waiting_since_s")
@@ -218,10 +220,10 @@
         self._last_report_s: float | None = None
 
     def report(self, *, now_s: float, wall_s: float) -> None:
-        """Look, count, and log what has waited for long.
+        """Summarise the waiting tasks, update the metrics, and log long waits.
 
         Args:
-            now_s: The scheduler's clock.
+            now_s: The scheduler's clock in seconds.
             wall_s: Time of day in seconds since 1970.
         """
         summary = self.summarise(now_s=now_s, wall_s=wall_s)
@@ -237,17 +239,17 @@
             )
 
     def summarise(self, *, now_s: float, wall_s: float) -> WaitSummary:
-        """Return what waits now.
+        """Return the tasks that wait now.
 
         Args:
-            now_s: The scheduler's clock.
+            now_s: The scheduler's clock in seconds.
             wall_s: Time of day in seconds since 1970.
         """
         held, startable = list(_steps_in_recovery(self._scheduler_state)), list(
             self._scheduler_state.open_steps()
         )
         self._update_waiting_since([*held, *startable], now_s)
-        # The longest waits come first, so that their reasons are among those that are found.
+        # Steps that have waited longest are examined first, before the bound is reached.
         startable.sort(key=lambda step: (self._oldest_s(step), not step.step.is_lasting))
         reason_finder = _ReasonFinder(
             scheduler_state=self._scheduler_state, now_s=now_s, wall_s=wall_s
@@ -303,7 +305,7 @@
 
 
 class _StepWait(NamedTuple):
-    """The waiting tasks of one step, which have their reason in common."""
+    """The waiting tasks of one step, which share one reason."""
 
     step: TrackedStep
     reason: WaitReason
@@ -311,7 +313,7 @@
 
 
 class _Kind(NamedTuple):
-    """All of a step that decides about workers; steps of one kind have one reason."""
+    """All properties of a step that decide about workers; steps of one kind share one reason."""
 
     cpu_millicores: int
     memory_mb: int
@@ -323,10 +325,10 @@
 
 
 class _ReasonFinder:
-    """Finds the reasons of one look, each kind of step once and so many kinds only.
+    """Finds the reasons for one report; examines each kind of step once, and a bounded number.
 
-    The load: thousands of steps wait in an overload, mostly of a few sizes. To compare each with
-    each worker would hold the event loop, and with it the renewal of the term's key.
+    In an overload thousands of steps wait, most of them of a few sizes. To compare each of them
+    with each worker would block the event loop, and with it the renewal of the scheduler's lease.
     """
 
     __slots__ = ("_by_kind", "_examinations_left", "_now_s", "_scheduler_state", "_wall_s")
