--- a/tests/returning_workers.py
+++ b/tests/returning_workers.py
@@ -1,4 +1,4 @@
-"""Workers on the stand-ins that crash under some tasks, and whose successors come soon."""
+"""Simulated workers that crash under some tasks and are restarted as new incarnations."""
 
 from __future__ import annotations
 
@@ -11,31 +11,32 @@
 
 __all__ = ["ReturningWorkers"]
 
-BACK_AFTER_S = 3.3
+RESTART_DELAY_S = 3.3
+"""Time from a crash until the next incarnation is listed."""
 
 
 class ReturningWorkers(CrashingWorkers):
-    """Workers of which another incarnation comes after each crash.
+    """Workers that are replaced by another incarnation after each crash.
 
     Args:
-        rng: Draws lengths and faults.
+        rng: Random generator for durations and faults.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
         super().__init__(rng=rng)
         self.crashed = asyncio.Event()
         self.is_silent = False
-        """Whether a crashed worker's connections hang, and are not closed and refused."""
+        """Whether connections of a crashed worker hang instead of being closed and refused."""
 
     def crash(self, worker: TaskWorker) -> None:
-        """Crash a worker; another incarnation takes its place."""
+        """Crash a worker and schedule the start of its next incarnation."""
         super().crash(worker)
         if not self.is_silent:
             self.absences[worker.view.worker_id] = OrderStatus.UNSENT
             worker.wake()
-        asyncio.get_running_loop().call_later(BACK_AFTER_S, self._come_back, worker)
+        asyncio.get_running_loop().call_later(RESTART_DELAY_S, self._restart, worker)
         self.crashed.set()
 
-    def _come_back(self, worker: TaskWorker) -> None:
+    def _restart(self, worker: TaskWorker) -> None:
         self.absences[worker.view.worker_id] = OrderStatus.GONE
         self.add(replace(worker.view, worker_id=f"{worker.view.worker_id}+"))
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -1,4 +1,4 @@
-"""Boards, jobs and reports for tests of scheduling, without network and on a clock of their own."""
+"""Harness, jobs and reports for scheduling tests, without a network and on a manual clock."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 TOKEN = 7
 WALL_S = 1_000_000.0
-FAR_LEASE_S = 1e9
+UNEXPIRING_LEASE_END_S = 1e9
 
 
 def quiet_log() -> StructuredLog:
@@ -29,25 +29,25 @@
 
 
 def policy(**changes: object) -> QueuePolicy:
-    """Return a queue's policy."""
+    """Return the policy of a queue."""
     given: dict[str, object] = {"queue": "sweeps", "service": "antenna", "most_attempts": 2}
     return QueuePolicy(**(given | changes))  # type: ignore[arg-type]
 
 
 def job(job_id: str, *steps: Step, **changes: object) -> Job:
-    """Return a job of some steps."""
+    """Return a job with the given steps."""
     given: dict[str, object] = {"policy": policy(), "spec": "x", "accepted_s": WALL_S}
     return Job(job_id=job_id, steps=steps, **(given | changes))  # type: ignore[arg-type]
 
 
 def step(count: int, **changes: object) -> Step:
-    """Return a step of tasks that take a core each for a second."""
+    """Return a step whose tasks take one core for one second."""
     given: dict[str, object] = {"cpu_millicores": 1000, "memory_mb": 100, "estimated_s": 1.0}
     return Step(count=count, **(given | changes))  # type: ignore[arg-type]
 
 
 def view(worker_id: str, **changes: object) -> WorkerView:
-    """Return a worker of four cores."""
+    """Return the discovery entry of a worker with four cores."""
     given: dict[str, object] = {
         "service": "antenna",
         "address": "127.0.0.1:1",
@@ -58,7 +58,7 @@
 
 
 class SchedulingHarness:
-    """A board with its decider and a clock that tests advance."""
+    """A scheduler state with its decision engine, and a clock that tests advance."""
 
     def __init__(self, *workers: WorkerView) -> None:
         self.scheduler_state = SchedulerState(service="antenna", token=TOKEN, log=quiet_log())
@@ -69,10 +69,10 @@
             self.add(one)
 
     def add(self, one: WorkerView) -> Worker:
-        """Add a worker that has been seen, with nothing on it."""
+        """Add a worker that has reported and runs nothing."""
         self.scheduler_state.update_worker(one)
         worker = self.worker(one.worker_id)
-        worker.lease_ends_s = FAR_LEASE_S
+        worker.lease_ends_s = UNEXPIRING_LEASE_END_S
         self.report(one.worker_id)
         return worker
 
@@ -88,7 +88,7 @@
         progress: JobProgress | None = None,
         wall_s: float = WALL_S,
     ) -> None:
-        """Add a job, learnt at a time of day."""
+        """Add a job as the scheduler does when it reads it at the given time of day."""
         self.scheduler_state.add_job(
             one,
             progress or JobProgress(queue=one.policy.queue),
@@ -98,15 +98,15 @@
         )
 
     def decide(self) -> list[object]:
-        """Return all decisions of this moment."""
+        """Return all decisions at the present time."""
         wall_s = WALL_S + self.now_s - 100.0
         return list(self.decision_engine.decide(now_s=self.now_s, wall_s=wall_s))
 
     def start_orders(self) -> list[StartOrder]:
-        """Return the starts of this moment; each is obeyed.
+        """Return the start orders at the present time.
 
-        A start in isolation waits until it is stored and its worker has answered a look, which both
-        happens here at once.
+        A start in isolation waits until it is stored and its worker has answered a poll. The
+        harness does both at once.
         """
         decisions = self.decide()
         kept = [one for one in self.scheduler_state.workers.values() if one.isolated is not None]
@@ -118,7 +118,7 @@
         return [order for order in decisions if isinstance(order, StartOrder)]
 
     def store(self) -> None:
-        """Store all progress."""
+        """Store the progress of all jobs."""
         for entry in self.scheduler_state.dirty():
             stored = StoredProgress(
                 job_id=entry.job.job_id, changes=entry.changes, revision=entry.revision + 1
@@ -133,7 +133,7 @@
         ended: tuple[tuple[TaskName, int, EndKind], ...] = (),
         sent_s: float | None = None,
     ) -> None:
-        """Let a worker answer a look."""
+        """Let a worker answer a poll."""
         rows = []
         for name, run_id, kind in ended:
             self.ends[worker_id] = self.ends.get(worker_id, 0) + 1
@@ -149,7 +149,7 @@
 
 
 def _rows(worker: Worker) -> tuple[RunningTask, ...]:
-    """Return what a worker runs, as it lists it."""
+    """Return the running tasks of a worker as it reports them."""
     return tuple(
         RunningTask(name=run.name, run_id=run.run_id, percent=run.percent)
         for run in worker.runs.values()
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -21,12 +21,12 @@
 
 SOLE, SHARED, LATE = Blame.SOLE, Blame.SHARED, Blame.LATE
 NAME = TaskName("j", 0, 0, 0)
-AGED_S = 0.4
-"""A run this old is not young any more."""
+PAST_PROBATION_S = 0.4
+"""A run of this age has passed its probation."""
 
 
 def lost(*blames: Blame, is_certain: bool = True) -> tuple[LostRun, ...]:
-    """Return lost runs, each on a worker of its own."""
+    """Return lost runs, each on a different worker."""
     return tuple(
         LostRun(run_id=number, worker_id=f"w{number}", blame=blame, is_certain=is_certain)
         for number, blame in enumerate(blames)
@@ -34,26 +34,26 @@
 
 
 def confirm(harness: SchedulingHarness, *orders: StartOrder) -> None:
-    """Let workers answer starts."""
+    """Let the workers confirm the starts."""
     for order in orders:
         order.run.enter(order.run.phase.RUNNING, harness.now_s)
 
 
 def crash(harness: SchedulingHarness, worker_id: str) -> None:
-    """Crash a worker: its connections are closed, later another incarnation answers."""
+    """Crash a worker: it closes its connections, and another incarnation answers later."""
     harness.scheduler_state.crashes.connection_closed(
         harness.worker(worker_id), harness.now_s, WALL_S
     )
     harness.scheduler_state.replaced(worker_id, harness.now_s, WALL_S)
 
 
-def blames(harness: SchedulingHarness, job_id: str = "j") -> list[list[Blame]]:
-    """Return the blames of a job's tasks, by task."""
+def blames_of(harness: SchedulingHarness, job_id: str = "j") -> list[list[Blame]]:
+    """Return the blames of each task of a job."""
     progress = harness.scheduler_state.entries[job_id].progress
     return [[one.blame for one in runs] for _, runs in sorted(progress.lost.items())]
 
 
-class GivenUpTests(unittest.TestCase):
+class CrashLoopTests(unittest.TestCase):
     @parameterized.expand(
         [
             ("one crash", lost(SOLE), False, True),
@@ -69,26 +69,29 @@
             ("none certain", lost(SOLE, SOLE, SOLE, is_certain=False), False, True),
         ]
     )
-    def test_when_a_task_is_given_up(
+    def test_when_a_task_is_crash_looping(
         self, _name: str, runs: tuple[LostRun, ...], is_given_up: bool, is_isolated: bool
     ) -> None:
-        """A sound task is given up for crashes of others, or a culprit is started on and on."""
+        """Guards against failing a sound task, or restarting the cause of crashes without limit."""
         self.assertEqual(is_given_up, is_crash_looping(runs))
         self.assertEqual(is_isolated, is_suspect(runs))
 
-    def test_what_is_certain_stays_and_each_run_counts_once(self) -> None:
-        """One crash is told to two schedulers and counts as two."""
+    def test_a_certain_loss_is_kept_and_each_run_counts_once(self) -> None:
+        """Guards against counting one crash twice because two schedulers recorded it."""
         progress, one = JobProgress(queue="q"), job("j", step(1))
-        maybe = LostRun(run_id=1, worker_id="a", blame=SOLE, is_certain=False)
-        surely = maybe._replace(is_certain=True)
-        told = [progress.note_lost(one, NAME, lost, now_s=5.0) for lost in (maybe, surely, maybe)]
-        self.assertEqual([True, True, False], told)
+        uncertain = LostRun(run_id=1, worker_id="a", blame=SOLE, is_certain=False)
+        certain = uncertain._replace(is_certain=True)
+        changed = [
+            progress.note_lost(one, NAME, lost, now_s=5.0)
+            for lost in (uncertain, certain, uncertain)
+        ]
+        self.assertEqual([True, True, False], changed)
         self.assertFalse(progress.note_survived(one, NAME, 1))
-        self.assertEqual((surely,), progress.lost_runs(one, NAME))
+        self.assertEqual((certain,), progress.lost_runs(one, NAME))
         self.assertIs(JobState.QUEUED, progress.state)
 
     def test_lost_runs_stay_in_the_record_until_the_task_is_done(self) -> None:
-        """A successor does not know of a crash, since the record leaves it out."""
+        """Guards against a successor that misses a crash because the stored record omits it."""
         progress, one = JobProgress(queue="q"), job("j", step(2))
         for run in lost(LATE, SHARED):
             progress.note_lost(one, NAME, run, now_s=5.0)
@@ -99,30 +102,30 @@
 
 
 class BlameTests(unittest.TestCase):
-    def test_young_runs_share_the_blame_and_others_are_late(self) -> None:
-        """A task that had run for long is suspected beside the one that was just started."""
+    def test_runs_on_probation_share_the_blame_and_others_get_late_blame(self) -> None:
+        """Guards against suspecting a task that had run for long beside one that just started."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("old", step(1)))
         confirm(harness, *harness.start_orders())
-        harness.now_s += AGED_S
+        harness.now_s += PAST_PROBATION_S
         harness.add_job(job("j", step(2)))
         confirm(harness, *harness.start_orders())
         crash(harness, "a")
-        self.assertEqual([[LATE]], blames(harness, "old"))
-        self.assertEqual([[SHARED], [SHARED]], blames(harness))
+        self.assertEqual([[LATE]], blames_of(harness, "old"))
+        self.assertEqual([[SHARED], [SHARED]], blames_of(harness))
 
-    def test_a_start_that_was_not_answered_is_young(self) -> None:
-        """The start during which the worker died is not suspected."""
+    def test_an_unanswered_start_is_on_probation(self) -> None:
+        """Guards against missing the start during which the worker died."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         (order,) = harness.start_orders()
         order.run.enter(order.run.phase.UNANSWERED, harness.now_s)
         harness.now_s += 3.0
         crash(harness, "a")
-        self.assertEqual([[SOLE]], blames(harness))
+        self.assertEqual([[SOLE]], blames_of(harness))
 
-    def test_a_worker_that_dies_silently_is_blamed_on_runs_of_its_last_report(self) -> None:
-        """Nobody is suspected, since a silent death is known only seconds later."""
+    def test_a_silent_crash_is_blamed_on_runs_on_probation_at_the_last_report(self) -> None:
+        """Guards against blaming no run because a silent crash is detected only seconds later."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         (order,) = harness.start_orders()
@@ -130,30 +133,30 @@
         harness.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
         harness.now_s += 5.0
         harness.scheduler_state.replaced("a", harness.now_s, WALL_S)
-        self.assertEqual([[SOLE]], blames(harness))
+        self.assertEqual([[SOLE]], blames_of(harness))
 
     def test_lasting_tasks_that_have_run_for_long_are_not_blamed(self) -> None:
-        """A lasting task is given up for the crashes of all the workers that it has seen."""
+        """Guards against failing a lasting task for unrelated crashes of the workers it ran on."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1, is_lasting=True)))
         (order,) = harness.start_orders()
         confirm(harness, order)
-        harness.now_s += AGED_S
+        harness.now_s += PAST_PROBATION_S
         harness.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
         crash(harness, "a")
-        self.assertEqual([], blames(harness))
+        self.assertEqual([], blames_of(harness))
 
-    def test_a_culprit_is_young_however_late_its_crash_is_noticed(self) -> None:
-        """A lasting task that crashes its workers is never blamed, as their links hang on."""
+    def test_a_crash_that_is_detected_late_is_blamed_on_the_run_on_probation(self) -> None:
+        """Guards against never blaming a lasting task because the connections close late."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1, is_lasting=True)))
         confirm(harness, *harness.start_orders())
         harness.now_s += 1.0
         crash(harness, "a")
-        self.assertEqual([[SOLE]], blames(harness))
+        self.assertEqual([[SOLE]], blames_of(harness))
 
-    def test_many_workers_lost_at_once_are_blamed_on_nobody_in_particular(self) -> None:
-        """A rack loses power, and all that was just started there is started in isolation."""
+    def test_a_mass_crash_gives_late_blame_only(self) -> None:
+        """Guards against isolating all recently started tasks after a rack lost power."""
         workers = ["a", "b", "c", "d"]
         harness = SchedulingHarness(*(view(one, cpu_millicores=1000) for one in workers))
         harness.add_job(job("j", step(4)))
@@ -165,13 +168,13 @@
         harness.now_s += 3.0
         for one in workers:
             harness.scheduler_state.replaced(one, harness.now_s, WALL_S)
-        self.assertEqual([[LATE]] * 4, blames(harness))
+        self.assertEqual([[LATE]] * 4, blames_of(harness))
 
     @parameterized.expand([("taken away", True, False), ("drained", False, True)])
-    def test_a_worker_that_leaves_as_planned_blames_nobody(
+    def test_a_planned_departure_blames_no_run(
         self, _name: str, is_planned: bool, is_draining: bool
     ) -> None:
-        """A task is suspected since its machine was moved."""
+        """Guards against suspecting a task because its machine was moved."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         harness.start_orders()
@@ -182,53 +185,53 @@
         harness.scheduler_state.worker_ended(
             "a", "gone", harness.now_s, WALL_S, is_planned=is_planned
         )
-        self.assertEqual([], blames(harness))
+        self.assertEqual([], blames_of(harness))
 
     @parameterized.expand([("refused by another incarnation", False), ("no answer", True)])
-    def test_a_start_under_way_is_blamed_once_it_is_known_to_have_arrived(
+    def test_an_unanswered_start_is_blamed_only_if_it_may_have_run(
         self, _name: str, may_have_run: bool
     ) -> None:
-        """A task is blamed for the death of a worker that was dead before the start was sent."""
+        """Guards against blaming a task for a worker that was dead before the start was sent."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         (order,) = harness.start_orders()
         harness.scheduler_state.replaced("a", harness.now_s, WALL_S)
-        self.assertEqual([], blames(harness))
+        self.assertEqual([], blames_of(harness))
         harness.scheduler_state.crashes.start_answered(order.run, WALL_S, may_have_run=may_have_run)
-        self.assertEqual([[SOLE]] if may_have_run else [], blames(harness))
+        self.assertEqual([[SOLE]] if may_have_run else [], blames_of(harness))
 
     def test_a_worker_that_answers_again_clears_its_runs(self) -> None:
-        """Reset connections count as crashes, and a sound task is given up."""
+        """Guards against failing a sound task because reset connections count as crashes."""
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("j", step(1)))
         (order,) = harness.start_orders()
         confirm(harness, order)
         worker = harness.worker(order.run.worker_id)
         harness.scheduler_state.crashes.connection_closed(worker, harness.now_s, WALL_S)
-        self.assertEqual([[SOLE]], blames(harness))
+        self.assertEqual([[SOLE]], blames_of(harness))
         harness.report(worker.worker_id, ended=((NAME, order.run.run_id, EndKind.FAILED),))
-        self.assertEqual([], blames(harness))
+        self.assertEqual([], blames_of(harness))
         self.assertIsNone(worker.closed_s)
 
-    def test_a_lapsed_run_is_cleared_when_its_worker_is_back(self) -> None:
-        """A worker was cut off for a while; its tasks are started in isolation for ever."""
+    def test_a_lapsed_run_is_cleared_when_its_worker_answers_again(self) -> None:
+        """Guards against isolating tasks without end after their worker was unreachable once."""
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("j", step(1)))
         (order,) = harness.start_orders()
         worker = harness.worker(order.run.worker_id)
         confirm(harness, order)
         harness.scheduler_state.lapse(worker, harness.now_s, WALL_S)
-        self.assertEqual([[SOLE]], blames(harness))
+        self.assertEqual([[SOLE]], blames_of(harness))
         harness.report(worker.worker_id)
         (again,) = harness.start_orders()
-        self.assertEqual([], blames(harness))
+        self.assertEqual([], blames_of(harness))
         self.assertIsNone(harness.worker(again.run.worker_id).isolated)
 
     @parameterized.expand([("another incarnation", True, SOLE), ("unlisted", False, SHARED)])
-    def test_a_lapsed_run_is_counted_when_its_worker_is_over(
+    def test_a_lapsed_run_is_confirmed_lost_when_its_worker_ends(
         self, _how: str, is_replaced: bool, blame: Blame
     ) -> None:
-        """A worker is back as another incarnation only after its lease is out, and not counted."""
+        """Guards against missing a crash if the next incarnation comes after the lease expired."""
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("j", step(1)))
         (order,) = harness.start_orders()
@@ -245,29 +248,29 @@
 
 
 class IsolationTests(unittest.TestCase):
-    """A task of job j was lost on worker c, and is to be started in isolation."""
+    """A task of job j was lost on worker c, and has to be started in isolation."""
 
     def setUp(self) -> None:
         self.harness = SchedulingHarness(view("a"), view("b"))
 
     def suspect(self, *steps: Step, **changes: object) -> None:
-        """Learn of a job whose first task has lost a run."""
+        """Add a job whose first task has lost a run."""
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): lost(SHARED)})
         self.harness.add_job(job("j", *steps, **changes), progress=progress)
 
     def test_the_start_is_stored_before_it_is_sent(self) -> None:
-        """A scheduler dies with the worker, and its successor does not know of the start."""
+        """Guards against a successor that misses a start if the scheduler dies with the worker."""
         self.suspect(step(1))
         for _ in range(2):
             self.assertEqual([], self.harness.decide())
-        self.assertEqual([[SHARED, SOLE]], blames(self.harness))
+        self.assertEqual([[SHARED, SOLE]], blames_of(self.harness))
         self.harness.store()
         (order,) = self.harness.decide()
         assert isinstance(order, StartOrder)
         self.assertEqual(NAME, order.run.name)
 
-    def test_it_is_started_only_on_a_worker_that_has_answered_since(self) -> None:
-        """A sound task is failed for its start on a worker that was dead, and not known to be."""
+    def test_a_suspect_starts_only_on_a_worker_that_reported_since_its_reservation(self) -> None:
+        """Guards against failing a sound task for a start on a worker that was dead undetected."""
         self.suspect(step(1))
         self.harness.now_s += 1.0
         self.harness.decide()
@@ -279,22 +282,22 @@
         assert isinstance(order, StartOrder)
         self.assertEqual(NAME, order.run.name)
 
-    def test_a_worker_that_does_not_answer_is_given_up_for_another_at_once(self) -> None:
-        """A lasting task was away for ten seconds, waiting for idle workers that had left."""
+    def test_the_reservation_of_an_unresponsive_worker_is_cancelled_at_once(self) -> None:
+        """Guards against a lasting task down for 10 s, reserving idle workers that had left."""
         self.suspect(step(1, is_lasting=True))
         self.harness.now_s += 1.0
         self.harness.decide()
         (kept,) = [
             one for one in self.harness.scheduler_state.workers.values() if one.isolated is not None
         ]
-        # What a failed look does.
+        # A failed poll has this effect.
         kept.pause_until_s = self.harness.now_s + 0.5
         self.harness.now_s += 0.1
         (order,) = self.harness.start_orders()
         self.assertNotEqual(kept.worker_id, order.run.worker_id)
 
-    def test_nothing_else_is_started_beside_it(self) -> None:
-        """Tasks of other jobs are lost with a worker on which a suspect was tried."""
+    def test_nothing_else_is_started_beside_a_suspect(self) -> None:
+        """Guards against losing tasks of other jobs with a worker that isolates a suspect."""
         self.suspect(step(1))
         self.harness.start_orders()
         (isolated,) = [
@@ -310,8 +313,8 @@
         )
         self.assertIs(WaitReason.QUARANTINED, reason)
 
-    def test_it_waits_for_young_runs_beside_it(self) -> None:
-        """A sound task that was started a moment before shares the blame of the crash."""
+    def test_a_suspect_waits_for_the_probation_of_other_runs(self) -> None:
+        """Guards against blaming a sound task that was started a moment before the crash."""
         for worker_id in ("a", "b"):
             self.harness.add_job(
                 job(f"k{worker_id}", step(1, estimated_s=9.0, cpu_millicores=2500))
@@ -319,11 +322,11 @@
         confirm(self.harness, *self.harness.start_orders())
         self.suspect(step(1))
         self.assertEqual([], self.harness.start_orders())
-        self.harness.now_s += AGED_S
+        self.harness.now_s += PAST_PROBATION_S
         self.assertEqual([NAME], [one.run.name for one in self.harness.start_orders()])
 
-    def test_other_tasks_of_the_job_wait_until_it_has_proved_harmless(self) -> None:
-        """Each task of a job crashes a worker, and all are started again at once."""
+    def test_other_tasks_of_the_job_wait_until_the_suspect_is_cleared(self) -> None:
+        """Guards against restarting all tasks of a job at once if each crashes a worker."""
         self.suspect(step(3))
         (order,) = self.harness.start_orders()
         confirm(self.harness, order)
@@ -336,8 +339,8 @@
         self.assertIsNone(worker.isolated)
         self.assertEqual([1, 2], sorted(one.run.name.number for one in self.harness.start_orders()))
 
-    def test_a_crash_under_it_fails_the_job(self) -> None:
-        """A task is started in isolation, crashes that worker too, and is started once more."""
+    def test_a_crash_during_isolation_fails_the_job(self) -> None:
+        """Guards against restarting a task that crashed its worker in isolation too."""
         self.suspect(step(1))
         (order,) = self.harness.start_orders()
         confirm(self.harness, order)
@@ -347,8 +350,8 @@
         self.assertIs(JobState.FAILED, entry.progress.state)
         self.assertEqual([], self.harness.start_orders())
 
-    def test_a_cancelled_job_gives_its_worker_back(self) -> None:
-        """A worker stays kept for a start that is never sent."""
+    def test_cancelling_a_job_releases_its_reserved_worker(self) -> None:
+        """Guards against a worker that stays reserved for a start that is never sent."""
         self.suspect(step(1))
         self.harness.decide()
         cancelled = JobProgress(queue="sweeps")
@@ -359,15 +362,15 @@
         self.assertEqual([None, None], [worker.isolated for worker in workers])
         self.assertEqual([0, 0], [len(worker.runs) for worker in workers])
 
-    def test_a_start_that_cannot_be_stored_is_given_back(self) -> None:
-        """While the store is away a worker is kept for a start that can't be sent."""
+    def test_a_start_that_cannot_be_stored_is_cancelled(self) -> None:
+        """Guards against a worker reserved in a store outage for a start that can't be sent."""
         self.suspect(step(1))
         self.harness.decide()
         self.harness.now_s += 2.5
         self.harness.report("a")
         self.harness.report("b")
         self.harness.decide()
-        self.assertEqual([[SHARED, SOLE]], blames(self.harness))
+        self.assertEqual([[SHARED, SOLE]], blames_of(self.harness))
         self.assertEqual(
             1, sum(len(one.runs) for one in self.harness.scheduler_state.workers.values())
         )
@@ -379,11 +382,16 @@
             ("the third", (SHARED, SHARED), False, 3, True),
         ]
     )
-    def test_a_successor_finds_out_what_became_of_a_start(
-        self, _name: str, earlier: tuple[Blame, ...], lives: bool, crashes: int, is_given_up: bool
+    def test_a_successor_resolves_the_outcome_of_a_start(
+        self,
+        _name: str,
+        earlier: tuple[Blame, ...],
+        is_alive: bool,
+        crashes: int,
+        is_given_up: bool,
     ) -> None:
-        """A start under way when its scheduler died is forgotten, or taken for the only cause."""
-        row = LostRun(run_id=5, worker_id="a" if lives else "z", blame=SOLE, is_certain=False)
+        """Guards against dropping a start of a dead scheduler, or taking it for the only cause."""
+        row = LostRun(run_id=5, worker_id="a" if is_alive else "z", blame=SOLE, is_certain=False)
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (*lost(*earlier), row)})
         self.harness.add_job(job("j", step(1)), progress=progress, is_old=True)
         self.harness.decide()
@@ -393,12 +401,12 @@
         self.assertEqual(is_given_up, entry.progress.state is JobState.FAILED)
 
 
-class SpreadTests(unittest.TestCase):
+class CrashSeriesTests(unittest.TestCase):
     @parameterized.expand([("none", 0, "a"), ("two", 2, "a"), ("three", 3, "b")])
-    def test_a_series_of_crashes_spreads_jobs_over_workers(
+    def test_frequent_crashes_spread_jobs_over_workers(
         self, _name: str, crashes: int, expected: str
     ) -> None:
-        """Each crash in a series took the tasks of five jobs with it, packed on one worker."""
+        """Guards against packing five jobs on one worker during a series of crashes."""
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("k", step(1, estimated_s=9.0)))
         harness.start_orders()
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -1,4 +1,4 @@
-"""Tests of tasks that crash the workers which start them, and of those that run beside them."""
+"""Tests of tasks that crash the workers they start on, and of the tasks that run beside them."""
 
 import asyncio
 import json
@@ -15,19 +15,19 @@
 from tests.scheduling_simulation import SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
-CRASHES = [("refused", False), ("silent", True)]
+CRASH_MODES = [("refused", False), ("silent", True)]
 JOB_ID = "00000000000000aa"
-CULPRIT = TaskName(JOB_ID, 0, 0, 0)
+CRASHING_TASK = TaskName(JOB_ID, 0, 0, 0)
 REFUSED_STARTS = 3
-GIVEN_UP_WITHIN_S = 16.0
-"""Time for three crashes, each noticed within 3.6 s, and a takeover."""
+CRASH_LOOP_TIMEOUT_S = 16.0
+"""Time for three crashes, each detected within 3.6 s, and a takeover."""
 
 
 def simulation(seed: int, *, workers: int = 6, is_silent: bool = False) -> SchedulingSimulation:
-    """Return a history whose first task of one job crashes its workers."""
+    """Return a running simulation in which the first task of one job crashes its workers."""
     one = SchedulingSimulation(seed=seed, workers=workers, fleet=ReturningWorkers)
     one.fleet.is_silent = is_silent
-    one.fleet.crashing.add(CULPRIT)
+    one.fleet.crashing.add(CRASHING_TASK)
     for instance in one.instances:
         instance.start()
     return one
@@ -35,15 +35,15 @@
 
 class LostRunLogTests(unittest.TestCase):
     def test_each_run_that_is_lost_with_its_worker_is_logged(self) -> None:
-        """Runs vanished from the logs: nothing told which were lost, or how old they were."""
+        """Guards against logs that don't say which runs were lost, or how old they were."""
         lines: list[bytes] = []
 
-        def take(data: bytes) -> int:
+        def record_line(data: bytes) -> int:
             lines.append(data)
             return len(data)
 
         harness = SchedulingHarness(view("a"))
-        harness.scheduler_state._log = log = StructuredLog(process="test", write=take)
+        harness.scheduler_state._log = log = StructuredLog(process="test", write=record_line)
         harness.add_job(job("j", step(1)))
         (start,) = harness.start_orders()
         harness.now_s += 0.25
@@ -60,15 +60,17 @@
 
 
 class CrashingTaskTests(unittest.TestCase):
-    @parameterized.expand(CRASHES)
-    def test_a_task_that_crashes_its_workers_is_given_up(self, _how: str, is_silent: bool) -> None:
-        """A task was started without end, and each start cost a worker with all that it ran."""
+    @parameterized.expand(CRASH_MODES)
+    def test_a_task_that_crashes_its_workers_fails_its_job(
+        self, _how: str, is_silent: bool
+    ) -> None:
+        """Guards against restarting a task without limit, each time losing a worker's runs."""
 
         async def scenario() -> None:
             one = simulation(seed=1, is_silent=is_silent)
             await asyncio.sleep(1.0)
             await one.submit(JOB_ID, step(2, estimated_s=0.8))
-            await asyncio.sleep(GIVEN_UP_WITHIN_S)
+            await asyncio.sleep(CRASH_LOOP_TIMEOUT_S)
             self.assertEqual([], one.fleet.violations)
             self.assertIs(JobState.FAILED, one.state(JOB_ID))
             for instance in one.instances:
@@ -76,9 +78,11 @@
 
         run_scenario(scenario())
 
-    @parameterized.expand(CRASHES)
-    def test_the_count_of_crashes_survives_the_scheduler(self, _how: str, is_silent: bool) -> None:
-        """Each scheduler was killed before it knew of a crash, and its successor counted anew."""
+    @parameterized.expand(CRASH_MODES)
+    def test_the_count_of_crashes_survives_scheduler_failures(
+        self, _how: str, is_silent: bool
+    ) -> None:
+        """Guards against a successor that restarts the count after a scheduler missed a crash."""
 
         async def scenario() -> None:
             one = simulation(seed=2, is_silent=is_silent)
@@ -87,7 +91,7 @@
             for _ in range(6):
                 one.fleet.crashed.clear()
                 try:
-                    async with asyncio.timeout(GIVEN_UP_WITHIN_S):
+                    async with asyncio.timeout(CRASH_LOOP_TIMEOUT_S):
                         await one.fleet.crashed.wait()
                 except TimeoutError:
                     break
@@ -95,7 +99,7 @@
                 scheduler = one.scheduler()
                 if scheduler is not None:
                     await one.replace(scheduler)
-            await asyncio.sleep(GIVEN_UP_WITHIN_S)
+            await asyncio.sleep(CRASH_LOOP_TIMEOUT_S)
             self.assertEqual([], one.fleet.violations)
             self.assertIs(JobState.FAILED, one.state(JOB_ID))
             for instance in one.instances:
@@ -103,11 +107,9 @@
 
         run_scenario(scenario())
 
-    @parameterized.expand(CRASHES)
-    def test_tasks_that_were_lost_beside_the_culprit_are_done(
-        self, _how: str, is_silent: bool
-    ) -> None:
-        """Tasks that only stood on the same workers as one that crashes them were lost with it."""
+    @parameterized.expand(CRASH_MODES)
+    def test_tasks_lost_beside_a_crashing_task_complete(self, _how: str, is_silent: bool) -> None:
+        """Guards against failing jobs that only shared workers with a task that crashes them."""
 
         async def scenario() -> None:
             one = simulation(seed=3, workers=8, is_silent=is_silent)
@@ -117,7 +119,7 @@
                 one.submit(JOB_ID, step(1, estimated_s=0.8)),
                 *(one.submit(other, step(3, estimated_s=0.8)) for other in others),
             )
-            await asyncio.sleep(GIVEN_UP_WITHIN_S)
+            await asyncio.sleep(CRASH_LOOP_TIMEOUT_S)
             self.assertEqual([], one.fleet.violations)
             self.assertEqual({JobState.COMPLETED}, {one.state(other) for other in others})
             for instance in one.instances:
@@ -125,8 +127,8 @@
 
         run_scenario(scenario())
 
-    def test_starts_that_another_incarnation_refuses_are_no_crashes(self) -> None:
-        """A sound job was failed for starts to workers that had died unseen before."""
+    def test_starts_refused_by_another_incarnation_are_not_counted_as_crashes(self) -> None:
+        """Guards against failing a sound job for starts sent to workers that had already died."""
 
         async def scenario() -> None:
             one = SchedulingSimulation(seed=4, workers=1, instances=1, fleet=ReturningWorkers)
@@ -140,7 +142,7 @@
                 one.fleet.workers[worker.worker_id].crash()
                 one.fleet.absences[worker.worker_id] = OrderStatus.GONE
                 one.fleet.add(replace(worker, worker_id=f"{worker.worker_id}+"))
-                # A look shows meanwhile that the worker is over.
+                # Meanwhile a poll shows that the worker has ended.
                 await asyncio.sleep(0.1)
                 return OrderOutcome(status=OrderStatus.GONE)
 
@@ -148,7 +150,7 @@
             one.instances[0].start()
             await asyncio.sleep(1.0)
             await one.submit(JOB_ID, step(1, estimated_s=0.8))
-            await asyncio.sleep(GIVEN_UP_WITHIN_S)
+            await asyncio.sleep(CRASH_LOOP_TIMEOUT_S)
             self.assertEqual(REFUSED_STARTS, len(refused))
             self.assertIs(JobState.COMPLETED, one.state(JOB_ID))
             await one.instances[0].kill()
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""Tests of the measure of demand, against queues whose demand rises, stays and falls."""
+"""Tests of the demand forecast on queues whose demand grows, is steady, or declines."""
 
 import random
 import unittest
@@ -8,23 +8,23 @@
 from shallotworks.scheduling._demand import Arrival, DemandLimits, arriving_cores
 
 LIMITS = DemandLimits()
-JOB_CORE_S = 100.0
-LEAD_S = 2.0
+CORE_S_PER_JOB = 100.0
+MACHINE_ARRIVAL_S = 2.0
 
 
-def drawn(rng: random.Random, length_s: float, rate: "Rate") -> list[Arrival]:
-    """Return jobs that come at a rate that changes with time."""
+def sample_arrivals(rng: random.Random, length_s: float, rate: "Rate") -> list[Arrival]:
+    """Return arrivals at a rate that changes with time."""
     rows: list[Arrival] = []
     at_s = 0.0
     while at_s < length_s:
         at_s += 0.01
         if rng.random() < rate(at_s) * 0.01:
-            rows.append((at_s, JOB_CORE_S))
+            rows.append((at_s, CORE_S_PER_JOB))
     return rows
 
 
 class Rate:
-    """Jobs a second: a base, and a rise a second for some time, then as steep a fall."""
+    """Jobs per second: a base that grows linearly for some time, then declines as fast."""
 
     def __init__(self, *, base: float, rise: float = 0.0, for_s: float = 0.0) -> None:
         self.base = base
@@ -37,43 +37,41 @@
         return self.base + self.rise * (up_s - down_s)
 
 
-def mean_over_seeds(rate: Rate, at_s: float) -> float:
-    """Return the cores foreseen at a moment, of what comes then, over drawn days."""
-    asked = []
+def mean_forecast_cores(rate: Rate, at_s: float) -> float:
+    """Return the cores forecast at a time, averaged over seeds."""
+    forecast_cores = []
     for seed in range(60):
-        rows = [row for row in drawn(random.Random(seed), at_s, rate) if row[0] <= at_s]
-        asked.append(arriving_cores(rows, wall_s=at_s, limits=LIMITS))
-    return sum(asked) / len(asked)
+        rows = [row for row in sample_arrivals(random.Random(seed), at_s, rate) if row[0] <= at_s]
+        forecast_cores.append(arriving_cores(rows, wall_s=at_s, limits=LIMITS))
+    return sum(forecast_cores) / len(forecast_cores)
 
 
-class TurnTests(unittest.TestCase):
+class GrowthTests(unittest.TestCase):
     @parameterized.expand([(2.0,), (2.5,), (3.0,)])
-    def test_a_rise_is_carried_on_until_machines_are_there(self, at_s: float) -> None:
-        """The first seconds of a turn are late, since each machine comes for demand of before.
-
-        A queue's demand rises for five seconds to sixty jobs a second. What is asked for in its
-        first seconds is to be nearer to what comes two seconds later than to what comes then.
-        """
+    def test_growth_is_extrapolated_until_machines_arrive(self, at_s: float) -> None:
+        """Guards against late jobs at the start of a turn, when machines match only past demand."""
+        # Demand grows for five seconds to sixty jobs a second. The forecast in the first seconds
+        # must be nearer to the demand two seconds later than to the present demand.
         rate = Rate(base=1.0, rise=12.0, for_s=5.0)
-        asked = mean_over_seeds(rate, at_s)
-        now, later = rate(at_s) * JOB_CORE_S, rate(at_s + LEAD_S) * JOB_CORE_S
-        self.assertGreater(asked, (now + min(later, 2 * now)) / 2)
-        self.assertLess(asked, later * 1.1)
+        forecast_cores = mean_forecast_cores(rate, at_s)
+        now, later = rate(at_s) * CORE_S_PER_JOB, rate(at_s + MACHINE_ARRIVAL_S) * CORE_S_PER_JOB
+        self.assertGreater(forecast_cores, (now + min(later, 2 * now)) / 2)
+        self.assertLess(forecast_cores, later * 1.1)
 
     @parameterized.expand([(2.0,), (10.0,), (50.0,)])
-    def test_a_steady_queue_asks_for_what_it_gets(self, jobs_a_second: float) -> None:
-        """Chance is not taken for a rise, or idle machines would be paid for all day."""
-        asked = mean_over_seeds(Rate(base=jobs_a_second), 10.0)
-        self.assertLess(asked, 1.3 * jobs_a_second * JOB_CORE_S)
+    def test_chance_in_a_steady_queue_is_not_extrapolated(self, jobs_a_second: float) -> None:
+        """Guards against paying for idle machines because chance is taken for growth."""
+        forecast_cores = mean_forecast_cores(Rate(base=jobs_a_second), 10.0)
+        self.assertLess(forecast_cores, 1.3 * jobs_a_second * CORE_S_PER_JOB)
 
-    def test_a_fall_is_not_carried_on(self) -> None:
-        """What runs and waits still has to be finished."""
+    def test_a_decline_is_not_extrapolated(self) -> None:
+        """Guards against too low a forecast while running and waiting jobs must be finished."""
         rate = Rate(base=1.0, rise=12.0, for_s=5.0)
-        asked = mean_over_seeds(rate, 8.0)
-        self.assertGreater(asked, 0.9 * rate(8.0) * JOB_CORE_S)
+        forecast_cores = mean_forecast_cores(rate, 8.0)
+        self.assertGreater(forecast_cores, 0.9 * rate(8.0) * CORE_S_PER_JOB)
 
-    def test_nothing_comes(self) -> None:
-        """Nothing is asked for."""
+    def test_no_arrivals(self) -> None:
+        """Guards against a demand without jobs."""
         self.assertEqual(0.0, arriving_cores([], wall_s=5.0, limits=LIMITS))
 
 
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -1,4 +1,4 @@
-"""Tests of decisions in a turn: hundreds of tasks at once, on pools of a hundred workers."""
+"""Tests of decisions in a turn: hundreds of tasks at once on pools of a hundred workers."""
 
 import asyncio
 import random
@@ -18,8 +18,8 @@
 from tests.virtual_clock import run_scenario
 
 
-def bench_of(workers: int) -> SchedulingHarness:
-    """Return a board with workers of 64 cores in racks of eight."""
+def make_pool(workers: int) -> SchedulingHarness:
+    """Return a harness with workers of 64 cores in racks of eight."""
     return SchedulingHarness(
         *(
             view(f"w{number:03}", cpu_millicores=64_000, memory_mb=131_072, rack=f"r{number // 8}")
@@ -28,14 +28,12 @@
     )
 
 
-class CutShortTests(unittest.TestCase):
-    def test_a_decision_starts_so_many_tasks_and_no_more(self) -> None:
-        """A service loses its key in its turn, or tells for seconds of no lack of machines.
-
-        Hundreds of tasks become startable at once. All their orders were made in one go, and the
-        renewal of the key and the pool's need waited behind them.
-        """
-        harness = bench_of(100)
+class StartLimitTests(unittest.TestCase):
+    def test_a_decision_starts_a_bounded_number_of_tasks(self) -> None:
+        """Guards against one long decision that delays lease renewal and the pool's demand."""
+        # Hundreds of tasks become startable at once. If all their orders were made in one decision,
+        # the service would lose its lease or report its demand seconds late.
+        harness = make_pool(100)
         for number in range(40):
             harness.add_job(job(f"{number:016x}", step(8)))
         sizes = []
@@ -47,15 +45,15 @@
         self.assertEqual([64, 64, 64, 64, 64, 0], sizes)
 
     def test_a_gang_is_not_split(self) -> None:
-        """A part of a gang holds room and waits for members that are never started."""
-        harness = bench_of(40)
+        """Guards against a partial gang that occupies room while its other members never start."""
+        harness = make_pool(40)
         harness.add_job(job("0" * 16, step(MAX_STARTS_PER_DECISION - 1)))
         harness.add_job(job("1" * 16, step(30, is_gang=True, estimated_s=9.0)))
         self.assertEqual(MAX_STARTS_PER_DECISION - 1 + 30, len(harness.start_orders()))
 
-    def test_stops_go_before_starts(self) -> None:
-        """A cancelled job runs on in a turn, since its stops wait behind starts."""
-        harness = bench_of(100)
+    def test_stops_precede_starts(self) -> None:
+        """Guards against a cancelled job that keeps running as its stops wait behind starts."""
+        harness = make_pool(100)
         harness.add_job(job("f" * 16, step(4)))
         for order in harness.start_orders():
             run = order.run
@@ -80,17 +78,17 @@
             ("lasting with a target", step(20, is_lasting=True, target_s=0.1)),
         ]
     )
-    def test_tasks_are_placed_as_if_all_workers_were_judged_for_each(
-        self, _: str, wanted: Step
-    ) -> None:
-        """A step's tasks go where they would go one decision at a time, on drawn loads."""
+    def test_incremental_placement_equals_full_evaluation(self, _: str, wanted: Step) -> None:
+        """Guards against outdated costs that place a task elsewhere than a full evaluation."""
         for seed in range(20):
-            kept = self._place(wanted, seed, is_kept=True)
-            self.assertEqual(self._place(wanted, seed, is_kept=False), kept, f"seed {seed}")
+            incremental = self._place(wanted, seed, is_incremental=True)
+            self.assertEqual(
+                self._place(wanted, seed, is_incremental=False), incremental, f"seed {seed}"
+            )
 
-    def _place(self, wanted: Step, seed: int, *, is_kept: bool) -> list[str]:
+    def _place(self, wanted: Step, seed: int, *, is_incremental: bool) -> list[str]:
         rng = random.Random(seed)
-        harness = bench_of(24)
+        harness = make_pool(24)
         for number in range(30):
             size = rng.randrange(1_000, 20_000)
             harness.add_job(job(f"{number:016x}", step(rng.randint(1, 4), cpu_millicores=size)))
@@ -104,7 +102,7 @@
         chosen: list[str] = []
         for index in range(wanted.count):
             avoid = frozenset({rng.choice(workers).worker_id} if rng.random() < 0.2 else ())
-            worker = self._next(placement, candidates, workers, avoid, is_kept)
+            worker = self._next(placement, candidates, workers, avoid, is_incremental)
             if worker is None:
                 break
             chosen.append(worker.worker_id)
@@ -119,19 +117,19 @@
         candidates: Candidates,
         workers: list[Worker],
         avoid: frozenset[str],
-        is_kept: bool,
+        is_incremental: bool,
     ) -> Worker | None:
-        if is_kept:
+        if is_incremental:
             return candidates.best(avoid=avoid)
         return placement.choose(workers, avoid=avoid)
 
 
 class RoomTests(unittest.TestCase):
-    def test_nothing_that_fits_is_left_waiting(self) -> None:
-        """Whatever is passed over without a look at each worker would have found no room there."""
+    def test_no_task_that_fits_is_left_waiting(self) -> None:
+        """Guards against skipping a step without evaluating each worker although one has room."""
         for seed in range(30):
             rng = random.Random(seed)
-            harness = bench_of(6)
+            harness = make_pool(6)
             for number in range(60):
                 wanted = step(
                     rng.randint(1, 6),
@@ -148,12 +146,10 @@
 
 
 class PauseTests(unittest.TestCase):
-    def test_a_scheduler_that_rests_with_tasks_left_to_start_is_idle(self) -> None:
-        """An instance uses all of its processor in an outage of the store.
-
-        The last decision before the outage had started as many tasks as one may, so that the next
-        was to follow at once; but a scheduler that rests decides nothing, and asked for ever.
-        """
+    def test_a_paused_scheduler_with_startable_tasks_is_idle(self) -> None:
+        """Guards against a busy loop in a store outage after a decision reached its start limit."""
+        # After a decision at its start limit the next one follows at once. A paused scheduler
+        # decides nothing, so it must not ask again without end and use all of its processor.
 
         async def scenario() -> None:
             simulation = SchedulingSimulation(seed=1, workers=4, instances=1)
@@ -177,14 +173,13 @@
             self.assertGreaterEqual(waits, 2)
             await instance.kill()
 
-        # On a real clock: a paused one stands still for ever beside a loop that never waits.
+        # A real clock is needed: a virtual one never advances while a loop runs without waiting.
         asyncio.run(scenario())
 
-    def test_costly_decisions_leave_most_of_the_process_to_others(self) -> None:
-        """Nothing but decisions is done in a turn: each answered order led to another one.
-
-        A decision over thousands of waiting tasks takes 20 ms, and news come every millisecond.
-        """
+    def test_costly_decisions_use_a_bounded_share_of_the_process(self) -> None:
+        """Guards against decisions that use the whole process if events come every millisecond."""
+        # A decision over thousands of waiting tasks takes 20 ms, and each answered order requested
+        # another decision.
         cost_s = 0.02
         spent_s = 0.0
         plain = DecisionEngine.decide
@@ -207,7 +202,7 @@
             for _ in range(1000):
                 service_scheduler._order_dispatcher.wake()
                 await asyncio.sleep(0.001)
-            # One second passed beside the decisions, which get half as much at the most.
+            # One second passed outside the decisions, which may use at most half as much time.
             self.assertLessEqual(round(spent_s - before_s, 6), 0.5 + cost_s)
             self.assertGreaterEqual(spent_s - before_s, 0.4)
             await instance.kill()
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of what the scheduler decides: order, placement, gangs, retries, hangs, pacing, budgets."""
+"""Tests of scheduling decisions: order, placement, gangs, retries, stalls, pacing and budgets."""
 
 import unittest
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
 
 
 def workers_of(starts: list[StartOrder]) -> list[str]:
-    """Return where tasks were started."""
+    """Return the ids of the workers on which tasks were started."""
     return sorted(order.run.worker_id for order in starts)
 
 
@@ -66,17 +66,15 @@
     def test_where_tasks_start(
         self, _name: str, part: Step, workers: tuple[WorkerView, ...], expected: list[str]
     ) -> None:
-        """Only where they may run and fit."""
+        """Guards against starts on workers where a task may not run, doesn't fit or is slower."""
         harness = SchedulingHarness(*workers)
         harness.add_job(job("j", part))
         self.assertEqual(expected, workers_of(harness.start_orders()))
 
     def test_tasks_that_end_leave_whole_workers_free(self) -> None:
-        """A queue waits for machines while the one before it has 100 that are a third full.
-
-        Its tasks stood on the emptiest worker each, so that no worker was idle. They go to workers
-        with lasting tasks, which stay anyway, then to the fullest.
-        """
+        """Guards against spreading tasks so that 100 machines a third full can't be lent."""
+        # Tasks placed on the emptiest worker leave none idle for the queue that waits. They belong
+        # on workers with lasting tasks, which stay anyway, and then on the fullest.
         harness = SchedulingHarness(view("a"), view("b"), view("c"))
         harness.add_job(job("lasting", step(1, is_lasting=True, cpu_millicores=500)))
         (first,) = harness.start_orders()
@@ -86,8 +84,8 @@
         harness.add_job(job("more", step(2, cpu_millicores=1000)))
         self.assertEqual(1, len(set(workers_of(harness.start_orders()))))
 
-    def test_tasks_that_end_keep_off_those_with_a_target(self) -> None:
-        """A serving task's users wait for work put beside it while a worker was free."""
+    def test_tasks_that_end_are_not_placed_beside_tasks_with_a_target(self) -> None:
+        """Guards against slowing a serving task down while another worker is free."""
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("serving", step(1, is_lasting=True, target_s=0.1, cpu_millicores=500)))
         (first,) = harness.start_orders()
@@ -95,8 +93,8 @@
         harness.add_job(job("j", step(1, cpu_millicores=1000)))
         self.assertNotEqual([first.run.worker_id], workers_of(harness.start_orders()))
 
-    def test_gangs_start_whole_or_not_at_all(self) -> None:
-        """All members have one run id; without room for all, none is started."""
+    def test_all_members_of_a_gang_start_or_none(self) -> None:
+        """Guards against a partly started gang, or one whose members have several run ids."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("wide", step(5, is_gang=True)))
         self.assertEqual([], harness.start_orders())
@@ -106,14 +104,14 @@
         self.assertEqual(1, len({order.run.run_id for order in starts}))
 
     def test_a_gang_prefers_one_rack(self) -> None:
-        """Where its tasks are slower apart, a rack that holds all of them is taken."""
+        """Guards against splitting a gang over racks while one rack holds all its members."""
         racks = (("a", "r1"), ("b", "r2"), ("c", "r2"))
         harness = SchedulingHarness(*(view(name, rack=rack) for name, rack in racks))
         harness.add_job(job("g", step(8, is_gang=True, is_one_rack=True)))
         self.assertEqual(["b"] * 4 + ["c"] * 4, workers_of(harness.start_orders()))
 
-    def test_a_step_waits_for_those_before(self) -> None:
-        """Its tasks start when all of the earlier step's are done."""
+    def test_a_step_waits_for_its_predecessors(self) -> None:
+        """Guards against starting a step before all tasks of the step before are done."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(2), step(1, after=(0,))))
         first = harness.start_orders()
@@ -126,8 +124,8 @@
             [TaskName("j", 0, 1, 0)], [order.run.name for order in harness.start_orders()]
         )
 
-    def test_occurrences_wait_for_their_time(self) -> None:
-        """Each starts when it is due, whether the one before has ended or not."""
+    def test_occurrences_wait_until_they_are_due(self) -> None:
+        """Guards against starting an occurrence early, or only after the one before has ended."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(
             job("j", step(1), repeats=Repeats(first_s=WALL_S + 2, interval_s=3, count=2))
@@ -139,9 +137,9 @@
         self.assertEqual([1], [order.run.name.occurrence for order in harness.start_orders()])
 
 
-class OrderTests(unittest.TestCase):
-    def test_who_gets_room_first(self) -> None:
-        """Lasting tasks, then by priority, then what must begin soonest; the hopeless last."""
+class UrgencyTests(unittest.TestCase):
+    def test_the_order_of_waiting_steps(self) -> None:
+        """Guards against another order than lasting tasks, priority, lateness and latest start."""
         harness = SchedulingHarness(view("a", cpu_millicores=0))
         low = policy(priority=1, stretch=2.0)
         urgent = policy(stretch=1.0, target_latency_s=0.5)
@@ -158,11 +156,9 @@
 
 class OverloadTests(unittest.TestCase):
     def test_jobs_that_have_begun_are_finished_first(self) -> None:
-        """Many callers wait in vain, each for the second half of a job.
-
-        In a turn that asks for more than the pool holds, room that comes free went to jobs whose
-        latest start was nearest, whether begun or not, so that many were begun and few finished.
-        """
+        """Guards against an overload in which many jobs are started and few are finished."""
+        # If room went to the job with the nearest latest start, begun or not, callers would wait in
+        # vain for the second half of a begun job.
         harness = SchedulingHarness(view("a", cpu_millicores=1000))
         harness.add_job(job("begun", step(1), step(1, after=(0,)), accepted_s=WALL_S))
         first = harness.start_orders()[0].run
@@ -170,39 +166,37 @@
         harness.report("a", ended=((first.name, first.run_id, EndKind.DONE),))
         self.assertEqual(["begun"], [order.run.name.job_id for order in harness.start_orders()])
 
-    def test_late_jobs_come_before_those_that_serve_nobody_any_more(self) -> None:
-        """After an outage hundreds of callers get nothing, though room for half of them was there.
-
-        The jobs of the outage's first seconds had waited so long that nobody asked for them any
-        more; they were smaller or had begun, so they came first, and the others got too old.
-        """
+    def test_late_jobs_come_before_jobs_that_are_no_longer_useful(self) -> None:
+        """Guards against giving room to useless jobs after an outage until the late ones expire."""
+        # Jobs from the first seconds of an outage are no longer useful. If they came first because
+        # they are smaller or have begun, the late ones would expire too.
         harness = SchedulingHarness(view("a", cpu_millicores=1000))
         harness.add_job(job("past use", step(1), accepted_s=WALL_S - 60))
         harness.add_job(job("late", step(3), accepted_s=WALL_S - 3, policy=policy(stretch=2.0)))
         self.assertEqual(["late"], [order.run.name.job_id for order in harness.start_orders()])
 
     def test_small_jobs_come_first(self) -> None:
-        """One caller's large job does not keep ten small ones waiting."""
+        """Guards against one large job that keeps ten small ones waiting."""
         harness = SchedulingHarness(view("a", cpu_millicores=1000))
         harness.add_job(job("large", step(9)))
         harness.add_job(job("small", step(1)))
         self.assertEqual(["small"], [order.run.name.job_id for order in harness.start_orders()])
 
 
-class LastingInATurnTests(unittest.TestCase):
+class LastingTaskRestartTests(unittest.TestCase):
     @parameterized.expand(
         [
             ("processor", step(1, is_lasting=True, cpu_millicores=3000, memory_mb=100)),
             ("memory", step(1, is_lasting=True, cpu_millicores=1000, memory_mb=3000)),
         ]
     )
-    def test_a_large_lasting_task_comes_back_within_a_turn(self, _name: str, lasting: Step) -> None:
-        """A season archive stood still for ten seconds, until a turn of short clips was over.
-
-        Its worker is lost in the turn, and it needs three quarters of another one. Workers are
-        full of clips; each time one ends, the next clip takes the room, so that there is never
-        room for the archive at once, though it stands first in the order.
-        """
+    def test_a_large_lasting_task_is_restarted_within_a_turn(
+        self, _name: str, lasting: Step
+    ) -> None:
+        """Guards against a lasting task down for 10 s while short tasks take all freed room."""
+        # The lost task needs three quarters of a worker. All workers are full of short tasks, and
+        # each time one ends the next takes its room, although the lasting task is first in the
+        # order.
         harness = SchedulingHarness(view("a"), view("b"))
         clips = [f"clip{number:02}" for number in range(40)]
         for job_id in clips:
@@ -225,8 +219,8 @@
                 running[order.run.name] = order.run
         self.fail("the archive waits though each worker could hold it")
 
-    def test_the_other_workers_take_clips_meanwhile(self) -> None:
-        """Room is held on one worker only."""
+    def test_other_workers_accept_tasks_meanwhile(self) -> None:
+        """Guards against holding room for a lasting task on more than one worker."""
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("first", step(8)))
         self.assertEqual(8, len(harness.start_orders()))
@@ -248,8 +242,8 @@
 
 
 class RetryTests(unittest.TestCase):
-    def test_a_failed_task_runs_elsewhere(self) -> None:
-        """One worker that fails all it is given must not use up a job's attempts."""
+    def test_a_failed_task_is_retried_on_another_worker(self) -> None:
+        """Guards against one failing worker that uses up all attempts of a job."""
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("j", step(1)))
         first = harness.start_orders()[0].run
@@ -259,7 +253,7 @@
         self.assertGreater(second.run_id, first.run_id)
 
     def test_a_worker_on_which_jobs_fail_is_used_last(self) -> None:
-        """Always free since it fails at once, it would draw all tasks and fail each."""
+        """Guards against a worker that is always free as it fails at once, and draws all tasks."""
         harness = SchedulingHarness(view("a"), view("b"))
         for job_id in ("x", "y"):
             name = TaskName(job_id, 0, 0, 0)
@@ -269,7 +263,7 @@
         self.assertEqual({"b"}, set(workers_of(harness.start_orders())))
 
     def test_a_stopped_task_resumes_where_it_was(self) -> None:
-        """Its checkpoint goes with the next start."""
+        """Guards against a restart without the last checkpoint."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1, is_checkpointed=True)))
         run = harness.start_orders()[0].run
@@ -279,15 +273,15 @@
         self.assertEqual(["c1"], [order.checkpoint for order in harness.start_orders()])
 
     def test_a_refused_start_is_tried_again(self) -> None:
-        """With a higher run id, since a worker may have taken note of the first."""
+        """Guards against retrying with a run id that the worker may have recorded already."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         first = harness.start_orders()[0].run
         harness.scheduler_state.start_failed(first, harness.now_s)
         self.assertGreater(harness.start_orders()[0].run.run_id, first.run_id)
 
-    def test_a_task_that_stands_still_runs_elsewhere(self) -> None:
-        """A worker whose tasks hang and that answers looks all the same."""
+    def test_a_stalled_task_is_moved_to_another_worker(self) -> None:
+        """Guards against leaving a task on a worker whose tasks hang while it answers polls."""
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("j", step(1)))
         run = harness.start_orders()[0].run
@@ -302,14 +296,11 @@
         self.assertNotEqual(run.worker_id, harness.start_orders()[0].run.worker_id)
 
 
-class DecidedTwiceTests(unittest.TestCase):
-    def test_a_start_that_was_decided_is_not_decided_again(self) -> None:
-        """Two runs of one task at once, on a quiet day.
-
-        A worker that was idle has no lease. A start is decided, and before its order is sent, which
-        grants a lease, decisions are taken again: the worker's lease seemed to have run out, its
-        run to be over, and the task was started elsewhere.
-        """
+class RepeatedDecisionTests(unittest.TestCase):
+    def test_a_decided_start_is_not_decided_again(self) -> None:
+        """Guards against two runs of one task at once after a start on an idle worker."""
+        # An idle worker has no lease; the order of the start grants one. A decision between the
+        # start's decision and its order must not take the lease as expired and the run as ended.
         harness = SchedulingHarness(view("a"), view("b"))
         for worker_id in ("a", "b"):
             harness.worker(worker_id).lease_ends_s = 0.0
@@ -318,13 +309,12 @@
         self.assertEqual([], harness.decide())
 
 
-class StartWithoutAnswerTests(unittest.TestCase):
-    def test_it_is_stopped_before_it_starts_elsewhere(self) -> None:
-        """Two runs of one task at once, the first carried out seconds after its order.
-
-        A start gets no answer; a look does not list it. It may still be carried out. Only after a
-        stop was obeyed, and a look sent after that lists nothing, may the task start again.
-        """
+class UnansweredStartTests(unittest.TestCase):
+    def test_an_unanswered_start_is_stopped_before_a_new_start(self) -> None:
+        """Guards against two runs of a task if an unanswered start is carried out late."""
+        # The start got no answer and a poll does not list the run, but it may still be carried out.
+        # The task may start again only after a stop was obeyed and a poll that was sent later lists
+        # nothing.
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         run = harness.start_orders()[0].run
@@ -340,8 +330,8 @@
         harness.report("a")
         self.assertEqual(1, len(harness.start_orders()))
 
-    def test_one_that_runs_is_kept(self) -> None:
-        """Only its answer was lost."""
+    def test_an_unanswered_start_that_runs_is_kept(self) -> None:
+        """Guards against stopping a run because only the answer to its start was lost."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         run = harness.start_orders()[0].run
@@ -354,7 +344,7 @@
 
 class CancelTests(unittest.TestCase):
     def test_runs_of_a_cancelled_job_are_stopped(self) -> None:
-        """And none of its tasks starts any more."""
+        """Guards against a cancelled job whose tasks run on or are started."""
         harness = SchedulingHarness(view("a"))
         one = job("j", step(2, cpu_millicores=3000))
         harness.add_job(one)
@@ -379,10 +369,10 @@
             ("nearly stopped", 90, 8, [0]),
         ]
     )
-    def test_fillers_give_way(
+    def test_fillers_are_paced_by_the_tail_latency(
         self, _name: str, tail_ms: int, percent: int, expected: list[int]
     ) -> None:
-        """Fillers beside a serving task slow down before its users notice, and come back slowly."""
+        """Guards against fillers that slow serving tasks down, or that speed up too fast."""
         harness = SchedulingHarness(view("a"))
         serving = step(1, is_lasting=True, target_s=0.1)
         filling = step(1, is_lasting=True, is_filler=True)
@@ -401,11 +391,9 @@
 
 class BudgetTests(unittest.TestCase):
     def test_lasting_tasks_are_moved_within_their_budget(self) -> None:
-        """A service with fewer tasks at work than its budget allows, during upkeep.
-
-        Two of its five tasks may be away. The worker on which all of them run is emptied: two are
-        stopped, and the others only as those are at work again elsewhere.
-        """
+        """Guards against stopping more of a service's tasks in maintenance than its budget says."""
+        # Two of five tasks may be unavailable. All run on the worker that is evacuated: two are
+        # stopped, and the others only once those serve again elsewhere.
         harness = SchedulingHarness(view("a", cpu_millicores=9000))
         harness.add_job(job("s", step(5, is_lasting=True, may_miss=2)))
         runs = [order.run for order in harness.start_orders()]
@@ -428,13 +416,11 @@
         harness.decision_engine.evacuate(worker)
         self.assertEqual(2, len(harness.decide()))
 
-    def test_tasks_on_a_silent_worker_count_as_away(self) -> None:
-        """A service with fewer tasks at work than its budget, after a rack died during upkeep.
-
-        One of two tasks may be away. The worker of one dies without a word; as its last report
-        says, the task is at work, until its lease has run out seconds later. Meanwhile the other
-        task was stopped for upkeep.
-        """
+    def test_tasks_on_a_silent_worker_count_as_unavailable(self) -> None:
+        """Guards against maintenance that exceeds a budget after a worker died silently."""
+        # One of two tasks may be unavailable. Worker b dies silently; its last report shows its
+        # task as serving until its lease expires seconds later. The task on a must not be stopped
+        # meanwhile.
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("s", step(2, is_lasting=True, may_miss=1, most_per_worker=1)))
         for order in harness.start_orders():
@@ -455,7 +441,7 @@
 
 class AdviceTests(unittest.TestCase):
     def test_only_allowed_workers_are_used_with_their_ticket(self) -> None:
-        """Advice is asked once; then tasks start where it allows."""
+        """Guards against repeated advice requests, and starts without a permit."""
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("j", step(2), policy=policy(is_advised=True)))
         asked = harness.decide()
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -23,10 +23,10 @@
             ("all", {"cpu_millicores": 0, "memory_mb": 0}),
         ]
     )
-    def test_nothing_starts_beyond_what_is_left(
+    def test_no_start_exceeds_the_remaining_capacity(
         self, _name: str, capacity: dict[str, object]
     ) -> None:
-        """A worker that refuses nothing is given more than its capacity, which has shrunk."""
+        """Guards against overfilling a worker that refuses nothing after its capacity shrank."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         self.assertEqual(1, len(harness.start_orders()))
@@ -36,8 +36,8 @@
         harness.scheduler_state.update_worker(view("a"))
         self.assertEqual(1, len(harness.start_orders()))
 
-    def test_what_is_being_stopped_still_counts(self) -> None:
-        """A worker with shrunk capacity is given a task while an earlier one is stopping."""
+    def test_a_run_that_is_being_stopped_occupies_capacity(self) -> None:
+        """Guards against starting a task on a shrunk worker while an earlier one is stopping."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1, cpu_millicores=3000)))
         (order,) = harness.start_orders()
@@ -54,8 +54,8 @@
         harness.report("a", ended=((order.run.name, order.run.run_id, EndKind.STOPPED),))
         self.assertEqual(["k"], [one.run.name.job_id for one in harness.start_orders()][:1])
 
-    def test_a_start_that_waits_to_be_stored_is_given_back(self) -> None:
-        """Capacity shrinks between the choice of a worker for a suspect and its start."""
+    def test_a_reserved_start_is_cancelled_when_capacity_shrinks(self) -> None:
+        """Guards against sending a suspect's start after the reserved worker's capacity shrank."""
         harness = SchedulingHarness(view("a"), view("b", cpu_millicores=0))
         row = LostRun(run_id=1, worker_id="c", blame=Blame.SHARED, is_certain=True)
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (row,)})
@@ -66,8 +66,8 @@
         self.assertEqual([], harness.decide())
         self.assertEqual(0, harness.worker("a").cpu_used)
 
-    def test_nothing_starts_beside_a_run_of_unknown_size(self) -> None:
-        """A successor filled a worker on which runs of a job that was gone were being stopped."""
+    def test_no_start_beside_a_run_of_unknown_size(self) -> None:
+        """Guards against a successor filling a worker while a deleted job's runs are stopping."""
         harness = SchedulingHarness(view("a"))
         gone = TaskName("gone", 0, 0, 0)
         harness.report("a", running=(RunningTask(name=gone, run_id=5),))
@@ -78,8 +78,8 @@
 
 
 class StaleListTests(unittest.TestCase):
-    def test_nothing_starts_while_capacities_are_not_known(self) -> None:
-        """After an outage a worker that shrank meanwhile is filled by its capacity of before."""
+    def test_no_start_while_capacities_are_unknown(self) -> None:
+        """Guards against filling a worker that shrank during an outage to its former capacity."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1, cpu_millicores=2000)))
         (order,) = harness.start_orders()
@@ -92,31 +92,31 @@
         self.assertEqual([StopOrder], [type(one) for one in decisions])
         self.assertEqual(["k"], [one.run.name.job_id for one in harness.start_orders()])
 
-    def test_a_watcher_tells_that_it_has_heard_only_while_the_store_answers(self) -> None:
-        """A copy that is ten seconds old passes for a new one."""
+    def test_a_watcher_reports_answers_only_while_the_store_answers(self) -> None:
+        """Guards against taking a copy that is ten seconds old for a current one."""
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
-            one, heard = FaultInjectingStore(store=store), []
+            one, answers_s = FaultInjectingStore(store=store), []
             watcher = PrefixWatcher(
                 store=one,
                 prefix="servers/",
                 listener=WorkerRegistry(log=quiet_log()),
                 log=quiet_log(),
-                on_answer=lambda: heard.append(asyncio.get_running_loop().time()),
+                on_answer=lambda: answers_s.append(asyncio.get_running_loop().time()),
             )
-            following = asyncio.create_task(watcher.run())
+            watcher_task = asyncio.create_task(watcher.run())
             await asyncio.sleep(5.0)
-            self.assertGreater(len(heard), 2)
+            self.assertGreater(len(answers_s), 2)
             one.faults.is_silent = True
             await asyncio.sleep(0.1)
-            before = len(heard)
+            before = len(answers_s)
             await asyncio.sleep(10.0)
-            self.assertEqual(before, len(heard))
+            self.assertEqual(before, len(answers_s))
             one.faults.is_silent = False
             await asyncio.sleep(2.5)
-            self.assertGreater(len(heard), before)
-            following.cancel()
+            self.assertGreater(len(answers_s), before)
+            watcher_task.cancel()
 
         run_scenario(scenario())
 
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -1,4 +1,4 @@
-"""Tests of what tells why a task waits: reasons, the line `tasks-waiting`, counters."""
+"""Tests of the reasons why tasks wait, of the log line `tasks-waiting`, and of the counters."""
 
 import asyncio
 import itertools
@@ -27,11 +27,11 @@
 from tests.scheduling_simulation import SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
-LATE_S = WALL_S - 60
+HOPELESS_ACCEPTED_S = WALL_S - 60
 
 
-class Lines:
-    """Log lines as they are written."""
+class RecordedLines:
+    """Records log lines."""
 
     def __init__(self) -> None:
         self._text = b""
@@ -49,24 +49,24 @@
 
 
 class WaitingHarness(SchedulingHarness):
-    """A board whose waiting tasks are watched."""
+    """A harness that also monitors the waiting tasks."""
 
     def __init__(self, *names: str) -> None:
         super().__init__(*(view(name) for name in names))
-        self.lines = Lines()
+        self.lines = RecordedLines()
         self.metrics = Metrics()
-        self.watch = WaitMonitor(
+        self.monitor = WaitMonitor(
             scheduler_state=self.scheduler_state, metrics=self.metrics, log=self.lines.log
         )
 
-    def look(self) -> WaitSummary:
-        """Return what waits now."""
-        return self.watch.summarise(now_s=self.now_s, wall_s=WALL_S)
+    def summarise(self) -> WaitSummary:
+        """Return the tasks that wait now."""
+        return self.monitor.summarise(now_s=self.now_s, wall_s=WALL_S)
 
-    def tell(self, after_s: float) -> list[dict[str, object]]:
-        """Let time pass and look; return all lines so far."""
+    def report_after(self, after_s: float) -> list[dict[str, object]]:
+        """Advance the clock and report; return all lines so far."""
         self.now_s += after_s
-        self.watch.report(now_s=self.now_s, wall_s=WALL_S)
+        self.monitor.report(now_s=self.now_s, wall_s=WALL_S)
         return self.lines.of("tasks-waiting")
 
 
@@ -76,12 +76,12 @@
     return waiting_reason(harness.scheduler_state, entry, now_s=harness.now_s, wall_s=WALL_S)
 
 
-def fill(worker: Worker) -> None:
-    """Leave no room on a worker."""
-    occupy(worker, TaskName("other", 0, 0, 0), step(1, cpu_millicores=4000))
+def use_all_room(worker: Worker) -> None:
+    """Leave no free room on a worker."""
+    place_run(worker, TaskName("other", 0, 0, 0), step(1, cpu_millicores=4000))
 
 
-def occupy(worker: Worker, name: TaskName, one: Step) -> None:
+def place_run(worker: Worker, name: TaskName, one: Step) -> None:
     """Let a task run on a worker."""
     worker.add(
         Run(
@@ -96,69 +96,69 @@
 
 
 def unlist(worker: Worker) -> None:
-    """Have discovery not list a worker."""
+    """Remove a worker from discovery."""
     worker.is_listed = False
 
 
 def unreach(worker: Worker) -> None:
-    """Have a worker not seen by this term."""
+    """Mark a worker as not seen by this scheduler."""
     worker.is_fenced = False
 
 
 def drain(worker: Worker) -> None:
-    """Have a worker say that it leaves."""
+    """Mark a worker as draining."""
     worker.view = view(worker.worker_id, is_draining=True)
 
 
 def run_sibling(worker: Worker) -> None:
     """Let another task of the step run on a worker."""
-    occupy(worker, TaskName("j", 0, 0, 9), step(1))
+    place_run(worker, TaskName("j", 0, 0, 9), step(1))
 
 
-def lend(worker: Worker) -> None:
-    """Have a worker kept for its lender."""
+def mark_yielding(worker: Worker) -> None:
+    """Mark a worker as about to return to its lender."""
     worker.is_yielding = True
 
 
 def pause(worker: Worker) -> None:
-    """Have an order to a worker fail a moment ago."""
+    """Pause a worker as after a failed order."""
     worker.pause_until_s = 100.5
 
 
 def close_to_lasting(worker: Worker) -> None:
-    """Have an offer of a worker taken back."""
+    """Close a worker to lasting tasks as after a withdrawn offer."""
     worker.lasting_from_s = 102.0
 
 
 def cordon(worker: Worker) -> None:
-    """Have a worker offered."""
+    """Cordon a worker as one that is offered for removal."""
     worker.is_cordoned = True
 
 
-def leave(worker: Worker) -> None:
+def change_nothing(worker: Worker) -> None:
     """Change nothing."""
 
 
 class ReasonTests(unittest.TestCase):
-    def test_one_worker(self) -> None:
-        """With one worker, the reason of a waiting task is what speaks against that worker."""
+    def test_the_reason_against_a_single_worker(self) -> None:
+        """Guards against a reason that differs from the one that rejects the only worker."""
         lasting = step(1, is_lasting=True)
         rows: tuple[tuple[Callable[[Worker], None], Step, WaitReason], ...] = (
             (unlist, step(1), WaitReason.UNLISTED),
             (unreach, step(1), WaitReason.UNREACHED),
             (drain, step(1), WaitReason.DRAINING),
-            (leave, step(1, label="big"), WaitReason.LABEL),
-            (fill, step(1), WaitReason.ROOM),
-            (leave, step(1, memory_mb=5000), WaitReason.ROOM),
-            (leave, step(1, gpus=1), WaitReason.ROOM),
+            (change_nothing, step(1, label="big"), WaitReason.LABEL),
+            (use_all_room, step(1), WaitReason.ROOM),
+            (change_nothing, step(1, memory_mb=5000), WaitReason.ROOM),
+            (change_nothing, step(1, gpus=1), WaitReason.ROOM),
             (run_sibling, step(1, most_per_worker=1), WaitReason.SPREAD),
             (pause, step(1), WaitReason.PAUSED),
             (close_to_lasting, lasting, WaitReason.CLOSED_TO_LASTING),
             (close_to_lasting, step(1), WaitReason.READY),
             (cordon, lasting, WaitReason.CORDONED),
-            (leave, step(5, is_gang=True), WaitReason.GANG),
+            (change_nothing, step(5, is_gang=True), WaitReason.GANG),
             (cordon, step(2, is_gang=True), WaitReason.CORDONED),
-            (leave, step(1), WaitReason.READY),
+            (change_nothing, step(1), WaitReason.READY),
         )
         for change, one, reason in rows:
             with self.subTest(change=change.__name__, reason=reason):
@@ -167,12 +167,12 @@
                 change(harness.worker("a"))
                 self.assertIs(reason, reason_of(harness))
 
-    def test_what_hangs_on_the_job(self) -> None:
-        """Advised jobs wait for permits, late ones keep off workers that are to go back."""
+    def test_reasons_that_depend_on_the_job(self) -> None:
+        """Guards against ignoring permits of advised jobs and restrictions on late ones."""
         rows = (
-            ("advised", {"policy": policy(is_advised=True)}, leave, WaitReason.PERMIT),
-            ("late", {"accepted_s": LATE_S}, lend, WaitReason.YIELDING),
-            ("in time", {}, lend, WaitReason.READY),
+            ("advised", {"policy": policy(is_advised=True)}, change_nothing, WaitReason.PERMIT),
+            ("late", {"accepted_s": HOPELESS_ACCEPTED_S}, mark_yielding, WaitReason.YIELDING),
+            ("in time", {}, mark_yielding, WaitReason.READY),
         )
         for name, changes, change, reason in rows:
             with self.subTest(name):
@@ -181,33 +181,31 @@
                 change(harness.worker("a"))
                 self.assertIs(reason, reason_of(harness))
 
-    def test_no_worker(self) -> None:
-        """A pool without workers is one that lists none."""
+    def test_a_pool_without_workers(self) -> None:
+        """Guards against another reason than an unlisted worker in a pool without workers."""
         harness = SchedulingHarness()
         harness.add_job(job("j", step(1)))
         self.assertIs(WaitReason.UNLISTED, reason_of(harness))
 
-    def test_a_gang_of_which_a_part_is_being_stopped(self) -> None:
-        """Its members wait for each other, also where there is room for those that wait."""
+    def test_a_gang_waits_for_members_that_are_being_stopped(self) -> None:
+        """Guards against the reason `READY` for a gang whose other members are being stopped."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(3, is_gang=True)))
         harness.scheduler_state.entries["j"].steps[(0, 0)].waiting.remove(1)
         self.assertIs(WaitReason.GANG, reason_of(harness))
 
-    def test_the_worker_that_came_closest_tells_the_reason(self) -> None:
-        """An idle worker that the scheduler keeps back is not hidden by others that are full.
-
-        A lasting task waits though its pool has an idle worker, which is offered to be taken away.
-        Most workers are full, and "no room" would send the engineer to look for machines.
-        """
+    def test_the_reason_is_that_of_the_worker_that_came_closest(self) -> None:
+        """Guards against hiding behind full workers that an idle worker is cordoned."""
+        # A lasting task waits though an idle worker is cordoned for removal. Most workers are full,
+        # and the reason "no room" would make an engineer look for machines.
         rows: tuple[tuple[tuple[Callable[[Worker], None], ...], WaitReason], ...] = (
-            ((fill, cordon, fill), WaitReason.CORDONED),
-            ((cordon, fill), WaitReason.CORDONED),
-            ((fill, unlist, unreach, drain), WaitReason.ROOM),
+            ((use_all_room, cordon, use_all_room), WaitReason.CORDONED),
+            ((cordon, use_all_room), WaitReason.CORDONED),
+            ((use_all_room, unlist, unreach, drain), WaitReason.ROOM),
             ((unlist, unreach), WaitReason.UNREACHED),
-            ((fill, close_to_lasting), WaitReason.CLOSED_TO_LASTING),
+            ((use_all_room, close_to_lasting), WaitReason.CLOSED_TO_LASTING),
             ((pause, cordon), WaitReason.CORDONED),
-            ((cordon, leave), WaitReason.READY),
+            ((cordon, change_nothing), WaitReason.READY),
         )
         for changes, reason in rows:
             with self.subTest(changes=[change.__name__ for change in changes]):
@@ -218,33 +216,40 @@
                 self.assertIs(reason, reason_of(harness))
 
     def test_a_full_worker_that_is_cordoned_has_no_room(self) -> None:
-        """Only workers with room count as kept back."""
+        """Guards against reporting a full worker as merely cordoned."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
-        fill(harness.worker("a"))
+        use_all_room(harness.worker("a"))
         cordon(harness.worker("a"))
         self.assertIs(WaitReason.ROOM, reason_of(harness))
 
-    def test_ready_agrees_with_what_is_started(self) -> None:
-        """A task is told to be ready exactly if the next decision starts it.
-
-        All states of a worker are drawn up with each kind of step; the reasons must not drift from
-        what the scheduler does.
-        """
-        changes = (unlist, unreach, drain, fill, run_sibling, lend, pause, close_to_lasting, cordon)
+    def test_ready_agrees_with_the_decisions(self) -> None:
+        """Guards against reasons that differ from what the next decision starts."""
+        # All combinations of worker states are checked with each kind of step.
+        changes = (
+            unlist,
+            unreach,
+            drain,
+            use_all_room,
+            run_sibling,
+            mark_yielding,
+            pause,
+            close_to_lasting,
+            cordon,
+        )
         jobs = (
             job("j", step(1)),
             job("j", step(1, is_lasting=True)),
             job("j", step(1, most_per_worker=1)),
-            job("j", step(1), accepted_s=LATE_S),
+            job("j", step(1), accepted_s=HOPELESS_ACCEPTED_S),
             job("j", step(1, label="big")),
         )
         started = 0
         for one in jobs:
-            for drawn in itertools.product((False, True), repeat=len(changes)):
+            for enabled in itertools.product((False, True), repeat=len(changes)):
                 harness = SchedulingHarness(view("a"))
                 harness.add_job(one)
-                chosen = [change for change, is_on in zip(changes, drawn, strict=True) if is_on]
+                chosen = [change for change, is_on in zip(changes, enabled, strict=True) if is_on]
                 for change in chosen:
                     change(harness.worker("a"))
                 reason = reason_of(harness)
@@ -253,38 +258,38 @@
                     starts = harness.start_orders()
                     self.assertEqual(bool(starts), reason is WaitReason.READY)
                     started += bool(starts)
-        # A sibling, being lent and being closed to lasting tasks keep back a step that is spread,
-        # late or lasting, one each; all combinations of the others are started.
+        # A sibling, yielding and being closed to lasting tasks each restrict one kind of step: one
+        # that is spread, late or lasting. All combinations of the other states are started.
         self.assertEqual(2**3 + 3 * 2**2, started)
 
 
 class SummaryTests(unittest.TestCase):
-    def test_nothing_waits(self) -> None:
-        """No counts, no longest wait and no line."""
+    def test_no_waiting_tasks(self) -> None:
+        """Guards against counts, a longest wait or a log line without waiting tasks."""
         harness = WaitingHarness("a")
-        self.assertEqual(WaitSummary(), harness.look())
-        self.assertEqual([], harness.tell(1.0) + harness.tell(1.0))
+        self.assertEqual(WaitSummary(), harness.summarise())
+        self.assertEqual([], harness.report_after(1.0) + harness.report_after(1.0))
 
     def test_a_step_that_is_not_open_does_not_wait(self) -> None:
-        """Tasks whose turn has not come are not counted, nor those that run."""
+        """Guards against counting running tasks and tasks whose predecessors aren't done."""
         harness = WaitingHarness("a")
         harness.add_job(job("j", step(2), step(3, after=(0,))))
-        self.assertEqual(((WaitReason.READY, 2),), harness.look().counts)
+        self.assertEqual(((WaitReason.READY, 2),), harness.summarise().counts)
         harness.start_orders()
-        self.assertEqual((), harness.look().counts)
+        self.assertEqual((), harness.summarise().counts)
 
     def test_tasks_are_counted_by_reason(self) -> None:
-        """Tasks of several steps and jobs add up under their reasons, lasting ones also apart."""
+        """Guards against a wrong sum over steps and jobs, or over their lasting tasks."""
         harness = WaitingHarness("a")
         harness.add_job(job("big", step(2, memory_mb=9000)))
         harness.add_job(job("labelled", step(3, label="big")))
         harness.add_job(job("too big", step(1, gpus=1, is_lasting=True)))
-        summary = harness.look()
+        summary = harness.summarise()
         self.assertEqual(((WaitReason.LABEL, 3), (WaitReason.ROOM, 3)), summary.counts)
         self.assertEqual(1, summary.lasting)
 
     def test_the_longest_wait(self) -> None:
-        """The task that has waited longest is named; of equals a lasting one."""
+        """Guards against naming another task than the longest wait, of equals a lasting one."""
         rows = (
             ("the first seen", ("ends", "lasts"), 1.0, "ends"),
             ("of equals the lasting one", ("ends", "lasts"), 0.0, "lasts"),
@@ -296,48 +301,46 @@
                 for job_id in order:
                     harness.add_job(job(job_id, step(2, is_lasting=job_id == "lasts")))
                     if apart_s:
-                        harness.look()
+                        harness.summarise()
                         harness.now_s += apart_s
-                harness.look()
+                harness.summarise()
                 harness.now_s += 5.0
-                found = harness.look()
+                found = harness.summarise()
                 assert found.longest is not None and found.longest_lasting is not None
                 self.assertEqual(TaskName(longest, 0, 0, 0), found.longest.name)
                 self.assertEqual("lasts", found.longest_lasting.name.job_id)
                 waited_s = 5.0 + apart_s * len(order)
                 self.assertEqual(waited_s, found.longest.waited_s)
 
-    def test_a_wait_begins_anew_after_a_run(self) -> None:
-        """A task that ran meanwhile has waited since it was given up, not since its first wait."""
+    def test_a_wait_restarts_after_a_run(self) -> None:
+        """Guards against measuring a wait from before the task's last run."""
         harness = WaitingHarness("a")
         harness.add_job(job("j", step(1)))
-        harness.look()
+        harness.summarise()
         harness.now_s += 3.0
         run = harness.start_orders()[0].run
-        harness.look()
+        harness.summarise()
         harness.now_s += 3.0
         harness.scheduler_state.start_failed(run, harness.now_s)
-        harness.look()
+        harness.summarise()
         harness.now_s += 2.0
-        longest = harness.look().longest
+        longest = harness.summarise().longest
         assert longest is not None
         self.assertEqual(2.0, longest.waited_s)
 
-    def test_an_overload_is_looked_into_in_part(self) -> None:
-        """A scheduler that is slow to decide, since it explains thousands of tasks to itself.
-
-        So many kinds of steps are examined in a look, those that have waited longest first; steps
-        alike count as one kind, and all tasks are counted.
-        """
+    def test_the_kinds_examined_in_an_overload_are_bounded(self) -> None:
+        """Guards against slow decisions because thousands of waiting tasks are examined."""
+        # A bounded number of kinds is examined per report, those that have waited longest first.
+        # Equal steps count as one kind, and all tasks are counted.
         harness = WaitingHarness("a")
-        fill(harness.worker("a"))
+        use_all_room(harness.worker("a"))
         harness.add_job(job("oldest", step(1, cpu_millicores=1)))
-        harness.look()
+        harness.summarise()
         harness.now_s += 1.0
         for number in range(MAX_EXAMINED_KINDS + 10):
             for copy in range(2):
                 harness.add_job(job(f"j{number}-{copy}", step(1, cpu_millicores=100 + number)))
-        summary = harness.look()
+        summary = harness.summarise()
         counts = dict(summary.counts)
         self.assertEqual(2 * MAX_EXAMINED_KINDS - 1, counts[WaitReason.ROOM])
         self.assertEqual(2 * (10 + 1), counts[WaitReason.NOT_EXAMINED])
@@ -347,36 +350,33 @@
 
 class RecoveryTests(unittest.TestCase):
     def test_earlier_jobs_wait_for_unseen_workers(self) -> None:
-        """A lasting task doesn't run, its pool is idle, and the lines show zeros.
-
-        A new scheduler may not start tasks of earlier terms before it has seen all workers that
-        they may run on. One of these is gone. The task was not counted as waiting; now the look
-        tells what is waited for and for how long at most.
-        """
+        """Guards against not counting tasks that wait until the workers of before are seen."""
+        # A new scheduler may not start tasks of earlier epochs before it has seen all workers that
+        # they may run on. One of these workers is gone.
         harness = WaitingHarness("a", "b")
         harness.scheduler_state.pending_recovery.update({"gone": 110.0, "cut": 104.0})
         harness.add_job(job("old", step(3, is_lasting=True)), is_old=True)
         harness.add_job(job("new", step(1)))
-        summary = harness.look()
+        summary = harness.summarise()
         self.assertEqual(((WaitReason.RECOVERY, 3), (WaitReason.READY, 1)), summary.counts)
         assert summary.recovery is not None
         self.assertEqual(("cut", "gone"), summary.recovery.unseen)
         self.assertEqual(10.0, summary.recovery.left_s)
         harness.now_s = 110.1
         harness.decide()
-        self.assertEqual(WaitSummary(), harness.look())
+        self.assertEqual(WaitSummary(), harness.summarise())
 
-    def test_recovery_that_keeps_nothing_back_is_not_told(self) -> None:
-        """Workers that are not seen yet are no reason while no earlier task waits."""
+    def test_recovery_without_waiting_tasks_is_not_reported(self) -> None:
+        """Guards against reporting unseen workers while no earlier task waits for them."""
         harness = WaitingHarness()
         harness.scheduler_state.pending_recovery["gone"] = 110.0
         harness.add_job(job("new", step(1)))
-        summary = harness.look()
+        summary = harness.summarise()
         self.assertEqual(((WaitReason.UNLISTED, 1),), summary.counts)
         self.assertIsNone(summary.recovery)
 
-    def test_the_pools_state_counts_them(self) -> None:
-        """`tasks_recovering` of the line `pool-state` counts what recovery keeps back, no more."""
+    def test_the_pool_state_counts_tasks_in_recovery(self) -> None:
+        """Guards against a wrong `tasks_recovering` in the log line `pool-state`."""
         for pending, recovering in (({"gone": 110.0}, 3), ({}, 0)):
             with self.subTest(pending=pending):
                 harness = SchedulingHarness(view("a"))
@@ -387,24 +387,24 @@
                 self.assertEqual(recovering, sizer.state(wall_s=WALL_S)["tasks_recovering"])
 
 
-class LineTests(unittest.TestCase):
+class LogLineTests(unittest.TestCase):
     def test_short_waits_are_not_logged(self) -> None:
-        """A task that starts within a second leaves no line; a longer wait leaves one a look."""
+        """Guards against a line for a short wait, or no line per report for a longer one."""
         harness = WaitingHarness()
         harness.add_job(job("j", step(1)))
         for after_s, lines in ((0.0, 0), (0.5, 0), (0.6, 1), (1.0, 2)):
-            self.assertEqual(lines, len(harness.tell(after_s)))
+            self.assertEqual(lines, len(harness.report_after(after_s)))
 
     def test_fields(self) -> None:
-        """The line names the task, its reason and the workers that are waited for, all bounded."""
+        """Guards against missing or unbounded fields of the log line."""
         harness = WaitingHarness("a")
         unseen = {f"w{number}": 120.0 for number in range(MAX_NAMED_WORKERS + 2)}
         harness.scheduler_state.pending_recovery.update(unseen)
         harness.add_job(job("ends", step(1, label="big")))
-        harness.tell(0.0)
+        harness.report_after(0.0)
         harness.add_job(job("lasts", step(2, is_lasting=True)), is_old=True)
-        harness.tell(1.0)
-        row = harness.tell(1.0)[-1]
+        harness.report_after(1.0)
+        row = harness.report_after(1.0)[-1]
         expected = {
             "service": "antenna",
             "token": TOKEN,
@@ -430,12 +430,12 @@
 
 class CounterTests(unittest.TestCase):
     def test_time_waited_by_reason(self) -> None:
-        """The rate of a counter is the number of tasks that wait, also for short waits."""
+        """Guards against counters whose rate is not the number of waiting tasks."""
         harness = WaitingHarness("a")
         harness.add_job(job("j", step(3, label="big")))
         harness.add_job(job("i", step(1, gpus=1)))
         for after_s in (0.0, 0.5, 1.0):
-            harness.tell(after_s)
+            harness.report_after(after_s)
         expected = {
             "scheduler.waiting_task_ms.antenna.label": 4500,
             "scheduler.waiting_task_ms.antenna.no-room": 1500,
@@ -443,15 +443,13 @@
         self.assertEqual(expected, harness.metrics.counters())
 
 
-class TermTests(unittest.TestCase):
-    def test_a_successors_lines_name_what_it_waits_for(self) -> None:
-        """A lasting task doesn't run for ten seconds after its scheduler was killed.
-
-        Its worker is cut off, so it may still run there. The successor's lines say at once which
-        workers it waits for, and, once it has seen the others, each second that the task waits for
-        this one and how long at most.
-        """
-        lines = Lines()
+class SuccessorTests(unittest.TestCase):
+    def test_the_log_of_a_successor_names_the_workers_it_waits_for(self) -> None:
+        """Guards against a log that doesn't say which unreachable worker delays a lasting task."""
+        # The scheduler is killed and a worker is unreachable, so the task may still run there and
+        # is down for ten seconds. The log must name all awaited workers at once, and then each
+        # second this worker and the longest remaining time.
+        lines = RecordedLines()
 
         async def scenario() -> None:
             simulation = SchedulingSimulation(seed=1, workers=3, instances=2)
@@ -475,14 +473,14 @@
         with mock.patch.object(scheduling_simulation, "quiet_log", lambda: lines.log):
             run_scenario(scenario())
         self.assertEqual(["w0", "w1", "w2"], lines.of("term-prepared")[-1]["awaited"])
-        told = [row for row in lines.of("tasks-waiting") if row["reason"] == "recovery"]
-        self.assertGreaterEqual(len(told), 5)
-        self.assertLessEqual(len(told), 12)
-        for row in told:
+        reported = [row for row in lines.of("tasks-waiting") if row["reason"] == "recovery"]
+        self.assertGreaterEqual(len(reported), 5)
+        self.assertLessEqual(len(reported), 12)
+        for row in reported:
             self.assertEqual(
                 ("serves", True, ["w0"]), (row["id"], row["is_lasting"], row["unseen_named"])
             )
-        left_s = [row["recovery_left_s"] for row in told]
+        left_s = [row["recovery_left_s"] for row in reported]
         self.assertEqual(sorted(left_s, reverse=True), left_s)
         states = [row["tasks_recovering"] for row in lines.of("pool-state")]
         self.assertIn(1, states)
