--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -33,6 +33,7 @@
 """Crashes are frequent if `FREQUENT_CRASH_COUNT` of them fall within this time."""
 FREQUENT_CRASH_COUNT = 3
 MAX_CONNECTION_LOSSES_KEPT = 256
+"""Number of closed connections remembered to detect mass crashes."""
 
 
 class CrashBlame:
@@ -168,14 +169,15 @@
             self._note(run, Blame.SHARED, is_certain=False, wall_s=wall_s)
 
     def _assign_blame(self, worker: Worker) -> list[tuple[Run, Blame]]:
+        """Return the runs on a worker that are to blame for its crash, each with its blame."""
         started = [run for run in worker.runs.values() if run.phase is not RunPhase.RESERVED]
         if worker.isolated in started:
             others = [run for run in started if run is not worker.isolated]
             return [(worker.isolated, Blame.SOLE), *_late_blames(others)]
         if self._is_mass_crash(worker):
             return _late_blames(started)
-        # The age counts to the last report, not to the close of the connections, because a worker
-        # that lost power closes none.
+        # The age of a run counts up to the last report, not to the close of the connections,
+        # because a worker that lost power closes none.
         lived_s = worker.last_seen_s
         on_probation = {run for run in started if lived_s - run.confirmed_s < self.probation_s(run)}
         tasks = {
@@ -188,6 +190,7 @@
         )
 
     def _is_mass_crash(self, worker: Worker) -> bool:
+        """Whether many other workers closed their connections at the same moment as this one."""
         if worker.closed_s is None:
             return False
         near = {
--- a/src/shallotworks/scheduling/_demand.py
+++ b/src/shallotworks/scheduling/_demand.py
@@ -25,12 +25,12 @@
     Args:
         window_s: Length of the measurement window in seconds. A shorter window follows the start of
             a turn sooner, but reacts more to single large jobs.
-        min_onset_s: If several jobs have arrived after a quiet period, demand is measured over the
-            time since the first of them, once that time is at least this many seconds. Jobs that
-            arrive at one moment show no rate.
+        min_onset_s: If several jobs have arrived after a quiet period, demand is also measured over
+            the time since the first of them, once that time is at least this many seconds, and the
+            larger result counts. Jobs that arrive at one moment show no rate.
         min_onset_jobs: Number of jobs that must have arrived after the first one for that
             measurement. Fewer jobs may arrive close together by chance.
-        min_growth_jobs: Number of jobs within a window from which on growth is extrapolated.
+        min_growth_jobs: Minimum number of jobs within a window for growth to be extrapolated.
         forecast_s: Time in seconds over which growth is extrapolated. A machine takes about two
             seconds to arrive, and the middle of the window is half a second ago.
         max_growth_ratio: Upper bound of the extrapolated growth as a ratio of the present demand,
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -23,8 +23,8 @@
 """A reserved start is cancelled if it is not stored, or if its worker is not ready for it, within
 this time. It is also cancelled if the worker leaves a poll unanswered."""
 MAX_BUSY_WORKER_RATIO = 1 / 8
-"""Of all workers, at most this ratio, but at least one, may be reserved for a suspect while they
-also have other runs."""
+"""At most this ratio of all workers, but at least one, may be reserved for suspects while they also
+have other runs."""
 
 
 class Isolation:
@@ -90,7 +90,10 @@
     def suspects(
         self, tracked_job: TrackedJob, names: Iterable[TaskName], wall_s: float
     ) -> list[TaskName]:
-        """Return which of some waiting tasks of a job have to be started in isolation."""
+        """Return which of some waiting tasks of a job have to be started in isolation.
+
+        Uncertain lost runs of the job are resolved first, which may fail the job.
+        """
         self._blame.resolve(tracked_job, wall_s)
         return [
             name
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -236,6 +236,7 @@
         self.worker_id = worker_id
         self.phase = phase
         self.phase_s = since_s
+        """Time at which the present phase began."""
         self.since_s = since_s
         self.confirmed_s = since_s if phase is RunPhase.RUNNING else math.inf
         """Time at which its worker first confirmed that it runs; infinite until then."""
@@ -251,6 +252,7 @@
         self.stop_sent_s = -1e9
         self.pace_percent = 100
         self.paced_s = -1e9
+        """Time of the last change of pace."""
 
     def enter(self, phase: RunPhase, now_s: float) -> None:
         """Change the phase."""
@@ -302,14 +304,25 @@
     def __init__(self, *, view: WorkerView) -> None:
         self.view = view
         self.is_listed = True
+        """Whether discovery lists the worker."""
         self.is_fenced = False
+        """Whether the worker has answered this scheduler, so that it refuses orders of earlier
+        ones."""
         self.is_cordoned = False
+        """Whether nothing is started here, because the worker is offered for removal or is being
+        evacuated."""
         self.is_yielding = False
+        """Whether late jobs are kept off the worker, because it is to return to its lender."""
         self.clock_ms = 0
+        """The worker's clock in its last report."""
         self.clock_at_s = 0.0
+        """Time on the scheduler's clock of that report."""
         self.lease_ends_s = 0.0
+        """Time on the scheduler's clock until which the worker may hold a lease."""
         self.pause_until_s = 0.0
+        """Nothing is started here before this time, because an order or a poll failed."""
         self.avoid_until_s = 0.0
+        """The worker is used last before this time, because tasks failed or hung here."""
         self.lasting_from_s = 0.0
         """Lasting tasks are not placed here before this time, because an order to remove the worker
         may still arrive."""
@@ -331,6 +344,7 @@
         self.seen_ends = 0
         """Highest number of an end that the worker reported."""
         self.reported_s = -1e9
+        """Time of the worker's last report on the scheduler's clock."""
         self.unsettled: set[int] = set()
         """Numbers of the ends that must not be acknowledged before the progress of a job is
         stored."""
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -153,11 +153,11 @@
     placement = Placement.of(step, now_s=now_s, wall_s=wall_s)
     closest = WaitReason.UNLISTED
     for worker in scheduler_state.workers.values():
-        rejection = placement.rejection_reason(worker)
-        if rejection is None:
+        rejection_reason = placement.rejection_reason(worker)
+        if rejection_reason is None:
             return _reason_beside_room(step)
-        if rejection is not closest and _RANKS[rejection] > _RANKS[closest]:
-            closest = rejection
+        if rejection_reason is not closest and _RANKS[rejection_reason] > _RANKS[closest]:
+            closest = rejection_reason
     return closest
 
 
