--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -19,7 +19,7 @@
 
 __all__ = ["MachineController"]
 
-ROUND_S = 0.2
+CONTROL_INTERVAL_S = 0.2
 """Between looks at the machines: a machine is down for 2 s, and moves within 1.5 s."""
 
 
@@ -37,24 +37,24 @@
         self._lease = lease
         self._dependencies = dependencies
         self._record = MachineControllerLedger(lease=lease, dependencies=dependencies)
-        orders = MachineOrderDispatcher(lease=lease, dependencies=dependencies, record=self._record)
+        orders = MachineOrderDispatcher(lease=lease, dependencies=dependencies, ledger=self._record)
         self._waves = WaveExecutor(lease=lease, dependencies=dependencies, orders=orders)
         self._rebalancer = PoolRebalancer(lease=lease, dependencies=dependencies, orders=orders)
 
     async def run(self) -> None:
         """Keep machines until the key is lost."""
-        keep = asyncio.create_task(self._lease.renew_until_lost())
+        renewal = asyncio.create_task(self._lease.renew_until_lost())
         try:
             while not self._lease.lost_event.is_set():
                 if not self._lease.is_valid:
                     self._record.note_suspension()
                 else:
                     if self._has_work():
-                        await self._round()
+                        await self._run_round()
                     await self._record.prune()
-                await asyncio.sleep(ROUND_S)
+                await asyncio.sleep(CONTROL_INTERVAL_S)
         finally:
-            keep.cancel()
+            renewal.cancel()
 
     def _has_work(self) -> bool:
         demands = self._dependencies.machine_records.demands.values()
@@ -62,7 +62,7 @@
             demand.lacking or demand.free for demand in demands
         )
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         await self._record.read()
         if not self._record.is_read:
             return
@@ -76,8 +76,10 @@
         for wave in self._waves.open_waves():
             record = await self._waves.advance(wave, machines)
             if record is not None:
-                in_waves.update(self._waves.engaged(wave, record))
-                due.update(self._waves.next_due(wave, record, machines, self._record.published.due))
+                in_waves.update(self._waves.reserved_machines(wave, record))
+                due.update(
+                    self._waves.workers_to_drain(wave, record, machines, self._record.published.due)
+                )
         await self._record.publish(frozenset(due), await self._rebalancer.recalls(machines))
         await self._rebalancer.rebalance(machines, in_waves)
         await self._record.publish(frozenset(due), self._record.published.recalls)
--- a/src/shallotworks/scheduling/_machine_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_machine_order_dispatcher.py
@@ -25,28 +25,28 @@
         record: Where machines are named before they are ordered.
     """
 
-    __slots__ = ("_dependencies", "_lease", "_record")
+    __slots__ = ("_dependencies", "_lease", "_ledger")
 
     def __init__(
         self,
         *,
         lease: HeldLease,
         dependencies: MachineControllerDependencies,
-        record: MachineControllerLedger,
+        ledger: MachineControllerLedger,
     ) -> None:
         self._lease = lease
         self._dependencies = dependencies
-        self._record = record
+        self._ledger = ledger
 
     async def prepare(self, machines: list[Machine]) -> list[Machine]:
         """Return the machines that may be ordered now, having named them in the store."""
-        allowed = [one for one in machines if self._record.may_order(one)]
-        is_named = await self._record.announce(one.name for one in allowed)
+        allowed = [one for one in machines if self._ledger.may_order(one)]
+        is_named = await self._ledger.announce(one.name for one in allowed)
         return allowed if is_named else []
 
     def is_demand_current(self, service: str) -> bool:
         """Whether what a service's scheduler says it lacks is no word from before an outage."""
-        return self._record.is_demand_current(service)
+        return self._ledger.is_demand_current(service)
 
     async def start_maintenance(
         self, machine: Machine, wave: int, *, is_first: bool
@@ -65,7 +65,7 @@
         status = await self._dependencies.machines.start_maintenance(
             machine.name, wave=wave, token=self._lease.token
         )
-        self._note("upkeep", machine, status, is_over=is_first, wave=wave)
+        self._record_order("upkeep", machine, status, ends_worker=is_first, wave=wave)
         return status
 
     async def move(self, machine: Machine, service: str) -> MachineOrderStatus:
@@ -75,21 +75,21 @@
         status = await self._dependencies.machines.move(
             machine.name, pool=service, token=self._lease.token
         )
-        self._note("move", machine, status, is_over=True, to=service)
+        self._record_order("move", machine, status, ends_worker=True, to=service)
         return status
 
-    def seems_free(self, machine: Machine) -> bool:
+    def is_reported_free(self, machine: Machine) -> bool:
         """Whether the machine's scheduler had nothing on it that must stay, when last heard of."""
         if not machine.worker_id:
             return True
         demand = self._dependencies.machine_records.demands.get(machine.pool)
         return demand is not None and machine.worker_id in demand.free
 
-    async def may_take(self, machine: Machine) -> bool:
-        """Whether the machine's scheduler has nothing on it that must stay; see `takeable`."""
-        return bool(await self.takeable([machine]))
+    async def confirm_free(self, machine: Machine) -> bool:
+        """Whether the machine's scheduler has nothing on it that must stay; see `filter_free`."""
+        return bool(await self.filter_free([machine]))
 
-    async def takeable(self, machines: list[Machine]) -> list[Machine]:
+    async def filter_free(self, machines: list[Machine]) -> list[Machine]:
         """Return those machines on which their schedulers have nothing that must stay.
 
         The failure: a machine is taken that its scheduler has taken back, and lasting tasks end.
@@ -97,15 +97,15 @@
         """
         by_pool: dict[str, list[Machine]] = {}
         for machine in machines:
-            if machine.worker_id and self.seems_free(machine):
+            if machine.worker_id and self.is_reported_free(machine):
                 by_pool.setdefault(machine.pool, []).append(machine)
-        free = await asyncio.gather(*(self._free_of(pool) for pool in by_pool))
+        free = await asyncio.gather(*(self._read_free_workers(pool) for pool in by_pool))
         allowed = [machine for machine in machines if not machine.worker_id]
         for offered, ids in zip(by_pool.values(), free, strict=True):
             allowed.extend(machine for machine in offered if machine.worker_id in ids)
         return allowed
 
-    async def _free_of(self, pool: str) -> frozenset[str]:
+    async def _read_free_workers(self, pool: str) -> frozenset[str]:
         """Return what a pool's scheduler offers, as it stands in the store."""
         outcome = await self._dependencies.store.get(pool_demand_key(pool))
         if not isinstance(outcome, Success):
@@ -113,13 +113,13 @@
         item = outcome.unwrap()
         return frozenset(PoolDemand.decode(item.value).free if item is not None else ())
 
-    def _note(
+    def _record_order(
         self,
         order: str,
         machine: Machine,
         status: MachineOrderStatus,
         *,
-        is_over: bool,
+        ends_worker: bool,
         **inputs: object,
     ) -> None:
         self._dependencies.log.line(
@@ -134,5 +134,5 @@
         )
         if status is MachineOrderStatus.FENCED:
             self._lease.mark_lost(f"a later holder has given orders for {machine.name}")
-        if status is MachineOrderStatus.OBEYED and machine.worker_id and is_over:
-            self._record.note_over(machine.worker_id)
+        if status is MachineOrderStatus.OBEYED and machine.worker_id and ends_worker:
+            self._ledger.note_worker_removed(machine.worker_id)
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -42,17 +42,17 @@
     backlog_s: float = 0.8
     idle_s: float = 0.3
     demand: DemandLimits = field(default_factory=DemandLimits)
-    patience_s: float = 1.5
+    drain_grace_s: float = 1.5
     lasting_after_s: float = 3.0
-    largest_lack: int = 64
-    largest_lack_part: float = 4.0
+    max_lacking: int = 64
+    max_lacking_ratio: float = 4.0
 
 
 DEFAULT_MACHINE_MILLICORES = 32_000
 """Taken for a machine's size while a pool has none."""
 
 
-def _tasks_together(step: Step, worker: Worker | None) -> int:
+def _tasks_per_worker(step: Step, worker: Worker | None) -> int:
     """Return how many tasks of a step an empty worker holds; 0 where more than room decides.
 
     A task that is merely slower away from its data runs anywhere.
@@ -94,14 +94,14 @@
             now_s: The scheduler's clock.
             wall_s: Time of day.
         """
-        self._watch_idle(now_s)
+        self._track_idle(now_s)
         lacking = self._lacking(wall_s)
         self._cordon_due(due, now_s)
         offered = self._surplus(now_s, wall_s)
         for worker in self._scheduler_state.workers.values():
-            self._offer(worker, worker.worker_id in offered, now_s)
+            self._set_offered(worker, worker.worker_id in offered, now_s)
         self._offered = offered
-        free = sorted(offered | set(self._emptied(now_s)))
+        free = sorted(offered | set(self._drained(now_s)))
         return PoolDemand(lacking=lacking, free=tuple(free), token=self._scheduler_state.token)
 
     def state(self, *, wall_s: float) -> dict[str, int]:
@@ -152,7 +152,7 @@
             if worker is not None:
                 yield worker
 
-    def _watch_idle(self, now_s: float) -> None:
+    def _track_idle(self, now_s: float) -> None:
         for worker_id, worker in self._scheduler_state.workers.items():
             if worker.runs:
                 self._idle_since.pop(worker_id, None)
@@ -184,17 +184,17 @@
         usable = self._usable()
         size = max((worker.view.cpu_millicores for worker in usable), default=0)
         size = size or DEFAULT_MACHINE_MILLICORES
-        have = sum(
+        available_millicores = sum(
             worker.view.cpu_millicores
             for worker in usable
             if worker.worker_id not in self._cordoned
         )
-        if not waiting_millicore_s and arriving <= have:
+        if not waiting_millicore_s and arriving <= available_millicores:
             return 0
         wanted = waiting_millicore_s / self._limits.backlog_s + arriving
-        lack = -(-(wanted - have) // size)
-        most = max(self._limits.largest_lack, self._limits.largest_lack_part * len(usable))
-        return int(max(0 if have else 1, min(lack, most)))
+        lack = -(-(wanted - available_millicores) // size)
+        lacking_limit = max(self._limits.max_lacking, self._limits.max_lacking_ratio * len(usable))
+        return int(max(0 if available_millicores else 1, min(lack, lacking_limit)))
 
     def _waiting_millicore_s(self, wall_s: float) -> float:
         total = 0.0
@@ -212,12 +212,12 @@
         """Return the workers that have been idle for a while and that the pool can do without."""
         idle = [
             worker
-            for worker in self._free_to_use()
+            for worker in self._empty_workers()
             if now_s - self._idle_since.get(worker.worker_id, now_s) >= self._limits.idle_s
         ]
         return self._lendable(idle, now_s, wall_s)
 
-    def _free_to_use(self) -> list[Worker]:
+    def _empty_workers(self) -> list[Worker]:
         usable = [one for one in self._usable() if one.worker_id not in self._cordoned]
         return [worker for worker in usable if self._is_known_empty(worker)]
 
@@ -229,7 +229,7 @@
         nothing meanwhile never lends. Workers that late work is kept off are not kept for it
         either: they would stand idle beside it.
         """
-        in_time, late = self._kept_for_tasks(now_s, wall_s)
+        in_time, late = self._reserved_for_tasks(now_s, wall_s)
         # Those that are not offered first: lasting tasks keep off one that was, for a while.
         free = sorted(free, key=lambda worker: worker.worker_id in self._offered)
         yielding = [worker for worker in free if worker.is_yielding]
@@ -237,17 +237,19 @@
         lendable = others[in_time + late :] + yielding[max(0, in_time - len(others)) :]
         return {worker.worker_id for worker in lendable}
 
-    def _kept_for_tasks(self, now_s: float, wall_s: float) -> tuple[int, int]:
+    def _reserved_for_tasks(self, now_s: float, wall_s: float) -> tuple[int, int]:
         """Return how many free workers tasks that can be in time, and late ones, are kept for."""
-        kept = {True: 0, False: 0}
+        reserved = {True: 0, False: 0}
         size = max(self._usable(), key=lambda one: one.view.cpu_millicores, default=None)
         for waiting in self._scheduler_state.tasks_to_place(now_s, wall_s):
-            together = _tasks_together(waiting.step, size)
+            per_worker = _tasks_per_worker(waiting.step, size)
             needed = (
-                -(-waiting.tasks // together) if together else len(self._scheduler_state.workers)
+                -(-waiting.tasks // per_worker)
+                if per_worker
+                else len(self._scheduler_state.workers)
             )
-            kept[waiting.is_late] += needed
-        in_time, late = kept[False], kept[True]
+            reserved[waiting.is_late] += needed
+        in_time, late = reserved[False], reserved[True]
         if in_time:
             in_time += LEAST_WORKERS
         elif late:
@@ -268,20 +270,20 @@
         The keeper may have been about to take such a worker: tasks that end may be lost with it and
         run again, lasting tasks are not placed on it for a while.
         """
-        taken_back = self._offered - self._lendable(self._free_to_use(), now_s, wall_s)
-        for worker_id in taken_back:
+        withdrawn = self._offered - self._lendable(self._empty_workers(), now_s, wall_s)
+        for worker_id in withdrawn:
             worker = self._scheduler_state.workers.get(worker_id)
             if worker is not None:
-                self._offer(worker, False, now_s)
-        self._offered = self._offered - taken_back
-        return bool(taken_back)
+                self._set_offered(worker, False, now_s)
+        self._offered = self._offered - withdrawn
+        return bool(withdrawn)
 
     def keep_lasting_off(self, worker_ids: Iterable[str], now_s: float) -> None:
         """Keep lasting tasks off workers that the keeper may still read to be free."""
         for worker_id in worker_ids:
             self._scheduler_state.keep_lasting_off(worker_id, now_s + self._limits.lasting_after_s)
 
-    def _offer(self, worker: Worker, is_offered: bool, now_s: float) -> None:
+    def _set_offered(self, worker: Worker, is_offered: bool, now_s: float) -> None:
         if worker.worker_id in self._cordoned:
             return
         if worker.is_cordoned and not is_offered:
@@ -298,12 +300,12 @@
                 self._cordoned[worker_id] = now_s
                 worker.is_cordoned = True
 
-    def _emptied(self, now_s: float) -> Iterator[str]:
+    def _drained(self, now_s: float) -> Iterator[str]:
         for worker_id, since_s in self._cordoned.items():
             worker = self._scheduler_state.workers[worker_id]
             if worker_id in self._scheduler_state.pending_recovery:
                 continue
             if any(run.step.is_lasting for run in worker.runs.values()):
                 continue
-            if not worker.runs or now_s - since_s >= self._limits.patience_s:
+            if not worker.runs or now_s - since_s >= self._limits.drain_grace_s:
                 yield worker_id
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -5,7 +5,7 @@
 from shallotworks.scheduling import EndKind, PoolDemand, PoolSizer, RunningTask, SizingLimits
 from tests.scheduling_fakes import WALL_S, SchedulingHarness, job, step, view
 
-LIMITS = SizingLimits(backlog_s=0.8, idle_s=0.3, patience_s=1.5)
+LIMITS = SizingLimits(backlog_s=0.8, idle_s=0.3, drain_grace_s=1.5)
 
 
 class SizingHarness(SchedulingHarness):
