--- a/src/shallotworks/store/_fenced_record.py
+++ b/src/shallotworks/store/_fenced_record.py
@@ -11,7 +11,7 @@
 
 __all__ = ["FencedRecord"]
 
-MOST_TRIES = 2
+MAX_ATTEMPTS = 2
 """A write that meets an earlier one of the same holder is made again, with that one's revision."""
 
 
@@ -50,7 +50,7 @@
             return False
         item = outcome.unwrap()
         if item is not None:
-            self._learn(item)
+            self._set_known(item)
         return True
 
     def possible_values(self) -> list[bytes]:
@@ -62,7 +62,7 @@
         """Write, unless the value stands there for certain; return whether it does."""
         if value == self.value and not self.unconfirmed_values:
             return True
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             self.unconfirmed_values.append(value)
             outcome = await self._store.commit(
                 Commit(
@@ -75,27 +75,27 @@
             )
             if not isinstance(outcome, Success):
                 return False
-            done = outcome.unwrap()
-            if not isinstance(done, Conflicted):
-                self.value, self._revision = value, done.revision
+            committed = outcome.unwrap()
+            if not isinstance(committed, Conflicted):
+                self.value, self._revision = value, committed.revision
                 self.unconfirmed_values.clear()
                 return True
-            if not self._conflicted(done):
+            if not self._handle_conflict(committed):
                 return False
         return False
 
-    def _learn(self, item: Item) -> None:
+    def _set_known(self, item: Item) -> None:
         self.value, self._revision = item.value, item.revision
         self.unconfirmed_values.clear()
 
-    def _conflicted(self, conflict: Conflicted) -> bool:
+    def _handle_conflict(self, conflict: Conflicted) -> bool:
         """Learn what stands there; return whether the duty's key is still its holder's."""
         current = {item.key: item for item in conflict.current}
-        own = current.get(self._lease.key)
-        if own is None or own.revision != self._lease.token:
+        held_item = current.get(self._lease.key)
+        if held_item is None or held_item.revision != self._lease.token:
             self._lease.mark_lost("its key has another revision")
             return False
         if self._key in current:
-            self._learn(current[self._key])
+            self._set_known(current[self._key])
         self._log.line("record-met", key=self._key, revision=self._revision)
         return self._key in current
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -176,11 +176,11 @@
         pause_s = self._times.renewal_s
         while not self.lost_event.is_set():
             await asyncio.sleep(pause_s)
-            has_rested = self._has_run_out
-            if not has_rested or await self._is_still_own():
+            was_suspended = self._is_past_grace
+            if not was_suspended or await self._is_still_held():
                 is_renewed = await self._renew()
                 pause_s = self._times.renewal_s if is_renewed else self._times.retry_s
-            self._note_rest(has_rested)
+            self._log_suspension_change(was_suspended)
 
     async def _renew(self) -> bool:
         sent_s = self._clock()
@@ -193,10 +193,10 @@
         return False
 
     @property
-    def _has_run_out(self) -> bool:
+    def _is_past_grace(self) -> bool:
         return self.since_renewal_s >= self._times.grace_s
 
-    async def _is_still_own(self) -> bool:
+    async def _is_still_held(self) -> bool:
         """Whether the store answers that the key is still there, after the duty has rested.
 
         Two failures: keys are taken away while their lease lives on, and another holds the key by
@@ -211,9 +211,9 @@
             self.mark_lost("its key was gone after an outage")
         return not self.lost_event.is_set()
 
-    def _note_rest(self, has_rested: bool) -> None:
-        if self._has_run_out != has_rested and not self.lost_event.is_set():
-            event = "duty-resumed" if has_rested else "duty-rests"
+    def _log_suspension_change(self, was_suspended: bool) -> None:
+        if self._is_past_grace != was_suspended and not self.lost_event.is_set():
+            event = "duty-resumed" if was_suspended else "duty-rests"
             self._log.line(
                 event,
                 key=self.key,
--- a/src/shallotworks/store/_prefix_watcher.py
+++ b/src/shallotworks/store/_prefix_watcher.py
@@ -22,7 +22,7 @@
 PROBE_WAIT_S = 0.05
 """... and while the store fails: a watch that was sent just before its return has to time out, and
 who holds which duty is not known before. With the full wait that took up to 2 s."""
-MANY_EVENTS = 250
+LARGE_ANSWER_EVENTS = 250
 """An answer with so many tells that more may wait: it is followed by the next one at once."""
 FIRST_BACKOFF_S = 0.05
 HIGHEST_BACKOFF_S = 0.4
@@ -60,7 +60,7 @@
 
     __slots__ = (
         "_is_failing",
-        "_items",
+        "_known_revisions",
         "_listener",
         "_log",
         "_on_answer",
@@ -86,7 +86,7 @@
         self._log = log
         self._on_answer = on_answer
         self._pause_s = pause_s
-        self._items: dict[str, int] = {}
+        self._known_revisions: dict[str, int] = {}
         self._is_failing = False
         self.synced = asyncio.Event()
         """Set once everything under the prefix has been read."""
@@ -96,15 +96,15 @@
         backoff_s = FIRST_BACKOFF_S
         revision: int | None = None
         while True:
-            outcome = await (self._read_all() if revision is None else self._follow(revision))
+            outcome = await (self._read_all() if revision is None else self._watch_once(revision))
             if isinstance(outcome, Success):
                 revision = outcome.unwrap()
                 backoff_s = FIRST_BACKOFF_S
-                self._note_contact(None)
+                self._log_contact_change(None)
                 if self._on_answer is not None and revision is not None:
                     self._on_answer()
                 continue
-            self._note_contact(outcome.failure())
+            self._log_contact_change(outcome.failure())
             await asyncio.sleep(backoff_s)
             backoff_s = min(HIGHEST_BACKOFF_S, backoff_s * 2)
 
@@ -124,12 +124,12 @@
             if not page.has_more or not page.items:
                 break
             after = page.items[-1].key
-        for key in [key for key in self._items if key not in seen]:
+        for key in [key for key in self._known_revisions if key not in seen]:
             self._delete(key, lowest)
         self.synced.set()
         return Success(lowest)
 
-    async def _follow(self, revision: int) -> Result[int | None, Failure]:
+    async def _watch_once(self, revision: int) -> Result[int | None, Failure]:
         wait_s = PROBE_WAIT_S if self._is_failing else WATCH_WAIT_S
         outcome = await self._store.watch(self._prefix, after_revision=revision, wait_s=wait_s)
         if not isinstance(outcome, Success):
@@ -145,30 +145,30 @@
                 self._write(event)
         # A watcher that pauses behind a full answer falls behind for good where changes come faster
         # than its answers hold: a worker that leaves is seen to be ready for many seconds more.
-        if self._pause_s and 0 < len(changes.events) < MANY_EVENTS:
+        if self._pause_s and 0 < len(changes.events) < LARGE_ANSWER_EVENTS:
             await asyncio.sleep(self._pause_s)
         return Success(max(changes.revision, revision))
 
     def _write(self, item: Item) -> None:
-        if self._items.get(item.key, 0) >= item.revision:
+        if self._known_revisions.get(item.key, 0) >= item.revision:
             return
-        self._items[item.key] = item.revision
+        self._known_revisions[item.key] = item.revision
         try:
             self._listener.on_write(item)
         except Exception as error:
-            self._note_fault(item.key, error)
+            self._log_listener_error(item.key, error)
 
     def _delete(self, key: str, revision: int) -> None:
         # A deletion older than the write that is known was told again after a new reading.
-        if self._items.get(key, revision + 1) > revision:
+        if self._known_revisions.get(key, revision + 1) > revision:
             return
-        del self._items[key]
+        del self._known_revisions[key]
         try:
             self._listener.on_delete(key, revision)
         except Exception as error:
-            self._note_fault(key, error)
+            self._log_listener_error(key, error)
 
-    def _note_fault(self, key: str, error: Exception) -> None:
+    def _log_listener_error(self, key: str, error: Exception) -> None:
         """Log a listener's fault; the other keys are still told.
 
         The failure: one record that its reader does not expect ends the task that follows the
@@ -176,7 +176,7 @@
         """
         self._log.line("listener-fault", prefix=self._prefix, key=key, reason=repr(error))
 
-    def _note_contact(self, failure: Failure | None) -> None:
+    def _log_contact_change(self, failure: Failure | None) -> None:
         if failure is not None and not self._is_failing:
             self._log.line("store-lost", prefix=self._prefix, reason=str(failure))
         if failure is None and self._is_failing:
