--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -1,6 +1,7 @@
-"""The keeper of machines: waves of upkeep, and moves of machines between pools.
+"""The machine controller: runs maintenance waves and moves machines between pools.
 
-One holder at a time gives all orders for machines: two holders must not take turns on a machine.
+Only the holder of the controller's lease gives orders for machines, because orders of two holders
+for one machine must not alternate.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
 __all__ = ["MachineController"]
 
 CONTROL_INTERVAL_S = 0.2
-"""Between looks at the machines: a machine is down for 2 s, and moves within 1.5 s."""
+"""Pause between control rounds. Maintenance keeps a machine down for 2 s; a move takes 1.5 s."""
 
 
 class MachineController:
-    """One term of the keeper.
+    """Controls machines during one epoch, from winning the lease until losing it.
 
     Args:
-        lease: The keeper's key; its token fences each order.
-        dependencies: What it works with.
+        lease: The controller's lease; its token fences each order.
+        dependencies: Collaborators, clocks and settings.
     """
 
     __slots__ = ("_dependencies", "_lease", "_rebalancer", "_record", "_waves")
@@ -42,7 +43,7 @@
         self._rebalancer = PoolRebalancer(lease=lease, dependencies=dependencies, orders=orders)
 
     async def run(self) -> None:
-        """Keep machines until the key is lost."""
+        """Run control rounds until the lease is lost."""
         renewal = asyncio.create_task(self._lease.renew_until_lost())
         try:
             while not self._lease.lost_event.is_set():
--- a/src/shallotworks/scheduling/_machine_controller_dependencies.py
+++ b/src/shallotworks/scheduling/_machine_controller_dependencies.py
@@ -1,4 +1,4 @@
-"""What a keeper of machines works with."""
+"""Collaborators of the machine controller."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MachineControllerDependencies:
-    """What a keeper works with.
+    """Collaborators, clocks and settings of the machine controller.
 
     Args:
-        machines: The machines.
-        maintenance_schedule: The waves that operators ask for.
-        machine_records: What schedulers say.
-        standby: Returns the services whose machines are off and not paid for.
+        machines: Lists the platform's machines and carries out orders for them.
+        maintenance_schedule: The maintenance waves that operators requested.
+        machine_records: The watched records, with each scheduler's pool demand.
+        standby: Returns the standby pools, whose machines are off and not paid for.
         store: The store.
-        clock: Seconds, counting suspended time.
+        clock: Seconds, including time during which the host is suspended.
         wall_clock: Time of day in seconds since 1970.
-        log: Decisions.
-        turns_apart_s: Orders of two holders for a machine must be this far apart: they must not
-            take turns on it. Source: the platform's settings.
+        log: Receives orders and failures.
+        turns_apart_s: Minimum time between orders of two lease holders for one machine, so that
+            their orders don't alternate. Source: the platform's settings.
     """
 
     machines: Machines
--- a/src/shallotworks/scheduling/_machine_controller_ledger.py
+++ b/src/shallotworks/scheduling/_machine_controller_ledger.py
@@ -1,4 +1,4 @@
-"""The keeper's word in the store, and which machines a new keeper may order at once."""
+"""The controller's record in the store, and which machines a new controller may order at once."""
 
 from __future__ import annotations
 
@@ -13,32 +13,34 @@
 __all__ = ["MachineControllerLedger"]
 
 OVER_TOLD_S = 15.0
-"""Workers that were taken away are told of for this long: a scheduler that begins meanwhile need
-not wait for their leases, which takes 7 s; see `OrderTimes.recovery_s`."""
+"""How long removed workers are published. A scheduler that starts meanwhile does not have to wait
+for their leases to expire, which takes 7 s; see `OrderTimes.recovery_s`."""
 REMOVED_WORKERS_RETAINED_S = 60.0
-"""... and remembered for this long, so that what the last word told is not taken for news."""
+"""How long removed workers are remembered. It is longer than they are published, so that a worker
+named in the previous record is not published as newly removed."""
 CLOCK_MARGIN_S = 0.2
-"""For clocks, beyond the time that two holders' orders must be apart."""
+"""Clock tolerance added to the minimum time between the orders of two holders."""
 ORDERED_RETENTION_MARGIN_S = 0.4
-"""A machine is told of for this much longer than two holders' orders must be apart."""
+"""Ordered machines stay in the record for this much longer than the minimum time between the orders
+of two holders."""
 PRUNE_INTERVAL_S = 1.0
-"""The word is written anew this often at the most where only machines are to go from it. They go
-though each call is paid for: a new keeper leaves alone all that it finds named, and the next turn
-may lack them."""
+"""Minimum time between writes of the record that only remove machines from it. Each store call is
+paid for, but machines have to be removed: a new controller does not order any machine that it finds
+named in the record, and the next burst of demand may need those machines."""
 
 
 class MachineControllerLedger:
-    """What one term of the keeper says of workers and machines.
+    """Publishes removed workers and ordered machines for one epoch of the controller.
 
-    The failures that it guards against: two holders take turns on a machine; and every queue waits
-    for machines until a new keeper has let the time pass in which its predecessor may have ordered
-    any of them. So each machine is named in the store before the first order for it, under the
-    keeper's own key: what a new keeper reads there after it has won the key is all that its
-    predecessor may have ordered of late, and only those machines have to wait.
+    It guards against two failures: the orders of two holders alternate on one machine; and every
+    queue waits for machines until a new controller has let the time pass in which its predecessor
+    may have ordered any of them. So each machine is named in the controller's record in the store
+    before the first order for it. The record that a new controller reads after winning the lease
+    names every machine that its predecessor may have ordered recently, and only those have to wait.
 
     Args:
-        lease: The keeper's key.
-        dependencies: What it works with.
+        lease: The controller's lease.
+        dependencies: Collaborators, clocks and settings.
     """
 
     __slots__ = (
@@ -67,20 +69,20 @@
         )
         self._started_s = dependencies.clock()
         self._possibly_ordered: frozenset[str] | None = None
-        """Machines that have to wait; ``None`` for all."""
+        """Machines that the predecessor may have ordered; ``None`` if it may have ordered any."""
         self._pruned_s = dependencies.clock()
         self._ordered_at_s: dict[str, float] = {}
-        """Machines for which orders may have been given, with the latest moment."""
+        """Machines that may have been ordered, with the time of the latest possible order."""
         self._removed_workers: dict[str, float] = {}
-        """Workers that were taken away, since when: what ran there waits for no lease."""
+        """Removed workers, with the time of removal. Their runs don't have to wait for a lease."""
         self._suspended_s = -1e9
         self._origins_at_suspension: dict[str, tuple[int, int]] = {}
-        """For each pool whose word was known when this keeper last rested, where that came from."""
+        """`PoolDemand.origin` of each pool at the controller's last suspension."""
         self.is_read = False
         self.published = MachineControllerRecord()
 
     async def read(self) -> None:
-        """Learn what the predecessor has said, where the store answers."""
+        """Read the predecessor's record once, if the store answers."""
         if self.is_read or not await self._record.read():
             return
         self.is_read = True
@@ -104,10 +106,11 @@
             return MachineControllerRecord()
 
     def note_suspension(self) -> None:
-        """Take note that the key rests: what schedulers have said may be over by the time it wakes.
+        """Note that the lease is suspended; pool demands known so far may be stale when it resumes.
 
-        The failure: a scheduler takes its offer back in an outage and can't say so; the keeper goes
-        on with its first look, and the machine is taken away under what was started there.
+        The failure: a scheduler withdraws an offer during an outage and can't publish that. The
+        controller resumes, acts on the old offer, and takes the machine away while tasks that were
+        started there meanwhile are running.
         """
         self._suspended_s = self._dependencies.clock()
         self._origins_at_suspension = {
@@ -116,10 +119,10 @@
         }
 
     def is_demand_current(self, service: str) -> bool:
-        """Whether a service's scheduler has spoken since this keeper last rested.
+        """Whether a service's demand was published after the controller's last suspension.
 
-        One that does not, since it has not rested itself, is heard again once its calls in flight
-        have surely timed out.
+        A scheduler that was not suspended itself may have nothing new to publish. Its demand counts
+        as current again once its calls in flight must have timed out.
         """
         if self._dependencies.clock() - self._suspended_s >= self._min_order_gap_s:
             return True
@@ -127,9 +130,9 @@
         return demand is not None and demand.origin != self._origins_at_suspension.get(service)
 
     def may_order(self, machine: Machine) -> bool:
-        """Whether no other holder's order can be too close, and its pool's word is no old one.
+        """Whether no other holder's order can be too close and the pool's demand is current.
 
-        In a standby pool nothing runs, so that it has no word to wait for.
+        Nothing runs in a standby pool, so it has no demand to wait for.
         """
         has_waited = self._dependencies.clock() - self._started_s >= self._min_order_gap_s
         is_named = self._possibly_ordered is None or machine.name in self._possibly_ordered
@@ -139,11 +142,11 @@
 
     @property
     def _min_order_gap_s(self) -> float:
-        """How far orders of two holders must be apart."""
+        """Minimum time between orders of two holders, including the clock tolerance."""
         return self._dependencies.turns_apart_s + CLOCK_MARGIN_S
 
     async def announce(self, machines: Iterable[str]) -> bool:
-        """Name machines in the store before they are ordered; return whether they stand there."""
+        """Name machines in the store before they are ordered; return whether they are stored."""
         names = set(machines)
         if not names:
             return True
@@ -154,7 +157,7 @@
         return await self._put(self.published.due, self.published.recalls)
 
     async def prune(self) -> None:
-        """Take machines from the word whose orders no new keeper can come too close to."""
+        """Remove machines from the record whose last order no longer restricts a successor."""
         now_s = self._dependencies.clock()
         if not self.is_read or now_s - self._pruned_s < PRUNE_INTERVAL_S:
             return
@@ -163,11 +166,11 @@
             await self._put(self.published.due, self.published.recalls)
 
     def note_worker_removed(self, worker_id: str) -> None:
-        """Take note that a worker was taken away."""
+        """Note that a worker was removed with its machine."""
         self._removed_workers[worker_id] = self._dependencies.clock()
 
     async def publish(self, due: frozenset[str], recalls: dict[str, int]) -> None:
-        """Tell schedulers what is due and wanted back, and what was taken away."""
+        """Publish workers due for draining, recalled machines and removed workers to schedulers."""
         published = self.published
         is_same = (published.due, published.recalls, published.over) == (
             due,
@@ -198,10 +201,11 @@
         }
 
     def _recently_removed_workers(self) -> tuple[str, ...]:
-        """Return the workers that were taken away of late, by this keeper or the one before it.
+        """Return workers that this controller or its predecessor removed recently.
 
-        The failure: a scheduler and the keeper on one instance are killed together, and the next
-        scheduler waits 10 s for workers that the last keeper took away and that no one tells of.
+        The failure: a scheduler and the controller on one instance are killed together, and the
+        next scheduler waits 10 s for workers that the old controller removed, because the new
+        controller does not publish their removal.
         """
         now_s = self._dependencies.clock()
         self._removed_workers = {
--- a/src/shallotworks/scheduling/_machine_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_machine_order_dispatcher.py
@@ -1,4 +1,4 @@
-"""Orders for machines: how each is given and noted."""
+"""Gives orders for machines and records their outcomes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class MachineOrderDispatcher:
-    """Gives the orders of one term of the keeper.
+    """Gives the machine orders of one epoch of the controller.
 
     Args:
-        lease: The keeper's key; its token fences each order.
-        dependencies: What it works with.
-        record: Where machines are named before they are ordered.
+        lease: The controller's lease; its token fences each order.
+        dependencies: Collaborators, clocks and settings.
+        ledger: Names machines in the store before they are ordered.
     """
 
     __slots__ = ("_dependencies", "_lease", "_ledger")
@@ -39,26 +39,29 @@
         self._ledger = ledger
 
     async def prepare(self, machines: list[Machine]) -> list[Machine]:
-        """Return the machines that may be ordered now, having named them in the store."""
+        """Name the machines that may be ordered now in the store, and return them.
+
+        The list is empty if the store did not confirm the names.
+        """
         allowed = [one for one in machines if self._ledger.may_order(one)]
         is_named = await self._ledger.announce(one.name for one in allowed)
         return allowed if is_named else []
 
     def is_demand_current(self, service: str) -> bool:
-        """Whether what a service's scheduler says it lacks is no word from before an outage."""
+        """Whether a service's demand does not date from before a suspension of the controller."""
         return self._ledger.is_demand_current(service)
 
     async def start_maintenance(
         self, machine: Machine, wave: int, *, is_first: bool
     ) -> MachineOrderStatus:
-        """Take a machine down for its upkeep.
+        """Take a machine down for maintenance.
 
         Args:
             machine: The machine.
-            wave: Whose upkeep it is.
-            is_first: No order was given for it in this wave. A later one is obeyed without effect
-                where the upkeep is over: the worker that is on the machine by then lives on, and
-                tasks that were taken for ended would run twice.
+            wave: The number of the wave that the maintenance belongs to.
+            is_first: No order was given for the machine in this wave before. A repeated order
+                is obeyed without effect if the maintenance is over. The worker on the machine by
+                then keeps running; reporting it as removed would make its tasks run twice.
         """
         if not self._lease.is_valid:
             return MachineOrderStatus.REFUSED
@@ -79,21 +82,22 @@
         return status
 
     def is_reported_free(self, machine: Machine) -> bool:
-        """Whether the machine's scheduler had nothing on it that must stay, when last heard of."""
+        """Whether the scheduler's last known demand offers the machine, or no worker is on it."""
         if not machine.worker_id:
             return True
         demand = self._dependencies.machine_records.demands.get(machine.pool)
         return demand is not None and machine.worker_id in demand.free
 
     async def confirm_free(self, machine: Machine) -> bool:
-        """Whether the machine's scheduler has nothing on it that must stay; see `filter_free`."""
+        """Whether the scheduler's stored demand still offers the machine; see `filter_free`."""
         return bool(await self.filter_free([machine]))
 
     async def filter_free(self, machines: list[Machine]) -> list[Machine]:
-        """Return those machines on which their schedulers have nothing that must stay.
+        """Return machines without a worker and machines that the stored demands still offer.
 
-        The failure: a machine is taken that its scheduler has taken back, and lasting tasks end.
-        So its word is read from the store once more, just before the order.
+        The failure: a machine is taken after its scheduler withdrew the offer, and lasting tasks
+        end. The watched copy may be stale, so the stored demand is read again just before the
+        order.
         """
         by_pool: dict[str, list[Machine]] = {}
         for machine in machines:
@@ -106,7 +110,7 @@
         return allowed
 
     async def _read_free_workers(self, pool: str) -> frozenset[str]:
-        """Return what a pool's scheduler offers, as it stands in the store."""
+        """Read the workers that a pool's scheduler offers from the store; empty if that fails."""
         outcome = await self._dependencies.store.get(pool_demand_key(pool))
         if not isinstance(outcome, Success):
             return frozenset()
--- a/src/shallotworks/scheduling/_machine_records.py
+++ b/src/shallotworks/scheduling/_machine_records.py
@@ -1,8 +1,8 @@
-"""What schedulers and the keeper of machines tell each other, through the store.
+"""Records through which schedulers and the machine controller communicate in the store.
 
-Each scheduler writes how many machines it lacks and which of its workers may be taken away now; the
-keeper writes which workers it wants emptied, and which it has taken away. Nobody else writes these
-records.
+Each scheduler writes how many machines it lacks and which of its workers may be taken away now. The
+controller writes which workers it wants drained and which workers it has removed. Nothing else
+writes these records.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 
 
 def pool_demand_key(service: str) -> str:
-    """Return the key of what a service's scheduler writes."""
+    """Return the key of the demand record that a service's scheduler writes."""
     return POOL_DEMAND_PREFIX + service
 
 
 def machine_controller_key() -> str:
-    """Return the key of what the keeper writes."""
+    """Return the key of the record that the controller writes."""
     return MACHINES_PREFIX + "keeper"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PoolDemand:
-    """What a service's scheduler says of its machines.
+    """A scheduler's demand for machines, and the workers that it offers.
 
     Args:
-        lacking: Machines that it could use at once.
-        free: Workers that may be taken away: the scheduler starts nothing on them.
+        lacking: Number of machines that it could use at once.
+        free: Workers that may be taken away; the scheduler starts nothing on them.
         token: The scheduler's fencing token.
-        woke: How many times its term has gone on after an outage of the store in which it rested.
+        woke: How often the scheduler has resumed in this epoch after a store outage suspended it.
     """
 
     lacking: int = 0
@@ -54,11 +54,11 @@
 
     @property
     def origin(self) -> tuple[int, int]:
-        """Tells words from before an outage from later ones: the term, and how often it woke."""
+        """Token and resume count, which tell demands from before an outage from later ones."""
         return (self.token, self.woke)
 
     def encode(self) -> bytes:
-        """Return the record."""
+        """Return the record as JSON bytes."""
         record = {
             "lacking": self.lacking,
             "free": list(self.free),
@@ -69,7 +69,13 @@
 
     @classmethod
     def decode(cls, value: bytes) -> PoolDemand:
-        """Return what a record says; raises `ValueError` or `KeyError`."""
+        """Decode a record.
+
+        Raises:
+            ValueError: The value is not JSON.
+            KeyError: A required field is missing.
+            TypeError: The value is not a JSON object.
+        """
         record = json.loads(value)
         return cls(
             lacking=record["lacking"],
@@ -81,15 +87,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MachineControllerRecord:
-    """What the keeper says of workers.
+    """The controller's record of workers and machines.
 
     Args:
-        due: Workers that are to be emptied.
-        over: Workers that were taken away of late, with all that ran on them: the platform has
+        due: Workers that are to be drained.
+        over: Workers that were removed recently, with everything that ran on them: the platform has
             obeyed the order.
-        recalls: For each service that holds borrowed machines, how many of them their lenders lack.
-        ordered: Machines for which orders may have been given of late, or may be given now;
-            ``None`` where that isn't known.
+        recalls: For each service with borrowed machines, how many of them it is asked to free for
+            services that lack machines.
+        ordered: Machines that may have been ordered recently or may be ordered now; ``None`` if
+            that is unknown.
     """
 
     due: frozenset[str] = frozenset()
@@ -98,7 +105,7 @@
     ordered: tuple[str, ...] | None = None
 
     def encode(self) -> bytes:
-        """Return the record."""
+        """Return the record as JSON bytes."""
         record = {
             "due": sorted(self.due),
             "over": list(self.over),
@@ -109,7 +116,13 @@
 
     @classmethod
     def decode(cls, value: bytes) -> MachineControllerRecord:
-        """Return what a record says; raises `ValueError` or `KeyError`."""
+        """Decode a record.
+
+        Raises:
+            ValueError: The value is not JSON.
+            KeyError: A required field is missing.
+            TypeError: The value is not a JSON object.
+        """
         record = json.loads(value)
         ordered = record.get("ordered")
         return cls(
@@ -121,10 +134,10 @@
 
 
 class MachineRecords:
-    """Both kinds of records as they were last read; implements `WatchListener`.
+    """The records of both kinds as last read; implements `WatchListener`.
 
     Args:
-        log: Records that can't be read.
+        log: Receives records that can't be decoded.
     """
 
     __slots__ = ("_log", "controller", "demands")
@@ -135,7 +148,7 @@
         self.controller = MachineControllerRecord()
 
     def on_write(self, item: Item) -> None:
-        """Hear that a record was written."""
+        """Update the copy of a record that was written."""
         try:
             if item.key == machine_controller_key():
                 self.controller = MachineControllerRecord.decode(item.value)
@@ -147,7 +160,7 @@
             self._log.line("machines-record-unreadable", key=item.key, reason=repr(error))
 
     def on_delete(self, key: str, revision: int) -> None:
-        """Hear that a record is gone."""
+        """Drop the copy of a record that was deleted."""
         if key == machine_controller_key():
             self.controller = MachineControllerRecord()
         else:
--- a/src/shallotworks/scheduling/_pool_rebalancer.py
+++ b/src/shallotworks/scheduling/_pool_rebalancer.py
@@ -1,4 +1,4 @@
-"""Moving machines between pools: lending to whoever's turn it is, and giving back."""
+"""Moves machines between pools: lends them to pools that lack machines, and returns them."""
 
 from __future__ import annotations
 
@@ -18,36 +18,38 @@
 __all__ = ["PoolRebalancer"]
 
 MOVE_TIMEOUT_S = 4.0
-"""A machine counts as on its way for this long at the most, where its arrival isn't seen: a move
-takes 1.5 s (source: the platform's settings), twice that for an order that was carried out late."""
+"""A move whose arrival isn't seen counts as in flight for at most this long. A move takes 1.5 s
+(source: the platform's settings), and twice that if the order was carried out late."""
 ARRIVAL_SETTLE_S = 0.6
-"""... and for this long after it has arrived: entries of workers are read every 0.4 s, and its
-scheduler has to tell what it lacks with that one counted in. A machine that counts as on its way
-beside its worker stands for two, and its queue gets one less."""
+"""A move counts as in flight for this long after the machine has arrived. Worker entries are read
+every 0.4 s, and the scheduler then has to publish a demand that counts the new worker. A machine
+counted both as in flight and as a worker counts twice, and its queue gets one machine less."""
 MIN_MOVE_LIMIT = 16
 MAX_MOVED_FRACTION = 1 / 8
-"""Of all machines, moved in a round at the most; a round takes a fifth of a second, and the
-platform takes about as many orders a second as there are machines."""
+"""Fraction of all machines that may be moved in one round, unless `MIN_MOVE_LIMIT` allows more. A
+round takes a fifth of a second, and the platform accepts about as many orders a second as there are
+machines."""
 MIN_KEPT_HOME_FRACTION = 0.5
-"""Part of its home size that a pool keeps while it is idle: its own callers' next turn begins with
-that, while the borrower is still busy with its last one."""
+"""Fraction of its home size that an idle pool keeps. The next burst of its own callers starts with
+these machines while the borrower is still busy with its previous burst."""
 IDLE_BEFORE_STANDBY_S = 2.0
-"""A borrowed machine that no pool misses has to be idle for this long before it goes to the standby
-pool: the next queue's turn may begin meanwhile, and takes it where it stands. Sent off at once, it
-is under way when that turn lacks it, and moves twice. A move costs about as much as this time: to
-wait for what the saved moves would pay for is never dearer than twice the best choice. One that a
-pool misses goes home at once: there it can be lent also while there is no keeper to move it."""
+"""A borrowed machine that no pool lacks moves to the standby pool after being idle for this long.
+If the next burst begins meanwhile, it borrows the machine directly; a machine that was moved at
+once would be in flight when the burst needs it, and would move twice. A move costs about as much as
+this much idle time, so waiting never costs more than twice the best choice. A machine that a pool
+is missing from its home size returns at once, because there it is available even while no
+controller runs."""
 HOME_SIZES_KEY = "shallotworks/home-sizes"
 
 
 @dataclass(slots=True, kw_only=True)
 class _Move:
-    """A machine on its way.
+    """A move in flight.
 
     Args:
-        service: Where to.
-        ordered_s: When it was ordered.
-        arrived_s: When it was first seen there; ``None`` before.
+        service: The service whose pool the machine moves to.
+        ordered_s: When the move was ordered.
+        arrived_s: When the machine was first seen in that pool; ``None`` before.
     """
 
     service: str
@@ -55,18 +57,18 @@
     arrived_s: float | None = None
 
     def is_finished(self, now_s: float) -> bool:
-        """Whether its machine no longer counts as on its way."""
+        """Whether the machine no longer counts as in flight."""
         has_settled = self.arrived_s is not None and now_s - self.arrived_s >= ARRIVAL_SETTLE_S
         return has_settled or now_s - self.ordered_s >= MOVE_TIMEOUT_S
 
 
 class PoolRebalancer:
-    """Moves machines during one term of the keeper.
+    """Moves machines between pools during one epoch of the controller.
 
     Args:
-        lease: The keeper's key.
-        dependencies: What it works with.
-        orders: Gives orders.
+        lease: The controller's lease.
+        dependencies: Collaborators, clocks and settings.
+        orders: Gives the orders for machines.
     """
 
     __slots__ = (
@@ -91,14 +93,14 @@
         self._orders = orders
         self._cached_home_sizes: dict[str, int] | None = None
         self._moves_in_flight: dict[str, _Move] = {}
-        """Machines on their way, by name."""
+        """Moves in flight, by name of the machine."""
         self._idle_since: dict[str, float] = {}
-        """Workers that their schedulers offer, since when this keeper has seen that."""
+        """Offered workers, with the time at which this controller first saw the offer."""
         self._misfits: set[tuple[str, str]] = set()
-        """Machines and pools that don't go together."""
+        """Pairs of machine and pool for which the platform answered that they don't fit."""
 
     async def rebalance(self, machines: dict[str, Machine], in_waves: set[str]) -> None:
-        """Move machines to services that lack them, and what they can do without back again."""
+        """Move machines to services that lack them, and return borrowed machines that are idle."""
         self._update_moves(machines)
         home_sizes = await self._home_sizes(machines)
         if home_sizes is None:
@@ -110,20 +112,20 @@
         moves = self._plan_loans(idle, in_standby, home_sizes, sizes, max_moves)
         moves += self._plan_returns(idle, home_sizes, sizes, max_moves)
         targets = {machine.name: target for machine, target in moves}
-        # Together: while the store is slow, machines ordered one after the other come too late.
+        # All orders run concurrently: with a slow store, sequential orders would be too late.
         prepared = await self._orders.prepare([machine for machine, _ in moves])
         allowed = await self._filter_movable(prepared)
         await asyncio.gather(*(self._move(machine, targets[machine.name]) for machine in allowed))
 
     async def _filter_movable(self, machines: list[Machine]) -> list[Machine]:
-        """Return the machines that their pools still offer; standby ones need no word."""
+        """Return machines in standby pools, and those that their schedulers still offer."""
         standby = self._dependencies.standby()
         in_standby = [machine for machine in machines if machine.pool in standby]
         offered = [machine for machine in machines if machine.pool not in standby]
         return in_standby + await self._orders.filter_free(offered)
 
     def _update_moves(self, machines: dict[str, Machine]) -> None:
-        """Let go of moves that are over."""
+        """Note arrivals and drop finished moves."""
         now_s = self._dependencies.clock()
         for name, move in list(self._moves_in_flight.items()):
             if move.arrived_s is None and self._has_arrived(machines.get(name), move.service):
@@ -144,7 +146,7 @@
         sizes: dict[str, int],
         max_moves: int,
     ) -> list[tuple[Machine, str]]:
-        """Choose machines for the services that lack them."""
+        """Choose machines for the services that lack them, from standby pools first."""
         moves: list[tuple[Machine, str]] = []
         for service in self._services_lacking_machines():
             source = self._take_first_fit(in_standby, service) or self._take_lendable(
@@ -169,7 +171,7 @@
     def _plan_returns(
         self, idle: list[Machine], home_sizes: dict[str, int], sizes: dict[str, int], max_moves: int
     ) -> list[tuple[Machine, str]]:
-        """Send what a service has beyond its home size to where machines are missing."""
+        """Choose machines beyond a pool's home size to return to undersized or standby pools."""
         standby = self._dependencies.standby()
         moves: list[tuple[Machine, str]] = []
         for machine in idle:
@@ -194,12 +196,13 @@
         return moves
 
     async def recalls(self, machines: dict[str, Machine]) -> dict[str, int]:
-        """Return how many borrowed machines each service is asked to give up.
+        """Return how many borrowed machines each service is asked to free.
 
-        The load: a queue's turn lacks machines, while others work off jobs of the turn before,
-        which are late whatever is done. For as many as are lacking, borrowers keep late work off.
-        What is lacking counts, and not only what the lenders lent: in a turn a queue needs three
-        times its own machines, and a job in time is worth fourteen late ones.
+        The load: a burst on one queue lacks machines while other queues process jobs of the
+        previous burst, which miss their objective in any case. Borrowers keep late work off as many
+        machines as are lacking. The count covers everything that is lacking, and not only what the
+        lenders lent: in a burst a queue needs three times its own machines, and a job in time is
+        worth fourteen late ones.
         """
         home_sizes = await self._home_sizes(machines)
         if home_sizes is None:
@@ -221,9 +224,10 @@
         return recalls
 
     async def _home_sizes(self, machines: dict[str, Machine]) -> dict[str, int] | None:
-        """Return the machines of each pool as they were when the first keeper saw them.
+        """Return the size of each pool as the first controller saw it; ``None`` if that is unknown.
 
-        The operators shaped the pools; what is lent goes back, so that they keep their shape.
+        The operators chose the pool sizes, so lent machines return and restore them. The sizes are
+        stored once and read by later controllers.
         """
         if self._cached_home_sizes is not None:
             return self._cached_home_sizes
@@ -257,7 +261,7 @@
     def _available_machines(
         self, machines: dict[str, Machine], in_waves: set[str]
     ) -> tuple[list[Machine], list[Machine]]:
-        """Return machines that schedulers offer, and those in standby pools."""
+        """Return the machines that schedulers offer, and those in standby pools."""
         idle: list[Machine] = []
         in_standby: list[Machine] = []
         demands = self._dependencies.machine_records.demands
@@ -271,12 +275,12 @@
                 demand = demands.get(machine.pool)
                 if demand is not None and machine.worker_id in demand.free:
                     idle.append(machine)
-        # Machines that are due for upkeep go to work last: they would soon be taken away again.
+        # Machines of an open maintenance wave are used last: they would soon be taken down again.
         in_standby.sort(key=lambda one: one.name in in_waves)
         return idle, in_standby
 
     def _services_lacking_machines(self) -> list[str]:
-        """Return the services that lack machines, once for each, by turns."""
+        """Return services that lack machines, once for each machine, in round-robin order."""
         in_flight: dict[str, int] = {}
         for move in self._moves_in_flight.values():
             in_flight[move.service] = in_flight.get(move.service, 0) + 1
@@ -292,7 +296,7 @@
     def _take_lendable(
         self, idle: list[Machine], service: str, home_sizes: dict[str, int], sizes: dict[str, int]
     ) -> Machine | None:
-        """Return an idle machine of a service that can lend one."""
+        """Take an idle machine from the pool that has most machines beyond its home size."""
         lendable = [
             one
             for one in idle
@@ -322,6 +326,6 @@
 
 
 def _count_at_target(sizes: dict[str, int], machine: Machine, target: str) -> None:
-    """Count a machine in the pool that it is to go to."""
+    """Count a machine in the pool that it moves to."""
     sizes[machine.pool] -= 1
     sizes[target] = sizes.get(target, 0) + 1
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -1,8 +1,8 @@
-"""How many machines a service lacks, and which it can do without; no network.
+"""Computes how many machines a service lacks and which workers it can spare; uses no network.
 
-The load that it answers: demand that comes by turns, each queue asking several times its mean for
-some seconds, more than its pool holds, and next to nothing in between. Machines that wait for the
-next turn are paid for; a machine is there about two seconds after it was asked for.
+The load: demand comes in bursts. For some seconds a queue asks for several times its mean and more
+than its pool holds, and for next to nothing in between. Machines that wait for the next burst are
+paid for, and a machine arrives about two seconds after it was requested.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SizingLimits:
-    """Limits of sizing.
+    """Limits for sizing a pool.
 
     Args:
-        backlog_s: Waiting work that the pool would finish within this needs no more machines: one
-            takes longer to come.
-        demand: How what arrives is measured.
-        idle_s: A worker on which nothing has run for this long may go.
-        patience_s: Tasks that end get this long on a worker that is to be emptied.
-        lasting_after_s: Lasting tasks wait this long before they are placed on a worker that was
-            offered and taken back: an order to take it away may still come.
-        largest_lack: The most machines asked for at once, by a pool that has few.
-        largest_lack_part: ... and by a larger one, this many times what it has: a queue asks in its
-            turn for several times its mean, however large its pool is.
+        backlog_s: Waiting work that the pool can finish within this time needs no more machines,
+            because a machine takes longer to arrive.
+        demand: Limits for measuring the demand of arriving jobs.
+        idle_s: A worker may be offered once nothing has run on it for this long.
+        drain_grace_s: Time that tasks which end by themselves get on a worker that is drained.
+        lasting_after_s: Lasting tasks are kept off a worker for this long after its offer was
+            withdrawn, because an order to take it away may still arrive.
+        max_lacking: Upper limit of the machines requested at once by a pool with few workers.
+        max_lacking_ratio: Upper limit for a larger pool, as a multiple of its workers: in a burst a
+            queue asks for several times its mean, however large its pool is.
     """
 
     backlog_s: float = 0.8
@@ -49,13 +49,14 @@
 
 
 DEFAULT_MACHINE_MILLICORES = 32_000
-"""Taken for a machine's size while a pool has none."""
+"""Assumed size of a machine while the pool has no worker."""
 
 
 def _tasks_per_worker(step: Step, worker: Worker | None) -> int:
-    """Return how many tasks of a step an empty worker holds; 0 where more than room decides.
+    """Return how many tasks of a step fit on an empty worker; 0 if capacity alone does not decide.
 
-    A task that is merely slower away from its data runs anywhere.
+    Labels, limits per worker and gangs restrict the placement. Data locality does not: a task away
+    from its data is slower but can run on any worker.
     """
     is_plain = not (step.label or step.most_per_worker or step.is_gang)
     if worker is None or not is_plain:
@@ -72,8 +73,8 @@
     """Sizes the pool of one service.
 
     Args:
-        scheduler_state: The service's board.
-        limits: Limits.
+        scheduler_state: The jobs and workers of the service.
+        limits: Limits for sizing.
     """
 
     __slots__ = ("_cordoned", "_idle_since", "_limits", "_offered", "_scheduler_state")
@@ -83,16 +84,16 @@
         self._limits = limits
         self._idle_since: dict[str, float] = {}
         self._cordoned: dict[str, float] = {}
-        """Workers that are being emptied, since when."""
+        """Workers that are being drained, with the time since when."""
         self._offered: set[str] = set()
 
     def assess(self, due: frozenset[str], *, now_s: float, wall_s: float) -> PoolDemand:
-        """Return what to tell the keeper, having cordoned what is offered.
+        """Cordon the workers to offer, and return the demand to publish to the machine controller.
 
         Args:
-            due: Workers that the keeper wants emptied.
-            now_s: The scheduler's clock.
-            wall_s: Time of day.
+            due: Workers that the controller wants drained.
+            now_s: Time on the scheduler's clock, in seconds.
+            wall_s: Time of day, in seconds since 1970.
         """
         self._track_idle(now_s)
         lacking = self._lacking(wall_s)
@@ -105,7 +106,7 @@
         return PoolDemand(lacking=lacking, free=tuple(free), token=self._scheduler_state.token)
 
     def state(self, *, wall_s: float) -> dict[str, int]:
-        """Return the pool's state in figures for its log line: machines, cores and waiting work."""
+        """Return counts of workers, cores and waiting work for the pool's log line."""
         usable = self._usable()
         waiting = list(self._scheduler_state.open_steps())
         lasting = [run for worker in usable for run in worker.runs.values() if run.step.is_lasting]
@@ -126,11 +127,11 @@
         }
 
     def yield_some(self, count: int) -> None:
-        """Keep late work off some borrowed workers, so that they come free for their lenders.
+        """Keep late work off some workers, so that borrowed machines become free for other pools.
 
-        The load: a queue's turn begins while the queue before it still works off jobs that can't
-        meet their objective any more, on machines that it borrowed. Those with the least on them
-        are chosen; jobs that can still be on time use them as before.
+        The load: a burst begins on one queue while another queue still processes jobs that can't
+        meet their objective any more, on machines that it borrowed. The least used workers are
+        chosen; jobs that can still be on time use them as before.
         """
         yielding = {worker.worker_id for worker in self._least_used(count)}
         for worker in self._scheduler_state.workers.values():
@@ -146,7 +147,7 @@
         return movable[:count]
 
     def emptying(self) -> Iterator[Worker]:
-        """Yield the workers that are due and still run something."""
+        """Yield the workers that are being drained."""
         for worker_id in self._cordoned:
             worker = self._scheduler_state.workers.get(worker_id)
             if worker is not None:
@@ -171,12 +172,12 @@
         ]
 
     def _lacking(self, wall_s: float) -> int:
-        """Return the machines that the pool needs beyond what it has.
+        """Return the number of machines that the pool needs beyond those it has.
 
-        What arrives now must be carried, and what waits must be finished in time; for what is late
-        no machines are borrowed. A pool that carries what arrives lacks nothing while nothing
-        waits. One that doesn't lacks machines also in the moments in which all its tasks run, as
-        often at the start of a turn, after its first machines have come.
+        The pool must have capacity for arriving work and finish waiting work in time; no machines
+        are borrowed for late work. A pool with enough capacity for arriving work lacks nothing
+        while no task waits. A pool without it lacks machines even while all its tasks run, which is
+        common at the start of a burst after the first machines have arrived.
         """
         waiting_millicore_s = self._waiting_millicore_s(wall_s)
         arrivals = self._scheduler_state.arrivals
@@ -209,7 +210,7 @@
         return total
 
     def _surplus(self, now_s: float, wall_s: float) -> set[str]:
-        """Return the workers that have been idle for a while and that the pool can do without."""
+        """Return the workers that have been idle for ``idle_s`` and that the pool can spare."""
         idle = [
             worker
             for worker in self._empty_workers()
@@ -222,15 +223,16 @@
         return [worker for worker in usable if self._is_known_empty(worker)]
 
     def _lendable(self, free: list[Worker], now_s: float, wall_s: float) -> set[str]:
-        """Return those of some free workers that are not kept for tasks.
+        """Return those of some free workers that are not reserved for tasks.
 
-        Kept are as many as the tasks need that wait or may be lost, and no more: on a large pool a
-        job has always just come, or a worker with lasting tasks is silent, and a pool that lends
-        nothing meanwhile never lends. Workers that late work is kept off are not kept for it
-        either: they would stand idle beside it.
+        Only as many are reserved as are needed by tasks that wait or may be lost. On a large pool a
+        job has always just arrived, or a worker with lasting tasks is silent, so a pool that lent
+        nothing meanwhile would never lend. Workers that late work is kept off are not reserved for
+        late work either, because they would stay idle.
         """
         in_time, late = self._reserved_for_tasks(now_s, wall_s)
-        # Those that are not offered first: lasting tasks keep off one that was, for a while.
+        # Prefer to reserve workers that are not offered: after a withdrawn offer, lasting tasks are
+        # kept off the worker for a while.
         free = sorted(free, key=lambda worker: worker.worker_id in self._offered)
         yielding = [worker for worker in free if worker.is_yielding]
         others = [worker for worker in free if not worker.is_yielding]
@@ -238,7 +240,7 @@
         return {worker.worker_id for worker in lendable}
 
     def _reserved_for_tasks(self, now_s: float, wall_s: float) -> tuple[int, int]:
-        """Return how many free workers tasks that can be in time, and late ones, are kept for."""
+        """Return how many free workers to reserve for tasks in time, and for late tasks."""
         reserved = {True: 0, False: 0}
         size = max(self._usable(), key=lambda one: one.view.cpu_millicores, default=None)
         for waiting in self._scheduler_state.tasks_to_place(now_s, wall_s):
@@ -257,18 +259,18 @@
         return in_time, late
 
     def _is_known_empty(self, worker: Worker) -> bool:
-        """Whether surely nothing runs on a worker, also nothing that an earlier term started.
+        """Whether nothing runs on a worker, including runs of an earlier scheduler epoch.
 
-        The failure: a successor tells that a worker is free which it has not looked at yet, its
-        machine is taken, and the lasting tasks that its predecessor started there end.
+        The failure: a new scheduler offers a worker that it has not polled yet. The machine is
+        taken away, and lasting tasks that the predecessor started there end.
         """
         return not worker.runs and worker.worker_id not in self._scheduler_state.pending_recovery
 
     def withdraw(self, now_s: float, *, wall_s: float) -> bool:
-        """Take back as many offers as tasks wait for; return whether there were any.
+        """Withdraw as many offers as waiting tasks need; return whether any offer was withdrawn.
 
-        The keeper may have been about to take such a worker: tasks that end may be lost with it and
-        run again, lasting tasks are not placed on it for a while.
+        The controller may be about to take such a worker away. Tasks that end by themselves may be
+        lost with it and run again; lasting tasks are not placed on it for a while.
         """
         withdrawn = self._offered - self._lendable(self._empty_workers(), now_s, wall_s)
         for worker_id in withdrawn:
@@ -279,7 +281,7 @@
         return bool(withdrawn)
 
     def keep_lasting_off(self, worker_ids: Iterable[str], now_s: float) -> None:
-        """Keep lasting tasks off workers that the keeper may still read to be free."""
+        """Keep lasting tasks off workers that the controller may still consider free."""
         for worker_id in worker_ids:
             self._scheduler_state.keep_lasting_off(worker_id, now_s + self._limits.lasting_after_s)
 
--- a/src/shallotworks/scheduling/_wave.py
+++ b/src/shallotworks/scheduling/_wave.py
@@ -1,4 +1,4 @@
-"""What has become of a wave of upkeep; kept in the store, changed by compare-and-swap."""
+"""Progress of a maintenance wave; kept in the store and changed by compare-and-swap."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class WaveRecord:
-    """What has become of a wave.
+    """Progress of a maintenance wave.
 
     Args:
-        down: Machines that may be down for it, each with the worker that was on it.
-        begun: Those of them whose upkeep has surely begun.
-        done: Machines that have had it.
-        first_s: Time of day at which it was first seen.
-        is_completed: Whether that was told.
+        down: Machines that may be down for the wave, each with the worker that was on it.
+        begun: Machines of ``down`` whose maintenance is known to have begun.
+        done: Machines whose maintenance is finished, or that were removed.
+        first_s: Time of day at which a controller first saw the wave, in seconds since 1970.
+        is_completed: Whether the wave was reported as completed.
     """
 
     down: dict[str, str] = field(default_factory=dict)
@@ -32,7 +32,7 @@
     is_completed: bool = False
 
     def encode(self) -> bytes:
-        """Return the record's bytes."""
+        """Return the record as JSON bytes."""
         return json.dumps(
             {
                 "down": self.down,
@@ -45,5 +45,10 @@
 
     @classmethod
     def decode(cls, value: bytes) -> WaveRecord:
-        """Return the record of some bytes; raises `ValueError` or `TypeError`."""
+        """Decode a record.
+
+        Raises:
+            ValueError: The value is not JSON.
+            TypeError: The value is not a JSON object, or has an unknown field.
+        """
         return cls(**json.loads(value))
--- a/src/shallotworks/scheduling/_wave_executor.py
+++ b/src/shallotworks/scheduling/_wave_executor.py
@@ -1,4 +1,4 @@
-"""Taking waves of upkeep forward, a machine at a time."""
+"""Advances maintenance waves, within the limit of machines that each allows down at once."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 __all__ = ["WaveExecutor"]
 
 LIST_STALENESS_S = 1.0
-"""A list of machines read this long after an obeyed order shows what it brought about."""
+"""A machine list read this long after an order was obeyed shows the effect of the order."""
 REPEAT_ORDER_AFTER_S = 4.0
-"""An order is repeated when its machine still seems untouched this long after it was obeyed, twice
-the time that upkeep takes."""
+"""An order is repeated if the machine still has its old worker this long after the order was
+obeyed. This is twice the time that maintenance takes."""
 ORDER_RETRY_S = 0.5
-"""Between orders for one machine while none is known to be obeyed."""
+"""Minimum time between orders for one machine while none is known to be obeyed."""
 ABSENCE_TIMEOUT_S = 20.0
-"""A machine that is not listed for this long, when the wave's time is over too, has left. One that
-lost power is not listed either, for 8 s in the users' days; told too early that it is completed, a
-wave would leave it out, and a late wave costs little."""
+"""A machine counts as removed if it has not been listed for this long and the wave's time is over.
+A machine that lost power is not listed either, for 8 s in the users' workloads. A wave that is
+reported as completed too early would leave such a machine out, while a late wave costs little."""
 SLOT_DURATION_S = 4.0
-"""An upkeep keeps its slot for this long: 1.5 s until its worker is empty, 2 s of upkeep (source:
-the platform's settings), and the time until it is seen to be back."""
+"""Time for which one machine occupies a slot: 1.5 s until its worker is drained, 2 s of maintenance
+(source: the platform's settings), and the time until its return is seen."""
 YIELD_TIME_FACTOR = 1.5
-"""A wave goes on beside a queue's turn when less than this many times the time that its machines
-take, with all slots in use, is left of its own."""
+"""A wave proceeds during a burst of demand once its remaining time is less than this many times the
+time that its remaining machines take with all slots in use."""
 DRAINED_AHEAD_PER_SLOT = 2
-"""Machines that are emptied ahead of a wave's free slots, for each slot."""
+"""Workers drained in advance for each slot of a wave."""
 
 
 class WaveExecutor:
-    """Takes waves forward during one term of the keeper.
+    """Advances maintenance waves during one epoch of the controller.
 
     A machine counts against its wave's limit from before its order until a new worker is seen on
-    it: the slot is taken in the store first, so that a predecessor's late order is counted too.
+    it. The slot is stored before the order is given, so that a predecessor's late order counts too.
 
     Args:
-        lease: The keeper's key.
-        dependencies: What it works with.
-        orders: Gives orders.
+        lease: The controller's lease.
+        dependencies: Collaborators, clocks and settings.
+        orders: Gives the orders for machines.
     """
 
     __slots__ = (
@@ -70,12 +70,12 @@
         self._orders = orders
         self._completed: set[int] = set()
         self._absent_since_s: dict[str, float] = {}
-        """Machines that are not listed, since when."""
+        """Machines that are not listed, with the time since when."""
         self._begun_at_s: dict[str, float] = {}
-        """Machines whose upkeep has surely begun, since when: an order was obeyed, or the machine
-        was seen in its upkeep while it had a slot."""
+        """Machines whose maintenance is known to have begun, with the time: an order was obeyed, or
+        the machine was seen in maintenance while it had a slot."""
         self._ordered_at_s: dict[str, float] = {}
-        """Machines with the time of the latest order."""
+        """Time of the latest order for each machine."""
 
     def open_waves(self) -> list[MaintenanceWave]:
         """Return the waves that are not completed."""
@@ -88,14 +88,15 @@
     async def advance(
         self, wave: MaintenanceWave, machines: dict[str, Machine]
     ) -> WaveRecord | None:
-        """Take a wave as far as it goes now.
+        """Advance a wave as far as possible now.
 
         Args:
             wave: The wave.
             machines: All machines by name.
 
         Returns:
-            What has become of it; ``None`` where it is completed or the store did not answer.
+            The progress of the wave; ``None`` if it was completed before or if reading or writing
+            its record failed.
         """
         loaded = await self._load(wave)
         if loaded is None:
@@ -120,7 +121,7 @@
         return record
 
     async def _store_begun(self, wave: MaintenanceWave, record: WaveRecord, revision: int) -> None:
-        """Store which upkeeps have begun: a successor would have their machines emptied again."""
+        """Store which machines have begun, so that a successor does not drain them again."""
         begun = [name for name in record.down if name in self._begun_at_s]
         if begun != record.begun:
             record.begun = begun
@@ -129,7 +130,7 @@
     def _release_slots(
         self, wave: MaintenanceWave, record: WaveRecord, machines: dict[str, Machine]
     ) -> bool:
-        """Give back the slots of machines that are back; return whether the record changed."""
+        """Release the slots of finished and removed machines; return whether the record changed."""
         is_changed = False
         for name, old_worker in list(record.down.items()):
             machine = machines.get(name)
@@ -147,12 +148,12 @@
         return is_changed
 
     def _has_had_maintenance(self, machine: Machine, old_worker: str) -> bool:
-        """Whether a machine has had its upkeep: it surely began, and another worker is on it.
+        """Whether a machine's maintenance is known to have begun, and another worker is on it now.
 
-        The failure: a wave told to be completed without a machine whose order was refused and whose
-        worker crashed then, since another worker was on it too. One that is off has no worker
-        before or after; an upkeep takes it down at once, so that one which is up in a list read
-        later has been down meanwhile, or before.
+        The failure: an order is refused, and the machine's worker crashes and is replaced. Judged
+        by the new worker alone, the wave is reported as completed without the machine. A machine
+        that is off has no worker before or after. Maintenance takes it down at once, so if a list
+        read `LIST_STALENESS_S` later shows it up, its maintenance is over.
         """
         begun_s = self._begun_at_s.get(machine.name)
         if begun_s is None or machine.state is not MachineState.UP:
@@ -181,9 +182,10 @@
     def _remaining(
         self, wave: MaintenanceWave, record: WaveRecord, machines: dict[str, Machine]
     ) -> list[Machine]:
-        """Return the machines whose turn may come: up, neither done nor down for it.
+        """Return the machines that may start next: up, and neither done nor down for the wave.
 
-        None while the wave yields: neither is one emptied for it, nor does one go down.
+        The list is empty while the wave yields to demand, so that no worker is drained and no
+        machine is taken down for it.
         """
         if self._must_yield(wave, record):
             return []
@@ -197,12 +199,12 @@
         ]
 
     def _must_yield(self, wave: MaintenanceWave, record: WaveRecord) -> bool:
-        """Whether a wave can wait while a queue lacks machines.
+        """Whether a wave has to wait because a queue lacks machines and there is time left.
 
-        The load: the operators' wave and a queue's turn begin in the same second. Six machines at
-        once were down for 2 s each, of the 19 that the turn lacked; the wave had 26 s, and 14 of
-        its 15 upkeeps fell into the turn. What lacks machines is asked each time, so that the wave
-        goes on between turns, and beside them when its own time runs short.
+        The load: an operators' wave and a burst of demand begin in the same second. Without
+        yielding, six of the 19 machines that the burst lacked were down at once, for 2 s each. The
+        wave had 26 s, but 14 of its 15 machines were maintained during the burst. Demand is checked
+        in each round, so the wave proceeds between bursts, and during them if its time runs short.
         """
         if not any(
             demand.lacking for demand in self._dependencies.machine_records.demands.values()
@@ -216,10 +218,11 @@
         )
 
     def reserved_machines(self, wave: MaintenanceWave, record: WaveRecord) -> set[str]:
-        """Return the machines that a wave keeps from being lent.
+        """Return the machines that may not be lent because of a wave.
 
-        One that is lent has its upkeep later, in another pool. While a wave waits it keeps no more
-        than those that are down: five and more stood idle for 4 s beside a turn that lacked 63.
+        A machine that is lent has its maintenance later, in another pool. A wave that yields to
+        demand reserves only the machines that are down for it. When it reserved all of them, five
+        or more machines were idle for 4 s during a burst that lacked 63.
         """
         if self._must_yield(wave, record):
             return set(record.down)
@@ -232,13 +235,13 @@
         machines: dict[str, Machine],
         draining: frozenset[str],
     ) -> set[str]:
-        """Return the workers to be emptied now: those that are free already go first.
+        """Return the workers to drain now: those being drained first, then those already free.
 
         Args:
             wave: The wave.
-            record: What has become of it.
+            record: The progress of the wave.
             machines: All machines by name.
-            draining: Workers that are being emptied.
+            draining: Workers that are being drained.
         """
         remaining = [one for one in self._remaining(wave, record, machines) if one.worker_id]
         free = {
@@ -254,7 +257,7 @@
         return {one.worker_id for one in chosen if one.worker_id}
 
     def _unconfirmed(self, record: WaveRecord, machines: dict[str, Machine]) -> list[Machine]:
-        """Return the machines with a slot that are up and whose upkeep may not have begun."""
+        """Return the machines with a slot that are up and whose maintenance may not have begun."""
         now_s = self._dependencies.clock()
         up = [
             (machines[name], old_worker)
@@ -274,7 +277,7 @@
     async def _start_ready(
         self, wave: MaintenanceWave, record: WaveRecord, revision: int, machines: dict[str, Machine]
     ) -> int:
-        """Take slots and order upkeeps; return the revision of the record."""
+        """Take slots and order maintenance; return the revision of the record."""
         slots = max(0, wave.most_at_once - len(record.down))
         remaining = self._remaining(wave, record, machines)
         free = [machine for machine in remaining if self._orders.is_reported_free(machine)]
@@ -282,7 +285,7 @@
             if not await self._orders.confirm_free(machine):
                 continue
             record.down[machine.name] = machine.worker_id
-            # What is known of it belongs to an earlier wave.
+            # A start that is known so far belongs to an earlier wave.
             self._begun_at_s.pop(machine.name, None)
             saved = await self._save(wave, record, revision)
             if saved is None:
@@ -294,7 +297,7 @@
     async def _repeat_unconfirmed(
         self, wave: MaintenanceWave, record: WaveRecord, machines: dict[str, Machine]
     ) -> None:
-        """Give orders again that were refused or not answered; a second one does no harm."""
+        """Repeat orders that were refused or not answered; a repeated order does no harm."""
         now_s = self._dependencies.clock()
         to_repeat = [
             machine
@@ -324,7 +327,7 @@
         return (record, revision) if revision is not None else None
 
     async def _save(self, wave: MaintenanceWave, record: WaveRecord, revision: int) -> int | None:
-        """Store a wave's record and tell its state; ``None`` where that failed."""
+        """Store a wave's record and its status; return the new revision, or ``None`` on failure."""
         key = wave_key(wave.wave)
         outcome = await self._dependencies.store.commit(
             Commit(
@@ -349,7 +352,7 @@
         if isinstance(result, Conflicted):
             current = {item.key: item.revision for item in result.current}
             if current.get(self._lease.key) != self._lease.token:
-                self._lease.mark_lost("its key is gone or another's")
+                self._lease.mark_lost("its key was deleted or belongs to another holder")
             return None
         committed: Committed = result
         return committed.revision
