--- a/src/shallotworks/store/__init__.py
+++ b/src/shallotworks/store/__init__.py
@@ -1,8 +1,8 @@
-"""The store in which everything that must last or be agreed on is kept, as the product sees it.
+"""Interface of the key-value store that holds durable and shared state.
 
-Other packages see only the protocol and types named here. `PrefixWatcher` keeps a copy of all keys
-under a prefix up to date; `HeldLease` keeps a leased key, with a fencing token, while it can be
-kept; `FencedRecord` is the last word of such a holder under a key.
+Other packages use only the protocol and types named here. `PrefixWatcher` keeps a copy of all keys
+under a prefix up to date. `HeldLease` renews the lease of a key and carries its fencing token.
+`FencedRecord` is a record that only the holder of such a lease writes.
 """
 
 from ._fenced_record import FencedRecord
--- a/src/shallotworks/store/_fenced_record.py
+++ b/src/shallotworks/store/_fenced_record.py
@@ -1,4 +1,4 @@
-"""A key that the holder of a duty writes, and nobody else."""
+"""A record that only the current holder of a lease can write."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 __all__ = ["FencedRecord"]
 
 MAX_ATTEMPTS = 2
-"""A write that meets an earlier one of the same holder is made again, with that one's revision."""
+"""A write that conflicts with an earlier write of the same holder is repeated with its revision."""
 
 
 class FencedRecord:
-    """The last word of a duty's holder under one key; one write at a time.
+    """The latest record of a lease holder under one key; allows one write at a time.
 
     The failure that it guards against: a write whose answer was lost is carried out seconds later,
-    after newer ones, and the older word stands for the last. So each write demands the revision of
-    the one before, and what a write without an answer says is held for possible until the next
-    one is through.
+    after newer writes, and its older value replaces theirs. So each write requires the revision of
+    the previous one, and the value of a write without an answer counts as possible until a later
+    write is confirmed or the record is read again.
 
     Args:
         key: The key.
-        lease: The held key of the duty.
+        lease: The lease whose holder writes the record.
         store: The store.
-        log: A write that was carried out after all.
+        log: Receives conflicts with earlier writes that were carried out after all.
     """
 
     __slots__ = ("_key", "_lease", "_log", "_revision", "_store", "unconfirmed_values", "value")
@@ -39,12 +39,12 @@
         self._log = log
         self._revision = 0
         self.value: bytes | None = None
-        """What the store has, but for what is doubtful; ``None`` before it is known."""
+        """Last value known to be stored, apart from `unconfirmed_values`; ``None`` if none is."""
         self.unconfirmed_values: list[bytes] = []
-        """What may stand there instead: writes on their way or without an answer."""
+        """Values of writes in flight or without an answer, which may be stored instead."""
 
     async def read(self) -> bool:
-        """Read what stands there; return whether the store answered."""
+        """Read the stored record; return whether the store answered."""
         outcome = await self._store.get(self._key)
         if not isinstance(outcome, Success):
             return False
@@ -54,12 +54,12 @@
         return True
 
     def possible_values(self) -> list[bytes]:
-        """Return all that may stand there."""
+        """Return all values that may be stored."""
         known = [] if self.value is None else [self.value]
         return known + self.unconfirmed_values
 
     async def put(self, value: bytes) -> bool:
-        """Write, unless the value stands there for certain; return whether it does."""
+        """Write a value unless it is known to be stored; return whether it is stored now."""
         if value == self.value and not self.unconfirmed_values:
             return True
         for _ in range(MAX_ATTEMPTS):
@@ -89,7 +89,14 @@
         self.unconfirmed_values.clear()
 
     def _handle_conflict(self, conflict: Conflicted) -> bool:
-        """Learn what stands there; return whether the duty's key is still its holder's."""
+        """Handle a conflicting write.
+
+        Marks the lease as lost if its key has another revision, and otherwise takes over the stored
+        record.
+
+        Returns:
+            Whether the write may be repeated: the lease is still held, and the record exists.
+        """
         current = {item.key: item for item in conflict.current}
         held_item = current.get(self._lease.key)
         if held_item is None or held_item.revision != self._lease.token:
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -1,4 +1,4 @@
-"""Holding a leased key, and with it a duty and its fencing token."""
+"""Holding the lease of a key, and with it the key's fencing token."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseTiming:
-    """Times of a held key.
+    """Times for holding a lease.
 
     Args:
-        ttl_s: The store drops the key this long after the last renewal. 2 s: a successor begins
-            within 2.5 s of a crash, and four renewals fit in.
-        renewal_s: Between renewals.
-        retry_s: After a renewal that failed.
-        grace_s: The duty may be exercised this long after the last confirmed renewal was sent,
-            so that a short outage of the store does not stop work. Safety does not rest on it:
-            a successor fences each worker, and waits for one that it can't reach until the last
-            lease that was granted there is out.
+        ttl_s: The store deletes the key this long after the last renewal. With 2 s, a successor
+            begins within 2.5 s of a crash, and four renewals fit in.
+        renewal_s: Time between renewals.
+        retry_s: Pause after a failed renewal.
+        grace_s: The holder may act for this long after it sent the last confirmed renewal, so that
+            a short outage of the store does not stop work. Safety does not depend on it: a
+            successor fences each worker, and waits for one that it can't reach until the last
+            lease granted there has expired.
     """
 
     ttl_s: float = 2.0
@@ -38,21 +38,22 @@
 
 
 class HeldLease:
-    """One held key, from its creation until it is lost.
+    """One held lease, from the creation of its key until the lease is lost.
 
-    A key can be taken away with no call that shows it, so whoever holds one also watches it and
-    calls `mark_lost`.
+    A key can be deleted without any call of the holder showing it, so the holder also has to watch
+    the key and call `mark_lost`.
 
     Args:
         store: The store.
         key: The key.
-        lease_id: The lease that it ends with.
-        token: The revision of its creation: rises over all holders of all keys.
-        sent_s: When the creation or last renewal was sent, on ``clock``.
-        clock: Seconds, counting while the machine is suspended: a thawed holder must see that its
-            time has run out before it sends what it decided earlier.
-        times: Times.
-        log: Where the loss is written.
+        lease_id: The store's lease, with which the key is deleted.
+        token: The fencing token: the revision of the key's creation, which rises over all holders
+            of all keys.
+        sent_s: Time on ``clock`` at which the creation or last renewal was sent.
+        clock: Seconds, including time during which the host is suspended. A resumed holder must
+            see that its grace period is over before it sends an earlier decision.
+        times: Times for holding the lease.
+        log: Receives the loss, suspension and resumption of the lease.
     """
 
     __slots__ = (
@@ -101,18 +102,21 @@
         times: LeaseTiming,
         log: StructuredLog,
     ) -> HeldLease | None:
-        """Create the key, if it does not exist; ``None`` where that failed or may have failed.
+        """Create the key if it does not exist.
 
         Args:
             store: The store.
             key: The key.
-            marker_key: A second key under the same lease, among the records that the duty works on:
-                its deletion stands in their order, so that a holder which follows them learns of
-                its loss before it learns of anything that was written after.
-            value: Value of both.
-            clock: Seconds, counting suspended time.
-            times: Times.
-            log: Where a failure is written.
+            marker_key: A second key under the same lease, among the records that the holder works
+                on. Its deletion is ordered with their changes, so a holder that watches them learns
+                that it lost the lease before it learns of anything written later.
+            value: Value of both keys.
+            clock: Seconds, including time during which the host is suspended.
+            times: Times for holding the lease.
+            log: Receives failures.
+
+        Returns:
+            The held lease; ``None`` if the creation failed or its outcome is unknown.
         """
         granted = await store.grant_lease(ttl_s=times.ttl_s)
         if not isinstance(granted, Success):
@@ -139,7 +143,7 @@
                 times=times,
                 log=log,
             )
-        # Also where the outcome is unknown: a key that was created after all ends with its lease.
+        # Also if the outcome is unknown: revoking the lease deletes a key created after all.
         await store.revoke_lease(lease_id)
         if not isinstance(outcome, Success):
             log.line("duty-not-acquired", key=key, reason=str(outcome.failure()))
@@ -147,7 +151,7 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether orders may still be given; to be asked before each one."""
+        """Whether the holder may still act; to be checked before each action."""
         return not self.lost_event.is_set() and self.since_renewal_s < self._times.grace_s
 
     @property
@@ -157,21 +161,21 @@
 
     @property
     def condition(self) -> Condition:
-        """What a commit of this holder demands: that the key is still its own."""
+        """Condition for commits of this holder: the key still has the holder's revision."""
         return Condition(key=self.key, revision=self.token)
 
     def mark_lost(self, reason: str) -> None:
-        """Give the duty up without a word to the store."""
+        """Give the lease up locally, without a call to the store."""
         if not self.lost_event.is_set():
             self._log.line("duty-lost", key=self.key, token=self.token, reason=reason)
             self.lost_event.set()
 
     async def renew_until_lost(self) -> None:
-        """Renew until the key is lost.
+        """Renew the lease until it is lost.
 
-        Beyond the grace the duty rests and is not given up: where the store's leases stood still
-        with it, the holder goes on with the first renewal that is answered. Given up, the key
-        would still stand for its time to live, and nobody could act until then.
+        After the grace period the lease is suspended and not given up. If the store's leases were
+        paused during its outage, the holder resumes with the first renewal that is answered. If it
+        gave up, the key would still exist for its time to live, and nobody could act until then.
         """
         pause_s = self._times.renewal_s
         while not self.lost_event.is_set():
@@ -197,11 +201,11 @@
         return self.since_renewal_s >= self._times.grace_s
 
     async def _is_still_held(self) -> bool:
-        """Whether the store answers that the key is still there, after the duty has rested.
+        """Whether the store confirms that the key still exists, after a suspension.
 
-        Two failures: keys are taken away while their lease lives on, and another holds the key by
-        now; and a holder that rests since no answer reaches it renews the key all the while, so
-        that nobody else can win it. A read prolongs nothing.
+        It guards against two failures. A key is deleted while its lease still exists, and another
+        holder has the key by now. And a holder that is suspended because no answer reaches it keeps
+        renewing the lease, so that nobody else can win it; a read does not renew anything.
         """
         outcome = await self._store.get(self.key)
         if not isinstance(outcome, Success):
@@ -222,6 +226,6 @@
             )
 
     async def release(self) -> None:
-        """End the lease, so that a successor can begin at once."""
+        """Revoke the lease, so that a successor can begin at once."""
         self.mark_lost("released")
         await self._store.revoke_lease(self._lease_id)
--- a/src/shallotworks/store/_prefix_watcher.py
+++ b/src/shallotworks/store/_prefix_watcher.py
@@ -17,45 +17,48 @@
 __all__ = ["PrefixWatcher", "WatchListener"]
 
 WATCH_WAIT_S = 1.0
-"""One watch's wait. A connection that fell silent is noticed after this and the client's grace,
-so a change is seen within 1.7 s, inside the 2 s in which a configuration must be in force."""
+"""Wait of one watch call. A silent connection is noticed after this time plus the client's grace
+period, so a change is seen within 1.7 s. A configuration must be in force within 2 s."""
 PROBE_WAIT_S = 0.05
-"""... and while the store fails: a watch that was sent just before its return has to time out, and
-who holds which duty is not known before. With the full wait that took up to 2 s."""
+"""Wait of one watch call while the store fails. A watch sent just before the store recovers has to
+time out before lease holders are known again; with the full wait that took up to 2 s."""
 LARGE_ANSWER_EVENTS = 250
-"""An answer with so many tells that more may wait: it is followed by the next one at once."""
+"""An answer with at least this many events is followed by the next watch at once, because more
+events may be waiting."""
 FIRST_BACKOFF_S = 0.05
 HIGHEST_BACKOFF_S = 0.4
-"""Between tries while the store fails: 2.5 calls a second for each watcher at the most."""
+"""Longest pause between attempts while the store fails: it limits each watcher to 2.5 calls a
+second."""
 
 
 class WatchListener(Protocol):
-    """Hears what the watcher learns, in order of revision for each key."""
+    """Receives the changes that the watcher sees, in order of revision for each key."""
 
     def on_write(self, item: Item) -> None:
-        """Hear that a key was written; the same write may be told twice."""
+        """Handle a write of a key; the same write may be reported twice."""
         ...
 
     def on_delete(self, key: str, revision: int) -> None:
-        """Hear that a key is gone; a key of that name may have been created after the revision."""
+        """Handle a deletion; the key may have been created again after the revision."""
         ...
 
 
 class PrefixWatcher:
-    """Keeps a copy of the keys under a prefix.
+    """Reports all changes of the keys under a prefix to a listener.
 
-    The failure it guards against: a watch whose history the store dropped would skip changes
-    without a sign. The store then says so, and everything is read anew: pages are no snapshot, so
-    watching goes on from the lowest revision of all pages, and a write told twice does no harm.
+    The failure it guards against: the store compacts its history, and a watch that continues
+    silently skips changes. The store reports lost history, and everything is read again. The pages
+    of that read are no consistent snapshot, so the watch continues from the lowest revision of all
+    pages, and reporting a write twice does no harm.
 
     Args:
         store: The store.
         prefix: The keys' prefix.
-        listener: Who hears of changes.
-        log: Where lost and regained contact is written.
-        on_answer: Called with each answer of the store: the copy is then as new as the answer.
-        pause_s: Left between a change and the next watch, so that changes which come close
-            together are told in one answer: each call is paid for.
+        listener: Receives the changes.
+        log: Receives lost and regained contact with the store, and errors of the listener.
+        on_answer: Called after each answer of the store, when the copy is as new as the answer.
+        pause_s: Pause between a change and the next watch, so that changes in quick succession
+            arrive in one answer; each call is paid for.
     """
 
     __slots__ = (
@@ -92,7 +95,7 @@
         """Set once everything under the prefix has been read."""
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Watch the store until cancelled."""
         backoff_s = FIRST_BACKOFF_S
         revision: int | None = None
         while True:
@@ -143,8 +146,8 @@
                 self._delete(event.key, event.revision)
             else:
                 self._write(event)
-        # A watcher that pauses behind a full answer falls behind for good where changes come faster
-        # than its answers hold: a worker that leaves is seen to be ready for many seconds more.
+        # If changes arrive faster than answers can carry them, a watcher that pauses after a full
+        # answer never catches up: a leaving worker appears ready for many seconds more.
         if self._pause_s and 0 < len(changes.events) < LARGE_ANSWER_EVENTS:
             await asyncio.sleep(self._pause_s)
         return Success(max(changes.revision, revision))
@@ -159,7 +162,7 @@
             self._log_listener_error(item.key, error)
 
     def _delete(self, key: str, revision: int) -> None:
-        # A deletion older than the write that is known was told again after a new reading.
+        # After everything was read again, a deletion older than the known write may be repeated.
         if self._known_revisions.get(key, revision + 1) > revision:
             return
         del self._known_revisions[key]
@@ -169,10 +172,10 @@
             self._log_listener_error(key, error)
 
     def _log_listener_error(self, key: str, error: Exception) -> None:
-        """Log a listener's fault; the other keys are still told.
+        """Log an exception of the listener; changes of other keys are still reported.
 
-        The failure: one record that its reader does not expect ends the task that follows the
-        store, and of all keys under the prefix nothing is heard any more.
+        The failure: one record that the listener does not expect ends the task that watches the
+        store, and no change of any key under the prefix is reported any more.
         """
         self._log.line("listener-fault", prefix=self._prefix, key=key, reason=repr(error))
 
--- a/src/shallotworks/store/_protocols.py
+++ b/src/shallotworks/store/_protocols.py
@@ -1,8 +1,8 @@
-"""The store's calls and their types.
+"""Calls of the store and their types.
 
-A call that fails returns ``STORE_UNAVAILABLE`` where it surely took no effect (each read that
-failed, too), ``OUTCOME_UNKNOWN`` where a write was sent and its answer was lost: it may have been
-carried out, or may be later, while its conditions still hold.
+A failed call returns ``STORE_UNAVAILABLE`` if it certainly had no effect, as every failed read
+does. It returns ``OUTCOME_UNKNOWN`` if a write was sent and its answer was lost: the write may have
+been carried out, or may be carried out later if its conditions still hold.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Item:
-    """A key as read.
+    """A key with its value and revision, as read.
 
     Args:
         key: The key.
@@ -72,12 +72,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Changes:
-    """What happened under a prefix after a revision.
+    """Changes under a prefix after a revision.
 
     Args:
-        events: Writes and deletions, by revision.
-        revision: Continue from here.
-        is_history_lost: The store no longer has what followed the revision; read everything anew.
+        events: Writes and deletions, ordered by revision.
+        revision: The revision from which to continue.
+        is_history_lost: Whether the store no longer has the changes after the revision; the caller
+            has to read everything again.
     """
 
     events: tuple[Item | Deletion, ...]
@@ -110,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Commit:
-    """Writes and deletions that happen together if all conditions hold, or not at all."""
+    """Writes and deletions that are applied atomically if all conditions hold."""
 
     conditions: tuple[Condition, ...] = ()
     writes: tuple[Write, ...] = ()
@@ -119,41 +120,41 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Committed:
-    """A commit was carried out at this revision."""
+    """Result of a commit that was applied at this revision."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Conflicted:
-    """A condition did not hold, and nothing was done.
+    """Result of a commit that was not applied because a condition did not hold.
 
     Args:
-        current: The keys of the conditions as they are, without those that don't exist.
+        current: The current state of the conditions' keys, without keys that don't exist.
     """
 
     current: tuple[Item, ...]
 
 
 class Store(Protocol):
-    """The store."""
+    """Client interface of the store."""
 
     async def get(self, key: str) -> Result[Item | None, Failure]:
         """Read one key; ``None`` where it does not exist."""
         ...
 
     async def read_page(self, prefix: str, *, after: str = "") -> Result[Page, Failure]:
-        """Read keys under a prefix that follow the key ``after``."""
+        """Read a page of keys under a prefix, beginning after the key ``after``."""
         ...
 
     async def watch(
         self, prefix: str, *, after_revision: int, wait_s: float
     ) -> Result[Changes, Failure]:
-        """Wait until something under a prefix changes after a revision, or the wait ends."""
+        """Wait up to ``wait_s`` for changes under a prefix after a revision, and return them."""
         ...
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflicted, Failure]:
-        """Carry out a commit; ``LEASE_LOST`` where a lease of its writes has ended."""
+        """Apply a commit; fails with ``LEASE_LOST`` if a lease of its writes has ended."""
         ...
 
     async def grant_lease(self, *, ttl_s: float) -> Result[int, Failure]:
@@ -161,9 +162,9 @@
         ...
 
     async def renew_lease(self, lease_id: int) -> Result[None, Failure]:
-        """Renew a lease; ``LEASE_LOST`` where it has ended."""
+        """Renew a lease; fails with ``LEASE_LOST`` if it has ended."""
         ...
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Failure]:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         ...
