--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -31,7 +31,7 @@
 from tests.scheduling_fakes import quiet_log
 from tests.virtual_clock import run_scenario
 
-UPKEEP_S = 2.0
+MAINTENANCE_S = 2.0
 MOVE_S = 1.5
 
 
@@ -42,24 +42,24 @@
         self.machines: dict[str, Machine] = {}
         self.orders: list[tuple[str, str, float]] = []
         self.down = 0
-        self.most_down = 0
-        self.asked: tuple[MaintenanceWave, ...] = ()
-        self.lose_answers = False
+        self.max_down = 0
+        self.requested_waves: tuple[MaintenanceWave, ...] = ()
+        self.drop_answers = False
         self.on_order: Callable[[str], None] = lambda _machine: None
         self.busy: set[str] = set()
         """Machines that take no order at present."""
-        self._lives = 0
+        self._worker_count = 0
         for pool, count in pools.items():
             for _ in range(count):
                 name = f"m{len(self.machines)}"
-                worker = "" if pool == "spare" else self._next_worker()
+                worker = "" if pool == "spare" else self._new_worker_id()
                 self.machines[name] = Machine(
                     name=name, pool=pool, state=MachineState.UP, worker_id=worker
                 )
 
-    def _next_worker(self) -> str:
-        self._lives += 1
-        return f"w{self._lives}"
+    def _new_worker_id(self) -> str:
+        self._worker_count += 1
+        return f"w{self._worker_count}"
 
     async def list(self) -> Result[tuple[Machine, ...], Failure]:
         return Success(tuple(self.machines.values()))
@@ -73,37 +73,39 @@
         self.orders.append(("upkeep", machine, now_s))
         if not known:
             self.down += 1
-            self.most_down = max(self.most_down, self.down)
-            self._away(machine, self.machines[machine].pool, MachineState.MAINTENANCE, UPKEEP_S)
-        return MachineOrderStatus.UNANSWERED if self.lose_answers else MachineOrderStatus.OBEYED
+            self.max_down = max(self.max_down, self.down)
+            self._take_away(
+                machine, self.machines[machine].pool, MachineState.MAINTENANCE, MAINTENANCE_S
+            )
+        return MachineOrderStatus.UNANSWERED if self.drop_answers else MachineOrderStatus.OBEYED
 
     async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
         now_s = asyncio.get_running_loop().time()
         self.on_order(machine)
         self.orders.append((f"move {pool}", machine, now_s))
-        self._away(machine, pool, MachineState.MOVING, MOVE_S)
+        self._take_away(machine, pool, MachineState.MOVING, MOVE_S)
         return MachineOrderStatus.OBEYED
 
     def crash(self, name: str) -> None:
         """Let a machine's worker end; another one is on it at once."""
         pool = self.machines[name].pool
         self.machines[name] = Machine(
-            name=name, pool=pool, state=MachineState.UP, worker_id=self._next_worker()
+            name=name, pool=pool, state=MachineState.UP, worker_id=self._new_worker_id()
         )
 
-    def _away(self, name: str, pool: str, state: MachineState, for_s: float) -> None:
+    def _take_away(self, name: str, pool: str, state: MachineState, for_s: float) -> None:
         self.machines[name] = Machine(name=name, pool=pool, state=state)
-        asyncio.get_running_loop().call_later(for_s, self._back, name, state)
+        asyncio.get_running_loop().call_later(for_s, self._bring_back, name, state)
 
-    def _back(self, name: str, state: MachineState) -> None:
+    def _bring_back(self, name: str, state: MachineState) -> None:
         pool = self.machines[name].pool
-        worker = "" if pool == "spare" else self._next_worker()
+        worker = "" if pool == "spare" else self._new_worker_id()
         self.machines[name] = Machine(name=name, pool=pool, state=MachineState.UP, worker_id=worker)
         if state is MachineState.MAINTENANCE:
             self.down -= 1
 
     def waves(self) -> tuple[MaintenanceWave, ...]:
-        return self.asked
+        return self.requested_waves
 
     def status_key(self, wave: int) -> str:
         return f"status/{wave}"
@@ -121,21 +123,21 @@
         self.machine_records = MachineRecords(log=quiet_log())
         self.tasks: list[asyncio.Task[None]] = []
         self.controller: MachineController | None = None
-        self.unnamed: list[str] = []
+        self.unannounced: list[str] = []
         """Machines that were ordered before the keeper had named them in the store."""
-        self.platform.on_order = self._judge_order
+        self.platform.on_order = self._check_announced
 
-    def _judge_order(self, machine: str) -> None:
-        is_told = MACHINES_PREFIX + "keeper" in self.store.items
-        if not is_told or machine not in (self.named() or ()):
-            self.unnamed.append(machine)
+    def _check_announced(self, machine: str) -> None:
+        is_stored = MACHINES_PREFIX + "keeper" in self.store.items
+        if not is_stored or machine not in (self.announced_machines() or ()):
+            self.unannounced.append(machine)
 
-    def follow_keeper(self, *ordered: str) -> None:
+    def store_predecessor_record(self, *ordered: str) -> None:
         """Let an earlier keeper have ordered some machines of late, and no others."""
-        word = MachineControllerRecord(ordered=tuple(ordered))
-        self.store.put(MACHINES_PREFIX + "keeper", word.encode())
+        stored_record = MachineControllerRecord(ordered=tuple(ordered))
+        self.store.put(MACHINES_PREFIX + "keeper", stored_record.encode())
 
-    def named(self) -> tuple[str, ...] | None:
+    def announced_machines(self) -> tuple[str, ...] | None:
         """Return the machines that the keeper's word in the store names as ordered."""
         return MachineControllerRecord.decode(
             self.store.items[MACHINES_PREFIX + "keeper"].value
@@ -176,8 +178,8 @@
             for one in self.platform.machines.values()
             if one.pool == service and one.worker_id
         ]
-        need = PoolDemand(lacking=lacking, free=tuple(workers) if free else (), woke=woke)
-        self.store.put(pool_demand_key(service), need.encode())
+        demand = PoolDemand(lacking=lacking, free=tuple(workers) if free else (), woke=woke)
+        self.store.put(pool_demand_key(service), demand.encode())
 
     def moves(self) -> list[tuple[str, str, float]]:
         """Return the moves that were ordered."""
@@ -200,8 +202,8 @@
     )
 
 
-class FleetTests(unittest.TestCase):
-    def test_a_turn_on_a_large_fleet_gets_its_machines_in_a_moment(self) -> None:
+class LargeFleetTests(unittest.TestCase):
+    def test_a_burst_on_a_large_fleet_gets_its_machines_within_two_rounds(self) -> None:
         """A queue's first seconds are late, since its machines come sixteen at a time.
 
         A queue lacks 120 machines, and 190 of 400 are idle or off. They are all ordered within two
@@ -212,42 +214,42 @@
             machine_harness = MachineHarness(antenna=30, sweeps=180, kept=100, spare=90)
             machine_harness.publish_demand("antenna", lacking=120)
             machine_harness.publish_demand("sweeps", free=True)
-            machine_harness.follow_keeper()
+            machine_harness.store_predecessor_record()
             await machine_harness.start(answer_s=0.1)
             await asyncio.sleep(2.0)
             moved = [at_s for order, _, at_s in machine_harness.moves() if order == "move antenna"]
             self.assertGreaterEqual(len(moved), 120)
             self.assertLessEqual(moved[119] - moved[0], 1.2)
-            self.assertEqual([], machine_harness.unnamed)
+            self.assertEqual([], machine_harness.unannounced)
             machine_harness.stop()
 
         run_scenario(scenario())
 
 
 class WaveTests(unittest.TestCase):
-    def test_each_machine_once_and_never_too_many_down(self) -> None:
+    def test_a_wave_maintains_each_machine_once_within_its_limit(self) -> None:
         """Free workers go down, machines that are off too; then the wave is completed."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=4, spare=2)
-            machine_harness.platform.asked = (wave(machine_harness, most=2),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=2),)
             await machine_harness.start()
             for _ in range(150):
                 machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(2, machine_harness.platform.most_down)
+            self.assertEqual(2, machine_harness.platform.max_down)
             self.assertEqual(6, len({order[1] for order in machine_harness.platform.orders}))
             self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
             machine_harness.stop()
 
         run_scenario(scenario())
 
-    def test_a_worker_with_lasting_tasks_is_waited_for(self) -> None:
+    def test_a_wave_waits_for_workers_with_lasting_tasks(self) -> None:
         """Nothing is taken down that its scheduler does not give; it is told what is due."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             await machine_harness.start()
             machine_harness.publish_demand("antenna")
             await asyncio.sleep(8)
@@ -258,7 +260,7 @@
 
         run_scenario(scenario())
 
-    def test_a_machine_that_is_not_listed_for_a_while_is_waited_for(self) -> None:
+    def test_a_wave_waits_for_a_temporarily_unlisted_machine(self) -> None:
         """A wave told to be completed while machines of it never had their upkeep.
 
         A rack loses power in the middle of the wave, and its machines are not in the list until it
@@ -267,7 +269,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=3)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             dark = machine_harness.platform.machines.pop("m2")
             await machine_harness.start()
             for _ in range(75):
@@ -284,12 +286,12 @@
 
         run_scenario(scenario())
 
-    def test_a_machine_that_left_for_good_does_not_hold_the_wave_for_ever(self) -> None:
+    def test_a_wave_completes_without_a_removed_machine(self) -> None:
         """Once the wave's time is over it is completed without it."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             machine_harness.platform.machines.pop("m1")
             await machine_harness.start()
             for _ in range(200):
@@ -300,7 +302,7 @@
 
         run_scenario(scenario())
 
-    def test_a_worker_that_crashed_is_no_upkeep(self) -> None:
+    def test_a_worker_crash_does_not_count_as_maintenance(self) -> None:
         """A wave told to be completed, and a machine of it has not had its upkeep.
 
         A machine takes no order, since its worker is about to leave. Its slot is taken already; the
@@ -309,7 +311,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=3)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             machine_harness.platform.busy = {"m0"}
             await machine_harness.start()
             for round_number in range(60):
@@ -324,12 +326,12 @@
                 await asyncio.sleep(0.2)
             self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
             self.assertEqual(3, len({order[1] for order in machine_harness.platform.orders}))
-            self.assertEqual(1, machine_harness.platform.most_down)
+            self.assertEqual(1, machine_harness.platform.max_down)
             machine_harness.stop()
 
         run_scenario(scenario())
 
-    def test_a_worker_on_a_machine_asked_for_again_is_not_told_to_be_over(self) -> None:
+    def test_a_repeated_order_does_not_report_the_new_worker_as_removed(self) -> None:
         """A task that runs twice at once.
 
         A machine's order is not answered, its upkeep begins and ends while no list shows it, and
@@ -339,7 +341,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             machine_harness.platform.busy = {"m0"}
             await machine_harness.start()
             for _ in range(25):
@@ -357,12 +359,12 @@
 
         run_scenario(scenario())
 
-    def test_a_new_keeper_leaves_machines_alone_whose_upkeep_has_begun(self) -> None:
+    def test_a_new_controller_does_not_repeat_maintenance_that_has_begun(self) -> None:
         """Workers emptied and asked for again, for an upkeep that their machines have had."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             first = await machine_harness.start()
             while not machine_harness.platform.orders:
                 machine_harness.publish_demand("antenna", free=True)
@@ -387,12 +389,12 @@
 
         run_scenario(scenario())
 
-    def test_a_second_wave_takes_nothing_over_from_the_first(self) -> None:
+    def test_a_second_wave_does_not_inherit_progress_of_the_first(self) -> None:
         """The same for a machine that has had its upkeep in an earlier wave."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             await machine_harness.start()
             for _ in range(50):
                 machine_harness.publish_demand("antenna", free=True)
@@ -400,7 +402,10 @@
             self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
             machine_harness.platform.busy = {"m0"}
             second = MaintenanceWave(wave=2, machines=("m0",), duration_s=30, most_at_once=1)
-            machine_harness.platform.asked = (*machine_harness.platform.asked, second)
+            machine_harness.platform.requested_waves = (
+                *machine_harness.platform.requested_waves,
+                second,
+            )
             for round_number in range(40):
                 machine_harness.publish_demand("antenna", free=True)
                 if round_number == 20:
@@ -411,7 +416,7 @@
 
         run_scenario(scenario())
 
-    def test_a_machine_is_asked_for_again_only_when_it_is_given(self) -> None:
+    def test_a_refused_order_is_repeated_only_while_the_worker_is_offered(self) -> None:
         """Lasting tasks that end with a machine which its scheduler had taken back.
 
         The order was refused at first, and repeated without asking the scheduler again.
@@ -419,7 +424,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             machine_harness.platform.busy = {"m0", "m1"}
             await machine_harness.start()
             for _ in range(30):
@@ -434,8 +439,10 @@
 
         run_scenario(scenario())
 
-    @parameterized.expand([("a wave with time", 30.0, 0), ("a wave in haste", 8.0, 2)])
-    def test_a_wave_lets_a_turn_pass(self, _name: str, duration_s: float, begun: int) -> None:
+    @parameterized.expand([("enough_time", 30.0, 0), ("little_time", 8.0, 2)])
+    def test_a_wave_yields_to_a_burst_unless_its_time_runs_short(
+        self, _name: str, duration_s: float, begun: int
+    ) -> None:
         """Callers of a turn wait, as machines that their queue lacks are down for upkeep.
 
         Two machines at a time, four in all: eight seconds of upkeep, of the thirty that the wave
@@ -449,14 +456,16 @@
             maintenance_wave = MaintenanceWave(
                 wave=1, machines=machines, duration_s=duration_s, most_at_once=2
             )
-            machine_harness.platform.asked = (maintenance_wave,)
-            machine_harness.follow_keeper()
+            machine_harness.platform.requested_waves = (maintenance_wave,)
+            machine_harness.store_predecessor_record()
             machine_harness.publish_demand("antenna", free=True)
             machine_harness.publish_demand("coverage", lacking=3)
             await machine_harness.start()
             await asyncio.sleep(1.5)
-            upkeeps = [order for order in machine_harness.platform.orders if order[0] == "upkeep"]
-            self.assertEqual(begun, len(upkeeps))
+            maintenance_orders = [
+                order for order in machine_harness.platform.orders if order[0] == "upkeep"
+            ]
+            self.assertEqual(begun, len(maintenance_orders))
             if not begun:
                 self.assertEqual(2, len(machine_harness.moves()))
             for _ in range(60):
@@ -468,7 +477,7 @@
 
         run_scenario(scenario())
 
-    def test_a_lost_answer_is_no_second_slot(self) -> None:
+    def test_a_lost_answer_does_not_free_the_slot(self) -> None:
         """More machines down than the wave allows, after an order without an answer.
 
         The order is carried out and its answer is lost. The machine's slot was taken before, and
@@ -477,24 +486,24 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=4)
-            machine_harness.platform.lose_answers = True
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.drop_answers = True
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             await machine_harness.start()
             for _ in range(150):
                 machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
-            self.assertEqual(1, machine_harness.platform.most_down)
+            self.assertEqual(1, machine_harness.platform.max_down)
             self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
             machine_harness.stop()
 
         run_scenario(scenario())
 
-    def test_a_new_keeper_waits_before_its_first_order(self) -> None:
+    def test_a_new_controller_waits_before_its_first_order(self) -> None:
         """Two holders that take turns on a machine within the time that is allowed apart."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             machine_harness.publish_demand("antenna", free=True)
             begun_s = asyncio.get_running_loop().time()
             await machine_harness.start()
@@ -504,7 +513,7 @@
 
         run_scenario(scenario())
 
-    def test_a_new_keeper_orders_at_once_what_its_predecessor_left_alone(self) -> None:
+    def test_a_new_controller_orders_machines_without_recent_orders_at_once(self) -> None:
         """Callers waited three seconds for machines whenever the keeper changed in their turn.
 
         The keeper's instance is stopped as a queue's turn begins. Its successor let the time pass
@@ -514,7 +523,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2, spare=3)
-            machine_harness.follow_keeper("m2")
+            machine_harness.store_predecessor_record("m2")
             begun_s = asyncio.get_running_loop().time()
             machine_harness.publish_demand("antenna", lacking=3)
             await machine_harness.start()
@@ -527,7 +536,7 @@
 
         run_scenario(scenario())
 
-    def test_machines_that_were_ordered_long_ago_are_not_named(self) -> None:
+    def test_machines_ordered_long_ago_are_pruned_from_the_record(self) -> None:
         """A turn's machines stayed out of reach for three seconds after the keeper had changed.
 
         They were ordered in the turn before, and the keeper had had nothing to do since.
@@ -535,14 +544,14 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1, spare=2)
-            machine_harness.follow_keeper()
+            machine_harness.store_predecessor_record()
             machine_harness.publish_demand("antenna", lacking=2)
             await machine_harness.start()
             await asyncio.sleep(1.0)
             machine_harness.publish_demand("antenna")
-            self.assertEqual(("m1", "m2"), machine_harness.named())
+            self.assertEqual(("m1", "m2"), machine_harness.announced_machines())
             await asyncio.sleep(5.0)
-            self.assertEqual((), machine_harness.named())
+            self.assertEqual((), machine_harness.announced_machines())
             machine_harness.stop()
 
         run_scenario(scenario())
@@ -554,24 +563,24 @@
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2, spare=2)
             if order == "upkeep":
-                machine_harness.platform.asked = (wave(machine_harness, most=2),)
+                machine_harness.platform.requested_waves = (wave(machine_harness, most=2),)
                 machine_harness.publish_demand("antenna", free=True)
             else:
                 machine_harness.publish_demand("antenna", lacking=2)
             await machine_harness.start()
             await asyncio.sleep(5.0)
             self.assertTrue(machine_harness.platform.orders)
-            self.assertEqual([], machine_harness.unnamed)
+            self.assertEqual([], machine_harness.unannounced)
             machine_harness.stop()
 
         run_scenario(scenario())
 
-    def test_no_order_is_given_that_the_store_has_not_taken(self) -> None:
+    def test_no_order_is_given_when_the_store_rejects_its_announcement(self) -> None:
         """A keeper whose key is another's by now orders a machine that it can't name."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2, spare=2)
-            machine_harness.follow_keeper()
+            machine_harness.store_predecessor_record()
             lease = await machine_harness.start()
             await asyncio.sleep(0.5)
             machine_harness.store.delete(lease.key)
@@ -582,7 +591,7 @@
 
         run_scenario(scenario())
 
-    def test_a_word_taken_back_is_heard_before_the_order(self) -> None:
+    def test_a_withdrawn_offer_is_read_before_the_order(self) -> None:
         """Lasting tasks ended by upkeep on a worker that its scheduler had taken back.
 
         The keeper's copy of the scheduler's word is old; it reads the word once more.
@@ -590,7 +599,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1)
-            machine_harness.platform.asked = (wave(machine_harness, most=1),)
+            machine_harness.platform.requested_waves = (wave(machine_harness, most=1),)
             await machine_harness.start()
             machine_harness.publish_demand("antenna", free=True)
             await asyncio.sleep(1)
@@ -605,7 +614,7 @@
 
 
 class MoveTests(unittest.TestCase):
-    def test_a_turn_borrows_and_gives_back(self) -> None:
+    def test_a_burst_borrows_machines_and_returns_them(self) -> None:
         """Machines go where callers wait, from the standby pool first, and home afterwards."""
 
         async def scenario() -> None:
@@ -627,7 +636,7 @@
 
         run_scenario(scenario())
 
-    def test_machines_on_their_way_are_counted(self) -> None:
+    def test_machines_in_flight_count_towards_demand(self) -> None:
         """A need that is told again and again is met once."""
 
         async def scenario() -> None:
@@ -641,7 +650,7 @@
 
         run_scenario(scenario())
 
-    def test_a_machine_that_has_come_is_not_counted_twice(self) -> None:
+    def test_an_arrived_machine_is_not_counted_twice(self) -> None:
         """A turn's callers wait for machines, since those that came still count as on their way.
 
         Two machines are asked for and arrive; the scheduler counts them as its own, and says that
@@ -650,7 +659,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1, spare=5)
-            machine_harness.follow_keeper()
+            machine_harness.store_predecessor_record()
             machine_harness.publish_demand("antenna", lacking=2)
             await machine_harness.start()
             await asyncio.sleep(MOVE_S)
@@ -661,7 +670,7 @@
 
         run_scenario(scenario())
 
-    def test_a_slow_store_delays_a_turns_machines_once(self) -> None:
+    def test_a_slow_store_delays_all_moves_of_a_burst_only_once(self) -> None:
         """A turn waits for seconds for machines that are idle, while the store is slow.
 
         Before each order the lender's word is read once more, which takes 0.3 s here.
@@ -669,7 +678,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2, coverage=16)
-            machine_harness.follow_keeper()
+            machine_harness.store_predecessor_record()
             machine_harness.publish_demand("coverage", free=True)
             machine_harness.publish_demand("antenna", lacking=8)
             await machine_harness.start(answer_s=0.3)
@@ -679,7 +688,7 @@
 
         run_scenario(scenario())
 
-    def test_late_work_is_kept_off_for_all_that_a_turn_lacks(self) -> None:
+    def test_recalls_cover_all_machines_that_a_burst_lacks(self) -> None:
         """A turn is lost while the one before it works off jobs that are late anyway.
 
         A pool of one has borrowed four machines, all busy. The next queue has its own machines, and
@@ -688,7 +697,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1, coverage=1, spare=4)
-            machine_harness.follow_keeper()
+            machine_harness.store_predecessor_record()
             machine_harness.publish_demand("antenna", lacking=4)
             await machine_harness.start()
             await asyncio.sleep(2.0)
@@ -704,7 +713,7 @@
 
         run_scenario(scenario())
 
-    def test_the_next_turn_takes_machines_where_they_stand(self) -> None:
+    def test_the_next_burst_borrows_idle_machines_directly(self) -> None:
         """A queue's turn waits 1.5 s longer, as the machines of the last one were just sent away.
 
         One queue's turn ends, and the next one's begins a second later. The machines that the
@@ -713,7 +722,7 @@
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1, coverage=1, spare=4)
-            machine_harness.follow_keeper()
+            machine_harness.store_predecessor_record()
             machine_harness.publish_demand("antenna", lacking=4)
             await machine_harness.start()
             await asyncio.sleep(3.0)
@@ -732,7 +741,7 @@
 
         run_scenario(scenario())
 
-    def test_taken_workers_are_told_at_once(self) -> None:
+    def test_removed_workers_are_published_at_once(self) -> None:
         """Tasks that wait five seconds for the lease of a worker that was taken away."""
 
         async def scenario() -> None:
@@ -748,7 +757,7 @@
 
         run_scenario(scenario())
 
-    def test_a_new_keeper_tells_on_what_the_last_one_took(self) -> None:
+    def test_a_new_controller_republishes_removals_of_its_predecessor(self) -> None:
         """Jobs stand still for 10 s after a scheduler and the keeper were killed together.
 
         The new scheduler waits for the leases of workers that the last keeper has taken away; the
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -19,14 +19,14 @@
         """Return what the keeper is told, some time after the jobs' arrival."""
         return self.sizer.assess(frozenset(due), now_s=self.now_s, wall_s=WALL_S + after_s)
 
-    def arrive(self, job_id: str, at_s: float, count: int) -> None:
+    def add_arrival(self, job_id: str, at_s: float, count: int) -> None:
         """Let a job of so many core-seconds arrive."""
         wall_s = WALL_S + at_s
         self.add_job(job(job_id, step(count), accepted_s=wall_s), wall_s=wall_s)
 
 
-class LackTests(unittest.TestCase):
-    def test_a_turn_that_begins_asks_for_machines(self) -> None:
+class LackingTests(unittest.TestCase):
+    def test_a_burst_requests_machines_at_once(self) -> None:
         """Callers of a queue's turn wait while other pools are idle.
 
         Within a moment twelve core-seconds arrive at a pool of four cores: it asks for machines at
@@ -45,7 +45,7 @@
         harness.start_orders()
         self.assertEqual(0, harness.assess().lacking)
 
-    def test_a_large_pool_asks_for_several_times_what_it_has(self) -> None:
+    def test_a_large_pool_requests_several_times_its_size(self) -> None:
         """A turn on a large pool waits for machines though hundreds are idle elsewhere.
 
         Sixty workers of four cores get in a second five times what they can work off. The most that
@@ -53,21 +53,21 @@
         """
         harness = SizingHarness(*(f"w{number}" for number in range(60)))
         for number in range(100):
-            harness.arrive(f"j{number}", at_s=number * 0.01, count=12)
+            harness.add_arrival(f"j{number}", at_s=number * 0.01, count=12)
         harness.start_orders()
         self.assertGreaterEqual(harness.assess(after_s=1.0).lacking, 240)
 
-    def test_an_empty_pool_asks_for_one(self) -> None:
+    def test_an_empty_pool_requests_one_machine(self) -> None:
         """Whatever the size of its tasks."""
         harness = SizingHarness()
         harness.add_job(job("j", step(1, cpu_millicores=1)))
         self.assertEqual(1, harness.assess().lacking)
 
 
-class OnsetTests(unittest.TestCase):
+class BurstOnsetTests(unittest.TestCase):
     """A queue's turn: calm, and then several times what its pool holds, from one moment on."""
 
-    def test_a_turn_is_asked_for_in_full_soon_after_its_start(self) -> None:
+    def test_a_burst_is_requested_in_full_soon_after_its_start(self) -> None:
         """The first second of a turn is late, and with it all that waits behind it.
 
         Clips of three core-seconds come every tenth of a second, so the turn takes 30 cores. After
@@ -75,22 +75,22 @@
         """
         harness = SizingHarness("a")
         for number in range(5):
-            harness.arrive(f"j{number}", at_s=number * 0.1, count=3)
+            harness.add_arrival(f"j{number}", at_s=number * 0.1, count=3)
         self.assertGreaterEqual(harness.assess(after_s=0.4).lacking, (30 - 4) // 4)
 
-    def test_a_few_jobs_at_once_are_no_turn(self) -> None:
+    def test_a_few_concurrent_jobs_are_not_a_burst(self) -> None:
         """Three jobs that come close together are carried by the pool's own workers."""
         harness = SizingHarness("a", "b", "c", "d")
         for number in range(3):
-            harness.arrive(f"j{number}", at_s=number * 0.1, count=3)
+            harness.add_arrival(f"j{number}", at_s=number * 0.1, count=3)
         harness.start_orders()
         self.assertEqual(0, harness.assess(after_s=0.3).lacking)
 
-    def test_machines_are_lacking_while_all_that_came_runs(self) -> None:
+    def test_machines_are_lacking_while_all_tasks_run(self) -> None:
         """A turn stands still at the machines that came first, since for a moment nothing waits."""
         harness = SizingHarness("a", "b")
         for number in range(8):
-            harness.arrive(f"j{number}", at_s=number * 0.1, count=3)
+            harness.add_arrival(f"j{number}", at_s=number * 0.1, count=3)
         harness.start_orders()
         for worker_id in ("a", "b"):
             harness.worker(worker_id).view = view(worker_id, cpu_millicores=12_000)
@@ -99,8 +99,8 @@
         self.assertEqual(1, harness.assess(after_s=0.75).lacking)
 
 
-class YieldTests(unittest.TestCase):
-    def test_late_work_leaves_borrowed_workers(self) -> None:
+class LateWorkTests(unittest.TestCase):
+    def test_late_work_is_kept_off_recalled_workers(self) -> None:
         """A queue's turn is lost while late jobs of another keep its lent machines busy.
 
         Asked to give one worker back, the scheduler starts late jobs on the others only; jobs that
@@ -122,7 +122,7 @@
 
 
 class OfferTests(unittest.TestCase):
-    def test_idle_workers_are_offered_and_taken_back(self) -> None:
+    def test_idle_workers_are_offered_and_withdrawn(self) -> None:
         """A worker may be lent between turns, and serves again as soon as tasks wait.
 
         Lasting tasks are not placed on it for a while: an order to take it may be on its way.
@@ -139,7 +139,7 @@
         harness.now_s += 3.1
         self.assertEqual(["lasts"], [order.run.name.job_id for order in harness.start_orders()])
 
-    def test_a_job_takes_back_what_it_needs_and_no_more(self) -> None:
+    def test_a_job_withdraws_only_the_offers_it_needs(self) -> None:
         """A turn gets none of ten idle machines, as a job of another queue has just come.
 
         The job needs one machine; three more are kept beside it.
@@ -156,7 +156,7 @@
         harness.now_s += 0.1
         self.assertEqual(9, len(harness.assess().free))
 
-    def test_workers_are_held_for_lasting_tasks_that_may_be_lost(self) -> None:
+    def test_workers_are_reserved_for_lasting_tasks_that_may_be_lost(self) -> None:
         """A lasting task is down for 10 s, since all idle machines were offered as its worker died.
 
         Its worker has been silent for two seconds. Room for the task and three machines more are
@@ -187,7 +187,7 @@
         self.assertEqual(5, len(harness.assess().free))
         self.assertFalse(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
 
-    def test_work_in_time_takes_back_what_was_to_be_given_up(self) -> None:
+    def test_work_in_time_withdraws_offers_of_yielding_workers(self) -> None:
         """A queue's own callers are late, since its machines were given up for another's turn."""
         harness = SizingHarness(*"abcdefgh")
         harness.add_job(job("late", step(4 * 20), accepted_s=WALL_S - 60.0))
@@ -201,7 +201,7 @@
         started = [order for order in harness.start_orders() if order.run.name.job_id == "in time"]
         self.assertEqual(8, len(started))
 
-    def test_tasks_that_not_any_worker_may_run_hold_all(self) -> None:
+    def test_tasks_with_placement_constraints_reserve_all_workers(self) -> None:
         """Where more than room decides, no guess is made."""
         harness = SizingHarness(*"abcdef")
         harness.assess()
@@ -209,7 +209,7 @@
         harness.add_job(job("j", step(1, label="big")))
         self.assertEqual((), harness.assess().free)
 
-    def test_busy_workers_are_kept(self) -> None:
+    def test_busy_workers_are_not_offered(self) -> None:
         """What runs is not taken away."""
         harness = SizingHarness("a", "b")
         harness.add_job(job("j", step(1)))
@@ -220,8 +220,8 @@
         self.assertNotIn(run.worker_id, harness.assess().free)
 
 
-class EmptyingTests(unittest.TestCase):
-    def test_a_due_worker_is_free_when_nothing_lasting_is_left(self) -> None:
+class DrainingTests(unittest.TestCase):
+    def test_a_due_worker_is_offered_once_no_lasting_task_is_left(self) -> None:
         """Maintenance that ends a serving task, or waits for ever for tasks that end.
 
         A due worker takes nothing new. It is told to be free once its lasting tasks have moved
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -14,7 +14,7 @@
 from tests.scheduling_fakes import quiet_log
 from tests.virtual_clock import run_scenario
 
-TOLD_S = 1.2
+NOTIFIED_WITHIN_S = 1.2
 """A watch without a wait times out after 0.65 s, and is sent again 0.4 s later at the latest."""
 
 
@@ -23,15 +23,15 @@
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
-        self.told: list[str] = []
+        self.notifications: list[str] = []
 
     def on_write(self, item: Item) -> None:
         self.values[item.key] = item.value
-        self.told.append(f"{item.key}={item.value.decode()}")
+        self.notifications.append(f"{item.key}={item.value.decode()}")
 
     def on_delete(self, key: str, revision: int) -> None:
         del self.values[key]
-        self.told.append(f"{key} gone")
+        self.notifications.append(f"{key} gone")
 
 
 class PrefixWatcherTests(unittest.TestCase):
@@ -48,12 +48,12 @@
             await asyncio.sleep(0.5)
             store.delete("a/1")
             await asyncio.sleep(0.5)
-            self.assertEqual(["a/1=x", "a/2=y", "a/1 gone"], listener.told)
+            self.assertEqual(["a/1=x", "a/2=y", "a/1 gone"], listener.notifications)
             task.cancel()
 
         run_scenario(scenario())
 
-    def test_more_keys_than_a_page(self) -> None:
+    def test_reads_more_keys_than_fit_in_a_page(self) -> None:
         """All of them are read."""
 
         async def scenario() -> None:
@@ -67,7 +67,7 @@
 
         run_scenario(scenario())
 
-    def test_what_happened_in_an_outage_is_told_soon_after_it(self) -> None:
+    def test_changes_during_an_outage_are_reported_soon_after_it(self) -> None:
         """Duties stood still for two seconds after the store was back.
 
         A watch waits for a second at the store, and for its answer beyond that; the one that was
@@ -87,13 +87,13 @@
                 key = f"a/{outage_s}"
                 store.put(key, b"")
                 view.faults.is_silent = False
-                await asyncio.sleep(TOLD_S)
+                await asyncio.sleep(NOTIFIED_WITHIN_S)
                 self.assertIn(key, listener.values)
             following.cancel()
 
         run_scenario(scenario())
 
-    def test_nothing_is_missed_when_history_is_forgotten(self) -> None:
+    def test_rereads_all_keys_when_history_is_compacted(self) -> None:
         """A configuration that never comes into force, after the store dropped its history.
 
         While the watch can't be answered, a key is written and another deleted, and the store
@@ -120,18 +120,18 @@
         run_scenario(scenario())
 
 
-class BusyStore:
+class HighChurnStore:
     """A store in which keys change all the time, and whose answers hold so many changes at most."""
 
-    CHANGES_A_SECOND = 1_500
-    MOST_EVENTS = 500
-    ANSWER_S = 0.004
+    CHANGES_PER_S = 1_500
+    MAX_EVENTS_PER_ANSWER = 500
+    ANSWER_LATENCY_S = 0.004
     KEYS = 1_500
 
     @property
     def revision(self) -> int:
         """The store's revision now."""
-        return 1 + int(asyncio.get_running_loop().time() * self.CHANGES_A_SECOND)
+        return 1 + int(asyncio.get_running_loop().time() * self.CHANGES_PER_S)
 
     async def read_page(self, prefix: str, *, after: str = "") -> Result[Page, Failure]:
         """Nothing yet."""
@@ -141,8 +141,8 @@
         self, prefix: str, *, after_revision: int, wait_s: float
     ) -> Result[Changes, Failure]:
         """Return the first changes after a revision."""
-        await asyncio.sleep(self.ANSWER_S)
-        until = min(self.revision, after_revision + self.MOST_EVENTS)
+        await asyncio.sleep(self.ANSWER_LATENCY_S)
+        until = min(self.revision, after_revision + self.MAX_EVENTS_PER_ANSWER)
         events = tuple(
             Item(key=f"a/{one % self.KEYS}", value=b"", revision=one, created=1)
             for one in range(after_revision + 1, until + 1)
@@ -150,8 +150,8 @@
         return Success(Changes(events=events, revision=until))
 
 
-class LagTests(unittest.TestCase):
-    def test_a_watcher_keeps_up_with_changes_that_come_faster_than_an_answer_holds(self) -> None:
+class WatchLagTests(unittest.TestCase):
+    def test_a_watcher_keeps_up_with_changes_that_exceed_one_answer(self) -> None:
         """A worker gets new tasks five seconds after it said that it leaves.
 
         Fifteen hundred workers write their entries every second or so. The watcher of them asked
@@ -159,7 +159,7 @@
         """
 
         async def scenario() -> None:
-            store, listener = BusyStore(), Listener()
+            store, listener = HighChurnStore(), Listener()
             latest = 0
 
             def on_write(item: Item) -> None:
@@ -176,14 +176,14 @@
             )
             task = asyncio.create_task(watcher.run())
             await asyncio.sleep(10.0)
-            self.assertLess(store.revision - latest, store.CHANGES_A_SECOND)
+            self.assertLess(store.revision - latest, store.CHANGES_PER_S)
             task.cancel()
 
         run_scenario(scenario())
 
 
 class HeldLeaseTests(unittest.TestCase):
-    def test_one_holder_at_a_time_and_tokens_rise(self) -> None:
+    def test_one_holder_at_a_time_with_increasing_tokens(self) -> None:
         """A second bid fails until the key is free; its token is higher."""
 
         async def scenario() -> None:
@@ -198,7 +198,9 @@
         run_scenario(scenario())
 
     @parameterized.expand([("down", {"is_down": True}), ("silent", {"is_silent": True})])
-    def test_no_orders_after_the_grace(self, _name: str, faults: dict[str, bool]) -> None:
+    def test_lease_is_invalid_after_the_grace_period(
+        self, _name: str, faults: dict[str, bool]
+    ) -> None:
         """Two schedulers at once, after one was cut from the store.
 
         A holder that can't renew acts on through a short outage, and no longer than the grace that
@@ -209,7 +211,7 @@
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
             lease = await acquire(view, key="key", marker_key="mark")
-            keep = asyncio.create_task(lease.renew_until_lost())
+            renewal = asyncio.create_task(lease.renew_until_lost())
             await asyncio.sleep(3)
             self.assertTrue(lease.is_valid)
             view.faults = RecordFaults(**faults)  # type: ignore[arg-type]
@@ -222,13 +224,13 @@
             await asyncio.sleep(1.5)
             self.assertFalse(lease.is_valid)
             self.assertTrue(lease.lost_event.is_set())
-            keep.cancel()
+            renewal.cancel()
 
         run_scenario(scenario())
 
     @parameterized.expand([("kept", False, True), ("revoked", True, False)])
-    def test_a_duty_goes_on_where_leases_stood_still(
-        self, _name: str, is_revoked: bool, goes_on: bool
+    def test_a_suspended_lease_resumes_if_its_key_still_exists(
+        self, _name: str, is_revoked: bool, resumes: bool
     ) -> None:
         """No orders for seconds after an outage of the store, though nothing was lost by it.
 
@@ -241,7 +243,7 @@
             store = RecordStore(rng=random.Random(1))
             view = FaultInjectingStore(store=store)
             lease = await acquire(view, key="key", marker_key="mark")
-            keep = asyncio.create_task(lease.renew_until_lost())
+            renewal = asyncio.create_task(lease.renew_until_lost())
             await asyncio.sleep(1)
             view.faults.is_silent = True
             store.are_leases_paused = True
@@ -253,23 +255,23 @@
             view.faults.is_silent = False
             await asyncio.sleep(1.2)
             store.are_leases_paused = False
-            self.assertEqual(goes_on, lease.is_valid)
-            self.assertEqual(not goes_on, lease.lost_event.is_set())
-            keep.cancel()
+            self.assertEqual(resumes, lease.is_valid)
+            self.assertEqual(not resumes, lease.lost_event.is_set())
+            renewal.cancel()
 
         run_scenario(scenario())
 
-    def test_a_lapsed_lease_is_noticed(self) -> None:
+    def test_a_renewal_detects_an_expired_lease(self) -> None:
         """The duty ends with the first renewal that finds the lease gone."""
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             lease = await acquire(FaultInjectingStore(store=store), key="key", marker_key="mark")
-            keep = asyncio.create_task(lease.renew_until_lost())
+            renewal = asyncio.create_task(lease.renew_until_lost())
             store.revoke_lease(1)
             await asyncio.sleep(0.6)
             self.assertTrue(lease.lost_event.is_set())
-            keep.cancel()
+            renewal.cancel()
 
         run_scenario(scenario())
 
