--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.scheduling.MachineController`: waves of upkeep and moves between pools."""
+"""Tests of `shallotworks.scheduling.MachineController`: maintenance waves and pool moves."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Platform:
-    """Machines that go down for upkeep and move, and a judge of how many are down."""
+    """Simulates maintenance and moves of machines, and counts how many are down at once."""
 
     def __init__(self, **pools: int) -> None:
         self.machines: dict[str, Machine] = {}
@@ -47,7 +47,7 @@
         self.drop_answers = False
         self.on_order: Callable[[str], None] = lambda _machine: None
         self.busy: set[str] = set()
-        """Machines that take no order at present."""
+        """Machines that refuse orders for now."""
         self._worker_count = 0
         for pool, count in pools.items():
             for _ in range(count):
@@ -87,7 +87,7 @@
         return MachineOrderStatus.OBEYED
 
     def crash(self, name: str) -> None:
-        """Let a machine's worker end; another one is on it at once."""
+        """End the worker of a machine; a new worker replaces it at once."""
         pool = self.machines[name].pool
         self.machines[name] = Machine(
             name=name, pool=pool, state=MachineState.UP, worker_id=self._new_worker_id()
@@ -115,7 +115,7 @@
 
 
 class MachineHarness:
-    """A keeper with its platform and store."""
+    """A machine controller with its platform and store."""
 
     def __init__(self, **pools: int) -> None:
         self.platform = Platform(**pools)
@@ -124,7 +124,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.controller: MachineController | None = None
         self.unannounced: list[str] = []
-        """Machines that were ordered before the keeper had named them in the store."""
+        """Machines that were ordered before the controller had named them in the store."""
         self.platform.on_order = self._check_announced
 
     def _check_announced(self, machine: str) -> None:
@@ -133,18 +133,18 @@
             self.unannounced.append(machine)
 
     def store_predecessor_record(self, *ordered: str) -> None:
-        """Let an earlier keeper have ordered some machines of late, and no others."""
+        """Store a predecessor's record that names the machines it ordered recently."""
         stored_record = MachineControllerRecord(ordered=tuple(ordered))
         self.store.put(MACHINES_PREFIX + "keeper", stored_record.encode())
 
     def announced_machines(self) -> tuple[str, ...] | None:
-        """Return the machines that the keeper's word in the store names as ordered."""
+        """Return the machines that the controller's stored record names as ordered."""
         return MachineControllerRecord.decode(
             self.store.items[MACHINES_PREFIX + "keeper"].value
         ).ordered
 
     async def start(self, *, answer_s: float = 0.0) -> HeldLease:
-        """Start a keeper, whose store answers this much later."""
+        """Start a controller whose store answers with a delay of ``answer_s``."""
         view = FaultInjectingStore(store=self.store)
         clock = asyncio.get_running_loop().time
         lease = await acquire(view, key="keeper", marker_key="mark")
@@ -172,7 +172,7 @@
     def publish_demand(
         self, service: str, *, lacking: int = 0, free: bool = False, woke: int = 0
     ) -> None:
-        """Let a service's scheduler tell its need; free means all of its workers."""
+        """Publish the demand of a service; ``free`` offers all of its workers."""
         workers = [
             one.worker_id
             for one in self.platform.machines.values()
@@ -182,15 +182,15 @@
         self.store.put(pool_demand_key(service), demand.encode())
 
     def moves(self) -> list[tuple[str, str, float]]:
-        """Return the moves that were ordered."""
+        """Return the ordered moves."""
         return [order for order in self.platform.orders if order[0].startswith("move")]
 
     def size(self, pool: str) -> int:
-        """Return a pool's machines."""
+        """Return the number of machines in a pool."""
         return sum(1 for one in self.platform.machines.values() if one.pool == pool)
 
     def stop(self) -> None:
-        """Stop the keeper."""
+        """Stop the controller."""
         for task in self.tasks:
             task.cancel()
 
@@ -204,10 +204,9 @@
 
 class LargeFleetTests(unittest.TestCase):
     def test_a_burst_on_a_large_fleet_gets_its_machines_within_two_rounds(self) -> None:
-        """A queue's first seconds are late, since its machines come sixteen at a time.
+        """Guards against a late first few seconds of a burst because machines come 16 at a time.
 
-        A queue lacks 120 machines, and 190 of 400 are idle or off. They are all ordered within two
-        rounds of the keeper, also where the store takes a tenth of a second for each call.
+        120 machines are lacking, 190 of 400 are idle or off; each store call takes 0.1 s.
         """
 
         async def scenario() -> None:
@@ -228,7 +227,7 @@
 
 class WaveTests(unittest.TestCase):
     def test_a_wave_maintains_each_machine_once_within_its_limit(self) -> None:
-        """Free workers go down, machines that are off too; then the wave is completed."""
+        """Offered machines and machines that are off are maintained; then the wave completes."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=4, spare=2)
@@ -245,7 +244,7 @@
         run_scenario(scenario())
 
     def test_a_wave_waits_for_workers_with_lasting_tasks(self) -> None:
-        """Nothing is taken down that its scheduler does not give; it is told what is due."""
+        """Only offered machines are taken down; the scheduler learns which workers are due."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
@@ -261,10 +260,9 @@
         run_scenario(scenario())
 
     def test_a_wave_waits_for_a_temporarily_unlisted_machine(self) -> None:
-        """A wave told to be completed while machines of it never had their upkeep.
+        """Guards against a wave reported as completed although some machines were not maintained.
 
-        A rack loses power in the middle of the wave, and its machines are not in the list until it
-        is back, eight seconds later. They were taken for machines that had left.
+        A rack without power is not listed for 8 s; its machines were taken for removed ones.
         """
 
         async def scenario() -> None:
@@ -287,7 +285,7 @@
         run_scenario(scenario())
 
     def test_a_wave_completes_without_a_removed_machine(self) -> None:
-        """Once the wave's time is over it is completed without it."""
+        """Once the wave's time is over, it completes without machines that are no longer listed."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
@@ -303,10 +301,9 @@
         run_scenario(scenario())
 
     def test_a_worker_crash_does_not_count_as_maintenance(self) -> None:
-        """A wave told to be completed, and a machine of it has not had its upkeep.
+        """Guards against a wave reported as completed although a machine was not maintained.
 
-        A machine takes no order, since its worker is about to leave. Its slot is taken already; the
-        worker crashes, and another one is seen on the machine, as after an upkeep.
+        It refused the order, held a slot, and its crashed worker was replaced as in maintenance.
         """
 
         async def scenario() -> None:
@@ -332,11 +329,9 @@
         run_scenario(scenario())
 
     def test_a_repeated_order_does_not_report_the_new_worker_as_removed(self) -> None:
-        """A task that runs twice at once.
+        """Guards against a task that runs twice, since its worker was wrongly reported as removed.
 
-        A machine's order is not answered, its upkeep begins and ends while no list shows it, and
-        the order that is given again is obeyed without effect. The worker on the machine lives on;
-        its scheduler was told that it is over, and started its tasks again.
+        After unlisted maintenance, the repeated order is obeyed without effect on the new worker.
         """
 
         async def scenario() -> None:
@@ -360,7 +355,7 @@
         run_scenario(scenario())
 
     def test_a_new_controller_does_not_repeat_maintenance_that_has_begun(self) -> None:
-        """Workers emptied and asked for again, for an upkeep that their machines have had."""
+        """Guards against draining workers again for maintenance that their machines have had."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
@@ -390,7 +385,7 @@
         run_scenario(scenario())
 
     def test_a_second_wave_does_not_inherit_progress_of_the_first(self) -> None:
-        """The same for a machine that has had its upkeep in an earlier wave."""
+        """Guards against a crash that counts as maintenance because of an earlier wave."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1)
@@ -417,9 +412,9 @@
         run_scenario(scenario())
 
     def test_a_refused_order_is_repeated_only_while_the_worker_is_offered(self) -> None:
-        """Lasting tasks that end with a machine which its scheduler had taken back.
+        """Guards against lasting tasks that end with a machine whose offer was withdrawn.
 
-        The order was refused at first, and repeated without asking the scheduler again.
+        The order was refused at first and repeated without reading the demand again.
         """
 
         async def scenario() -> None:
@@ -443,11 +438,9 @@
     def test_a_wave_yields_to_a_burst_unless_its_time_runs_short(
         self, _name: str, duration_s: float, begun: int
     ) -> None:
-        """Callers of a turn wait, as machines that their queue lacks are down for upkeep.
+        """Guards against callers of a burst that wait while a wave takes their machines down.
 
-        Two machines at a time, four in all: eight seconds of upkeep, of the thirty that the wave
-        has. It waits while a queue lacks machines, which may borrow those of the wave meanwhile,
-        and goes on when the turn is over; a wave whose own time runs short goes on beside it.
+        Four machines, two at a time, take 8 s; the wave yields if it has 30 s, but not with 8 s.
         """
 
         async def scenario() -> None:
@@ -478,10 +471,9 @@
         run_scenario(scenario())
 
     def test_a_lost_answer_does_not_free_the_slot(self) -> None:
-        """More machines down than the wave allows, after an order without an answer.
+        """Guards against more machines down than the wave allows, after a lost answer.
 
-        The order is carried out and its answer is lost. The machine's slot was taken before, and
-        stays taken until another worker is seen on it.
+        The order was carried out; its slot stays taken until another worker is on the machine.
         """
 
         async def scenario() -> None:
@@ -499,7 +491,7 @@
         run_scenario(scenario())
 
     def test_a_new_controller_waits_before_its_first_order(self) -> None:
-        """Two holders that take turns on a machine within the time that is allowed apart."""
+        """Guards against orders of two holders for a machine within less than the minimum time."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2)
@@ -514,11 +506,9 @@
         run_scenario(scenario())
 
     def test_a_new_controller_orders_machines_without_recent_orders_at_once(self) -> None:
-        """Callers waited three seconds for machines whenever the keeper changed in their turn.
+        """Guards against a 3 s wait for machines if the controller is replaced during a burst.
 
-        The keeper's instance is stopped as a queue's turn begins. Its successor let the time pass
-        in which its predecessor may have ordered any machine; only those that it named in the
-        store may have been ordered.
+        The successor must delay only machines that its predecessor named in the store.
         """
 
         async def scenario() -> None:
@@ -537,9 +527,9 @@
         run_scenario(scenario())
 
     def test_machines_ordered_long_ago_are_pruned_from_the_record(self) -> None:
-        """A turn's machines stayed out of reach for three seconds after the keeper had changed.
+        """Guards against a 3 s wait for machines after a change of the controller.
 
-        They were ordered in the turn before, and the keeper had had nothing to do since.
+        They were ordered in the previous burst, and the idle controller still named them.
         """
 
         async def scenario() -> None:
@@ -558,7 +548,7 @@
 
     @parameterized.expand([("move",), ("upkeep",)])
     def test_a_machine_is_named_in_the_store_before_it_is_ordered(self, order: str) -> None:
-        """Two holders that take turns on a machine, since the second did not know of an order."""
+        """Guards against alternating orders of two holders, the second unaware of the first's."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2, spare=2)
@@ -576,7 +566,7 @@
         run_scenario(scenario())
 
     def test_no_order_is_given_when_the_store_rejects_its_announcement(self) -> None:
-        """A keeper whose key is another's by now orders a machine that it can't name."""
+        """Guards against orders of a controller that lost its lease and can't name the machine."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2, spare=2)
@@ -592,9 +582,9 @@
         run_scenario(scenario())
 
     def test_a_withdrawn_offer_is_read_before_the_order(self) -> None:
-        """Lasting tasks ended by upkeep on a worker that its scheduler had taken back.
+        """Guards against maintenance that ends lasting tasks on a worker whose offer was withdrawn.
 
-        The keeper's copy of the scheduler's word is old; it reads the word once more.
+        The controller's copy of the demand is stale, so it reads the stored demand again.
         """
 
         async def scenario() -> None:
@@ -615,7 +605,7 @@
 
 class MoveTests(unittest.TestCase):
     def test_a_burst_borrows_machines_and_returns_them(self) -> None:
-        """Machines go where callers wait, from the standby pool first, and home afterwards."""
+        """Machines move to the lacking pool, from the standby pool first, and return afterwards."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=2, coverage=3, spare=2)
@@ -637,7 +627,7 @@
         run_scenario(scenario())
 
     def test_machines_in_flight_count_towards_demand(self) -> None:
-        """A need that is told again and again is met once."""
+        """A demand that is published repeatedly is satisfied once."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1, spare=5)
@@ -651,10 +641,9 @@
         run_scenario(scenario())
 
     def test_an_arrived_machine_is_not_counted_twice(self) -> None:
-        """A turn's callers wait for machines, since those that came still count as on their way.
+        """Guards against callers that wait since arrived machines still count as in flight.
 
-        Two machines are asked for and arrive; the scheduler counts them as its own, and says that
-        it lacks two more.
+        Two machines arrive; the scheduler counts them as its own and lacks two more.
         """
 
         async def scenario() -> None:
@@ -671,9 +660,9 @@
         run_scenario(scenario())
 
     def test_a_slow_store_delays_all_moves_of_a_burst_only_once(self) -> None:
-        """A turn waits for seconds for machines that are idle, while the store is slow.
+        """Guards against a burst that waits seconds for idle machines while the store is slow.
 
-        Before each order the lender's word is read once more, which takes 0.3 s here.
+        Before each order the lender's demand is read again, which takes 0.3 s here.
         """
 
         async def scenario() -> None:
@@ -689,10 +678,9 @@
         run_scenario(scenario())
 
     def test_recalls_cover_all_machines_that_a_burst_lacks(self) -> None:
-        """A turn is lost while the one before it works off jobs that are late anyway.
+        """Guards against a burst that fails while the previous queue processes late jobs.
 
-        A pool of one has borrowed four machines, all busy. The next queue has its own machines, and
-        lacks three times as many; the borrower is asked to keep late work off all that it borrowed.
+        A pool of one borrowed four machines; the next queue lacks three times its own.
         """
 
         async def scenario() -> None:
@@ -714,10 +702,9 @@
         run_scenario(scenario())
 
     def test_the_next_burst_borrows_idle_machines_directly(self) -> None:
-        """A queue's turn waits 1.5 s longer, as the machines of the last one were just sent away.
+        """Guards against a burst that waits 1.5 s longer because idle machines were just returned.
 
-        One queue's turn ends, and the next one's begins a second later. The machines that the
-        first had borrowed go to the second straight, and home only when none asks for them.
+        It begins 1 s after the previous one ends; machines return only if no queue lacks them.
         """
 
         async def scenario() -> None:
@@ -742,7 +729,7 @@
         run_scenario(scenario())
 
     def test_removed_workers_are_published_at_once(self) -> None:
-        """Tasks that wait five seconds for the lease of a worker that was taken away."""
+        """Guards against tasks that wait 5 s for the lease of a removed worker to expire."""
 
         async def scenario() -> None:
             machine_harness = MachineHarness(antenna=1, coverage=1)
@@ -758,10 +745,9 @@
         run_scenario(scenario())
 
     def test_a_new_controller_republishes_removals_of_its_predecessor(self) -> None:
-        """Jobs stand still for 10 s after a scheduler and the keeper were killed together.
+        """Guards against jobs that stall for 10 s after scheduler and controller were both killed.
 
-        The new scheduler waits for the leases of workers that the last keeper has taken away; the
-        new keeper's first word did not name them any more.
+        The new controller did not name removed workers, so the scheduler waited for their leases.
         """
 
         async def scenario() -> None:
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.scheduling.PoolSizer`: demand that comes by turns."""
+"""Tests of `shallotworks.scheduling.PoolSizer`: demand that comes in bursts."""
 
 import unittest
 
@@ -9,28 +9,27 @@
 
 
 class SizingHarness(SchedulingHarness):
-    """A board with a sizer."""
+    """A scheduler state with a pool sizer."""
 
     def __init__(self, *names: str) -> None:
         super().__init__(*(view(name) for name in names))
         self.sizer = PoolSizer(scheduler_state=self.scheduler_state, limits=LIMITS)
 
     def assess(self, *due: str, after_s: float = 0.0) -> PoolDemand:
-        """Return what the keeper is told, some time after the jobs' arrival."""
+        """Return the demand to publish, some time after the jobs' arrival."""
         return self.sizer.assess(frozenset(due), now_s=self.now_s, wall_s=WALL_S + after_s)
 
     def add_arrival(self, job_id: str, at_s: float, count: int) -> None:
-        """Let a job of so many core-seconds arrive."""
+        """Add an arriving job with a number of core-seconds."""
         wall_s = WALL_S + at_s
         self.add_job(job(job_id, step(count), accepted_s=wall_s), wall_s=wall_s)
 
 
 class LackingTests(unittest.TestCase):
     def test_a_burst_requests_machines_at_once(self) -> None:
-        """Callers of a queue's turn wait while other pools are idle.
+        """Guards against callers that wait while other pools are idle.
 
-        Within a moment twelve core-seconds arrive at a pool of four cores: it asks for machines at
-        once, for what arrives and for what waits, not only when callers have waited for long.
+        12 core-seconds at a pool of 4 cores request machines for arriving and for waiting work.
         """
         harness = SizingHarness("a")
         for number in range(4):
@@ -39,17 +38,16 @@
         self.assertEqual(5, harness.assess().lacking)
 
     def test_nothing_is_lacking_while_nothing_waits(self) -> None:
-        """A full pool whose tasks all run needs no more."""
+        """A full pool whose tasks all run needs no more machines."""
         harness = SizingHarness("a")
         harness.add_job(job("j", step(4)))
         harness.start_orders()
         self.assertEqual(0, harness.assess().lacking)
 
     def test_a_large_pool_requests_several_times_its_size(self) -> None:
-        """A turn on a large pool waits for machines though hundreds are idle elsewhere.
+        """Guards against a request limit sized for 30 machines while hundreds are idle elsewhere.
 
-        Sixty workers of four cores get in a second five times what they can work off. The most that
-        was asked for at once was a number that suited thirty machines in all.
+        60 workers of 4 cores get five times the work that they can do in a second.
         """
         harness = SizingHarness(*(f"w{number}" for number in range(60)))
         for number in range(100):
@@ -58,20 +56,19 @@
         self.assertGreaterEqual(harness.assess(after_s=1.0).lacking, 240)
 
     def test_an_empty_pool_requests_one_machine(self) -> None:
-        """Whatever the size of its tasks."""
+        """A pool without machines requests one for any waiting task, however small."""
         harness = SizingHarness()
         harness.add_job(job("j", step(1, cpu_millicores=1)))
         self.assertEqual(1, harness.assess().lacking)
 
 
 class BurstOnsetTests(unittest.TestCase):
-    """A queue's turn: calm, and then several times what its pool holds, from one moment on."""
+    """Bursts in which a queue's demand rises at once to several times its pool's capacity."""
 
     def test_a_burst_is_requested_in_full_soon_after_its_start(self) -> None:
-        """The first second of a turn is late, and with it all that waits behind it.
+        """Guards against a late first second of a burst, which delays all jobs behind it.
 
-        Clips of three core-seconds come every tenth of a second, so the turn takes 30 cores. After
-        0.4 s a pool of four is to ask for nearly all of them, not for what it has seen of a second.
+        3 core-seconds every 0.1 s need 30 cores; nearly all are requested after 0.4 s, not 1 s.
         """
         harness = SizingHarness("a")
         for number in range(5):
@@ -79,7 +76,7 @@
         self.assertGreaterEqual(harness.assess(after_s=0.4).lacking, (30 - 4) // 4)
 
     def test_a_few_concurrent_jobs_are_not_a_burst(self) -> None:
-        """Three jobs that come close together are carried by the pool's own workers."""
+        """The pool's own workers handle three jobs that arrive close together."""
         harness = SizingHarness("a", "b", "c", "d")
         for number in range(3):
             harness.add_arrival(f"j{number}", at_s=number * 0.1, count=3)
@@ -87,7 +84,7 @@
         self.assertEqual(0, harness.assess(after_s=0.3).lacking)
 
     def test_machines_are_lacking_while_all_tasks_run(self) -> None:
-        """A turn stands still at the machines that came first, since for a moment nothing waits."""
+        """Guards against a burst that gets no more machines because for a moment no task waits."""
         harness = SizingHarness("a", "b")
         for number in range(8):
             harness.add_arrival(f"j{number}", at_s=number * 0.1, count=3)
@@ -101,10 +98,9 @@
 
 class LateWorkTests(unittest.TestCase):
     def test_late_work_is_kept_off_recalled_workers(self) -> None:
-        """A queue's turn is lost while late jobs of another keep its lent machines busy.
+        """Guards against a burst that fails while another queue's late jobs occupy lent machines.
 
-        Asked to give one worker back, the scheduler starts late jobs on the others only; jobs that
-        can still be on time use all.
+        Late jobs start on the workers that are not recalled; jobs that can be on time use all.
         """
         harness = SizingHarness("a", "b")
         harness.sizer.yield_some(1)
@@ -114,7 +110,7 @@
         self.assertEqual(["in time"], [order.run.name.job_id for order in harness.start_orders()])
 
     def test_nothing_is_borrowed_for_late_work(self) -> None:
-        """However much of it waits."""
+        """No amount of late work makes a pool request machines."""
         harness = SizingHarness("a")
         harness.add_job(job("late", step(40), accepted_s=WALL_S - 60))
         harness.scheduler_state.arrivals.clear()
@@ -123,9 +119,9 @@
 
 class OfferTests(unittest.TestCase):
     def test_idle_workers_are_offered_and_withdrawn(self) -> None:
-        """A worker may be lent between turns, and serves again as soon as tasks wait.
+        """An idle worker is offered, and gets tasks again once its offer is withdrawn.
 
-        Lasting tasks are not placed on it for a while: an order to take it may be on its way.
+        Lasting tasks are kept off it for a while, because an order to take it may be in flight.
         """
         harness = SizingHarness("a")
         self.assertEqual((), harness.assess().free)
@@ -140,9 +136,9 @@
         self.assertEqual(["lasts"], [order.run.name.job_id for order in harness.start_orders()])
 
     def test_a_job_withdraws_only_the_offers_it_needs(self) -> None:
-        """A turn gets none of ten idle machines, as a job of another queue has just come.
+        """Guards against a burst that gets none of ten idle machines as a job just arrived.
 
-        The job needs one machine; three more are kept beside it.
+        The job needs one machine, and three more are reserved with it.
         """
         harness = SizingHarness(*"abcdefghij")
         harness.assess()
@@ -157,10 +153,9 @@
         self.assertEqual(9, len(harness.assess().free))
 
     def test_workers_are_reserved_for_lasting_tasks_that_may_be_lost(self) -> None:
-        """A lasting task is down for 10 s, since all idle machines were offered as its worker died.
+        """Guards against a lasting task that is down for 10 s since all idle machines were offered.
 
-        Its worker has been silent for two seconds. Room for the task and three machines more are
-        kept back, so that it has not to wait for offers that are taken back; the others are lent.
+        Once its worker is silent for 2 s, room for it and three more machines are reserved.
         """
         harness = SizingHarness(*"abcdefghij")
         harness.add_job(job("lasts", step(1, is_lasting=True)))
@@ -172,10 +167,9 @@
         self.assertEqual(5, len(harness.assess().free))
 
     def test_workers_that_late_work_is_kept_off_are_offered(self) -> None:
-        """Forty machines stand idle for seconds beside a thousand late tasks and another's turn.
+        """Guards against 40 recalled machines that idle for seconds during another queue's burst.
 
-        The keeper has asked for some of what the queue borrowed, so late work keeps off it; but as
-        long as that work waited, no idle machine was offered.
+        None was offered while 1,000 late tasks waited, although late work is kept off them.
         """
         harness = SizingHarness(*"abcdefgh")
         late = job("late", step(4 * 20), accepted_s=WALL_S - 60.0)
@@ -188,7 +182,7 @@
         self.assertFalse(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
 
     def test_work_in_time_withdraws_offers_of_yielding_workers(self) -> None:
-        """A queue's own callers are late, since its machines were given up for another's turn."""
+        """Guards against late callers of a queue whose machines were freed for another burst."""
         harness = SizingHarness(*"abcdefgh")
         harness.add_job(job("late", step(4 * 20), accepted_s=WALL_S - 60.0))
         harness.sizer.yield_some(5)
@@ -202,7 +196,7 @@
         self.assertEqual(8, len(started))
 
     def test_tasks_with_placement_constraints_reserve_all_workers(self) -> None:
-        """Where more than room decides, no guess is made."""
+        """If more than capacity decides the placement, all workers are reserved for the tasks."""
         harness = SizingHarness(*"abcdef")
         harness.assess()
         harness.now_s += 0.4
@@ -210,7 +204,7 @@
         self.assertEqual((), harness.assess().free)
 
     def test_busy_workers_are_not_offered(self) -> None:
-        """What runs is not taken away."""
+        """A worker with a running task is not offered."""
         harness = SizingHarness("a", "b")
         harness.add_job(job("j", step(1)))
         run = harness.start_orders()[0].run
@@ -222,10 +216,9 @@
 
 class DrainingTests(unittest.TestCase):
     def test_a_due_worker_is_offered_once_no_lasting_task_is_left(self) -> None:
-        """Maintenance that ends a serving task, or waits for ever for tasks that end.
+        """Guards against maintenance that ends a lasting task or waits forever for tasks that end.
 
-        A due worker takes nothing new. It is told to be free once its lasting tasks have moved
-        away, and tasks that end have had their time.
+        A due worker gets no task; it is offered without lasting tasks, after the drain grace.
         """
         harness = SizingHarness("a")
         harness.add_job(job("s", step(1, is_lasting=True)))
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.store`: watchers that follow the store, and keys that are held."""
+"""Tests of `shallotworks.store`: prefix watchers and held leases."""
 
 import asyncio
 import random
@@ -15,11 +15,11 @@
 from tests.virtual_clock import run_scenario
 
 NOTIFIED_WITHIN_S = 1.2
-"""A watch without a wait times out after 0.65 s, and is sent again 0.4 s later at the latest."""
+"""A watch without a wait times out after 0.65 s and is sent again at most 0.4 s later."""
 
 
 class Listener:
-    """Keeps what a watcher tells."""
+    """Records what a watcher reports."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -36,7 +36,7 @@
 
 class PrefixWatcherTests(unittest.TestCase):
     def test_follows_writes_and_deletions(self) -> None:
-        """Each change is told once, in order, and only under the prefix."""
+        """Each change under the prefix, and no other, is reported once and in order."""
 
         async def scenario() -> None:
             store, listener, watcher = _watcher()
@@ -54,7 +54,7 @@
         run_scenario(scenario())
 
     def test_reads_more_keys_than_fit_in_a_page(self) -> None:
-        """All of them are read."""
+        """All pages under the prefix are read."""
 
         async def scenario() -> None:
             store, listener, watcher = _watcher()
@@ -68,11 +68,9 @@
         run_scenario(scenario())
 
     def test_changes_during_an_outage_are_reported_soon_after_it(self) -> None:
-        """Duties stood still for two seconds after the store was back.
+        """Guards against leases that nobody takes over for 2 s after a store outage.
 
-        A watch waits for a second at the store, and for its answer beyond that; the one that was
-        sent just before the store's return had to time out before anyone heard which keys were
-        free.
+        A watch sent just before the store recovers waited up to 1 s at the store, then timed out.
         """
 
         async def scenario() -> None:
@@ -94,10 +92,9 @@
         run_scenario(scenario())
 
     def test_rereads_all_keys_when_history_is_compacted(self) -> None:
-        """A configuration that never comes into force, after the store dropped its history.
+        """Guards against a configuration that never comes into force.
 
-        While the watch can't be answered, a key is written and another deleted, and the store
-        forgets both. The watch would go on from later; all must be read anew.
+        A watch skipped a write and a deletion that the store compacted while it was unreachable.
         """
 
         async def scenario() -> None:
@@ -121,7 +118,7 @@
 
 
 class HighChurnStore:
-    """A store in which keys change all the time, and whose answers hold so many changes at most."""
+    """A store whose keys change continuously and whose answers hold a limited number of events."""
 
     CHANGES_PER_S = 1_500
     MAX_EVENTS_PER_ANSWER = 500
@@ -130,11 +127,11 @@
 
     @property
     def revision(self) -> int:
-        """The store's revision now."""
+        """The current revision of the store."""
         return 1 + int(asyncio.get_running_loop().time() * self.CHANGES_PER_S)
 
     async def read_page(self, prefix: str, *, after: str = "") -> Result[Page, Failure]:
-        """Nothing yet."""
+        """Return an empty page."""
         return Success(Page(items=(), has_more=False, revision=self.revision))
 
     async def watch(
@@ -152,10 +149,9 @@
 
 class WatchLagTests(unittest.TestCase):
     def test_a_watcher_keeps_up_with_changes_that_exceed_one_answer(self) -> None:
-        """A worker gets new tasks five seconds after it said that it leaves.
+        """Guards against new tasks for a worker 5 s after it announced that it leaves.
 
-        Fifteen hundred workers write their entries every second or so. The watcher of them asked
-        for the next changes 0.4 s after each answer, which held a part of what had come meanwhile.
+        1,500 workers write about once a second; the watcher paused 0.4 s after each partial answer.
         """
 
         async def scenario() -> None:
@@ -184,7 +180,7 @@
 
 class HeldLeaseTests(unittest.TestCase):
     def test_one_holder_at_a_time_with_increasing_tokens(self) -> None:
-        """A second bid fails until the key is free; its token is higher."""
+        """A second acquisition fails until the key is released, and then gets a higher token."""
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
@@ -201,10 +197,9 @@
     def test_lease_is_invalid_after_the_grace_period(
         self, _name: str, faults: dict[str, bool]
     ) -> None:
-        """Two schedulers at once, after one was cut from the store.
+        """Guards against two active schedulers after one was cut off from the store.
 
-        A holder that can't renew acts on through a short outage, and no longer than the grace that
-        its successor reckons with.
+        A holder may act through a short outage, only for the grace period its successor expects.
         """
 
         async def scenario() -> None:
@@ -232,11 +227,9 @@
     def test_a_suspended_lease_resumes_if_its_key_still_exists(
         self, _name: str, is_revoked: bool, resumes: bool
     ) -> None:
-        """No orders for seconds after an outage of the store, though nothing was lost by it.
+        """Guards against seconds without orders after a store outage in which leases were paused.
 
-        Leases stood still with the store. The holder gave up when its grace was over, and nobody
-        could have the key until the rest of its time to live had passed. It may go on with the same
-        key, if that is still there.
+        The holder gave up after its grace period, and its key blocked successors until it expired.
         """
 
         async def scenario() -> None:
@@ -262,7 +255,7 @@
         run_scenario(scenario())
 
     def test_a_renewal_detects_an_expired_lease(self) -> None:
-        """The duty ends with the first renewal that finds the lease gone."""
+        """The lease counts as lost after the first renewal that finds it gone."""
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
