--- a/src/shallotworks/jobs/_progress.py
+++ b/src/shallotworks/jobs/_progress.py
@@ -9,7 +9,7 @@
 
 __all__ = ["JobProgress", "JobState"]
 
-MOST_LOST_KEPT = 8
+MAX_LOST_RUNS = 8
 """Lost runs of a task that its record holds, the latest ones."""
 
 
@@ -79,7 +79,7 @@
         bits = (1 << step.count) - 1 if step.is_gang else 1 << name.number
         self.done[key] = self.done.get(key, 0) | bits
         self.lost.pop(_attempts_key(job, name), None)
-        if self._are_all_done(job):
+        if self._are_all_steps_done(job):
             self.finish(JobState.COMPLETED, now_s=now_s)
 
     def note_failed(self, job: Job, name: TaskName, run_id: int, *, now_s: float) -> bool:
@@ -108,11 +108,11 @@
         failed.
         """
         earlier = self.lost_runs(job, name)
-        known = next((one for one in earlier if one.run_id == lost.run_id), None)
-        if known == lost or (known is not None and known.is_certain):
+        recorded = next((run for run in earlier if run.run_id == lost.run_id), None)
+        if recorded == lost or (recorded is not None and recorded.is_certain):
             return False
-        others = tuple(one for one in earlier if one.run_id != lost.run_id)
-        runs = self.lost[_attempts_key(job, name)] = (*others, lost)[-MOST_LOST_KEPT:]
+        others = tuple(run for run in earlier if run.run_id != lost.run_id)
+        runs = self.lost[_attempts_key(job, name)] = (*others, lost)[-MAX_LOST_RUNS:]
         if is_crash_looping(runs):
             self.finish(JobState.FAILED, now_s=now_s)
         return True
@@ -120,11 +120,11 @@
     def note_survived(self, job: Job, name: TaskName, run_id: int) -> bool:
         """Take note that a run's worker has not crashed under it; return whether that is news."""
         earlier = self.lost_runs(job, name)
-        left = tuple(one for one in earlier if one.is_certain or one.run_id != run_id)
-        if left == earlier:
+        remaining = tuple(run for run in earlier if run.is_certain or run.run_id != run_id)
+        if remaining == earlier:
             return False
-        self.lost[_attempts_key(job, name)] = left
-        if not left:
+        self.lost[_attempts_key(job, name)] = remaining
+        if not remaining:
             del self.lost[_attempts_key(job, name)]
         return True
 
@@ -134,7 +134,7 @@
             self.state = state
             self.ended_s = now_s
 
-    def _are_all_done(self, job: Job) -> bool:
+    def _are_all_steps_done(self, job: Job) -> bool:
         return all(
             self.is_step_done(job, occurrence, step)
             for occurrence in range(job.occurrences)
--- a/src/shallotworks/jobs/_records.py
+++ b/src/shallotworks/jobs/_records.py
@@ -14,11 +14,11 @@
 
 __all__ = ["JobKeys", "decode_job", "decode_progress", "encode_job", "encode_progress"]
 
-ROOT = "shallotworks/work/"
+JOBS_PREFIX = "shallotworks/work/"
 JOB_SUFFIX = ".job"
 PROGRESS_SUFFIX = ".progress"
 
-_JOB = TypeAdapter(Job)
+_JOB_ADAPTER = TypeAdapter(Job)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -34,7 +34,7 @@
     @property
     def prefix(self) -> str:
         """Prefix of all keys of the service's jobs."""
-        return f"{ROOT}{self.service}/"
+        return f"{JOBS_PREFIX}{self.service}/"
 
     @property
     def holder_mark(self) -> str:
@@ -63,12 +63,12 @@
 
 def encode_job(job: Job) -> bytes:
     """Return the record of a job."""
-    return _JOB.dump_json(job, exclude_defaults=True)
+    return _JOB_ADAPTER.dump_json(job, exclude_defaults=True)
 
 
 def decode_job(record: bytes) -> Job:
     """Return the job of a record; raises `ValueError` for one that this release can't read."""
-    return _JOB.validate_json(record)
+    return _JOB_ADAPTER.validate_json(record)
 
 
 def encode_progress(progress: JobProgress) -> bytes:
@@ -80,7 +80,13 @@
         record["failures"] = [[*key, runs] for key, runs in sorted(progress.failures.items())]
     if progress.lost:
         record["lost"] = [
-            [*key, [[one.run_id, one.worker_id, one.blame.value, one.is_certain] for one in runs]]
+            [
+                *key,
+                [
+                    [lost_run.run_id, lost_run.worker_id, lost_run.blame.value, lost_run.is_certain]
+                    for lost_run in runs
+                ],
+            ]
             for key, runs in sorted(progress.lost.items())
         ]
     if progress.ended_s:
@@ -91,20 +97,22 @@
 def decode_progress(record: bytes) -> JobProgress:
     """Return the progress of a record; raises `ValueError` for one that can't be read."""
     try:
-        read = json.loads(record)
+        fields = json.loads(record)
         return JobProgress(
-            queue=read["queue"],
-            state=JobState(read["state"]),
-            done={(row[0], row[1]): int(row[2], 16) for row in read.get("done", ())},
-            failures={(row[0], row[1], row[2]): tuple(row[3]) for row in read.get("failures", ())},
+            queue=fields["queue"],
+            state=JobState(fields["state"]),
+            done={(row[0], row[1]): int(row[2], 16) for row in fields.get("done", ())},
+            failures={
+                (row[0], row[1], row[2]): tuple(row[3]) for row in fields.get("failures", ())
+            },
             lost={
                 (row[0], row[1], row[2]): tuple(
                     LostRun(run_id=run[0], worker_id=run[1], blame=Blame(run[2]), is_certain=run[3])
                     for run in row[3]
                 )
-                for row in read.get("lost", ())
+                for row in fields.get("lost", ())
             },
-            ended_s=read.get("ended_s", 0.0),
+            ended_s=fields.get("ended_s", 0.0),
         )
     except (KeyError, IndexError, TypeError) as error:
         raise ValueError(f"unreadable progress: {error!r}") from error
--- a/src/shallotworks/jobs/_request_handler.py
+++ b/src/shallotworks/jobs/_request_handler.py
@@ -21,7 +21,7 @@
 
 __all__ = ["JobResponse", "JobRequestStatus", "JobRequestHandler"]
 
-RETRY_PAUSE_S = 0.08
+STORE_RETRY_S = 0.08
 """Between tries of one request: about twice a slow answer of the store when it is well."""
 """Told to callers that are refused while the store can't be reached: most outages of the platform
 last seconds, and a second costs a caller little."""
@@ -103,7 +103,7 @@
                 Write(key=keys.progress(job.job_id), value=encode_progress(progress)),
             ),
         )
-        is_unknown = False
+        is_outcome_unknown = False
         while True:
             outcome = await self._store.commit(commit)
             if isinstance(outcome, Success):
@@ -112,15 +112,17 @@
                     "submit", job.job_id, JobRequestStatus.ACCEPTED, repeated=repeated
                 )
             failure = outcome.failure()
-            is_unknown |= failure.kind is not ErrorKind.STORE_UNAVAILABLE
-            if not await self._may_try_again(deadline_s):
-                status = JobRequestStatus.UNKNOWN if is_unknown else JobRequestStatus.REFUSED
+            is_outcome_unknown |= failure.kind is not ErrorKind.STORE_UNAVAILABLE
+            if not await self._wait_before_retry(deadline_s):
+                status = (
+                    JobRequestStatus.UNKNOWN if is_outcome_unknown else JobRequestStatus.REFUSED
+                )
                 return self._answer("submit", job.job_id, status, failure=failure)
 
     async def state(self, policy: QueuePolicy, job_id: str, *, deadline_s: float) -> JobResponse:
         """Tell a job's state."""
         key = JobKeys(service=policy.service).progress(job_id)
-        item = await self._get(key, deadline_s)
+        item = await self._get_with_retries(key, deadline_s)
         if isinstance(item, Failure):
             return self._answer("state", job_id, JobRequestStatus.REFUSED, failure=item)
         if item is None:
@@ -136,7 +138,7 @@
         keys = JobKeys(service=policy.service)
         key = keys.progress(job_id)
         while True:
-            item = await self._get(key, deadline_s)
+            item = await self._get_with_retries(key, deadline_s)
             if isinstance(item, Failure):
                 return self._answer("cancel", job_id, JobRequestStatus.UNKNOWN, failure=item)
             if item is None:
@@ -156,36 +158,36 @@
             )
             if isinstance(outcome, Success) and not isinstance(outcome.unwrap(), Conflicted):
                 return self._answer("cancel", job_id, JobRequestStatus.ACCEPTED)
-            if not await self._may_try_again(deadline_s):
+            if not await self._wait_before_retry(deadline_s):
                 return self._answer("cancel", job_id, JobRequestStatus.UNKNOWN)
 
     async def waiting(self, policy: QueuePolicy, *, deadline_s: float) -> JobResponse:
         """Tell how many jobs of a queue have not begun, as its scheduler last wrote."""
-        item = await self._get(JobKeys(service=policy.service).pending(), deadline_s)
+        item = await self._get_with_retries(JobKeys(service=policy.service).pending(), deadline_s)
         if isinstance(item, Failure):
             return self._answer("waiting", policy.queue, JobRequestStatus.REFUSED, failure=item)
         counts = json.loads(item.value) if item is not None else {}
         return JobResponse(status=JobRequestStatus.FOUND, waiting=counts.get(policy.queue, 0))
 
-    async def _get(self, key: str, deadline_s: float) -> Item | Failure | None:
+    async def _get_with_retries(self, key: str, deadline_s: float) -> Item | Failure | None:
         while True:
             outcome = await self._store.get(key)
             if isinstance(outcome, Success):
                 item: Item | None = outcome.unwrap()
                 return item
-            if not await self._may_try_again(deadline_s):
+            if not await self._wait_before_retry(deadline_s):
                 return outcome.failure()
 
-    async def _may_try_again(self, deadline_s: float) -> bool:
+    async def _wait_before_retry(self, deadline_s: float) -> bool:
         loop = asyncio.get_running_loop()
-        if loop.time() + RETRY_PAUSE_S >= deadline_s:
+        if loop.time() + STORE_RETRY_S >= deadline_s:
             return False
-        await asyncio.sleep(RETRY_PAUSE_S)
+        await asyncio.sleep(STORE_RETRY_S)
         return True
 
     def _answer(
-        self, call: str, subject: str, status: JobRequestStatus, **inputs: object
+        self, call: str, subject: str, status: JobRequestStatus, **fields: object
     ) -> JobResponse:
         self._metrics.count(f"desk.{call}.{status.value}")
-        self._log.line(f"job-{call}", id=subject, outcome=status.value, **inputs)
+        self._log.line(f"job-{call}", id=subject, outcome=status.value, **fields)
         return JobResponse(status=status)
--- a/src/shallotworks/jobs/_retry_after.py
+++ b/src/shallotworks/jobs/_retry_after.py
@@ -11,7 +11,7 @@
 
 __all__ = ["retry_after_s"]
 
-LONGEST_S = 3
+MAX_RETRY_AFTER_S = 3
 """Callers who waited for longer would be late for what they want even when the store is back."""
 
 
@@ -21,4 +21,4 @@
     Of an outage whose length nobody knows, as much is left as has passed is the even bet; so the
     pauses grow with it, and a few tries reach the end of a long one.
     """
-    return min(LONGEST_S, math.floor(outage_s) + 1)
+    return min(MAX_RETRY_AFTER_S, math.floor(outage_s) + 1)
--- a/src/shallotworks/jobs/_spec.py
+++ b/src/shallotworks/jobs/_spec.py
@@ -8,12 +8,12 @@
 
 __all__ = ["Job", "QueuePolicy", "Repeats", "Step", "TaskName", "job_problems"]
 
-MOST_TASKS = 10_000
+MAX_TASKS = 10_000
 """Tasks of one occurrence of a job: ten times what the target size asks of the widest job."""
-MOST_MILLICORES = 10_000_000
-MOST_MEMORY_MB = 100_000_000
-MOST_REPEATS = 1_000_000
-MOST_SPEC_BYTES = 4_000
+MAX_CPU_MILLICORES = 10_000_000
+MAX_MEMORY_MB = 100_000_000
+MAX_OCCURRENCES = 1_000_000
+MAX_SPEC_BYTES = 4_000
 """Source: the platform's page on jobs."""
 
 
@@ -149,11 +149,11 @@
 
     def longest_chain_s(self) -> float:
         """Estimated length of the longest chain of steps."""
-        ends: list[float] = []
+        ends_s: list[float] = []
         for step in self.steps:
-            begins = max((ends[number] for number in step.after), default=0.0)
-            ends.append(begins + step.estimated_s)
-        return max(ends, default=0.0)
+            starts_s = max((ends_s[number] for number in step.after), default=0.0)
+            ends_s.append(starts_s + step.estimated_s)
+        return max(ends_s, default=0.0)
 
     def objective_s(self) -> float:
         """Time from acceptance, or an occurrence's due time, in which it should be done."""
@@ -162,17 +162,17 @@
 
 def job_problems(job: Job) -> Iterator[str]:
     """Say what is wrong with a job, a sentence each; nothing for a sound one."""
-    if len(job.spec.encode()) > MOST_SPEC_BYTES:
-        yield f"the spec is longer than {MOST_SPEC_BYTES} bytes"
+    if len(job.spec.encode()) > MAX_SPEC_BYTES:
+        yield f"the spec is longer than {MAX_SPEC_BYTES} bytes"
     if not job.steps:
         yield "a job needs a step"
-    if sum(step.count for step in job.steps) > MOST_TASKS:
-        yield f"a job has at most {MOST_TASKS} tasks"
+    if sum(step.count for step in job.steps) > MAX_TASKS:
+        yield f"a job has at most {MAX_TASKS} tasks"
     for number, step in enumerate(job.steps):
         yield from (f"step {number}: {problem}" for problem in _step_problems(number, step))
     repeats = job.repeats
     if repeats is not None and not (
-        0 < repeats.count <= MOST_REPEATS and repeats.interval_s >= 0 and repeats.first_s >= 0
+        0 < repeats.count <= MAX_OCCURRENCES and repeats.interval_s >= 0 and repeats.first_s >= 0
     ):
         yield "its repetition is out of range"
 
@@ -182,9 +182,9 @@
         yield "it needs a task"
     if any(earlier >= number or earlier < 0 for earlier in step.after):
         yield "it may only come after earlier steps"
-    if not 0 <= step.cpu_millicores <= MOST_MILLICORES:
+    if not 0 <= step.cpu_millicores <= MAX_CPU_MILLICORES:
         yield "its processor need is out of range"
-    if not 0 <= step.memory_mb <= MOST_MEMORY_MB:
+    if not 0 <= step.memory_mb <= MAX_MEMORY_MB:
         yield "its memory need is out of range"
     if min(step.gpus, step.estimated_s, step.most_per_worker, step.target_s, step.may_miss) < 0:
         yield "a figure is negative"
--- a/src/shallotworks/scheduling/_active_workers.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -12,9 +12,9 @@
 
 __all__ = ["ActiveWorker", "ActiveWorkersRecord", "active_workers_key"]
 
-UNREADABLE = "unreadable-record"
+UNREADABLE_RECORD_ID = "unreadable-record"
 """Stands for the workers of a record that can't be read."""
-RETRY_S = 0.1
+READ_RETRY_S = 0.1
 """Between tries to read the record while the store fails."""
 
 
@@ -53,14 +53,14 @@
         log: What the record can't be read for.
     """
 
-    __slots__ = ("_key", "_lock", "_log", "_record", "_stored", "active_workers")
+    __slots__ = ("_decoded_value", "_key", "_lock", "_log", "_record", "active_workers")
 
     def __init__(self, *, service: str, lease: HeldLease, store: Store, log: StructuredLog) -> None:
         self._key = active_workers_key(service)
         self._log = log
         self._record = FencedRecord(key=self._key, lease=lease, store=store, log=log)
         self._lock = asyncio.Lock()
-        self._stored: bytes | None = None
+        self._decoded_value: bytes | None = None
         self.active_workers: dict[str, ActiveWorker] = {}
         """By worker's id, as the store has them."""
 
@@ -75,39 +75,39 @@
     def may_use(self, worker_id: str) -> bool:
         """Whether tasks may be started on a worker: whatever stands there, the record names it."""
         active_worker = self.active_workers.get(worker_id)
-        is_doubtful = any(
-            worker_id not in self.decode(one) for one in self._record.unconfirmed_values
+        may_be_absent = any(
+            worker_id not in self.decode(value) for value in self._record.unconfirmed_values
         )
-        return active_worker is not None and active_worker.left_s is None and not is_doubtful
+        return active_worker is not None and active_worker.left_s is None and not may_be_absent
 
     async def read(self) -> None:
         """Read what the last term left; tries until the store answers."""
         while not await self._record.read():
-            await asyncio.sleep(RETRY_S)
-        self._learn()
+            await asyncio.sleep(READ_RETRY_S)
+        self._load()
 
-    async def keep(self, wanted: Callable[[], dict[str, ActiveWorker]]) -> bool:
+    async def keep(self, compute_record: Callable[[], dict[str, ActiveWorker]]) -> bool:
         """Write the record where it differs from what is wanted; return whether it stands so.
 
         Args:
-            wanted: Returns the record that should stand; asked when it is this write's turn.
+            compute_record: Returns the record to write; called when it is this write's turn.
         """
         async with self._lock:
-            is_kept = await self._record.put(_encode(wanted()))
-            self._learn()
-            return is_kept
+            is_stored = await self._record.put(_encode(compute_record()))
+            self._load()
+            return is_stored
 
-    def _learn(self) -> None:
+    def _load(self) -> None:
         value = self._record.value
-        if value is None or value == self._stored:
+        if value is None or value == self._decoded_value:
             return
-        self._stored = value
+        self._decoded_value = value
         try:
             self.active_workers = self.decode(value)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self._log.line("runners-unreadable", key=self._key, reason=repr(error)[:200])
             # Whoever wrote it may have workers that can't be asked: their leases have to run out.
-            self.active_workers = {UNREADABLE: ActiveWorker(address="")}
+            self.active_workers = {UNREADABLE_RECORD_ID: ActiveWorker(address="")}
 
 
 def _encode(active_workers: dict[str, ActiveWorker]) -> bytes:
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -12,13 +12,13 @@
 
 __all__ = ["LeaderElector"]
 
-SPREAD_S = 0.2
+BID_SPREAD_S = 0.2
 """Bids of different instances are spread over this long, each service's in another order, so that
 services spread over instances."""
-HELD_DELAY_S = 0.25
+DELAY_PER_HELD_KEY_S = 0.25
 """Each service that an instance already schedules makes its next bid this much later."""
-RETRY_S = 0.5
-WEAK_DELAY_S = 1.0
+BID_RETRY_S = 0.5
+WEAKEST_DELAY_S = 1.0
 """The weakest instance bids this much later than the strongest: a scheduler reads all open jobs at
 its start and half a megabit a second from then on, which takes an instance with half a core and a
 link of 5 Mbit/s seconds. One with half a core also comes after a strong one that has a duty: half
@@ -43,19 +43,19 @@
     __slots__ = (
         "_bids",
         "_clock",
-        "_held",
+        "_holder_tokens",
         "_instance",
         "_is_stopping",
+        "_key_freed",
         "_leases",
         "_log",
-        "_mark",
-        "_news",
+        "_marker_key_of",
+        "_pending_acquisitions",
         "_root",
         "_run_epoch",
         "_store",
         "_strength",
         "_times",
-        "_under_way",
         "_watcher",
     )
 
@@ -75,18 +75,18 @@
         self._store = store
         self._strength = strength
         self._root = root
-        self._mark = mark
+        self._marker_key_of = mark
         self._instance = instance
         self._run_epoch = run_epoch
         self._clock = clock
         self._times = times
         self._log = log
-        self._held: dict[str, int] = {}
+        self._holder_tokens: dict[str, int] = {}
         """Tokens of the keys that are held, as far as is known."""
         self._leases: dict[str, HeldLease] = {}
         self._bids: dict[str, asyncio.Task[None]] = {}
-        self._news = asyncio.Event()
-        self._under_way = 0
+        self._key_freed = asyncio.Event()
+        self._pending_acquisitions = 0
         self._is_stopping = False
         self._watcher = PrefixWatcher(store=store, prefix=root, listener=self, log=log)
 
@@ -123,7 +123,7 @@
     def on_write(self, item: Item) -> None:
         """Hear who holds a key."""
         service = item.key.removeprefix(self._root)
-        self._held[service] = max(item.created, self._held.get(service, 0))
+        self._holder_tokens[service] = max(item.created, self._holder_tokens.get(service, 0))
         lease = self._leases.get(service)
         if lease is not None and item.created > lease.token:
             lease.mark_lost("another holds its key")
@@ -139,51 +139,51 @@
         lease = self._leases.get(service)
         if lease is not None and revision > lease.token:
             lease.mark_lost("its key was deleted")
-        if revision > self._held.get(service, 0):
-            self._held.pop(service, None)
-            self._news.set()
+        if revision > self._holder_tokens.get(service, 0):
+            self._holder_tokens.pop(service, None)
+            self._key_freed.set()
 
     # ---- bids
 
     async def _bid(self, service: str) -> None:
         await self._watcher.synced.wait()
         while not self._is_stopping:
-            if service in self._held:
-                await self._await_news()
+            if service in self._holder_tokens:
+                await self._wait_for_free_key()
                 continue
-            load = self._load
+            key_count = self._key_count
             await asyncio.sleep(self._delay_s(service))
-            if service in self._held or self._is_stopping or self._load > load:
+            if service in self._holder_tokens or self._is_stopping or self._key_count > key_count:
                 # Also where another key was bid for or won meanwhile: others come first now.
                 continue
             lease = await self._acquire(service)
             if lease is None:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(BID_RETRY_S)
                 continue
-            await self._hold(service, lease)
+            await self._run_with_lease(service, lease)
 
     async def _acquire(self, service: str) -> HeldLease | None:
-        self._under_way += 1
+        self._pending_acquisitions += 1
         try:
             return await HeldLease.acquire(
                 store=self._store,
                 key=self._root + service,
-                marker_key=self._mark(service),
+                marker_key=self._marker_key_of(service),
                 value=self._instance.encode(),
                 clock=self._clock,
                 times=self._times,
                 log=self._log,
             )
         finally:
-            self._under_way -= 1
+            self._pending_acquisitions -= 1
 
     @property
-    def _load(self) -> int:
+    def _key_count(self) -> int:
         """Keys that this instance holds or is about to hold."""
-        return len(self._leases) + self._under_way
+        return len(self._leases) + self._pending_acquisitions
 
-    async def _hold(self, service: str, lease: HeldLease) -> None:
-        self._held[service] = lease.token
+    async def _run_with_lease(self, service: str, lease: HeldLease) -> None:
+        self._holder_tokens[service] = lease.token
         self._leases[service] = lease
         self._log.line("duty-acquired", key=lease.key, token=lease.token)
         try:
@@ -195,18 +195,18 @@
             lease.mark_lost("the term has ended")
             del self._leases[service]
             await lease.release()
-            if self._held.get(service) == lease.token:
-                del self._held[service]
+            if self._holder_tokens.get(service) == lease.token:
+                del self._holder_tokens[service]
 
-    async def _await_news(self) -> None:
-        self._news.clear()
+    async def _wait_for_free_key(self) -> None:
+        self._key_freed.clear()
         # Not `wait_for`, which loses a cancellation that comes with the news.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(RETRY_S):
-                await self._news.wait()
+            async with asyncio.timeout(BID_RETRY_S):
+                await self._key_freed.wait()
 
     def _delay_s(self, service: str) -> float:
         digest = hashlib.blake2b(f"{self._instance}/{service}".encode(), digest_size=4).digest()
-        part = int.from_bytes(digest, "big") / 2**32
-        weakness_s = (1 - self._strength) * WEAK_DELAY_S
-        return part * SPREAD_S + weakness_s + HELD_DELAY_S * self._load
+        fraction = int.from_bytes(digest, "big") / 2**32
+        strength_delay_s = (1 - self._strength) * WEAKEST_DELAY_S
+        return fraction * BID_SPREAD_S + strength_delay_s + DELAY_PER_HELD_KEY_S * self._key_count
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -32,29 +32,29 @@
 from ._scheduler_state import SchedulerState
 from ._sizing import PoolSizer, SizingLimits
 from ._waiting import WaitMonitor, name_some
-from ._worker_tracker import DIRECTORY_EVERY_S, WorkerTracker
+from ._worker_tracker import DIRECTORY_POLL_INTERVAL_S, WorkerTracker
 
 __all__ = ["ServiceScheduler", "SchedulerDependencies"]
 
-DECIDE_EVERY_S = 0.2
+DECISION_INTERVAL_S = 0.2
 """Decisions are also taken this often with no news, for what only time brings."""
-DECIDE_PAUSE_PART = 2.0
+DECISION_PAUSE_RATIO = 2.0
 """... and no sooner than this many times as long as the last decision took, so that all news of a
 busy moment is decided on at once, and two thirds of the process are left for orders and looks."""
-JOBS_PAUSE_S = 0.025
+JOB_WATCH_PAUSE_S = 0.025
 """Left between changes of jobs, which come a hundred times a second in a turn."""
-SIZE_EVERY_S = 0.1
-PUBLISH_EVERY_S = 1.0
+SIZING_INTERVAL_S = 0.1
+PUBLISH_INTERVAL_S = 1.0
 """Counts of waiting jobs may be 2 s old."""
 STORE_RETRY_S = 0.1
-KEEP_FINAL_PART = 2.0
+FINAL_STATE_RETENTION_RATIO = 2.0
 """Final states are kept this many times as long as they must be told."""
-CLEAN_EVERY_S = 30.0
-MOST_CLEANED = 60
-MOST_AWAITED_NAMED = 10
-HAND_OVER_FRESH_S = 1.0
+CLEANUP_INTERVAL_S = 30.0
+MAX_JOBS_PER_CLEANUP = 60
+MAX_PENDING_WORKERS_LOGGED = 10
+MAX_RENEWAL_AGE_AT_HANDOVER_S = 1.0
 """A term whose store has not answered for this long, two renewals, ends without a word."""
-STOP_PATIENCE_S = 0.4
+STOP_TIMEOUT_S = 0.4
 """A term that is given up waits this long for the orders in flight, and as long for its last
 commit of progress."""
 
@@ -104,20 +104,20 @@
     """
 
     __slots__ = (
-        "_demand",
+        "_background_tasks",
+        "_demand_record",
         "_dependencies",
-        "_has_mark",
+        "_has_marker",
+        "_job_records",
         "_keys",
         "_lease",
         "_order_dispatcher",
-        "_pending",
-        "_pending_jobs",
+        "_pending_counts_record",
+        "_progress_writer",
         "_sizer",
-        "_tasks",
-        "_waits",
+        "_wait_monitor",
         "_watcher",
-        "_workers",
-        "_writer",
+        "_worker_tracker",
         "decision_engine",
         "is_prepared",
         "scheduler_state",
@@ -136,10 +136,10 @@
         )
         self.decision_engine = DecisionEngine(scheduler_state=self.scheduler_state)
         self._sizer = PoolSizer(scheduler_state=self.scheduler_state, limits=SizingLimits())
-        self._waits = WaitMonitor(
+        self._wait_monitor = WaitMonitor(
             scheduler_state=self.scheduler_state, metrics=dependencies.metrics, log=dependencies.log
         )
-        self._workers = WorkerTracker(
+        self._worker_tracker = WorkerTracker(
             scheduler_state=self.scheduler_state,
             record=ActiveWorkersRecord(
                 service=service, lease=lease, store=dependencies.store, log=dependencies.log
@@ -157,12 +157,12 @@
             clock=dependencies.clock,
             wall_clock=dependencies.wall_clock,
             times=dependencies.times,
-            may_use=self._workers.may_use,
+            may_use=self._worker_tracker.may_use,
             log=dependencies.log,
             metrics=dependencies.metrics,
             on_progress=self._note_progress,
         )
-        self._writer = ProgressWriter(
+        self._progress_writer = ProgressWriter(
             scheduler_state=self.scheduler_state,
             lease=lease,
             store=dependencies.store,
@@ -175,16 +175,16 @@
             prefix=self._keys.prefix,
             listener=self,
             log=dependencies.log,
-            pause_s=JOBS_PAUSE_S,
+            pause_s=JOB_WATCH_PAUSE_S,
         )
-        self._demand = self._own_record(pool_demand_key(service))
-        self._pending = self._own_record(self._keys.pending())
-        self._pending_jobs: dict[str, Item] = {}
-        self._has_mark = False
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._demand_record = self._make_fenced_record(pool_demand_key(service))
+        self._pending_counts_record = self._make_fenced_record(self._keys.pending())
+        self._job_records: dict[str, Item] = {}
+        self._has_marker = False
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self.is_prepared = asyncio.Event()
 
-    def _own_record(self, key: str) -> FencedRecord:
+    def _make_fenced_record(self, key: str) -> FencedRecord:
         dependencies = self._dependencies
         return FencedRecord(
             key=key, lease=self._lease, store=dependencies.store, log=dependencies.log
@@ -193,28 +193,28 @@
     async def run(self) -> None:
         """Schedule until the key is lost."""
         self._log("term-begun")
-        loops = (
+        coroutines = (
             self._lease.renew_until_lost(),
             self._watcher.run(),
             self._schedule(),
-            self._writer.run(),
+            self._progress_writer.run(),
             self._publish(),
-            self._clean(),
+            self._delete_old_jobs(),
             self._size_pool(),
         )
-        tasks = [asyncio.create_task(loop) for loop in loops]
-        lost = asyncio.create_task(self._lease.lost_event.wait())
+        tasks = [asyncio.create_task(loop) for loop in coroutines]
+        lost_task = asyncio.create_task(self._lease.lost_event.wait())
         try:
-            done, _ = await asyncio.wait([*tasks, lost], return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait([*tasks, lost_task], return_when=asyncio.FIRST_COMPLETED)
             for task in done:
-                if task is not lost and task.exception() is not None:
+                if task is not lost_task and task.exception() is not None:
                     self._lease.mark_lost(f"a fault: {task.exception()!r}")
                     raise task.exception() or RuntimeError
-            await self._order_dispatcher.settle(STOP_PATIENCE_S)
+            await self._order_dispatcher.settle(STOP_TIMEOUT_S)
             self._order_dispatcher.stop_polling()
             await self._hand_over()
         finally:
-            for task in (*tasks, lost, *self._tasks):
+            for task in (*tasks, lost_task, *self._background_tasks):
                 task.cancel()
             self._order_dispatcher.close()
             self._log(
@@ -227,41 +227,41 @@
         The load: instances are stopped in turn, and each successor would wait for all workers that
         its predecessors had used of late, most of them moved away since.
         """
-        is_silent = self._lease.since_renewal_s > HAND_OVER_FRESH_S
+        is_silent = self._lease.since_renewal_s > MAX_RENEWAL_AGE_AT_HANDOVER_S
         if not is_silent and self.is_prepared.is_set():
-            await self._writer.settle(STOP_PATIENCE_S)
-            await self._workers.hand_over()
+            await self._progress_writer.settle(STOP_TIMEOUT_S)
+            await self._worker_tracker.hand_over()
 
     def _log(self, event: str, **fields: object) -> None:
         self._dependencies.log.line(event, service=self.service, token=self._lease.token, **fields)
 
-    def _workers_changed(self) -> None:
+    def _on_workers_changed(self) -> None:
         self._order_dispatcher.sync_workers()
         self._order_dispatcher.wake()
 
     def _note_progress(self) -> None:
-        self._writer.wake.set()
+        self._progress_writer.wake.set()
 
     # ---- what the watcher tells
 
     def on_write(self, item: Item) -> None:
         """Hear of a job or of its progress."""
         if item.key == self._keys.holder_mark:
-            self._has_mark = item.created == self._lease.token
+            self._has_marker = item.created == self._lease.token
             if item.created > self._lease.token:
                 self._lease.mark_lost("another's mark stands among the jobs")
             return
         job_id, is_progress = self._keys.parse(item.key)
         if not is_progress:
-            self._pending_jobs[job_id] = item
+            self._job_records[job_id] = item
             return
         try:
-            self._progress_written(job_id, item)
+            self._apply_progress(job_id, item)
         except ValueError as error:
             self._log("record-unreadable", id=job_id, reason=str(error)[:200])
         self._order_dispatcher.wake()
 
-    def _progress_written(self, job_id: str, item: Item) -> None:
+    def _apply_progress(self, job_id: str, item: Item) -> None:
         progress = decode_progress(item.value)
         if job_id in self.scheduler_state.entries:
             self.scheduler_state.update_progress(job_id, progress, item.revision)
@@ -269,7 +269,7 @@
         if job_id in self.scheduler_state.finished_jobs:
             # Told late: an earlier state of a job whose end this scheduler has stored meanwhile.
             return
-        record = self._pending_jobs.pop(job_id, None)
+        record = self._job_records.pop(job_id, None)
         if record is None and progress.state.is_final:
             self.scheduler_state.add_finished_job(job_id, progress)
             return
@@ -299,22 +299,22 @@
         if is_progress:
             self.scheduler_state.delete_job(job_id)
         else:
-            self._pending_jobs.pop(job_id, None)
+            self._job_records.pop(job_id, None)
 
     # ---- scheduling
 
     async def _schedule(self) -> None:
         await self._prepare()
-        directory = asyncio.create_task(self._workers.follow(self._workers_changed))
-        self._tasks.add(directory)
+        directory = asyncio.create_task(self._worker_tracker.follow(self._on_workers_changed))
+        self._background_tasks.add(directory)
         while True:
             if directory.done():
                 directory.result()
             began_s = self._dependencies.clock()
-            has_more = self._lease.is_valid and self._decide()
-            await asyncio.sleep((self._dependencies.clock() - began_s) * DECIDE_PAUSE_PART)
-            if not has_more:
-                await self._order_dispatcher.wait(DECIDE_EVERY_S)
+            is_cut_short = self._lease.is_valid and self._decide()
+            await asyncio.sleep((self._dependencies.clock() - began_s) * DECISION_PAUSE_RATIO)
+            if not is_cut_short:
+                await self._order_dispatcher.wait(DECISION_INTERVAL_S)
 
     def _decide(self) -> bool:
         """Carry out what is to be done now; return whether more is, and may not wait for news."""
@@ -324,8 +324,8 @@
         if is_waiting and self._sizer.withdraw(now_s, wall_s=wall_s):
             self._decide_once()
         self._order_dispatcher.sync_workers()
-        if any(entry.is_dirty for entry in self.scheduler_state.entries.values()):
-            self._writer.wake.set()
+        if any(tracked_job.is_dirty for tracked_job in self.scheduler_state.entries.values()):
+            self._progress_writer.wake.set()
         return self.decision_engine.is_cut_short
 
     def _decide_once(self) -> None:
@@ -335,19 +335,19 @@
             now_s=now_s, wall_s=wall_s, may_start=may_start
         ):
             if isinstance(decision, AdviceRequest):
-                self._spawn(self._ask(decision))
+                self._spawn(self._request_advice(decision))
             else:
                 self._order_dispatcher.carry_out(decision)
 
     async def _prepare(self) -> None:
         """Learn what earlier terms left: jobs, and workers that may still run their tasks."""
         await self._watcher.synced.wait()
-        if not self._has_mark:
+        if not self._has_marker:
             self._lease.mark_lost("its mark among the jobs is not there")
         while not self._dependencies.directory.is_synced:
-            await asyncio.sleep(DIRECTORY_EVERY_S)
-        recorded = await self._workers.await_earlier()
-        while not await self._demand.read():
+            await asyncio.sleep(DIRECTORY_POLL_INTERVAL_S)
+        recorded = await self._worker_tracker.add_recorded_workers()
+        while not await self._demand_record.read():
             await asyncio.sleep(STORE_RETRY_S)
         # Offers of an earlier term must not be taken for this one's.
         while not await self._publish_demand(PoolDemand(token=self._lease.token)):
@@ -356,14 +356,14 @@
             "term-prepared",
             jobs=len(self.scheduler_state.entries),
             workers_recorded=recorded,
-            awaited=name_some(self.scheduler_state.pending_recovery, MOST_AWAITED_NAMED),
+            awaited=name_some(self.scheduler_state.pending_recovery, MAX_PENDING_WORKERS_LOGGED),
         )
         self.is_prepared.set()
 
-    async def _ask(self, request: AdviceRequest) -> None:
+    async def _request_advice(self, request: AdviceRequest) -> None:
         outcome = await self._dependencies.advice.ask(request.step, request.worker_ids)
-        entry = self.scheduler_state.entries.get(request.step[0])
-        step = entry.steps.get(request.step[1:]) if entry is not None else None
+        tracked_job = self.scheduler_state.entries.get(request.step[0])
+        step = tracked_job.steps.get(request.step[1:]) if tracked_job is not None else None
         if step is None:
             return
         step.is_asking = False
@@ -378,8 +378,8 @@
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     # ---- the store
 
@@ -388,96 +388,96 @@
         while True:
             now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
             self._log("pool-state", **self._sizer.state(wall_s=wall_s))
-            self._waits.report(now_s=now_s, wall_s=wall_s)
-            await self._workers.keep_record()
-            await self._pending.put(
+            self._wait_monitor.report(now_s=now_s, wall_s=wall_s)
+            await self._worker_tracker.update_record()
+            await self._pending_counts_record.put(
                 json.dumps(self.scheduler_state.waiting_jobs(), sort_keys=True).encode()
             )
-            await asyncio.sleep(PUBLISH_EVERY_S)
+            await asyncio.sleep(PUBLISH_INTERVAL_S)
 
     async def _size_pool(self) -> None:
         """Tell the keeper of machines what this service lacks and what it can do without."""
         await self.is_prepared.wait()
-        told: PoolDemand | None = None
-        wakes = _Wakes()
+        published: PoolDemand | None = None
+        resumes = _ResumeCounter()
         while True:
-            self._sizer.keep_lasting_off(self._standing_offers(), self._dependencies.clock())
+            self._sizer.keep_lasting_off(self._possible_offers(), self._dependencies.clock())
             machine_records = self._dependencies.machine_records
-            need = self._sizer.assess(
+            demand = self._sizer.assess(
                 machine_records.controller.due,
                 now_s=self._dependencies.clock(),
                 wall_s=self._dependencies.wall_clock(),
             )
-            need = replace(need, woke=wakes.count(may_act=self._lease.is_valid))
+            demand = replace(demand, woke=resumes.count(may_act=self._lease.is_valid))
             self._sizer.yield_some(machine_records.controller.recalls.get(self.service, 0))
             for worker in self._sizer.emptying():
                 self.decision_engine.evacuate(worker)
                 self._order_dispatcher.wake()
-            if (need != told or self._demand.unconfirmed_values) and await self._publish_demand(
-                need
-            ):
-                told = need
-            await asyncio.sleep(SIZE_EVERY_S)
+            if (
+                demand != published or self._demand_record.unconfirmed_values
+            ) and await self._publish_demand(demand):
+                published = demand
+            await asyncio.sleep(SIZING_INTERVAL_S)
 
-    async def _publish_demand(self, need: PoolDemand) -> bool:
+    async def _publish_demand(self, demand: PoolDemand) -> bool:
         """Tell the keeper what this service needs; return whether that surely stands now.
 
         The failure: a lasting task is started on a worker that stands as free in the store, and the
         keeper takes the worker: offered by the term before this one, or by a word that was not
         answered. While a worker may stand as free, and for a while after, lasting tasks keep off.
         """
-        offered = self._standing_offers() | set(need.free)
-        if not await self._demand.put(need.encode()):
+        offers = self._possible_offers() | set(demand.free)
+        if not await self._demand_record.put(demand.encode()):
             return False
-        self._sizer.keep_lasting_off(offered, self._dependencies.clock())
-        self._log("need-told", lacking=need.lacking, free=len(need.free))
+        self._sizer.keep_lasting_off(offers, self._dependencies.clock())
+        self._log("need-told", lacking=demand.lacking, free=len(demand.free))
         return True
 
-    def _standing_offers(self) -> set[str]:
+    def _possible_offers(self) -> set[str]:
         """Return the workers that may stand as free in the store."""
-        offered: set[str] = set()
-        for word in self._demand.possible_values():
+        offers: set[str] = set()
+        for stored_value in self._demand_record.possible_values():
             try:
-                offered.update(PoolDemand.decode(word).free)
+                offers.update(PoolDemand.decode(stored_value).free)
             except (ValueError, KeyError, TypeError) as error:
                 self._log("need-unreadable", reason=repr(error))
-        return offered
+        return offers
 
-    async def _clean(self) -> None:
+    async def _delete_old_jobs(self) -> None:
         """Delete the records of jobs that ended long ago."""
         while True:
-            await asyncio.sleep(CLEAN_EVERY_S)
-            before_s = (
+            await asyncio.sleep(CLEANUP_INTERVAL_S)
+            retention_start_s = (
                 self._dependencies.wall_clock()
-                - KEEP_FINAL_PART * self._dependencies.final_state_told_s
+                - FINAL_STATE_RETENTION_RATIO * self._dependencies.final_state_told_s
             )
-            old = [
+            old_job_ids = [
                 job_id
                 for job_id, ended_s in self.scheduler_state.finished_jobs.items()
-                if ended_s < before_s
+                if ended_s < retention_start_s
             ]
-            for job_id in old[:MOST_CLEANED]:
+            for job_id in old_job_ids[:MAX_JOBS_PER_CLEANUP]:
                 keys = (self._keys.job(job_id), self._keys.progress(job_id))
                 await self._dependencies.store.commit(
                     Commit(conditions=(self._lease.condition,), deletes=keys)
                 )
 
 
-class _Wakes:
+class _ResumeCounter:
     """Counts how often a term has gone on after it rested.
 
     A keeper that rested too waits for words that were said after the outage, also where nothing has
     changed for a pool; so a term that wakes says its need anew.
     """
 
-    __slots__ = ("_count", "_is_resting")
+    __slots__ = ("_count", "_is_suspended")
 
     def __init__(self) -> None:
         self._count = 0
-        self._is_resting = False
+        self._is_suspended = False
 
     def count(self, *, may_act: bool) -> int:
         """Return the count, having heard whether orders may be given now."""
-        self._count += self._is_resting and may_act
-        self._is_resting = not may_act
+        self._count += self._is_suspended and may_act
+        self._is_suspended = not may_act
         return self._count
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -11,9 +11,9 @@
 from ._protocols import WorkerDirectory
 from ._scheduler_state import SchedulerState
 
-__all__ = ["DIRECTORY_EVERY_S", "WorkerTracker"]
+__all__ = ["DIRECTORY_POLL_INTERVAL_S", "WorkerTracker"]
 
-DIRECTORY_EVERY_S = 0.05
+DIRECTORY_POLL_INTERVAL_S = 0.05
 
 
 class WorkerTracker:
@@ -62,7 +62,7 @@
         """Whether tasks may be started on a worker, as far as the record says."""
         return self._record.may_use(worker_id)
 
-    async def await_earlier(self) -> int:
+    async def add_recorded_workers(self) -> int:
         """Put the workers of earlier terms on the board, to be seen; return how many there are."""
         await self._record.read()
         for worker_id, active_worker in self._record.active_workers.items():
@@ -71,11 +71,11 @@
 
     def _await_active_worker(self, worker_id: str, active_worker: ActiveWorker) -> None:
         """Leave earlier jobs alone until a worker is seen, or what runs there has surely ended."""
-        bound_s = self._recovery_s
+        longest_run_s = self._recovery_s
         if active_worker.left_s is not None:
-            bound_s = min(bound_s, active_worker.left_s)
-        over_s = self._clock() + bound_s
-        self._scheduler_state.pending_recovery[worker_id] = over_s
+            longest_run_s = min(longest_run_s, active_worker.left_s)
+        runs_ended_s = self._clock() + longest_run_s
+        self._scheduler_state.pending_recovery[worker_id] = runs_ended_s
         view = WorkerView(
             worker_id=worker_id,
             service=self._scheduler_state.service,
@@ -83,7 +83,7 @@
         )
         self._scheduler_state.update_worker(view)
         self._scheduler_state.mark_unlisted(worker_id)
-        self._scheduler_state.workers[worker_id].lease_ends_s = over_s
+        self._scheduler_state.workers[worker_id].lease_ends_s = runs_ended_s
 
     async def follow(self, on_change: Callable[[], None]) -> None:
         """Follow the directory and the keeper's word, until cancelled.
@@ -91,30 +91,30 @@
         Args:
             on_change: Called when the board has changed.
         """
-        seen: tuple[int, MachineControllerRecord] | None = None
+        synced_version: tuple[int, MachineControllerRecord] | None = None
         while True:
             version = (self._directory.version, self._machine_records.controller)
-            if version != seen:
-                seen = version if await self._learn_directory() else None
+            if version != synced_version:
+                synced_version = version if await self._sync_directory() else None
                 on_change()
-            await asyncio.sleep(DIRECTORY_EVERY_S)
+            await asyncio.sleep(DIRECTORY_POLL_INTERVAL_S)
 
-    async def _learn_directory(self) -> bool:
+    async def _sync_directory(self) -> bool:
         """Put the listed workers on the board; return whether all of them may be used."""
-        listed = self._listed()
+        listed = self._listed_workers()
         for worker_id, worker in self._scheduler_state.workers.items():
             if worker_id not in listed:
                 worker.is_listed = False
             elif listed[worker_id].is_draining:
                 # Known before the record leaves it out: nothing may start there from then on.
                 self._scheduler_state.update_worker(listed[worker_id])
-        is_kept = await self.keep_record()
+        is_stored = await self.update_record()
         for worker_id, view in listed.items():
             if self._record.may_use(worker_id):
                 self._scheduler_state.update_worker(view)
-        return is_kept
+        return is_stored
 
-    def _listed(self) -> dict[str, WorkerView]:
+    def _listed_workers(self) -> dict[str, WorkerView]:
         """Return the listed workers but for those that are over, whose entries stay on."""
         listed = self._directory.workers_of(self._scheduler_state.service)
         self._scheduler_state.drop_replaced(listed)
@@ -126,7 +126,7 @@
                 )
         return listed
 
-    async def keep_record(self) -> bool:
+    async def update_record(self) -> bool:
         """Have the record name the workers that this term may use, and no others.
 
         The failure: a worker leaves, or crashes, and stays in the record. After a crash or an
@@ -134,10 +134,10 @@
         though nothing runs there. So workers that are over go, and so do drained ones before they
         leave: their end may fall into a time without a scheduler.
         """
-        return await self._record.keep(self._wanted)
+        return await self._record.keep(self._usable_workers)
 
-    def _wanted(self) -> dict[str, ActiveWorker]:
-        listed = self._listed()
+    def _usable_workers(self) -> dict[str, ActiveWorker]:
+        listed = self._listed_workers()
         views = {
             worker_id: worker.view for worker_id, worker in self._scheduler_state.workers.items()
         }
@@ -145,19 +145,19 @@
         return {
             worker_id: ActiveWorker(address=view.address)
             for worker_id, view in views.items()
-            if not view.is_draining or self._may_run_something(worker_id)
+            if not view.is_draining or self._may_have_runs(worker_id)
         }
 
-    def _may_run_something(self, worker_id: str) -> bool:
+    def _may_have_runs(self, worker_id: str) -> bool:
         worker = self._scheduler_state.workers.get(worker_id)
         is_unseen = worker_id in self._scheduler_state.pending_recovery
         return is_unseen or (worker is not None and bool(worker.runs or worker.unsettled))
 
     async def hand_over(self) -> None:
         """Leave to the next term the workers that may run something, and no others."""
-        await self._record.keep(self._left)
+        await self._record.keep(self._workers_to_hand_over)
 
-    def _left(self) -> dict[str, ActiveWorker]:
+    def _workers_to_hand_over(self) -> dict[str, ActiveWorker]:
         """Return the workers that may run something, now that this term orders nothing more.
 
         What an earlier term left on a worker that was never reached ends no later for the change:
@@ -168,12 +168,14 @@
         so it is to be seen first.
         """
         now_s = self._clock()
-        left: dict[str, ActiveWorker] = {}
+        active_workers: dict[str, ActiveWorker] = {}
         for worker_id, worker in self._scheduler_state.workers.items():
             address = worker.view.address
             until_s = self._scheduler_state.pending_recovery.get(worker_id)
             if until_s is not None:
-                left[worker_id] = ActiveWorker(address=address, left_s=max(0.0, until_s - now_s))
+                active_workers[worker_id] = ActiveWorker(
+                    address=address, left_s=max(0.0, until_s - now_s)
+                )
             elif worker.runs or worker.unsettled:
-                left[worker_id] = ActiveWorker(address=address)
-        return left
+                active_workers[worker_id] = ActiveWorker(address=address)
+        return active_workers
--- a/src/shallotworks/workers/_http_control.py
+++ b/src/shallotworks/workers/_http_control.py
@@ -20,12 +20,12 @@
 
 CALL_TIMEOUT_S = 2.0
 """Longest wait for a connection, and for the next bytes of an answer."""
-THREADS = 4
+MAX_CONCURRENT_CALLS = 4
 """Calls in flight at once; further ones wait."""
 CONTROL_PREFIX = "/.worker"
-RUNNING: Final = "running"
+RUNNING_STATE: Final = "running"
 HTTP_CONFLICT = 409
-HTTP_ERROR = 400
+FIRST_HTTP_ERROR_STATUS = 400
 
 _Value = TypeVar("_Value")
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _TaskCall:
+class _TaskRequest:
     epoch: int
 
 
@@ -60,10 +60,10 @@
     fencing_token: int
 
 
-_STATUS = TypeAdapter(_Status)
-_TASKS: TypeAdapter[tuple[_Task, ...]] = TypeAdapter(tuple[_Task, ...])
-_TASK_CALL = TypeAdapter(_TaskCall)
-_REBOOT = TypeAdapter(_RebootOrder)
+_STATUS_ADAPTER = TypeAdapter(_Status)
+_TASKS_ADAPTER: TypeAdapter[tuple[_Task, ...]] = TypeAdapter(tuple[_Task, ...])
+_TASK_REQUEST_ADAPTER = TypeAdapter(_TaskRequest)
+_REBOOT_ADAPTER = TypeAdapter(_RebootOrder)
 
 
 class HttpTargetControl:
@@ -77,9 +77,11 @@
 
     def __init__(self) -> None:
         self._pool = urllib3.PoolManager(
-            num_pools=THREADS, maxsize=1, retries=False, timeout=CALL_TIMEOUT_S
+            num_pools=MAX_CONCURRENT_CALLS, maxsize=1, retries=False, timeout=CALL_TIMEOUT_S
+        )
+        self._threads = ThreadPoolExecutor(
+            MAX_CONCURRENT_CALLS, thread_name_prefix="worker-control"
         )
-        self._threads = ThreadPoolExecutor(THREADS, thread_name_prefix="worker-control")
 
     def close(self) -> None:
         """End the threads and close the connections."""
@@ -101,12 +103,12 @@
             return Err(tasks.failure())
         stopped = 0
         for task in tasks.unwrap():
-            body = _TASK_CALL.dump_json(_TaskCall(epoch=task.order.epoch))
+            body = _TASK_REQUEST_ADAPTER.dump_json(_TaskRequest(epoch=task.order.epoch))
             for verb in ("checkpoint", "stop"):
                 path = f"/tasks/{task.order.task_id}/{verb}"
-                called = await self._call(instance, "POST", path, body)
-                if not isinstance(called, Success):
-                    return Err(called.failure())
+                response = await self._call(instance, "POST", path, body)
+                if not isinstance(response, Success):
+                    return Err(response.failure())
             stopped += 1
         return Success(stopped)
 
@@ -115,8 +117,8 @@
     ) -> Result[None, Failure]:
         """Reboot it once for a reboot id; ``CONFLICT`` where work is in flight."""
         order = _RebootOrder(reboot_id=reboot_id, fencing_token=fencing_token)
-        called = await self._call(instance, "POST", "/reboot", _REBOOT.dump_json(order))
-        return called.map(lambda _: None)
+        response = await self._call(instance, "POST", "/reboot", _REBOOT_ADAPTER.dump_json(order))
+        return response.map(lambda _: None)
 
     async def probe(self, instance: Instance) -> Result[ProbeReport, Failure]:
         """Have it prove that it works."""
@@ -126,36 +128,36 @@
         )
 
     async def _status(self, instance: Instance) -> Result[_Status, Failure]:
-        called = await self._call(instance, "GET", "/status")
-        return called.bind(lambda data: _read(_STATUS, data, instance))
+        response = await self._call(instance, "GET", "/status")
+        return response.bind(lambda data: _read(_STATUS_ADAPTER, data, instance))
 
     async def _running_tasks(self, instance: Instance) -> Result[tuple[_Task, ...], Failure]:
-        called = await self._call(instance, "GET", "/tasks")
-        tasks = called.bind(lambda data: _read(_TASKS, data, instance))
-        return tasks.map(lambda listed: tuple(task for task in listed if task.state == RUNNING))
+        response = await self._call(instance, "GET", "/tasks")
+        tasks = response.bind(lambda data: _read(_TASKS_ADAPTER, data, instance))
+        return tasks.map(
+            lambda listed: tuple(task for task in listed if task.state == RUNNING_STATE)
+        )
 
     async def _call(
         self, instance: Instance, method: str, path: str, body: bytes | None = None
     ) -> Result[bytes, Failure]:
         loop = asyncio.get_running_loop()
-        return await loop.run_in_executor(
-            self._threads, self._exchange, instance, method, path, body
-        )
+        return await loop.run_in_executor(self._threads, self._send, instance, method, path, body)
 
-    def _exchange(
+    def _send(
         self, instance: Instance, method: str, path: str, body: bytes | None
     ) -> Result[bytes, Failure]:
         url = f"http://{instance.address}{CONTROL_PREFIX}{path}"
         try:
             answer = self._pool.request(method, url, body=body)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            return _refuse(ErrorKind.UNREACHABLE, f"{instance.name}: {type(error).__name__}")
+            return _fail(ErrorKind.UNREACHABLE, f"{instance.name}: {type(error).__name__}")
         if answer.status == HTTP_CONFLICT:
-            return _refuse(
+            return _fail(
                 ErrorKind.CONFLICT, f"{instance.name} refuses {method} {CONTROL_PREFIX}{path}"
             )
-        if answer.status >= HTTP_ERROR:
-            return _refuse(ErrorKind.TARGET_FAILED, f"{instance.name}: HTTP {answer.status}")
+        if answer.status >= FIRST_HTTP_ERROR_STATUS:
+            return _fail(ErrorKind.TARGET_FAILED, f"{instance.name}: HTTP {answer.status}")
         return Success(answer.data)
 
 
@@ -163,8 +165,8 @@
     try:
         return Success(adapter.validate_json(data))
     except ValidationError:
-        return _refuse(ErrorKind.TARGET_FAILED, f"{instance.name}: not the expected JSON")
+        return _fail(ErrorKind.TARGET_FAILED, f"{instance.name}: not the expected JSON")
 
 
-def _refuse(kind: ErrorKind, reason: str) -> Result[Any, Failure]:
+def _fail(kind: ErrorKind, reason: str) -> Result[Any, Failure]:
     return Err(Failure(kind=kind, reason=reason))
