--- a/src/shallotworks/scheduling/_active_workers.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -1,4 +1,4 @@
-"""The record of the workers that may run a service's tasks, which each term leaves to the next."""
+"""The record of the workers that may run a service's tasks, kept for the next epoch's scheduler."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 __all__ = ["ActiveWorker", "ActiveWorkersRecord", "active_workers_key"]
 
 UNREADABLE_RECORD_ID = "unreadable-record"
-"""Stands for the workers of a record that can't be read."""
+"""Worker id that stands in for the workers of a record that can't be read."""
 READ_RETRY_S = 0.1
-"""Between tries to read the record while the store fails."""
+"""Pause between attempts to read the record while the store fails."""
 
 
 def active_workers_key(service: str) -> str:
@@ -29,9 +29,9 @@
 
     Args:
         address: ``ip:port``.
-        left_s: Whatever runs there has ended this long after the record was written, since the term
-            that wrote it never reached the worker, and gives no orders any more; ``None`` where the
-            term may have started tasks.
+        left_s: Time after the record was written at which whatever runs on the worker has ended. It
+            is set if the epoch that wrote the record never reached the worker, so that it started
+            nothing there, and sends no more orders; ``None`` if that epoch may have started tasks.
     """
 
     address: str
@@ -39,18 +39,18 @@
 
 
 class ActiveWorkersRecord:
-    """The record as the holder of the service's key keeps it.
+    """The active workers record, as the holder of the service's key writes it.
 
-    The failure that it guards against: a successor that starts a task again while a worker that it
-    has never heard of, and can't reach, still runs it. Before a term gives its first order to a
-    worker it enters it here; a successor leaves earlier jobs alone until it has seen each worker of
-    the record, or their leases have run out.
+    It guards against this failure: a successor starts a task again while a worker that it does not
+    know, and can't reach, still runs it. An epoch therefore records a worker before it sends it the
+    first order. A successor holds earlier jobs back until it has reached each recorded worker, or
+    until the worker's leases have run out.
 
     Args:
         service: The service.
-        lease: The held key.
+        lease: The lease on the service's key.
         store: The store.
-        log: What the record can't be read for.
+        log: Why a record can't be read.
     """
 
     __slots__ = ("_decoded_value", "_key", "_lock", "_log", "_record", "active_workers")
@@ -62,18 +62,18 @@
         self._lock = asyncio.Lock()
         self._decoded_value: bytes | None = None
         self.active_workers: dict[str, ActiveWorker] = {}
-        """By worker's id, as the store has them."""
+        """Active workers by worker id, as last confirmed by the store."""
 
     @staticmethod
     def decode(value: bytes) -> dict[str, ActiveWorker]:
-        """Return what a stored record says, by worker's id."""
+        """Return the active workers of a stored record, by worker id."""
         return {
             worker_id: ActiveWorker(address=row["address"], left_s=row["left_s"])
             for worker_id, row in json.loads(value).items()
         }
 
     def may_use(self, worker_id: str) -> bool:
-        """Whether tasks may be started on a worker: whatever stands there, the record names it."""
+        """Whether tasks may be started on a worker, which every possible stored value must name."""
         active_worker = self.active_workers.get(worker_id)
         may_be_absent = any(
             worker_id not in self.decode(value) for value in self._record.unconfirmed_values
@@ -81,13 +81,13 @@
         return active_worker is not None and active_worker.left_s is None and not may_be_absent
 
     async def read(self) -> None:
-        """Read what the last term left; tries until the store answers."""
+        """Read the record of the last epoch, retrying until the store answers."""
         while not await self._record.read():
             await asyncio.sleep(READ_RETRY_S)
         self._load()
 
     async def keep(self, compute_record: Callable[[], dict[str, ActiveWorker]]) -> bool:
-        """Write the record where it differs from what is wanted; return whether it stands so.
+        """Write the record unless it is stored already; return whether the store confirmed it.
 
         Args:
             compute_record: Returns the record to write; called when it is this write's turn.
@@ -106,7 +106,8 @@
             self.active_workers = self.decode(value)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self._log.line("runners-unreadable", key=self._key, reason=repr(error)[:200])
-            # Whoever wrote it may have workers that can't be asked: their leases have to run out.
+            # The writer may have used workers that this epoch can't name and so can't poll: their
+            # leases have to run out.
             self.active_workers = {UNREADABLE_RECORD_ID: ActiveWorker(address="")}
 
 
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -1,4 +1,4 @@
-"""Which instance schedules which service: whoever wins the service's leased key."""
+"""Elects which instance schedules which service: the one that acquires the service's leased key."""
 
 from __future__ import annotations
 
@@ -13,31 +13,33 @@
 __all__ = ["LeaderElector"]
 
 BID_SPREAD_S = 0.2
-"""Bids of different instances are spread over this long, each service's in another order, so that
-services spread over instances."""
+"""The bids of different instances are spread over this time, in another order for each service,
+so that the services are spread over the instances."""
 DELAY_PER_HELD_KEY_S = 0.25
-"""Each service that an instance already schedules makes its next bid this much later."""
+"""Each service that an instance already schedules delays its next bid by this time."""
 BID_RETRY_S = 0.5
+"""Longest wait for a held key to become free before it is checked again, and the pause after a
+failed bid."""
 WEAKEST_DELAY_S = 1.0
-"""The weakest instance bids this much later than the strongest: a scheduler reads all open jobs at
-its start and half a megabit a second from then on, which takes an instance with half a core and a
-link of 5 Mbit/s seconds. One with half a core also comes after a strong one that has a duty: half
-of four times its processor is still more."""
+"""The weakest instance bids this much later than the strongest. A scheduler reads all open jobs
+at its start and half a megabit a second from then on, which takes seconds on an instance with
+half a core and a link of 5 Mbit/s. An instance with half a core also bids after a strong one
+that already schedules a service, since half of four times its processor is still more."""
 
 
 class LeaderElector:
-    """Bids for the keys of all services and runs a term for each that is won.
+    """Bids for the keys of all services and runs an epoch for each key that is acquired.
 
     Args:
         store: The store.
-        root: Prefix of the keys, each duty's name after it.
-        mark: Returns a second key for a duty's name; see `HeldLease.acquire`.
-        instance: This instance's name, written into the keys.
-        run_epoch: Runs a term until its key is lost.
+        root: Prefix of the keys; the name of the service follows it.
+        mark: Returns the marker key of a service; see `HeldLease.acquire`.
+        instance: Name of this instance, which is written into the keys.
+        run_epoch: Runs an epoch until its key is lost.
         clock: Seconds, counting suspended time.
-        times: Times of held keys.
-        log: One line for each term.
-        strength: How well this instance is equipped for a duty, 0 to 1.
+        times: Times of the leases.
+        log: One line for each epoch.
+        strength: Capacity of this instance to run schedulers, 0 to 1.
     """
 
     __slots__ = (
@@ -82,7 +84,7 @@
         self._times = times
         self._log = log
         self._holder_tokens: dict[str, int] = {}
-        """Tokens of the keys that are held, as far as is known."""
+        """Fencing tokens of the holders by service, as far as the watcher has reported."""
         self._leases: dict[str, HeldLease] = {}
         self._bids: dict[str, asyncio.Task[None]] = {}
         self._key_freed = asyncio.Event()
@@ -91,49 +93,49 @@
         self._watcher = PrefixWatcher(store=store, prefix=root, listener=self, log=log)
 
     async def run(self) -> None:
-        """Follow who holds what, until cancelled."""
+        """Watch which keys are held, until cancelled."""
         await self._watcher.run()
 
     def serve(self, services: set[str]) -> None:
-        """Say which services there are; terms of services that are gone are given up."""
+        """Set the services to bid for; epochs of services that are no longer configured end."""
         for service in services - set(self._bids):
             self._bids[service] = asyncio.create_task(self._bid(service))
         for service in set(self._bids) - services:
             self._bids.pop(service).cancel()
             lease = self._leases.get(service)
             if lease is not None:
-                lease.mark_lost("the service is gone from the configuration")
+                lease.mark_lost("the service was removed from the configuration")
 
     def held(self) -> list[str]:
-        """Return the duties whose keys this instance holds."""
+        """Return the services whose keys this instance holds."""
         return sorted(self._leases)
 
     async def stop(self) -> None:
-        """Give all keys back, so that successors begin at once."""
+        """Release all keys, so that successors can begin at once."""
         self._is_stopping = True
         leases = list(self._leases.values())
         for lease in leases:
-            lease.mark_lost("stopping")
+            lease.mark_lost("this instance is stopping")
         await asyncio.wait_for(
             asyncio.gather(*self._bids.values(), return_exceptions=True), timeout=2.0
         )
 
-    # ---- what the watcher tells
+    # ---- events from the watcher of the keys
 
     def on_write(self, item: Item) -> None:
-        """Hear who holds a key."""
+        """Process the creation of a key by its holder."""
         service = item.key.removeprefix(self._root)
         self._holder_tokens[service] = max(item.created, self._holder_tokens.get(service, 0))
         lease = self._leases.get(service)
         if lease is not None and item.created > lease.token:
-            lease.mark_lost("another holds its key")
+            lease.mark_lost("another instance holds its key")
 
     def on_delete(self, key: str, revision: int) -> None:
-        """Hear that a key is free.
+        """Process the deletion of a key.
 
-        The failure: this instance bids as soon as its own term has ended, and may win before the
-        watcher tells that the earlier key is gone; the new term then ended at its start. Only what
-        was deleted after a key's creation was that key.
+        The failure: this instance bids as soon as its own epoch has ended, and may win before the
+        watcher reports that the earlier key was deleted; the new epoch then ended at its start.
+        Only a deletion with a higher revision than the key's creation concerns that key.
         """
         service = key.removeprefix(self._root)
         lease = self._leases.get(service)
@@ -154,7 +156,8 @@
             key_count = self._key_count
             await asyncio.sleep(self._delay_s(service))
             if service in self._holder_tokens or self._is_stopping or self._key_count > key_count:
-                # Also where another key was bid for or won meanwhile: others come first now.
+                # Also if this instance acquired another key during the delay, or began to: then
+                # instances that hold fewer keys bid first.
                 continue
             lease = await self._acquire(service)
             if lease is None:
@@ -179,7 +182,7 @@
 
     @property
     def _key_count(self) -> int:
-        """Keys that this instance holds or is about to hold."""
+        """Number of keys that this instance holds or is acquiring."""
         return len(self._leases) + self._pending_acquisitions
 
     async def _run_with_lease(self, service: str, lease: HeldLease) -> None:
@@ -189,10 +192,10 @@
         try:
             await self._run_epoch(service, lease)
         except Exception as error:
-            # A fault in one term must not end the instance: the key goes to another instance.
+            # A fault in one epoch must not end the instance; another instance acquires the key.
             self._log.line("term-fault", service=service, reason=repr(error))
         finally:
-            lease.mark_lost("the term has ended")
+            lease.mark_lost("the epoch has ended")
             del self._leases[service]
             await lease.release()
             if self._holder_tokens.get(service) == lease.token:
@@ -200,7 +203,7 @@
 
     async def _wait_for_free_key(self) -> None:
         self._key_freed.clear()
-        # Not `wait_for`, which loses a cancellation that comes with the news.
+        # Not `wait_for`, which loses a cancellation that arrives together with the event.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(BID_RETRY_S):
                 await self._key_freed.wait()
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -1,4 +1,4 @@
-"""One term of a service's scheduler: from winning its key until losing it."""
+"""The scheduler of one service during one epoch, which lasts while it holds the service's key."""
 
 from __future__ import annotations
 
@@ -37,44 +37,47 @@
 __all__ = ["ServiceScheduler", "SchedulerDependencies"]
 
 DECISION_INTERVAL_S = 0.2
-"""Decisions are also taken this often with no news, for what only time brings."""
+"""Decisions are taken at least this often, since some depend on time alone and on no event."""
 DECISION_PAUSE_RATIO = 2.0
-"""... and no sooner than this many times as long as the last decision took, so that all news of a
-busy moment is decided on at once, and two thirds of the process are left for orders and looks."""
+"""The scheduler pauses for this multiple of the last decision's duration before it decides again.
+Events that arrive in a burst are thus decided on together, and two thirds of the process remain
+for orders and polls."""
 JOB_WATCH_PAUSE_S = 0.025
-"""Left between changes of jobs, which come a hundred times a second in a turn."""
+"""Pause between two batches of job changes; at peak load jobs change a hundred times a second."""
 SIZING_INTERVAL_S = 0.1
 PUBLISH_INTERVAL_S = 1.0
-"""Counts of waiting jobs may be 2 s old."""
+"""The published counts of waiting jobs may be up to 2 s old."""
 STORE_RETRY_S = 0.1
 FINAL_STATE_RETENTION_RATIO = 2.0
-"""Final states are kept this many times as long as they must be told."""
+"""Records of finished jobs are kept for this multiple of the time for which callers may ask for a
+job's final state."""
 CLEANUP_INTERVAL_S = 30.0
 MAX_JOBS_PER_CLEANUP = 60
 MAX_PENDING_WORKERS_LOGGED = 10
 MAX_RENEWAL_AGE_AT_HANDOVER_S = 1.0
-"""A term whose store has not answered for this long, two renewals, ends without a word."""
+"""An epoch ends without a handover if the store has not confirmed a renewal for this long, which is
+two renewal intervals."""
 STOP_TIMEOUT_S = 0.4
-"""A term that is given up waits this long for the orders in flight, and as long for its last
+"""An epoch that ends waits this long for the orders in flight, and as long again for its last
 commit of progress."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SchedulerDependencies:
-    """What a term works with.
+    """Services and settings that a scheduler uses.
 
     Args:
         store: The store.
-        orders: Gives orders to workers.
+        orders: Sends orders to workers.
         directory: Lists workers.
         advice: Says which workers may run a step.
-        machine_records: What the keeper of machines wants emptied.
+        machine_records: What the machine controller published: the workers to drain or taken away.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
         times: Times of orders.
         log: Decisions.
         metrics: Counters.
-        final_state_told_s: A job's final state is told for this long. Source: the platform's
+        final_state_told_s: A job's final state is reported for this long. Source: the platform's
             settings.
         is_capacity_known: Whether the capacities of a service's workers are known well enough to
             start tasks there.
@@ -95,12 +98,12 @@
 
 
 class ServiceScheduler:
-    """Schedules one service while its key is held.
+    """Schedules one service while this instance holds the service's key.
 
     Args:
         service: The service.
-        lease: The held key.
-        dependencies: What it works with.
+        lease: The lease on the service's key.
+        dependencies: Services and settings that the scheduler uses.
     """
 
     __slots__ = (
@@ -208,7 +211,7 @@
             done, _ = await asyncio.wait([*tasks, lost_task], return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 if task is not lost_task and task.exception() is not None:
-                    self._lease.mark_lost(f"a fault: {task.exception()!r}")
+                    self._lease.mark_lost(f"a background task failed: {task.exception()!r}")
                     raise task.exception() or RuntimeError
             await self._order_dispatcher.settle(STOP_TIMEOUT_S)
             self._order_dispatcher.stop_polling()
@@ -222,10 +225,10 @@
             )
 
     async def _hand_over(self) -> None:
-        """Leave to the successor the workers that may run something, and no others.
+        """Record for the successor only the workers that may still run a task.
 
-        The load: instances are stopped in turn, and each successor would wait for all workers that
-        its predecessors had used of late, most of them moved away since.
+        While instances are stopped one after another, each successor would otherwise wait for every
+        worker that its predecessors had used recently, most of which have moved away since.
         """
         is_silent = self._lease.since_renewal_s > MAX_RENEWAL_AGE_AT_HANDOVER_S
         if not is_silent and self.is_prepared.is_set():
@@ -242,14 +245,14 @@
     def _note_progress(self) -> None:
         self._progress_writer.wake.set()
 
-    # ---- what the watcher tells
+    # ---- events from the watcher of the jobs
 
     def on_write(self, item: Item) -> None:
-        """Hear of a job or of its progress."""
+        """Process a job record or a progress record that was created or changed."""
         if item.key == self._keys.holder_mark:
             self._has_marker = item.created == self._lease.token
             if item.created > self._lease.token:
-                self._lease.mark_lost("another's mark stands among the jobs")
+                self._lease.mark_lost("another holder's marker key is in the job prefix")
             return
         job_id, is_progress = self._keys.parse(item.key)
         if not is_progress:
@@ -267,15 +270,15 @@
             self.scheduler_state.update_progress(job_id, progress, item.revision)
             return
         if job_id in self.scheduler_state.finished_jobs:
-            # Told late: an earlier state of a job whose end this scheduler has stored meanwhile.
+            # A stale event: this scheduler has stored the job's final state meanwhile.
             return
         record = self._job_records.pop(job_id, None)
         if record is None and progress.state.is_final:
             self.scheduler_state.add_finished_job(job_id, progress)
             return
         if record is None:
-            # A job's record is created with its progress and stands before it in key order; without
-            # it there is nothing that could be run.
+            # A job's record is created in one commit with its progress and precedes it in key
+            # order, so that a job without a record has nothing to run.
             self._log("job-without-record", id=job_id)
             return
         self.scheduler_state.add_job(
@@ -287,13 +290,14 @@
         )
 
     def on_delete(self, key: str, revision: int) -> None:
-        """Hear that a record is gone.
+        """Process the deletion of a record.
 
-        The failure that the mark guards against: a scheduler whose key was taken away starts a job
-        that was accepted after its successor began, and that the successor may start at once.
+        The marker key guards against this failure: a scheduler whose key was taken away starts a
+        job that was accepted after its successor's epoch began, and that the successor may start at
+        once.
         """
         if key == self._keys.holder_mark:
-            self._lease.mark_lost("its mark among the jobs was deleted")
+            self._lease.mark_lost("its marker key in the job prefix was deleted")
             return
         job_id, is_progress = self._keys.parse(key)
         if is_progress:
@@ -317,7 +321,7 @@
                 await self._order_dispatcher.wait(DECISION_INTERVAL_S)
 
     def _decide(self) -> bool:
-        """Carry out what is to be done now; return whether more is, and may not wait for news."""
+        """Decide and send the orders; return whether the decision was cut short and must go on."""
         self._decide_once()
         is_waiting = any(True for _ in self.scheduler_state.open_steps())
         now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
@@ -340,16 +344,16 @@
                 self._order_dispatcher.carry_out(decision)
 
     async def _prepare(self) -> None:
-        """Learn what earlier terms left: jobs, and workers that may still run their tasks."""
+        """Recover the state of earlier epochs: jobs, and workers that may still run their tasks."""
         await self._watcher.synced.wait()
         if not self._has_marker:
-            self._lease.mark_lost("its mark among the jobs is not there")
+            self._lease.mark_lost("its marker key in the job prefix is missing")
         while not self._dependencies.directory.is_synced:
             await asyncio.sleep(DIRECTORY_POLL_INTERVAL_S)
         recorded = await self._worker_tracker.add_recorded_workers()
         while not await self._demand_record.read():
             await asyncio.sleep(STORE_RETRY_S)
-        # Offers of an earlier term must not be taken for this one's.
+        # The machine controller must not mistake offers of an earlier epoch for this one's.
         while not await self._publish_demand(PoolDemand(token=self._lease.token)):
             await asyncio.sleep(STORE_RETRY_S)
         self._log(
@@ -396,7 +400,7 @@
             await asyncio.sleep(PUBLISH_INTERVAL_S)
 
     async def _size_pool(self) -> None:
-        """Tell the keeper of machines what this service lacks and what it can do without."""
+        """Publish for the machine controller which machines this service lacks and can spare."""
         await self.is_prepared.wait()
         published: PoolDemand | None = None
         resumes = _ResumeCounter()
@@ -420,11 +424,12 @@
             await asyncio.sleep(SIZING_INTERVAL_S)
 
     async def _publish_demand(self, demand: PoolDemand) -> bool:
-        """Tell the keeper what this service needs; return whether that surely stands now.
+        """Publish the demand; return whether the store has confirmed it.
 
-        The failure: a lasting task is started on a worker that stands as free in the store, and the
-        keeper takes the worker: offered by the term before this one, or by a word that was not
-        answered. While a worker may stand as free, and for a while after, lasting tasks keep off.
+        The failure: a lasting task is started on a worker that the store lists as free, and the
+        machine controller takes the worker. The offer was made by the previous epoch, or by a write
+        that was not answered. While the store may list a worker as free, and for a while after
+        that, no lasting task is placed on it.
         """
         offers = self._possible_offers() | set(demand.free)
         if not await self._demand_record.put(demand.encode()):
@@ -434,7 +439,7 @@
         return True
 
     def _possible_offers(self) -> set[str]:
-        """Return the workers that may stand as free in the store."""
+        """Return the workers that the store may list as free."""
         offers: set[str] = set()
         for stored_value in self._demand_record.possible_values():
             try:
@@ -464,10 +469,10 @@
 
 
 class _ResumeCounter:
-    """Counts how often a term has gone on after it rested.
+    """Counts how often an epoch has resumed after it was suspended for want of a valid lease.
 
-    A keeper that rested too waits for words that were said after the outage, also where nothing has
-    changed for a pool; so a term that wakes says its need anew.
+    A machine controller that was suspended too acts only on demands published after the outage, so
+    a scheduler that resumes publishes its demand again, even if nothing has changed for its pool.
     """
 
     __slots__ = ("_count", "_is_suspended")
@@ -477,7 +482,11 @@
         self._is_suspended = False
 
     def count(self, *, may_act: bool) -> int:
-        """Return the count, having heard whether orders may be given now."""
+        """Return the number of resumptions so far.
+
+        Args:
+            may_act: Whether orders may be given now.
+        """
         self._count += self._is_suspended and may_act
         self._is_suspended = not may_act
         return self._count
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -1,4 +1,4 @@
-"""The workers of one term: which it may use, and which may still run tasks of earlier terms."""
+"""Tracks which workers one epoch may use, and which may still run tasks of earlier epochs."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 
 
 class WorkerTracker:
-    """Brings the listed workers onto a service's board, each after it was recorded.
+    """Adds listed workers to a service's scheduler state once the active workers record names them.
 
     Args:
-        scheduler_state: The board.
-        record: The record that the next term reads.
+        scheduler_state: The scheduler state.
+        record: The active workers record, which the next epoch reads.
         directory: Lists workers.
-        machine_records: What the keeper of machines has taken away.
+        machine_records: Says which workers the machine controller has taken away.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
-        recovery_s: Whatever an earlier term started on an unseen worker has ended by then.
+        recovery_s: Time after which whatever an earlier epoch started on a worker that this epoch
+            has not reached has ended.
     """
 
     __slots__ = (
@@ -59,18 +60,18 @@
         self._recovery_s = recovery_s
 
     def may_use(self, worker_id: str) -> bool:
-        """Whether tasks may be started on a worker, as far as the record says."""
+        """Whether the active workers record allows tasks to be started on a worker."""
         return self._record.may_use(worker_id)
 
     async def add_recorded_workers(self) -> int:
-        """Put the workers of earlier terms on the board, to be seen; return how many there are."""
+        """Add the recorded workers of earlier epochs, to be recovered; return their number."""
         await self._record.read()
         for worker_id, active_worker in self._record.active_workers.items():
             self._await_active_worker(worker_id, active_worker)
         return len(self._record.active_workers)
 
     def _await_active_worker(self, worker_id: str, active_worker: ActiveWorker) -> None:
-        """Leave earlier jobs alone until a worker is seen, or what runs there has surely ended."""
+        """Hold earlier jobs back until a worker answers, or until what runs there has ended."""
         longest_run_s = self._recovery_s
         if active_worker.left_s is not None:
             longest_run_s = min(longest_run_s, active_worker.left_s)
@@ -86,10 +87,10 @@
         self._scheduler_state.workers[worker_id].lease_ends_s = runs_ended_s
 
     async def follow(self, on_change: Callable[[], None]) -> None:
-        """Follow the directory and the keeper's word, until cancelled.
+        """Follow the directory and the machine controller's record, until cancelled.
 
         Args:
-            on_change: Called when the board has changed.
+            on_change: Called when the scheduler state has changed.
         """
         synced_version: tuple[int, MachineControllerRecord] | None = None
         while True:
@@ -100,13 +101,13 @@
             await asyncio.sleep(DIRECTORY_POLL_INTERVAL_S)
 
     async def _sync_directory(self) -> bool:
-        """Put the listed workers on the board; return whether all of them may be used."""
+        """Update the scheduler state from the directory; return whether the record was stored."""
         listed = self._listed_workers()
         for worker_id, worker in self._scheduler_state.workers.items():
             if worker_id not in listed:
                 worker.is_listed = False
             elif listed[worker_id].is_draining:
-                # Known before the record leaves it out: nothing may start there from then on.
+                # Set before the worker leaves the record, since nothing may start there afterwards.
                 self._scheduler_state.update_worker(listed[worker_id])
         is_stored = await self.update_record()
         for worker_id, view in listed.items():
@@ -115,7 +116,11 @@
         return is_stored
 
     def _listed_workers(self) -> dict[str, WorkerView]:
-        """Return the listed workers but for those that are over, whose entries stay on."""
+        """Return the listed workers without those that were replaced or taken away.
+
+        Workers that were taken away stay listed for a while; they are removed from the scheduler
+        state here.
+        """
         listed = self._directory.workers_of(self._scheduler_state.service)
         self._scheduler_state.drop_replaced(listed)
         for worker_id in self._machine_records.controller.over:
@@ -127,12 +132,15 @@
         return listed
 
     async def update_record(self) -> bool:
-        """Have the record name the workers that this term may use, and no others.
+        """Make the record name the workers that this epoch may use, and no others.
+
+        The failure: a worker leaves or crashes, and stays in the record. After a crash or an outage
+        of the store the next epoch can't reach it, and holds all earlier jobs back for 7 s though
+        nothing runs there. So ended workers are removed, and drained ones before they leave, since
+        they may end at a time when no scheduler runs.
 
-        The failure: a worker leaves, or crashes, and stays in the record. After a crash or an
-        outage of the store the next term can't reach it, and leaves all earlier jobs alone for 7 s
-        though nothing runs there. So workers that are over go, and so do drained ones before they
-        leave: their end may fall into a time without a scheduler.
+        Returns:
+            Whether the store has confirmed the record.
         """
         return await self._record.keep(self._usable_workers)
 
@@ -154,18 +162,19 @@
         return is_unseen or (worker is not None and bool(worker.runs or worker.unsettled))
 
     async def hand_over(self) -> None:
-        """Leave to the next term the workers that may run something, and no others."""
+        """Record for the next epoch only the workers that may still run a task."""
         await self._record.keep(self._workers_to_hand_over)
 
     def _workers_to_hand_over(self) -> dict[str, ActiveWorker]:
-        """Return the workers that may run something, now that this term orders nothing more.
+        """Return the workers that may still run a task, now that this epoch sends no more orders.
 
-        What an earlier term left on a worker that was never reached ends no later for the change:
-        where instances are stopped in turn, each successor would wait for it from the start.
+        A worker of an earlier epoch that was never reached keeps the time at which its tasks have
+        ended: where instances are stopped one after another, each successor would otherwise wait
+        the full recovery time for it.
 
-        The failure: a task runs again on another worker, after it has ended on one that is left out
-        since nothing runs there, and before its end was stored. Such a worker still tells the end,
-        so it is to be seen first.
+        The failure: a task ends on a worker, and before that end is stored the worker is omitted
+        because nothing runs there; the successor then runs the task again on another worker. Such a
+        worker still reports the end, so the successor has to poll it first.
         """
         now_s = self._clock()
         active_workers: dict[str, ActiveWorker] = {}
