--- a/src/shallotworks/jobs/__init__.py
+++ b/src/shallotworks/jobs/__init__.py
@@ -1,7 +1,7 @@
-"""Jobs: what callers hand in to be run as tasks on workers, and what has become of it.
+"""Jobs, which callers submit to be run as tasks on workers, and their progress.
 
-`JobRequestHandler` answers callers: accepted means stored. The scheduling package runs the tasks
-and writes progress. This package never talks to workers.
+`JobRequestHandler` answers callers; an accepted job is stored. The scheduling package runs the
+tasks and writes progress. This package never communicates with workers.
 """
 
 from ._crashes import Blame, LostRun, is_crash_looping, is_suspect
--- a/src/shallotworks/jobs/_progress.py
+++ b/src/shallotworks/jobs/_progress.py
@@ -1,4 +1,4 @@
-"""What has become of a job: which tasks are done, how often each has failed, its state."""
+"""Progress of a job: its state, the tasks that are done, and each task's failed and lost runs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 __all__ = ["JobProgress", "JobState"]
 
 MAX_LOST_RUNS = 8
-"""Lost runs of a task that its record holds, the latest ones."""
+"""Lost runs of one task that its record holds; the latest ones are kept."""
 
 
 @unique
@@ -25,7 +25,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the job runs no more."""
+        """Whether no more tasks of the job are run."""
         return self in FINAL_STATES
 
 
@@ -33,15 +33,15 @@
 
 
 class JobProgress:
-    """Progress of one job; only ever moves forward.
+    """Progress of one job, which only ever advances.
 
     Args:
-        queue: Name of the job's queue, so that its state can be told without reading the job.
+        queue: Name of the job's queue, so that its state can be reported without reading the job.
         state: Its state.
-        done: Per occurrence and step, a set of task numbers as bits.
-        failures: Ids of the failed runs of each task: a set, since an end that was stored and not
-            acknowledged is told again to the next scheduler and must count once.
-        lost: Runs of each task that were lost with their workers, while it isn't done.
+        done: Bitmask of the numbers of the tasks that are done, by occurrence and step.
+        failures: Ids of the failed runs of each task. They are a set, since an end that was stored
+            but not acknowledged is reported again to the next scheduler and must count once.
+        lost: Runs of each task that were lost with their workers, until the task is done.
         ended_s: Time of day at which it reached its final state; 0 before.
     """
 
@@ -65,15 +65,15 @@
         self.ended_s = ended_s
 
     def is_done(self, name: TaskName) -> bool:
-        """Whether a task has ended well."""
+        """Whether a task has succeeded."""
         return bool(self.done.get((name.occurrence, name.step), 0) >> name.number & 1)
 
     def is_step_done(self, job: Job, occurrence: int, step: int) -> bool:
-        """Whether all tasks of a step have ended well."""
+        """Whether all tasks of a step have succeeded."""
         return self.done.get((occurrence, step), 0) == (1 << job.steps[step].count) - 1
 
     def note_done(self, job: Job, name: TaskName, *, now_s: float) -> None:
-        """Take note that a task ended well; a gang's one end stands for all its tasks."""
+        """Record that a task succeeded; the one end of a gang counts for all its tasks."""
         key = (name.occurrence, name.step)
         step = job.steps[name.step]
         bits = (1 << step.count) - 1 if step.is_gang else 1 << name.number
@@ -83,7 +83,7 @@
             self.finish(JobState.COMPLETED, now_s=now_s)
 
     def note_failed(self, job: Job, name: TaskName, run_id: int, *, now_s: float) -> bool:
-        """Count a failed run, once; a gang's members share one count.
+        """Count a failed run, once; the members of a gang share one count.
 
         Returns:
             Whether something changed; failures of lasting tasks are not counted.
@@ -98,14 +98,14 @@
         return True
 
     def lost_runs(self, job: Job, name: TaskName) -> tuple[LostRun, ...]:
-        """Return the runs of a task that were lost; a gang's members share them."""
+        """Return the runs of a task that were lost; the members of a gang share them."""
         return self.lost.get(_attempts_key(job, name), ())
 
     def note_lost(self, job: Job, name: TaskName, lost: LostRun, *, now_s: float) -> bool:
-        """Take note of a lost run, or of what is known of it now; return whether that is news.
+        """Record a lost run, or newer knowledge of one; return whether something changed.
 
-        What is certain stays. A job with a task whose runs crash their workers again and again has
-        failed.
+        Once a loss is certain, its record no longer changes. A job with a task in a crash loop,
+        whose runs crash their workers again and again, fails.
         """
         earlier = self.lost_runs(job, name)
         recorded = next((run for run in earlier if run.run_id == lost.run_id), None)
@@ -118,7 +118,7 @@
         return True
 
     def note_survived(self, job: Job, name: TaskName, run_id: int) -> bool:
-        """Take note that a run's worker has not crashed under it; return whether that is news."""
+        """Record that a run's worker has not crashed under it; return whether something changed."""
         earlier = self.lost_runs(job, name)
         remaining = tuple(run for run in earlier if run.is_certain or run.run_id != run_id)
         if remaining == earlier:
@@ -129,7 +129,7 @@
         return True
 
     def finish(self, state: JobState, *, now_s: float) -> None:
-        """Set a final state, once."""
+        """Set the final state, unless one is set already."""
         if not self.state.is_final:
             self.state = state
             self.ended_s = now_s
@@ -143,5 +143,5 @@
 
 
 def _attempts_key(job: Job, name: TaskName) -> tuple[int, int, int]:
-    """Return under which key a task's attempts are counted; a gang's members share one."""
+    """Return the key under which a task's attempts are counted; the members of a gang share one."""
     return (name.occurrence, name.step, 0 if job.steps[name.step].is_gang else name.number)
--- a/src/shallotworks/jobs/_records.py
+++ b/src/shallotworks/jobs/_records.py
@@ -1,4 +1,4 @@
-"""Jobs and their progress as records of the store."""
+"""Encodes jobs and their progress as records of the store."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 class JobKeys:
     """The keys of one service's jobs.
 
-    A job's immutable record and its progress are created in one commit; both stand under one
-    prefix, so that one watch tells of both in order.
+    A job's immutable record and its progress are created in one commit. Both have the same prefix,
+    so that one watch reports both in order.
     """
 
     service: str
@@ -38,7 +38,7 @@
 
     @property
     def holder_mark(self) -> str:
-        """Key that exists while the service has a scheduler; sorts before all jobs."""
+        """Marker key, which exists while the service has a scheduler; it sorts before all jobs."""
         return f"{self.prefix}!scheduler"
 
     def job(self, job_id: str) -> str:
@@ -50,11 +50,11 @@
         return f"{self.prefix}{job_id}{PROGRESS_SUFFIX}"
 
     def pending(self) -> str:
-        """Key of the number of jobs of each queue that have not begun."""
+        """Key of the record that counts, for each queue, the jobs that have not begun."""
         return f"shallotworks/pending/{self.service}"
 
     def parse(self, key: str) -> tuple[str, bool]:
-        """Return a key's job, and whether it is the progress."""
+        """Return the job id of a key, and whether the key is that of the job's progress."""
         name = key.removeprefix(self.prefix)
         if name.endswith(PROGRESS_SUFFIX):
             return name.removesuffix(PROGRESS_SUFFIX), True
@@ -62,17 +62,21 @@
 
 
 def encode_job(job: Job) -> bytes:
-    """Return the record of a job."""
+    """Encode a job as its immutable record."""
     return _JOB_ADAPTER.dump_json(job, exclude_defaults=True)
 
 
 def decode_job(record: bytes) -> Job:
-    """Return the job of a record; raises `ValueError` for one that this release can't read."""
+    """Decode a job's immutable record.
+
+    Raises:
+        ValueError: This release can't read the record.
+    """
     return _JOB_ADAPTER.validate_json(record)
 
 
 def encode_progress(progress: JobProgress) -> bytes:
-    """Return the record of a job's progress; equal progress gives equal bytes."""
+    """Encode a job's progress; equal progress gives equal bytes."""
     record: dict[str, Any] = {"queue": progress.queue, "state": progress.state.value}
     if progress.done:
         record["done"] = [[*key, f"{bits:x}"] for key, bits in sorted(progress.done.items())]
@@ -95,7 +99,11 @@
 
 
 def decode_progress(record: bytes) -> JobProgress:
-    """Return the progress of a record; raises `ValueError` for one that can't be read."""
+    """Decode the record of a job's progress.
+
+    Raises:
+        ValueError: The record can't be read.
+    """
     try:
         fields = json.loads(record)
         return JobProgress(
@@ -115,4 +123,4 @@
             ended_s=fields.get("ended_s", 0.0),
         )
     except (KeyError, IndexError, TypeError) as error:
-        raise ValueError(f"unreadable progress: {error!r}") from error
+        raise ValueError(f"progress record can't be decoded: {error!r}") from error
--- a/src/shallotworks/jobs/_request_handler.py
+++ b/src/shallotworks/jobs/_request_handler.py
@@ -1,4 +1,4 @@
-"""Answering callers about jobs: hand in, state, cancel, how many wait."""
+"""Answers callers' requests about jobs: submit, state, cancel, and the number of waiting jobs."""
 
 from __future__ import annotations
 
@@ -22,32 +22,31 @@
 __all__ = ["JobResponse", "JobRequestStatus", "JobRequestHandler"]
 
 STORE_RETRY_S = 0.08
-"""Between tries of one request: about twice a slow answer of the store when it is well."""
-"""Told to callers that are refused while the store can't be reached: most outages of the platform
-last seconds, and a second costs a caller little."""
+"""Pause between attempts of one request, about twice the time of a slow answer of a healthy
+store."""
 
 
 @unique
 class JobRequestStatus(Enum):
-    """What became of a caller's request."""
+    """Outcome of a caller's request."""
 
     ACCEPTED = "accepted"
     FOUND = "found"
     NO_SUCH_JOB = "no-such-job"
     REFUSED = "refused"
-    """It has not been done and never will be."""
+    """The request was not carried out and never will be."""
     UNKNOWN = "unknown"
-    """It may have been done, or may be yet; the same request may be sent again."""
+    """The request may have been carried out, or may be yet; the caller may send it again."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobResponse:
-    """Answer to a caller.
+    """Response to a caller.
 
     Args:
-        status: What became of the request.
-        state: The job's state, where it was asked for and found.
-        waiting: Jobs that have not begun, where that was asked.
+        status: Outcome of the request.
+        state: The job's state, if the caller asked for it and the job exists.
+        waiting: Number of jobs that have not begun, if the caller asked for it.
     """
 
     status: JobRequestStatus
@@ -56,12 +55,12 @@
 
 
 class JobRequestHandler:
-    """Answers callers from the store, so that any instance answers alike.
+    """Answers callers from the store alone, so that every instance gives the same answer.
 
     Args:
         store: The store.
-        metrics: Counters of endings.
-        log: One line for each answer that is not a plain look.
+        metrics: Counts requests by their outcome.
+        log: One line for each answer, except for reads that succeed.
         wall_clock: Time of day in seconds since 1970.
     """
 
@@ -81,15 +80,16 @@
         self._wall_clock = wall_clock
 
     async def submit(self, job: Job, *, deadline_s: float) -> JobResponse:
-        """Store a job; a second one with its id is the same job.
+        """Store a job; submitting the same job id again changes nothing.
 
         The failure it guards against: a commit whose answer was lost may be carried out seconds
-        later, so a caller who was told "not accepted" would see its job run. Once one try has an
-        unknown outcome, the answer is either "accepted" or "unknown", never a refusal.
+        later, so that the job of a caller who was answered "not accepted" would run. Once one
+        attempt has an unknown outcome, the answer is either "accepted" or "unknown", never a
+        refusal.
 
         Args:
             job: The job.
-            deadline_s: On the loop's clock, when the answer must be given.
+            deadline_s: Time on the loop's clock by which the answer must be given.
         """
         keys = JobKeys(service=job.policy.service)
         progress = JobProgress(queue=job.policy.queue)
@@ -120,7 +120,7 @@
                 return self._answer("submit", job.job_id, status, failure=failure)
 
     async def state(self, policy: QueuePolicy, job_id: str, *, deadline_s: float) -> JobResponse:
-        """Tell a job's state."""
+        """Return a job's state."""
         key = JobKeys(service=policy.service).progress(job_id)
         item = await self._get_with_retries(key, deadline_s)
         if isinstance(item, Failure):
@@ -134,7 +134,7 @@
         return JobResponse(status=JobRequestStatus.FOUND, state=progress.state)
 
     async def cancel(self, policy: QueuePolicy, job_id: str, *, deadline_s: float) -> JobResponse:
-        """Cancel a job; acknowledged once stored. One that has ended stays as it is."""
+        """Cancel a job; accepted once that is stored. A job that has ended does not change."""
         keys = JobKeys(service=policy.service)
         key = keys.progress(job_id)
         while True:
@@ -162,7 +162,7 @@
                 return self._answer("cancel", job_id, JobRequestStatus.UNKNOWN)
 
     async def waiting(self, policy: QueuePolicy, *, deadline_s: float) -> JobResponse:
-        """Tell how many jobs of a queue have not begun, as its scheduler last wrote."""
+        """Return how many jobs of a queue have not begun, as its scheduler last published."""
         item = await self._get_with_retries(JobKeys(service=policy.service).pending(), deadline_s)
         if isinstance(item, Failure):
             return self._answer("waiting", policy.queue, JobRequestStatus.REFUSED, failure=item)
--- a/src/shallotworks/jobs/_retry_after.py
+++ b/src/shallotworks/jobs/_retry_after.py
@@ -1,8 +1,9 @@
-"""When callers who were refused in an outage are told to come back; no network.
+"""How long callers who were refused during an outage of the store should wait before they retry.
 
-The load that it answers: a store that is away for some seconds, and callers who try a few times and
-then give up. Told to come back in a second each time, all who ask in its first seconds are spent
-before it is back; told to wait for long, they come too late after a short one.
+The pause suits a store that is unavailable for some seconds, and callers who try a few times and
+then give up. If each refusal asked for a retry in one second, all callers of the outage's first
+seconds would use up their attempts before the store is back; if it asked for a long wait, they
+would retry too late after a short outage.
 """
 
 from __future__ import annotations
@@ -12,13 +13,16 @@
 __all__ = ["retry_after_s"]
 
 MAX_RETRY_AFTER_S = 3
-"""Callers who waited for longer would be late for what they want even when the store is back."""
+"""A longer wait would delay callers too much even when the store is back."""
 
 
 def retry_after_s(outage_s: float) -> int:
-    """Return when to come back, in whole seconds, for an outage that has lasted this long.
+    """Return the seconds to wait before a retry, as a whole number.
 
-    Of an outage whose length nobody knows, as much is left as has passed is the even bet; so the
-    pauses grow with it, and a few tries reach the end of a long one.
+    An outage of unknown length is as likely as not to last as long again as it has lasted. The
+    pauses therefore grow with it, and a few attempts reach the end of a long outage.
+
+    Args:
+        outage_s: How long the outage has lasted.
     """
     return min(MAX_RETRY_AFTER_S, math.floor(outage_s) + 1)
--- a/src/shallotworks/jobs/_spec.py
+++ b/src/shallotworks/jobs/_spec.py
@@ -1,4 +1,4 @@
-"""What a job is: steps of tasks, the queue's policy for them, and when they repeat."""
+"""Definition of a job: steps of tasks, the policy of its queue, and when its steps are repeated."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 __all__ = ["Job", "QueuePolicy", "Repeats", "Step", "TaskName", "job_problems"]
 
 MAX_TASKS = 10_000
-"""Tasks of one occurrence of a job: ten times what the target size asks of the widest job."""
+"""Tasks of one occurrence of a job: ten times the number that the target size asks of the widest
+job."""
 MAX_CPU_MILLICORES = 10_000_000
 MAX_MEMORY_MB = 100_000_000
 MAX_OCCURRENCES = 1_000_000
@@ -18,7 +19,7 @@
 
 
 class TaskName(NamedTuple):
-    """Names one task of one occurrence of a job."""
+    """Identifies one task of one occurrence of a job."""
 
     job_id: str
     occurrence: int
@@ -32,25 +33,25 @@
 
     Args:
         count: Number of tasks.
-        cpu_millicores: What each asks of a worker's processor.
-        memory_mb: What each asks of its memory.
-        gpus: What each asks of its accelerators.
-        estimated_s: Rough length of a task.
+        cpu_millicores: Processor that each task requests of a worker.
+        memory_mb: Memory that each task requests.
+        gpus: Accelerators that each task requests.
+        estimated_s: Rough duration of a task.
         after: Numbers of the steps whose tasks must all be done first.
-        is_checkpointed: A task that was stopped can go on where it was.
+        is_checkpointed: A task that was stopped can resume from its checkpoint.
         is_gang: The tasks run only all together, and end together.
         is_one_rack: The tasks are slower when spread over racks.
         label: A label that the worker must have; empty for none.
-        near_rack: The rack where the data is; empty for none.
+        near_rack: The rack that holds the data; empty for none.
         most_per_worker: Tasks of this step on one worker at once; 0 for any number.
         is_speculative: Copies of a task may run at the same time.
         is_lasting: The tasks run until the job is cancelled.
-        image: What the tasks run; those of one image behave alike.
-        target_s: The tail of a lasting task's response times must stay below it; 0 for none.
-        is_filler: The tasks use what others leave of the processor, which their ``cpu_millicores``
-            are not counted against.
-        may_miss: Tasks of a lasting step that may be away at once by our doing; 0 where the step
-            sets no such budget.
+        image: The image that the tasks run; tasks of one image behave alike.
+        target_s: Upper bound for the tail of a lasting task's response times; 0 for none.
+        is_filler: The tasks use the processor time that others leave; their ``cpu_millicores`` are
+            not counted as used.
+        may_miss: Disruption budget of a lasting step: number of its tasks that the scheduler may
+            make unavailable at once; 0 if the step sets no such budget.
     """
 
     count: int
@@ -75,11 +76,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Repeats:
-    """When the steps of a job run again.
+    """When the steps of a job are run again.
 
     Args:
         first_s: Time of day of the first occurrence, in seconds since 1970.
-        interval_s: Between occurrences.
+        interval_s: Time between occurrences.
         count: Number of occurrences.
     """
 
@@ -90,15 +91,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QueuePolicy:
-    """What the configuration said of a job's queue when the job was accepted.
+    """Configuration of a job's queue at the time when the job was accepted.
 
     Args:
         queue: Name of the queue.
-        service: Whose workers run its tasks.
-        priority: 0 comes first.
-        most_attempts: Failed runs of one task after which its job has failed.
-        stretch: The objective is this multiple of the job's longest chain of work ...
-        target_latency_s: ... and this much more.
+        service: Service whose workers run its tasks.
+        priority: Priority of the queue; 0 is the highest.
+        most_attempts: Number of failed runs of one task at which its job fails.
+        stretch: Factor of the objective for the job's duration, which is this multiple of the job's
+            longest chain of steps plus ``target_latency_s``.
+        target_latency_s: Constant part of the objective.
         is_advised: Only workers that the advice service allows may run a step.
     """
 
@@ -116,11 +118,11 @@
     """A job as it was accepted; it never changes.
 
     Args:
-        job_id: The caller's name for it.
-        policy: Its queue's policy.
-        spec: The caller's text, handed to each task.
+        job_id: The id that the caller gave to it.
+        policy: The policy of its queue.
+        spec: Text of the caller, which is passed to each task.
         steps: Its steps.
-        repeats: When they run again; ``None`` for a job that runs once, at once.
+        repeats: When the steps are run again; ``None`` for a job that runs once, at once.
         accepted_s: Time of day of its acceptance, in seconds since 1970.
     """
 
@@ -133,7 +135,7 @@
 
     @property
     def occurrences(self) -> int:
-        """How often its steps run."""
+        """Number of times that its steps are run."""
         return self.repeats.count if self.repeats is not None else 1
 
     @property
@@ -148,7 +150,7 @@
         return self.repeats.first_s + occurrence * self.repeats.interval_s
 
     def longest_chain_s(self) -> float:
-        """Estimated length of the longest chain of steps."""
+        """Estimated duration of the longest chain of steps."""
         ends_s: list[float] = []
         for step in self.steps:
             starts_s = max((ends_s[number] for number in step.after), default=0.0)
@@ -156,35 +158,35 @@
         return max(ends_s, default=0.0)
 
     def objective_s(self) -> float:
-        """Time from acceptance, or an occurrence's due time, in which it should be done."""
+        """Time from acceptance, or an occurrence's due time, within which it should be done."""
         return self.policy.stretch * self.longest_chain_s() + self.policy.target_latency_s
 
 
 def job_problems(job: Job) -> Iterator[str]:
-    """Say what is wrong with a job, a sentence each; nothing for a sound one."""
+    """Yield one sentence for each problem of a job; nothing for a valid job."""
     if len(job.spec.encode()) > MAX_SPEC_BYTES:
         yield f"the spec is longer than {MAX_SPEC_BYTES} bytes"
     if not job.steps:
-        yield "a job needs a step"
+        yield "the job has no step"
     if sum(step.count for step in job.steps) > MAX_TASKS:
-        yield f"a job has at most {MAX_TASKS} tasks"
+        yield f"the job has more than {MAX_TASKS} tasks"
     for number, step in enumerate(job.steps):
         yield from (f"step {number}: {problem}" for problem in _step_problems(number, step))
     repeats = job.repeats
     if repeats is not None and not (
         0 < repeats.count <= MAX_OCCURRENCES and repeats.interval_s >= 0 and repeats.first_s >= 0
     ):
-        yield "its repetition is out of range"
+        yield "the count, interval or start of its repetition is out of range"
 
 
 def _step_problems(number: int, step: Step) -> Iterator[str]:
     if step.count < 1:
-        yield "it needs a task"
+        yield "it has no task"
     if any(earlier >= number or earlier < 0 for earlier in step.after):
-        yield "it may only come after earlier steps"
+        yield "it may depend only on earlier steps"
     if not 0 <= step.cpu_millicores <= MAX_CPU_MILLICORES:
-        yield "its processor need is out of range"
+        yield "its processor request is out of range"
     if not 0 <= step.memory_mb <= MAX_MEMORY_MB:
-        yield "its memory need is out of range"
+        yield "its memory request is out of range"
     if min(step.gpus, step.estimated_s, step.most_per_worker, step.target_s, step.may_miss) < 0:
-        yield "a figure is negative"
+        yield "its accelerators, duration, tasks per worker, target or budget is negative"
--- a/src/shallotworks/workers/__init__.py
+++ b/src/shallotworks/workers/__init__.py
@@ -1,6 +1,6 @@
-"""What worker instances are asked besides requests: their status, a reboot, checkpoints.
+"""Control of worker instances other than requests: their status, a reboot, checkpoints.
 
-It carries out what a conductor decides and decides nothing itself; see `docs/protocol-worker.md`.
+It carries out what a conductor decides and takes no decisions; see `docs/protocol-worker.md`.
 """
 
 from ._http_control import HttpTargetControl
--- a/src/shallotworks/workers/_http_control.py
+++ b/src/shallotworks/workers/_http_control.py
@@ -19,7 +19,7 @@
 __all__ = ["HttpTargetControl"]
 
 CALL_TIMEOUT_S = 2.0
-"""Longest wait for a connection, and for the next bytes of an answer."""
+"""Longest wait for a connection, and for the next bytes of a response."""
 MAX_CONCURRENT_CALLS = 4
 """Calls in flight at once; further ones wait."""
 CONTROL_PREFIX = "/.worker"
@@ -69,8 +69,8 @@
 class HttpTargetControl:
     """Implements `shallotworks.plans.TargetControl` with the workers' HTTP protocol.
 
-    Every call fails with ``UNREACHABLE`` where there is no whole answer, ``CONFLICT`` where the
-    worker refuses, and ``TARGET_FAILED`` where it answers anything else but what was asked.
+    Every call fails with ``UNREACHABLE`` if no complete response arrives, with ``CONFLICT`` if the
+    worker refuses, and with ``TARGET_FAILED`` for any other response than the expected one.
     """
 
     __slots__ = ("_pool", "_threads")
@@ -84,12 +84,12 @@
         )
 
     def close(self) -> None:
-        """End the threads and close the connections."""
+        """Stop the threads and close the connections."""
         self._threads.shutdown(wait=True, cancel_futures=True)
         self._pool.clear()
 
     async def in_flight(self, instance: Instance) -> Result[int, Failure]:
-        """Return the requests and tasks that it runs."""
+        """Return the number of requests and tasks that the instance runs."""
         status = await self._status(instance)
         tasks = await self._running_tasks(instance)
         return status.bind(
@@ -97,7 +97,7 @@
         )
 
     async def checkpoint_jobs(self, instance: Instance) -> Result[int, Failure]:
-        """Have its tasks checkpointed and stopped; returns how many."""
+        """Checkpoint and stop the instance's running tasks; return their number."""
         tasks = await self._running_tasks(instance)
         if not isinstance(tasks, Success):
             return Err(tasks.failure())
@@ -115,13 +115,13 @@
     async def reboot(
         self, instance: Instance, *, reboot_id: str, fencing_token: int
     ) -> Result[None, Failure]:
-        """Reboot it once for a reboot id; ``CONFLICT`` where work is in flight."""
+        """Reboot the instance at most once for a reboot id; ``CONFLICT`` if work is in flight."""
         order = _RebootOrder(reboot_id=reboot_id, fencing_token=fencing_token)
         response = await self._call(instance, "POST", "/reboot", _REBOOT_ADAPTER.dump_json(order))
         return response.map(lambda _: None)
 
     async def probe(self, instance: Instance) -> Result[ProbeReport, Failure]:
-        """Have it prove that it works."""
+        """Read the instance's status as proof that it works."""
         status = await self._status(instance)
         return status.map(
             lambda report: ProbeReport(incarnation=report.incarnation, reboot_id=report.reboot_id)
@@ -154,7 +154,7 @@
             return _fail(ErrorKind.UNREACHABLE, f"{instance.name}: {type(error).__name__}")
         if answer.status == HTTP_CONFLICT:
             return _fail(
-                ErrorKind.CONFLICT, f"{instance.name} refuses {method} {CONTROL_PREFIX}{path}"
+                ErrorKind.CONFLICT, f"{instance.name} refused {method} {CONTROL_PREFIX}{path}"
             )
         if answer.status >= FIRST_HTTP_ERROR_STATUS:
             return _fail(ErrorKind.TARGET_FAILED, f"{instance.name}: HTTP {answer.status}")
@@ -165,7 +165,9 @@
     try:
         return Success(adapter.validate_json(data))
     except ValidationError:
-        return _fail(ErrorKind.TARGET_FAILED, f"{instance.name}: not the expected JSON")
+        return _fail(
+            ErrorKind.TARGET_FAILED, f"{instance.name}: the response is not the expected JSON"
+        )
 
 
 def _fail(kind: ErrorKind, reason: str) -> Result[Any, Failure]:
