--- a/tests/held_leases.py
+++ b/tests/held_leases.py
@@ -7,13 +7,13 @@
 from tests.scheduling_fakes import quiet_log
 
 SERVICE = "antenna"
-DUTY = "duty/antenna"
+LEASE_KEY = "duty/antenna"
 
 
 async def try_acquire(
     store: Store,
     *,
-    key: str = DUTY,
+    key: str = LEASE_KEY,
     marker_key: str = JobKeys(service=SERVICE).holder_mark,
     times: LeaseTiming | None = None,
 ) -> HeldLease | None:
@@ -32,7 +32,7 @@
 async def acquire(
     store: Store,
     *,
-    key: str = DUTY,
+    key: str = LEASE_KEY,
     marker_key: str = JobKeys(service=SERVICE).holder_mark,
     times: LeaseTiming | None = None,
 ) -> HeldLease:
--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -52,45 +52,45 @@
 from tests.scheduling_fakes import policy, quiet_log, step, view
 from tests.scheduling_simulation import SERVICE, AllAllowed, Instance
 
-__all__ = ["RUNS_AGAIN_S", "LastingTaskSimulation", "lasting"]
+__all__ = ["RESTART_DEADLINE_S", "LastingTaskSimulation", "lasting_step"]
 
-RUNS_AGAIN_S = 10.0
+RESTART_DEADLINE_S = 10.0
 """A lasting task with room for it runs again within this after the last fault. Source: the users'
 rules: instances are in touch 3 s after a fault, the 4 s before a task is missed must be calm, and
 it may be missed for 3 s."""
-MISSED_S = 3.0
+MISSED_AFTER_S = 3.0
 """A task that was stopped to be moved is back sooner; one that is not is missed. Source: the users'
 rules."""
-NOTICE_S = 4.5
+AWAY_AFTER_S = 4.5
 """A task that is not at work for this long counts as away. Source: the platform's settings."""
-LEASE_S = 6.0
+MAX_TASK_LEASE_S = 6.0
 """The longest lease of what runs on a worker: what lapses later than this after the last fault
 lapses in calm times."""
-STOPPED_WITHIN_S = 8.0
+CANCEL_DEADLINE_S = 8.0
 """A cancelled task runs no longer than this, 3 s for the cancel to be known and 5 s for a stop, in
 calm times."""
 DRAIN_S = 2.0
 """A worker serves on for this long after the store has taken its word that it leaves."""
-EXPIRY_S = 3.0
+REGISTRATION_TTL_S = 3.0
 """A worker that sends nothing is listed for this long."""
-ENTRY_BACK_S = 2.0
+MAX_REREGISTRATION_S = 2.0
 """Entries of workers that were lost in an outage of the store are back this long after it."""
-REPLACED_S = 1.5
+REPLACEMENT_DELAY_S = 1.5
 """A new worker is there this long after an earlier one crashed or was taken away."""
-SAMPLE_S = 0.2
-WATCH_LEASES_S = 7.0
+SAMPLE_INTERVAL_S = 0.2
+LEASE_EXPIRY_WAIT_S = 7.0
 """A lease that no one extends has run out this long after a fault."""
-KEEPER_ROUND_S = 0.02
+CONTROLLER_ROUND_S = 0.02
 """Between the keeper's looks at what is offered: ten times as often as it has rounds, since an
 offer that must not be made must not be seen, whenever a round comes."""
-LONGEST_EVACUATION_S = 20.0
+EVACUATION_TIMEOUT_S = 20.0
 """The keeper gives a worker up that is not offered for this long."""
-LONGEST_LENDING_S = 2.0
+LENDING_TIMEOUT_S = 2.0
 """The keeper gives it up to lend a worker if none is offered for this long."""
-HAND_IN_TRIES = 40
+MAX_SUBMIT_ATTEMPTS = 40
 
 
-def lasting(count: int, **changes: object) -> Step:
+def lasting_step(count: int, **changes: object) -> Step:
     """Return a step of lasting tasks of a core each, of which one may be away by our doing."""
     given: dict[str, object] = {"is_lasting": True, "may_miss": 1}
     return step(count, **(given | changes))
@@ -104,18 +104,18 @@
         lines: All instances' lines.
     """
 
-    __slots__ = ("_instance", "_lines_kept")
+    __slots__ = ("_all_lines", "_instance")
 
     def __init__(self, *, process: str, lines: list[str]) -> None:
         super().__init__(process=process, write=len)
         self._instance = process
-        self._lines_kept = lines
+        self._all_lines = lines
 
     def line(self, event: str, **fields: object) -> None:
         """Keep a line."""
         now_s = asyncio.get_running_loop().time()
-        told = " ".join(f"{key}={value}" for key, value in fields.items())
-        self._lines_kept.append(f"{now_s:8.3f} {self._instance} {event} {told}")
+        text = " ".join(f"{key}={value}" for key, value in fields.items())
+        self._all_lines.append(f"{now_s:8.3f} {self._instance} {event} {text}")
 
 
 class LastingInstance(Instance):
@@ -126,7 +126,7 @@
         store: The store.
         faults: What all instances meet at the store.
         fleet: The workers.
-        silent: Workers that no instance reaches.
+        isolated: Workers that no instance reaches.
         log: Its decisions.
     """
 
@@ -137,18 +137,18 @@
         store: RecordStore,
         faults: RecordFaults,
         fleet: TaskWorkers,
-        silent: set[str],
+        isolated: set[str],
         log: StructuredLog,
     ) -> None:
         super().__init__(name=name, store=store, fleet=fleet)
         self.view.faults = faults
-        self.orders.faults = OrderFaults(cut=silent)
+        self.orders.faults = OrderFaults(cut=isolated)
         self.elector._log = log
         self._log = log
         self._registry = WorkerRegistry(log=quiet_log())
-        self._book = MachineRecords(log=log)
-        self._is_following = False
-        self.terms_begun_s: list[float] = []
+        self._machine_records = MachineRecords(log=log)
+        self._are_watchers_started = False
+        self.epoch_starts_s: list[float] = []
 
     async def kill(self) -> None:
         """End at once, without a word to anyone."""
@@ -163,14 +163,14 @@
         await self.kill()
 
     async def _run_epoch(self, service: str, lease: HeldLease) -> None:
-        self.terms_begun_s.append(self.now_s())
-        self._follow()
+        self.epoch_starts_s.append(self.now_s())
+        self._start_watchers()
         dependencies = SchedulerDependencies(
             store=self.view,
             orders=self.orders,
             directory=self._registry,
             advice=AllAllowed(),
-            machine_records=self._book,
+            machine_records=self._machine_records,
             clock=self.now_s,
             wall_clock=self.now_s,
             times=OrderTimes(),
@@ -183,16 +183,16 @@
         self.service_schedulers.append(service_scheduler)
         await service_scheduler.run()
 
-    def _follow(self) -> None:
+    def _start_watchers(self) -> None:
         """Follow workers and the keeper from the first duty on."""
-        if self._is_following:
+        if self._are_watchers_started:
             return
-        self._is_following = True
+        self._are_watchers_started = True
         workers, machines = (
             PrefixWatcher(store=self.view, prefix=prefix, listener=listener, log=quiet_log())
             for prefix, listener in (
                 (REGISTRY_PREFIX, self._registry),
-                (MACHINES_PREFIX, self._book),
+                (MACHINES_PREFIX, self._machine_records),
             )
         )
         for work in (workers.run(), machines.run(), self._note_synced(workers)):
@@ -212,63 +212,63 @@
 
     def __init__(self, *, rng: random.Random) -> None:
         super().__init__(rng=rng)
-        self.calm_from_s = 0.0
-        self.silent: set[str] = set()
+        self.stable_from_s = 0.0
+        self.isolated: set[str] = set()
         """Workers that nobody reaches, while what runs there runs on."""
         self._steps: dict[TaskName, tuple[int, frozenset[TaskName]]] = {}
-        self._at_work_s: dict[TaskName, float] = {}
-        self._ordered_away: set[TaskName] = set()
+        self._last_serving_s: dict[TaskName, float] = {}
+        self._disrupted: set[TaskName] = set()
 
-    def watch_step(self, names: frozenset[TaskName], may_miss: int) -> None:
+    def add_step(self, names: frozenset[TaskName], may_miss: int) -> None:
         """Judge from now on how many tasks of a step are away."""
         now_s = asyncio.get_running_loop().time()
         for name in names:
             self._steps[name] = (may_miss, names - {name})
-            self._at_work_s[name] = now_s
+            self._last_serving_s[name] = now_s
 
-    def note_at_work(self) -> None:
+    def note_serving(self) -> None:
         """See which tasks are at work."""
         now_s = asyncio.get_running_loop().time()
         for worker in self.workers.values():
             if worker.is_alive:
                 worker.end_due_runs()
                 for name in worker.serving_tasks():
-                    self._at_work_s[name] = now_s
-                    self._ordered_away.discard(name)
+                    self._last_serving_s[name] = now_s
+                    self._disrupted.discard(name)
 
     def check_stop(self, worker: TaskWorker, name: TaskName) -> None:
         """Judge a stop: as many others as may be away must not be away already."""
-        is_sound = worker.view.worker_id not in self.silent and not worker.view.is_draining
+        is_sound = worker.view.worker_id not in self.isolated and not worker.view.is_draining
         if is_sound and name in worker.serving_tasks():
-            self._judge_end(name, "stopped")
+            self._check_disruption(name, "stopped")
 
     def note_end(self, end: EndedTask) -> None:
         """Judge a lease that lapses in calm times as a stop."""
         super().note_end(end)
         now_s = asyncio.get_running_loop().time()
-        if end.kind is EndKind.LAPSED and now_s > self.calm_from_s + LEASE_S:
-            self._judge_end(end.name, "left to lapse")
+        if end.kind is EndKind.LAPSED and now_s > self.stable_from_s + MAX_TASK_LEASE_S:
+            self._check_disruption(end.name, "left to lapse")
 
     def take_away(self, worker: TaskWorker) -> None:
         """Take a worker away that its scheduler offered: no lasting task may be there."""
         now_s = asyncio.get_running_loop().time()
         for name in worker.serving_tasks():
             self.violations.append(f"{now_s:.3f} {name} is at work on a worker that was offered")
-            self._judge_end(name, "taken away")
+            self._check_disruption(name, "taken away")
         worker.crash()
 
-    def _judge_end(self, name: TaskName, how: str) -> None:
+    def _check_disruption(self, name: TaskName, how: str) -> None:
         if name.job_id in self.cancelled:
             return
-        self.note_at_work()
+        self.note_serving()
         now_s = asyncio.get_running_loop().time()
         may_miss, others = self._steps.get(name, (0, frozenset()))
         away = [
             other
             for other in others
-            if other in self._ordered_away or now_s - self._at_work_s[other] >= NOTICE_S
+            if other in self._disrupted or now_s - self._last_serving_s[other] >= AWAY_AFTER_S
         ]
-        self._ordered_away.add(name)
+        self._disrupted.add(name)
         if may_miss and len(away) >= may_miss:
             self.violations.append(f"{now_s:.3f} {name} is {how} while {away} are away")
 
@@ -294,28 +294,28 @@
         self._faults = RecordFaults()
         self._is_store_up = asyncio.Event()
         self._is_store_up.set()
-        self._one_outage = asyncio.Lock()
-        self._open_troubles = 0
-        self._calm_from_s = 0.0
+        self._outage_lock = asyncio.Lock()
+        self._open_faults = 0
+        self._last_fault_ended_s = 0.0
         self._accepted: dict[str, Job] = {}
         self._cancelled_s: dict[str, float] = {}
-        self._missing_s: dict[TaskName, float] = {}
+        self._missing_since_s: dict[TaskName, float] = {}
         self._reported: set[str] = set()
         self._due: frozenset[str] = frozenset()
-        self._over_s: dict[str, float] = {}
-        self._made = 0
+        self._taken_away_s: dict[str, float] = {}
+        self._instances_made = 0
         self._tasks: set[asyncio.Task[None]] = set()
         for _ in range(workers):
             self.add_worker()
-        self._first_instances = instances
+        self._initial_instances = instances
 
     # ---- the scenario's frame
 
     def start(self) -> None:
         """Start the instances and the judge."""
-        for _ in range(self._first_instances):
+        for _ in range(self._initial_instances):
             self.add_instance()
-        self._tasks.add(asyncio.create_task(self._judge()))
+        self._tasks.add(asyncio.create_task(self._monitor()))
 
     async def close(self) -> None:
         """End everything."""
@@ -328,27 +328,27 @@
     @contextlib.contextmanager
     def fault_period(self) -> Iterator[None]:
         """Judge how long tasks are missed only from the end of this fault, or of the last."""
-        self._open_troubles += 1
-        self.fleet.calm_from_s = float("inf")
+        self._open_faults += 1
+        self.fleet.stable_from_s = float("inf")
         try:
             yield
         finally:
-            self._open_troubles -= 1
-            self._calm_from_s = _now_s()
-            if not self._open_troubles:
-                self.fleet.calm_from_s = self._calm_from_s
+            self._open_faults -= 1
+            self._last_fault_ended_s = _now_s()
+            if not self._open_faults:
+                self.fleet.stable_from_s = self._last_fault_ended_s
 
     @property
     def recovered_after_s(self) -> float:
         """Seconds from the end of the last fault until no task with room was missed any more."""
-        return max(0.0, self._last_missed_s - self._calm_from_s)
+        return max(0.0, self._last_missed_s - self._last_fault_ended_s)
 
     async def wait_recovered(self, longest_s: float) -> None:
         """Wait until leases have run out, and while tasks are missed."""
-        ends_s = _now_s() + longest_s
-        await asyncio.sleep(WATCH_LEASES_S)
-        while self._missing_s and _now_s() < ends_s:
-            await asyncio.sleep(SAMPLE_S)
+        give_up_s = _now_s() + longest_s
+        await asyncio.sleep(LEASE_EXPIRY_WAIT_S)
+        while self._missing_since_s and _now_s() < give_up_s:
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     def _in_background(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.add(asyncio.create_task(work))
@@ -357,15 +357,17 @@
 
     async def submit(self, job_id: str, *steps: Step) -> None:
         """Hand in a lasting job at drawn instances until it is accepted."""
-        one = Job(job_id=job_id, policy=policy(service=SERVICE), spec="x", steps=steps)
+        job = Job(job_id=job_id, policy=policy(service=SERVICE), spec="x", steps=steps)
         self.fleet.lasting.add(job_id)
-        for _ in range(HAND_IN_TRIES):
+        for _ in range(MAX_SUBMIT_ATTEMPTS):
             job_handler = await self._any_job_handler()
-            answer = await job_handler.submit(one, deadline_s=_now_s() + 1.5)
+            answer = await job_handler.submit(job, deadline_s=_now_s() + 1.5)
             if answer.status.value == "accepted":
-                self._accepted[job_id] = one
-                for number, part in enumerate(steps):
-                    self.fleet.watch_step(frozenset(_names_of(job_id, number, part)), part.may_miss)
+                self._accepted[job_id] = job
+                for number, task_step in enumerate(steps):
+                    self.fleet.add_step(
+                        frozenset(_names_of(job_id, number, task_step)), task_step.may_miss
+                    )
                 return
             await asyncio.sleep(0.3)
 
@@ -374,7 +376,7 @@
         if job_id not in self._accepted or job_id in self._cancelled_s:
             return
         self._cancelled_s[job_id] = float("inf")
-        for _ in range(HAND_IN_TRIES):
+        for _ in range(MAX_SUBMIT_ATTEMPTS):
             job_handler = await self._any_job_handler()
             answer = await job_handler.cancel(
                 policy(service=SERVICE), job_id, deadline_s=_now_s() + 1.5
@@ -387,21 +389,21 @@
 
     async def _any_job_handler(self) -> JobRequestHandler:
         while not self.instances:
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
         return self.rng.choice(self.instances).job_handler
 
     # ---- instances
 
     def add_instance(self) -> None:
         """Start another instance."""
-        self._made += 1
-        name = f"n{self._made}"
+        self._instances_made += 1
+        name = f"n{self._instances_made}"
         instance = LastingInstance(
             name=name,
             store=self.store,
             faults=self._faults,
             fleet=self.fleet,
-            silent=self.fleet.silent,
+            isolated=self.fleet.isolated,
             log=RecordingLog(process=name, lines=self.lines),
         )
         self.instances.append(instance)
@@ -411,7 +413,9 @@
     def scheduler(self) -> LastingInstance | None:
         """Return the instance that holds the service's key."""
         item = self.store.items.get(f"shallotworks/duty/scheduler/{SERVICE}")
-        holders = [one for one in self.instances if item and one.name == item.value.decode()]
+        holders = [
+            instance for instance in self.instances if item and instance.name == item.value.decode()
+        ]
         return holders[0] if holders else None
 
     async def kill_scheduler(self) -> None:
@@ -428,19 +432,19 @@
                 return
             self.instances.remove(instance)
             self.add_instance()
-            self._note("killed" if not is_planned else "told to stop", instance.name)
+            self._record_event("killed" if not is_planned else "told to stop", instance.name)
             await (instance.stop() if is_planned else instance.kill())
 
     async def kill_all(self, *, restart_s: float) -> None:
         """Kill all instances at once; others are started a while later."""
         with self.fault_period():
-            self._note("killed", "all instances")
+            self._record_event("killed", "all instances")
             killed, self.instances = self.instances, []
-            await asyncio.gather(*(one.kill() for one in killed))
+            await asyncio.gather(*(instance.kill() for instance in killed))
             await asyncio.sleep(restart_s)
             for _ in killed:
                 self.add_instance()
-        self._note("started", "all instances")
+        self._record_event("started", "all instances")
 
     async def isolate_scheduler(self, for_s: float) -> None:
         """Let the store not answer whoever schedules for a while, but all others."""
@@ -448,15 +452,17 @@
         if instance is None:
             return
         with self.fault_period():
-            self._note("cut from the store", instance.name)
+            self._record_event("cut from the store", instance.name)
             instance.view.faults = RecordFaults(is_silent=True)
             await asyncio.sleep(for_s)
             if instance in self.instances:
                 instance.view.faults = self._faults
 
-    def terms_begun_after(self, at_s: float) -> int:
+    def epochs_begun_after(self, at_s: float) -> int:
         """Return how many terms began after a moment."""
-        begins = (begun_s for one in self._all_instances for begun_s in one.terms_begun_s)
+        begins = (
+            begun_s for instance in self._all_instances for begun_s in instance.epoch_starts_s
+        )
         return sum(1 for begun_s in begins if begun_s > at_s)
 
     # ---- the store
@@ -477,9 +483,9 @@
             are_leases_paused: Leases lose no time meanwhile; else they run out.
             are_entries_lost: Workers' entries run out too, and come back after the outage.
         """
-        async with self._one_outage:
+        async with self._outage_lock:
             with self.fault_period():
-                self._note("down", "the store")
+                self._record_event("down", "the store")
                 self._is_store_up.clear()
                 self._faults.is_silent, self._faults.is_down = is_silent, not is_silent
                 if are_leases_paused:
@@ -491,14 +497,14 @@
                     self._lose_entries()
                 self._faults.is_silent = self._faults.is_down = False
                 self._is_store_up.set()
-            self._note("up", "the store")
+            self._record_event("up", "the store")
 
     def _lose_entries(self) -> None:
         for key in [key for key in self.store.items if key.startswith(REGISTRY_PREFIX)]:
             self.store.delete(key)
             worker = self.fleet.workers[key.removeprefix(REGISTRY_PREFIX)]
             if worker.is_alive:
-                back_s = self.rng.uniform(0.1, ENTRY_BACK_S)
+                back_s = self.rng.uniform(0.1, MAX_REREGISTRATION_S)
                 self._in_background(self._register_later(worker, back_s))
 
     async def _register_later(self, worker: TaskWorker, after_s: float) -> None:
@@ -510,7 +516,7 @@
     def revoke_keys(self) -> None:
         """Take all held keys away."""
         with self.fault_period():
-            self._note("revoked", "keys")
+            self._record_event("revoked", "keys")
             self.store.revoke("shallotworks/")
 
     # ---- workers
@@ -523,17 +529,17 @@
         self._register(worker)
         return worker
 
-    def workers_up(self) -> int:
+    def count_available_workers(self) -> int:
         """Return the number of workers that neither drain nor are over."""
         workers = self.fleet.workers.values()
-        return sum(1 for one in workers if one.is_alive and not one.view.is_draining)
+        return sum(1 for worker in workers if worker.is_alive and not worker.view.is_draining)
 
     def crash_worker(self, worker_id: str) -> None:
         """End a worker without a word; its entry runs out later, also while the store is down."""
         with self.fault_period():
-            self._note("crashes", worker_id)
+            self._record_event("crashes", worker_id)
             self.fleet.workers[worker_id].crash()
-            self._in_background(self._unregister_later(worker_id, EXPIRY_S))
+            self._in_background(self._unregister_later(worker_id, REGISTRATION_TTL_S))
 
     async def retire_worker(
         self, worker_id: str, *, absence: OrderStatus = OrderStatus.UNSENT
@@ -549,11 +555,11 @@
             worker = self.fleet.workers[worker_id]
             if not worker.is_alive:
                 return
-            self._note("drains", worker_id)
+            self._record_event("drains", worker_id)
             worker.view = replace(worker.view, is_draining=True)
             self._register(worker)
             await asyncio.sleep(DRAIN_S + self.rng.uniform(0, 0.5))
-            self._note("leaves", worker_id)
+            self._record_event("leaves", worker_id)
             worker.crash()
             self.fleet.absences[worker_id] = absence
         await self._is_store_up.wait()
@@ -563,7 +569,7 @@
         """Crash a worker; another incarnation answers at its address a while later."""
         with self.fault_period():
             self.crash_worker(worker_id)
-            await asyncio.sleep(REPLACED_S)
+            await asyncio.sleep(REPLACEMENT_DELAY_S)
             await self._is_store_up.wait()
             self.add_worker(address=self.fleet.workers[worker_id].view.address)
             self.fleet.absences[worker_id] = OrderStatus.GONE
@@ -573,53 +579,55 @@
         with self.fault_period():
             worker = self.fleet.workers[worker_id]
             for name in sorted(worker.names())[:1]:
-                self._note("fails", str(name))
+                self._record_event("fails", str(name))
                 worker.fail(name)
 
     async def isolate_worker(self, worker_id: str, for_s: float) -> None:
         """Let no instance reach a worker for a while; it stays listed and what runs runs on."""
         with self.fault_period():
-            self._note("silent", worker_id)
-            self.fleet.silent.add(worker_id)
+            self._record_event("silent", worker_id)
+            self.fleet.isolated.add(worker_id)
             await asyncio.sleep(for_s)
-            self.fleet.silent.discard(worker_id)
-        self._note("reached again", worker_id)
+            self.fleet.isolated.discard(worker_id)
+        self._record_event("reached again", worker_id)
 
     async def maintain_worker(self, worker_id: str) -> None:
         """Have a worker emptied as the keeper does, and take it away once it is offered."""
         await self._is_store_up.wait()
-        self._note("due for upkeep", worker_id)
+        self._record_event("due for upkeep", worker_id)
         self._due |= {worker_id}
-        self._tell_keeper_word()
-        ends_s = _now_s() + LONGEST_EVACUATION_S
-        while _now_s() < ends_s and self.fleet.workers[worker_id].is_alive:
-            await asyncio.sleep(KEEPER_ROUND_S)
+        self._publish_controller_record()
+        give_up_s = _now_s() + EVACUATION_TIMEOUT_S
+        while _now_s() < give_up_s and self.fleet.workers[worker_id].is_alive:
+            await asyncio.sleep(CONTROLLER_ROUND_S)
             if worker_id in self.offered():
                 self._in_background(self._take_away(worker_id, is_back=True))
                 break
         self._due -= {worker_id}
         await self._is_store_up.wait()
-        self._tell_keeper_word()
+        self._publish_controller_record()
 
     async def lend_worker(self) -> None:
         """Move an idle worker that is offered into another pool, as the keeper does."""
-        ends_s = _now_s() + LONGEST_LENDING_S
-        while _now_s() < ends_s:
-            lendable = [one for one in self.offered() if self.fleet.workers[one].is_alive]
+        give_up_s = _now_s() + LENDING_TIMEOUT_S
+        while _now_s() < give_up_s:
+            lendable = [
+                worker_id for worker_id in self.offered() if self.fleet.workers[worker_id].is_alive
+            ]
             if lendable:
                 await self._take_away(lendable[0], is_back=False)
                 return
-            await asyncio.sleep(KEEPER_ROUND_S)
+            await asyncio.sleep(CONTROLLER_ROUND_S)
 
     async def _take_away(self, worker_id: str, *, is_back: bool) -> None:
         with self.fault_period():
-            self._note("taken away", worker_id)
+            self._record_event("taken away", worker_id)
             worker = self.fleet.workers[worker_id]
             self.fleet.take_away(worker)
-            self._over_s[worker_id] = _now_s()
+            self._taken_away_s[worker_id] = _now_s()
             self.fleet.absences[worker_id] = OrderStatus.UNSENT
-            self._tell_keeper_word()
-            await asyncio.sleep(REPLACED_S)
+            self._publish_controller_record()
+            await asyncio.sleep(REPLACEMENT_DELAY_S)
             await self._is_store_up.wait()
             self._unregister(worker_id)
             if is_back:
@@ -632,7 +640,7 @@
             return ()
         return PoolDemand.decode(item.value).free
 
-    def is_held_back(self, worker_id: str) -> bool:
+    def is_worker_cordoned(self, worker_id: str) -> bool:
         """Return whether whoever schedules starts nothing on a worker, since it is offered."""
         scheduler = self.scheduler()
         if scheduler is None:
@@ -640,24 +648,32 @@
         worker = scheduler.service_schedulers[-1].scheduler_state.workers.get(worker_id)
         return worker is not None and worker.is_cordoned
 
-    def _tell_keeper_word(self) -> None:
-        over = (one for one, at_s in self._over_s.items() if _now_s() - at_s < OVER_TOLD_S)
-        word = MachineControllerRecord(due=self._due, over=tuple(over))
-        self.store.put(machine_controller_key(), word.encode())
+    def _publish_controller_record(self) -> None:
+        over = (
+            worker_id
+            for worker_id, at_s in self._taken_away_s.items()
+            if _now_s() - at_s < OVER_TOLD_S
+        )
+        record = MachineControllerRecord(due=self._due, over=tuple(over))
+        self.store.put(machine_controller_key(), record.encode())
 
     def _register(self, worker: TaskWorker) -> None:
         """Write a worker's entry as the platform's workers do."""
-        seen = worker.view
+        worker_view = worker.view
         entry = {
-            "service": seen.service,
-            "address": seen.address,
+            "service": worker_view.service,
+            "address": worker_view.address,
             "zone": "z1",
             "version": "1.0",
             "slots": 4,
-            "state": "draining" if seen.is_draining else "ready",
+            "state": "draining" if worker_view.is_draining else "ready",
             "coldRemainingMs": 0,
             "seqNo": self.store.revision,
-            "capacity": {"cpu": seen.cpu_millicores, "memMb": seen.memory_mb, "gpu": seen.gpus},
+            "capacity": {
+                "cpu": worker_view.cpu_millicores,
+                "memMb": worker_view.memory_mb,
+                "gpu": worker_view.gpus,
+            },
             "labels": ["plain", "r1"],
         }
         self.store.put(REGISTRY_PREFIX + worker.view.worker_id, json.dumps(entry).encode())
@@ -672,71 +688,71 @@
 
     # ---- the judge
 
-    async def _judge(self) -> None:
+    async def _monitor(self) -> None:
         while True:
-            await asyncio.sleep(SAMPLE_S)
-            self.fleet.note_at_work()
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            self.fleet.note_serving()
             running = {
                 name
                 for worker in self.fleet.workers.values()
                 if worker.is_alive
                 for name in worker.names()
             }
-            for name, part in self._wanted():
-                self._judge_task(name, part, is_running=name in running)
+            for name, task_step in self._expected_tasks():
+                self._check_task(name, task_step, is_running=name in running)
             for name in running:
-                self._judge_cancelled(name)
+                self._check_cancelled(name)
 
-    def _wanted(self) -> Iterator[tuple[TaskName, Step]]:
-        for job_id, one in self._accepted.items():
+    def _expected_tasks(self) -> Iterator[tuple[TaskName, Step]]:
+        for job_id, job in self._accepted.items():
             if job_id in self._cancelled_s:
                 continue
-            for number, part in enumerate(one.steps):
-                for name in _names_of(job_id, number, part):
-                    yield name, part
+            for number, task_step in enumerate(job.steps):
+                for name in _names_of(job_id, number, task_step):
+                    yield name, task_step
 
-    def _judge_task(self, name: TaskName, part: Step, *, is_running: bool) -> None:
+    def _check_task(self, name: TaskName, task_step: Step, *, is_running: bool) -> None:
         now_s = _now_s()
         if is_running:
-            self._missing_s.pop(name, None)
+            self._missing_since_s.pop(name, None)
             return
-        if not self._has_room(name, part):
-            self._missing_s[name] = now_s
+        if not self._can_be_placed(name, task_step):
+            self._missing_since_s[name] = now_s
             return
-        missing_s = self._missing_s.setdefault(name, now_s)
-        if now_s - missing_s >= MISSED_S:
+        missing_since_s = self._missing_since_s.setdefault(name, now_s)
+        if now_s - missing_since_s >= MISSED_AFTER_S:
             self._last_missed_s = now_s
-        since_s = max(missing_s, self._calm_from_s)
-        if not self._open_troubles and now_s - since_s > RUNS_AGAIN_S:
+        since_s = max(missing_since_s, self._last_fault_ended_s)
+        if not self._open_faults and now_s - since_s > RESTART_DEADLINE_S:
             self._report(f"{name} has no run", f"{since_s:.3f}")
 
-    def _judge_cancelled(self, name: TaskName) -> None:
-        since_s = max(self._cancelled_s.get(name.job_id, float("inf")), self._calm_from_s)
-        if not self._open_troubles and _now_s() - since_s > STOPPED_WITHIN_S:
+    def _check_cancelled(self, name: TaskName) -> None:
+        since_s = max(self._cancelled_s.get(name.job_id, float("inf")), self._last_fault_ended_s)
+        if not self._open_faults and _now_s() - since_s > CANCEL_DEADLINE_S:
             self._report(f"{name} runs on though it is cancelled", f"{since_s:.3f}")
 
-    def _has_room(self, name: TaskName, part: Step) -> bool:
+    def _can_be_placed(self, name: TaskName, task_step: Step) -> bool:
         return any(
             worker.is_alive
             and REGISTRY_PREFIX + worker_id in self.store.items
-            and worker_id not in self.fleet.silent
+            and worker_id not in self.fleet.isolated
             and not worker.view.is_draining
-            and self._free_millicores(worker) >= part.cpu_millicores
-            and _siblings(worker, name) < (part.most_per_worker or part.count)
+            and self._free_millicores(worker) >= task_step.cpu_millicores
+            and _siblings(worker, name) < (task_step.most_per_worker or task_step.count)
             for worker_id, worker in self.fleet.workers.items()
         )
 
     def _free_millicores(self, worker: TaskWorker) -> int:
-        used = sum(self.fleet.cpu_millicores_of(name) for name in worker.names())
-        return worker.view.cpu_millicores - used
+        used_millicores = sum(self.fleet.cpu_millicores_of(name) for name in worker.names())
+        return worker.view.cpu_millicores - used_millicores
 
-    def _report(self, breach: str, since: str) -> None:
-        told = f"{breach} since {since}"
-        if told not in self._reported:
-            self._reported.add(told)
-            self.violations.append(f"{_now_s():.3f} {told}")
+    def _report(self, violation: str, since: str) -> None:
+        text = f"{violation} since {since}"
+        if text not in self._reported:
+            self._reported.add(text)
+            self.violations.append(f"{_now_s():.3f} {text}")
 
-    def _note(self, event: str, subject: str) -> None:
+    def _record_event(self, event: str, subject: str) -> None:
         self.lines.append(f"{_now_s():8.3f} story {subject} {event}")
 
     def all_violations(self) -> list[str]:
@@ -751,13 +767,13 @@
         return found
 
 
-def _names_of(job_id: str, number: int, part: Step) -> list[TaskName]:
-    return [TaskName(job_id, 0, number, index) for index in range(part.count)]
+def _names_of(job_id: str, number: int, task_step: Step) -> list[TaskName]:
+    return [TaskName(job_id, 0, number, index) for index in range(task_step.count)]
 
 
 def _siblings(worker: TaskWorker, name: TaskName) -> int:
     """Return how many tasks of a task's step run on a worker."""
-    return sum(1 for one in worker.names() if one[:3] == name[:3])
+    return sum(1 for other in worker.names() if other[:3] == name[:3])
 
 
 def _now_s() -> float:
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -31,23 +31,23 @@
 )
 from shallotworks.store import LeaseTiming
 from tests.held_leases import acquire
-from tests.lasting_task_simulation import RUNS_AGAIN_S
+from tests.lasting_task_simulation import RESTART_DEADLINE_S
 from tests.scheduling_fakes import SchedulingHarness, job, quiet_log, step, view
 from tests.scheduling_simulation import SERVICE, SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000ab"
 NAME = TaskName(JOB_ID, 0, 0, 0)
-BEGUN_S = 5.0
-LONG = LeaseTiming(ttl_s=60.0)
+START_S = 5.0
+LONG_LEASE = LeaseTiming(ttl_s=60.0)
 
 
-def _recorded(simulation: SchedulingSimulation) -> set[str]:
+def _recorded_workers(simulation: SchedulingSimulation) -> set[str]:
     item = simulation.store.items.get(active_workers_key(SERVICE))
     return set(ActiveWorkersRecord.decode(item.value)) if item is not None else set()
 
 
-async def _begun(*, workers: int, instances: int) -> SchedulingSimulation:
+async def _make_running_simulation(*, workers: int, instances: int) -> SchedulingSimulation:
     """Return a history in which one lasting task runs."""
     simulation = SchedulingSimulation(seed=3, workers=workers, instances=instances)
     simulation.fleet.lasting.add(JOB_ID)
@@ -55,30 +55,30 @@
         instance.start()
     await asyncio.sleep(1.0)
     await simulation.submit(JOB_ID, step(1, is_lasting=True))
-    await asyncio.sleep(BEGUN_S)
+    await asyncio.sleep(START_S)
     return simulation
 
 
-async def _end(simulation: SchedulingSimulation) -> None:
+async def _kill_instances(simulation: SchedulingSimulation) -> None:
     for instance in simulation.instances:
         await instance.kill()
 
 
-async def _until_it_runs(simulation: SchedulingSimulation) -> float:
+async def _measure_restart_s(simulation: SchedulingSimulation) -> float:
     """Return the time that passes until the task runs on a worker that is up."""
     loop = asyncio.get_running_loop()
-    begun_s = loop.time()
-    while loop.time() - begun_s < 30.0:
+    started_s = loop.time()
+    while loop.time() - started_s < 30.0:
         for worker in simulation.fleet.workers.values():
             if worker.is_alive:
                 worker.end_due_runs()
                 if NAME in worker.names():
-                    return loop.time() - begun_s
+                    return loop.time() - started_s
         await asyncio.sleep(0.05)
-    return loop.time() - begun_s
+    return loop.time() - started_s
 
 
-class NarrowingTests(unittest.TestCase):
+class RecordContentsTests(unittest.TestCase):
     def test_workers_that_can_run_nothing_go_from_the_record(self) -> None:
         """Each crash of a scheduler held earlier jobs up for as long as a lost worker's leases.
 
@@ -87,22 +87,24 @@
         """
 
         async def scenario() -> None:
-            simulation = await _begun(workers=4, instances=1)
+            simulation = await _make_running_simulation(workers=4, instances=1)
             busy = next(one for one in simulation.fleet.workers.values() if one.names())
             crashed, drained, kept = (
                 one for one in simulation.fleet.workers.values() if one is not busy
             )
-            self.assertEqual(set(simulation.fleet.workers), _recorded(simulation))
+            self.assertEqual(set(simulation.fleet.workers), _recorded_workers(simulation))
             crashed.crash()
             drained.view = view(drained.view.worker_id, service=SERVICE, is_draining=True)
             simulation.fleet.changes += 1
             await asyncio.sleep(2.5)
-            self.assertEqual({busy.view.worker_id, kept.view.worker_id}, _recorded(simulation))
+            self.assertEqual(
+                {busy.view.worker_id, kept.view.worker_id}, _recorded_workers(simulation)
+            )
             drained.view = view(drained.view.worker_id, service=SERVICE)
             simulation.fleet.changes += 1
             await asyncio.sleep(0.5)
-            self.assertIn(drained.view.worker_id, _recorded(simulation))
-            await _end(simulation)
+            self.assertIn(drained.view.worker_id, _recorded_workers(simulation))
+            await _kill_instances(simulation)
 
         run_scenario(scenario())
 
@@ -115,14 +117,16 @@
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
-            late = FaultInjectingStore(store=store)
-            lease = await acquire(late, times=LONG)
-            record = ActiveWorkersRecord(service=SERVICE, lease=lease, store=late, log=quiet_log())
+            store_view = FaultInjectingStore(store=store)
+            lease = await acquire(store_view, times=LONG_LEASE)
+            record = ActiveWorkersRecord(
+                service=SERVICE, lease=lease, store=store_view, log=quiet_log()
+            )
             await record.read()
             one, two = ActiveWorker(address="a:1"), ActiveWorker(address="b:1")
-            late.faults.late_part = 1.0
+            store_view.faults.late_part = 1.0
             self.assertFalse(await record.keep(lambda: {"one": one}))
-            late.faults.late_part = 0.0
+            store_view.faults.late_part = 0.0
             self.assertTrue(await record.keep(lambda: {"one": one, "two": two}))
             await asyncio.sleep(4.0)
             item = store.items[active_workers_key(SERVICE)]
@@ -131,19 +135,19 @@
 
         run_scenario(scenario())
 
-    def test_a_write_that_met_its_own_earlier_one_is_made_again(self) -> None:
+    def test_a_write_that_conflicts_with_its_own_earlier_one_is_retried(self) -> None:
         """A worker is entered though an earlier write was carried out without an answer."""
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
-            caller = FaultInjectingStore(store=store)
-            lease = await acquire(caller, times=LONG)
+            store_view = FaultInjectingStore(store=store)
+            lease = await acquire(store_view, times=LONG_LEASE)
             record = ActiveWorkersRecord(
-                service=SERVICE, lease=lease, store=caller, log=quiet_log()
+                service=SERVICE, lease=lease, store=store_view, log=quiet_log()
             )
-            caller.faults.lost_part = 1.0
+            store_view.faults.lost_part = 1.0
             self.assertFalse(await record.keep(lambda: {"one": ActiveWorker(address="a:1")}))
-            caller.faults.lost_part = 0.0
+            store_view.faults.lost_part = 0.0
             self.assertFalse(record.may_use("one"))
             both = {"one": ActiveWorker(address="a:1"), "two": ActiveWorker(address="b:1")}
             self.assertTrue(await record.keep(lambda: both))
@@ -161,18 +165,18 @@
             await simulation.submit(JOB_ID, step(1, is_lasting=True))
             simulation.store.put(active_workers_key(SERVICE), b'{"w0": "127.0.0.1:1"}')
             simulation.instances[0].start()
-            took_s = await _until_it_runs(simulation)
-            self.assertGreater(took_s, OrderTimes().recovery_s)
-            self.assertLess(took_s, RUNS_AGAIN_S)
+            restart_s = await _measure_restart_s(simulation)
+            self.assertGreater(restart_s, OrderTimes().recovery_s)
+            self.assertLess(restart_s, RESTART_DEADLINE_S)
             await asyncio.sleep(2.0)
-            self.assertEqual({"w0"}, _recorded(simulation))
-            await _end(simulation)
+            self.assertEqual({"w0"}, _recorded_workers(simulation))
+            await _kill_instances(simulation)
 
         run_scenario(scenario())
 
 
 class HandOverTests(unittest.TestCase):
-    def test_a_worker_is_left_that_told_an_end_which_is_not_stored(self) -> None:
+    def test_a_worker_with_an_end_that_is_not_stored_stays_recorded(self) -> None:
         """A clip was cut twice, when instances were restarted one after the other.
 
         A task ends, and its scheduler hears of it just after it has stored another end, so that
@@ -184,7 +188,7 @@
         async def scenario() -> None:
             loop = asyncio.get_running_loop()
             store = RecordStore(rng=random.Random(1))
-            lease = await acquire(FaultInjectingStore(store=store), times=LONG)
+            lease = await acquire(FaultInjectingStore(store=store), times=LONG_LEASE)
             record = ActiveWorkersRecord(
                 service=SERVICE,
                 lease=lease,
@@ -215,7 +219,7 @@
 
         run_scenario(scenario())
 
-    def test_a_scheduler_that_is_stopped_stores_what_it_has_learnt(self) -> None:
+    def test_a_scheduler_that_is_stopped_stores_all_progress(self) -> None:
         """A successor waits for workers on which nothing runs, or runs ended tasks again.
 
         The scheduler is stopped between two commits of progress; what it has learnt since the last
@@ -239,7 +243,7 @@
             scheduler.view.faults.delay_s = 0.05
             await scheduler.elector.stop()
             self.assertEqual([], scheduler_state.dirty())
-            await _end(simulation)
+            await _kill_instances(simulation)
 
         run_scenario(scenario())
 
@@ -286,18 +290,18 @@
                 metrics=Metrics(),
                 on_progress=lambda: None,
             )
-            keep = asyncio.create_task(lease.renew_until_lost())
+            renewal = asyncio.create_task(lease.renew_until_lost())
             order_dispatcher.sync_workers()
             await asyncio.sleep(4.0)
             worker.end_due_runs()
             self.assertEqual(is_recorded, NAME in worker.names())
             order_dispatcher.close()
-            keep.cancel()
+            renewal.cancel()
 
         run_scenario(scenario())
 
 
-class WaitTests(unittest.TestCase):
+class RecoveryWaitTests(unittest.TestCase):
     def test_a_task_on_a_worker_that_went_with_its_scheduler_runs_again_in_time(self) -> None:
         """A lasting task stood still for 13 s after its scheduler and its worker were lost.
 
@@ -306,19 +310,19 @@
         """
 
         async def scenario() -> None:
-            simulation = await _begun(workers=2, instances=2)
+            simulation = await _make_running_simulation(workers=2, instances=2)
             busy = next(one for one in simulation.fleet.workers.values() if one.names())
             scheduler = simulation.scheduler()
             assert scheduler is not None
             busy.crash()
             await simulation.replace(scheduler)
-            self.assertLess(await _until_it_runs(simulation), RUNS_AGAIN_S)
+            self.assertLess(await _measure_restart_s(simulation), RESTART_DEADLINE_S)
             self.assertEqual([], simulation.fleet.violations)
-            await _end(simulation)
+            await _kill_instances(simulation)
 
         run_scenario(scenario())
 
-    def test_schedulers_that_take_turns_wait_once(self) -> None:
+    def test_successive_schedulers_wait_once(self) -> None:
         """A lasting task stood still for as long as instances were stopped in turn.
 
         Each scheduler that was stopped had waited for a lost worker for some seconds, and left the
@@ -326,13 +330,13 @@
         """
 
         async def scenario() -> None:
-            simulation = await _begun(workers=2, instances=5)
+            simulation = await _make_running_simulation(workers=2, instances=5)
             busy = next(one for one in simulation.fleet.workers.values() if one.names())
             scheduler = simulation.scheduler()
             assert scheduler is not None
             busy.crash()
             await simulation.replace(scheduler)
-            waited = asyncio.create_task(_until_it_runs(simulation))
+            restart = asyncio.create_task(_measure_restart_s(simulation))
             await asyncio.sleep(2.5)
             for _ in range(4):
                 await asyncio.sleep(2.0)
@@ -340,9 +344,9 @@
                 if scheduler is not None:
                     await scheduler.elector.stop()
                     simulation.instances.remove(scheduler)
-            self.assertLess(await waited, RUNS_AGAIN_S + 2.0)
+            self.assertLess(await restart, RESTART_DEADLINE_S + 2.0)
             self.assertEqual([], simulation.fleet.violations)
-            await _end(simulation)
+            await _kill_instances(simulation)
 
         run_scenario(scenario())
 
@@ -355,21 +359,21 @@
         times = OrderTimes()
 
         async def scenario() -> float:
-            simulation = await _begun(workers=1, instances=1)
+            simulation = await _make_running_simulation(workers=1, instances=1)
             scheduler = simulation.instances[0]
             # The key's last renewal may have been confirmed just now.
             scheduler.view.faults.is_down = True
-            begun_s = asyncio.get_running_loop().time()
+            started_s = asyncio.get_running_loop().time()
             (worker,) = simulation.fleet.workers.values()
             while worker.names():
                 worker.end_due_runs()
                 await asyncio.sleep(0.02)
-            await _end(simulation)
-            return asyncio.get_running_loop().time() - begun_s
+            await _kill_instances(simulation)
+            return asyncio.get_running_loop().time() - started_s
 
-        lasted_s = run_scenario(scenario())
-        self.assertLess(lasted_s, times.recovery_s)
-        self.assertGreater(lasted_s, times.recovery_s - 1.5)
+        run_s = run_scenario(scenario())
+        self.assertLess(run_s, times.recovery_s)
+        self.assertGreater(run_s, times.recovery_s - 1.5)
 
 
 if __name__ == "__main__":
--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -21,7 +21,7 @@
 
 JOB = job("00000000000000aa", step(1))
 KEYS = JobKeys(service="antenna")
-PATIENCE_S = 1.5
+REQUEST_TIMEOUT_S = 1.5
 
 
 class SubmissionHarness:
@@ -36,18 +36,18 @@
 
     async def submit(self) -> JobRequestStatus:
         """Hand the job in."""
-        ends_s = asyncio.get_running_loop().time() + PATIENCE_S
-        return (await self.job_handler.submit(JOB, deadline_s=ends_s)).status
+        deadline_s = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
+        return (await self.job_handler.submit(JOB, deadline_s=deadline_s)).status
 
     async def cancel(self) -> JobRequestStatus:
         """Cancel it."""
-        ends_s = asyncio.get_running_loop().time() + PATIENCE_S
-        return (await self.job_handler.cancel(policy(), JOB.job_id, deadline_s=ends_s)).status
+        deadline_s = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
+        return (await self.job_handler.cancel(policy(), JOB.job_id, deadline_s=deadline_s)).status
 
     async def state(self) -> JobState | JobRequestStatus:
         """Ask for its state."""
-        ends_s = asyncio.get_running_loop().time() + PATIENCE_S
-        answer = await self.job_handler.state(policy(), JOB.job_id, deadline_s=ends_s)
+        deadline_s = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
+        answer = await self.job_handler.state(policy(), JOB.job_id, deadline_s=deadline_s)
         return answer.state or answer.status
 
 
@@ -60,7 +60,7 @@
             ("each done late", {"late_part": 1.0, "late_s": 5.0}, JobRequestStatus.UNKNOWN, True),
         ]
     )
-    def test_what_callers_are_told(
+    def test_the_answer_to_a_submission(
         self, _name: str, faults: dict[str, object], expected: JobRequestStatus, is_stored: bool
     ) -> None:
         """A refused job is never stored, an accepted one is; in between the outcome is unknown."""
@@ -92,7 +92,7 @@
 
         run_scenario(scenario())
 
-    def test_a_lost_answer_is_found_out(self) -> None:
+    def test_a_retry_after_a_lost_answer_is_accepted(self) -> None:
         """The second try meets the first one's records, and the job is accepted."""
 
         async def scenario() -> None:
@@ -160,7 +160,7 @@
 
         run_scenario(scenario())
 
-    def test_progress_that_is_written_meanwhile_is_kept(self) -> None:
+    def test_progress_written_during_a_cancel_is_kept(self) -> None:
         """A scheduler's write between the cancel's reading and writing is not lost."""
 
         async def scenario() -> None:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -20,16 +20,16 @@
 )
 from tests.scheduling_fakes import job, policy, step
 
-LONG = "x" * 4001
+LONG_SPEC = "x" * 4001
 
 
 def repeating(**changes: float) -> Job:
     """Return a job that repeats."""
-    given = {"first_s": 1.0, "interval_s": 1.0, "count": 2} | changes
-    return job("j", step(1), repeats=Repeats(**given))  # type: ignore[arg-type]
+    values = {"first_s": 1.0, "interval_s": 1.0, "count": 2} | changes
+    return job("j", step(1), repeats=Repeats(**values))  # type: ignore[arg-type]
 
 
-class FaultsTests(unittest.TestCase):
+class JobProblemsTests(unittest.TestCase):
     @parameterized.expand(
         [
             ("no step", job("j")),
@@ -41,16 +41,16 @@
             ("absurd memory", job("j", step(1, memory_mb=10**12))),
             ("negative length", job("j", step(1, estimated_s=-1.0))),
             ("too many tasks", job("j", step(10_001))),
-            ("long spec", job("j", step(1), spec=LONG)),
+            ("long spec", job("j", step(1), spec=LONG_SPEC)),
             ("negative interval", repeating(interval_s=-1.0)),
             ("endless repeats", repeating(count=10**9)),
         ]
     )
-    def test_a_job_that_can_not_be_run_is_told_of(self, _name: str, one: Job) -> None:
+    def test_an_invalid_job_is_reported(self, _name: str, job_under_test: Job) -> None:
         """Each fault gives a sentence."""
-        self.assertNotEqual([], list(job_problems(one)))
+        self.assertNotEqual([], list(job_problems(job_under_test)))
 
-    def test_a_sound_job_has_no_fault(self) -> None:
+    def test_a_valid_job_has_no_problem(self) -> None:
         """Steps after earlier ones, and repeats."""
         repeats = Repeats(first_s=1.0, interval_s=0.0, count=3)
         self.assertEqual(
@@ -61,21 +61,21 @@
 class ProgressTests(unittest.TestCase):
     def test_completed_when_all_tasks_of_all_occurrences_are_done(self) -> None:
         """The last task of the last occurrence completes the job."""
-        one = job("j", step(2), repeats=Repeats(first_s=0, interval_s=1, count=2))
+        job_under_test = job("j", step(2), repeats=Repeats(first_s=0, interval_s=1, count=2))
         progress = JobProgress(queue="q")
         names = [TaskName("j", k, 0, n) for k in (0, 1) for n in (0, 1)]
         for name in names[:-1]:
-            progress.note_done(one, name, now_s=5.0)
+            progress.note_done(job_under_test, name, now_s=5.0)
             self.assertIs(JobState.QUEUED, progress.state)
-        progress.note_done(one, names[-1], now_s=6.0)
+        progress.note_done(job_under_test, names[-1], now_s=6.0)
         self.assertIs(JobState.COMPLETED, progress.state)
         self.assertEqual(6.0, progress.ended_s)
 
-    def test_one_end_of_a_gang_stands_for_all(self) -> None:
+    def test_one_end_of_a_gang_counts_for_all_its_tasks(self) -> None:
         """A gang's members end together."""
-        one = job("j", step(3, is_gang=True))
+        job_under_test = job("j", step(3, is_gang=True))
         progress = JobProgress(queue="q")
-        progress.note_done(one, TaskName("j", 0, 0, 1), now_s=1.0)
+        progress.note_done(job_under_test, TaskName("j", 0, 0, 1), now_s=1.0)
         self.assertIs(JobState.COMPLETED, progress.state)
 
     @parameterized.expand(
@@ -86,49 +86,49 @@
             ("lasting tasks", Step(count=1, is_lasting=True), (1, 2, 3), JobState.QUEUED),
         ]
     )
-    def test_failures(
-        self, _name: str, part: Step, runs: tuple[int, ...], expected: JobState
+    def test_a_job_fails_at_its_limit_of_failed_runs(
+        self, _name: str, task_step: Step, runs: tuple[int, ...], expected: JobState
     ) -> None:
         """A job fails with the last attempt of one task; lasting tasks may fail for ever."""
-        one = job("j", part, policy=policy(most_attempts=2))
+        job_under_test = job("j", task_step, policy=policy(most_attempts=2))
         progress = JobProgress(queue="q")
         for run_id in runs:
-            progress.note_failed(one, TaskName("j", 0, 0, 0), run_id, now_s=1.0)
+            progress.note_failed(job_under_test, TaskName("j", 0, 0, 0), run_id, now_s=1.0)
         self.assertIs(expected, progress.state)
 
     def test_a_final_state_stays(self) -> None:
         """A cancelled job is not completed by a task that ends later."""
-        one = job("j", step(1))
+        job_under_test = job("j", step(1))
         progress = JobProgress(queue="q")
         progress.finish(JobState.CANCELLED, now_s=1.0)
-        progress.note_done(one, TaskName("j", 0, 0, 0), now_s=2.0)
+        progress.note_done(job_under_test, TaskName("j", 0, 0, 0), now_s=2.0)
         self.assertIs(JobState.CANCELLED, progress.state)
 
 
 class RecordTests(unittest.TestCase):
-    def test_a_job_comes_back_as_it_was(self) -> None:
+    def test_a_job_is_unchanged_by_encoding(self) -> None:
         """All of its fields."""
-        one = job(
+        job_under_test = job(
             "j",
             step(2, label="a", near_rack="r1", most_per_worker=1, is_gang=True, may_miss=1),
             step(1, after=(0,), is_filler=True, target_s=0.2, image="i"),
             repeats=Repeats(first_s=1.5, interval_s=2.5, count=3),
         )
-        self.assertEqual(one, decode_job(encode_job(one)))
+        self.assertEqual(job_under_test, decode_job(encode_job(job_under_test)))
 
-    def test_progress_comes_back_as_it_was(self) -> None:
+    def test_progress_is_unchanged_by_encoding(self) -> None:
         """Done tasks, failures and state."""
-        one = job("j", step(70), step(1))
+        job_under_test = job("j", step(70), step(1))
         progress = JobProgress(queue="q")
-        progress.note_done(one, TaskName("j", 0, 0, 69), now_s=1.0)
-        progress.note_failed(one, TaskName("j", 0, 1, 0), 5, now_s=1.0)
-        again = decode_progress(encode_progress(progress))
-        self.assertEqual(encode_progress(progress), encode_progress(again))
-        self.assertTrue(again.is_done(TaskName("j", 0, 0, 69)))
-        self.assertEqual({(0, 1, 0): (5,)}, again.failures)
+        progress.note_done(job_under_test, TaskName("j", 0, 0, 69), now_s=1.0)
+        progress.note_failed(job_under_test, TaskName("j", 0, 1, 0), 5, now_s=1.0)
+        decoded = decode_progress(encode_progress(progress))
+        self.assertEqual(encode_progress(progress), encode_progress(decoded))
+        self.assertTrue(decoded.is_done(TaskName("j", 0, 0, 69)))
+        self.assertEqual({(0, 1, 0): (5,)}, decoded.failures)
 
     @parameterized.expand([(b"",), (b"{}",), (b'{"queue":"q","state":"odd"}',), (b"[1]",)])
-    def test_what_is_no_progress_is_an_error(self, record: bytes) -> None:
+    def test_an_unreadable_progress_record_is_an_error(self, record: bytes) -> None:
         """Never a job without progress."""
         with self.assertRaises(ValueError):
             decode_progress(record)
@@ -144,15 +144,15 @@
 class ObjectiveTests(unittest.TestCase):
     def test_the_longest_chain_counts(self) -> None:
         """Steps beside each other don't add up."""
-        one = job(
+        job_under_test = job(
             "j",
             step(1, estimated_s=1.0),
             step(1, estimated_s=3.0),
             step(1, estimated_s=2.0, after=(0, 1)),
             policy=policy(stretch=1.5, target_latency_s=0.5),
         )
-        self.assertEqual(5.0, one.longest_chain_s())
-        self.assertEqual(8.0, one.objective_s())
+        self.assertEqual(5.0, job_under_test.longest_chain_s())
+        self.assertEqual(8.0, job_under_test.objective_s())
 
 
 if __name__ == "__main__":
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -12,29 +12,29 @@
 from parameterized import parameterized
 
 from shallotworks.scheduling import OrderStatus
-from tests.lasting_task_simulation import RUNS_AGAIN_S, LastingTaskSimulation, lasting
+from tests.lasting_task_simulation import RESTART_DEADLINE_S, LastingTaskSimulation, lasting_step
 from tests.virtual_clock import run_scenario
 
-SETTLED_S = 4.0
+SETTLE_S = 4.0
 """Jobs run by then, also on workers that were offered and taken back, and idle ones are offered."""
-LEFT_BEFORE_S = 7.0
+PRIOR_FAULT_LEAD_S = 7.0
 """A worker that left this long before a fault is over for all who watch it."""
-AFTER_S = RUNS_AGAIN_S + 3.0
+OBSERVATION_S = RESTART_DEADLINE_S + 3.0
 """Stories are watched for this long after their last fault."""
 JOB = "00000000000000a1"
 SECOND_JOB = "00000000000000a2"
 SPREAD_JOB = "00000000000000a3"
 SEEDS = range(1, 21)
-KEPT_SEEDS = (33, 139, 163)
+REGRESSION_SEEDS = (33, 139, 163)
 """Tasks of a worker that went silent or drained stood still for over 10 s: while their leases ran
 out the pool offered its idle workers, which were closed to lasting tasks for 3 s then."""
-TROUBLES_A_MIX = 6
-LONGEST_PAUSE_S = 4.0
+FAULTS_PER_MIX = 6
+MAX_PAUSE_S = 4.0
 
 FaultScenario = Callable[[LastingTaskSimulation], Awaitable[None]]
 
 
-def play(
+def run_fault_scenario(
     fault: FaultScenario, *, seed: int = 1, before: FaultScenario | None = None
 ) -> LastingTaskSimulation:
     """Play one scenario: two jobs that run, a fault, and a while in which to recover.
@@ -48,14 +48,14 @@
     async def scenario() -> LastingTaskSimulation:
         simulation = LastingTaskSimulation(seed=seed)
         simulation.start()
-        await simulation.submit(JOB, lasting(3))
-        await simulation.submit(SECOND_JOB, lasting(2), lasting(2, most_per_worker=1))
-        await asyncio.sleep(SETTLED_S)
+        await simulation.submit(JOB, lasting_step(3))
+        await simulation.submit(SECOND_JOB, lasting_step(2), lasting_step(2, most_per_worker=1))
+        await asyncio.sleep(SETTLE_S)
         if before is not None:
             await before(simulation)
-            await asyncio.sleep(LEFT_BEFORE_S)
+            await asyncio.sleep(PRIOR_FAULT_LEAD_S)
         await fault(simulation)
-        await simulation.wait_recovered(AFTER_S)
+        await simulation.wait_recovered(OBSERVATION_S)
         await simulation.close()
         return simulation
 
@@ -69,7 +69,7 @@
     return (used or [worker_id for worker_id, _ in up])[0]
 
 
-async def one_leaves(simulation: LastingTaskSimulation) -> None:
+async def a_worker_leaves(simulation: LastingTaskSimulation) -> None:
     await simulation.retire_worker(used_worker(simulation))
 
 
@@ -77,7 +77,7 @@
     simulation.crash_worker(used_worker(simulation))
 
 
-async def one_leaves_unanswering(simulation: LastingTaskSimulation) -> None:
+async def a_worker_leaves_unanswering(simulation: LastingTaskSimulation) -> None:
     await simulation.retire_worker(used_worker(simulation), absence=OrderStatus.UNANSWERED)
 
 
@@ -99,7 +99,7 @@
         """Nothing broke a rule, and all tasks ran soon after the last fault."""
         self.assertEqual([], simulation.all_violations())
         self.assertGreater(simulation.fleet.started, 0)
-        self.assertLessEqual(simulation.recovered_after_s, RUNS_AGAIN_S)
+        self.assertLessEqual(simulation.recovered_after_s, RESTART_DEADLINE_S)
 
 
 # ---- all instances at once
@@ -123,11 +123,11 @@
     @parameterized.expand(
         [
             ("alone", all_killed, None),
-            ("a_worker_left_earlier", all_killed, one_leaves),
-            ("a_worker_left_and_nothing_answers_there", all_killed, one_leaves_unanswering),
+            ("a_worker_left_earlier", all_killed, a_worker_leaves),
+            ("a_worker_left_and_nothing_answers_there", all_killed, a_worker_leaves_unanswering),
             (
                 "a_worker_leaves_meanwhile",
-                together(one_leaves, all_killed_for_longer, after_s=0.5),
+                together(a_worker_leaves, all_killed_for_longer, after_s=0.5),
                 None,
             ),
             (
@@ -136,7 +136,7 @@
                 None,
             ),
             ("twice", all_killed_twice, None),
-            ("twice_a_worker_left_earlier", all_killed_twice, one_leaves),
+            ("twice_a_worker_left_earlier", all_killed_twice, a_worker_leaves),
         ]
     )
     def test_tasks_run_again(
@@ -148,47 +148,51 @@
         the store which workers its predecessors used. It waits for one of them that has left as for
         one that may still run tasks, and starts nothing of earlier jobs until then.
         """
-        self.assert_recovered(play(fault, before=before))
+        self.assert_recovered(run_fault_scenario(fault, before=before))
 
 
 # ---- duties that change hands again and again
 
-TURNS = 4
+SCHEDULER_CHANGES = 4
 
 
-def killed_in_turn(every_s: float) -> FaultScenario:
+def killed_in_turn(interval_s: float) -> FaultScenario:
     async def fault(simulation: LastingTaskSimulation) -> None:
-        for _ in range(TURNS):
+        for _ in range(SCHEDULER_CHANGES):
             await simulation.kill_scheduler()
-            await asyncio.sleep(every_s)
+            await asyncio.sleep(interval_s)
 
     return fault
 
 
-def stopped_in_turn(every_s: float) -> FaultScenario:
+def stopped_in_turn(interval_s: float) -> FaultScenario:
     async def fault(simulation: LastingTaskSimulation) -> None:
-        for _ in range(TURNS):
+        for _ in range(SCHEDULER_CHANGES):
             await simulation.stop_scheduler()
-            await asyncio.sleep(every_s)
+            await asyncio.sleep(interval_s)
 
     return fault
 
 
-def keys_revoked(every_s: float) -> FaultScenario:
+def leases_revoked(interval_s: float) -> FaultScenario:
     async def fault(simulation: LastingTaskSimulation) -> None:
-        for _ in range(TURNS):
+        for _ in range(SCHEDULER_CHANGES):
             simulation.revoke_keys()
-            await asyncio.sleep(every_s)
+            await asyncio.sleep(interval_s)
 
     return fault
 
 
-TURNS_OF = (("killed", killed_in_turn), ("stopped", stopped_in_turn), ("revoked", keys_revoked))
-EVERY_S = (1.0, 2.0, 3.0)
+KINDS_OF_CHANGE = (
+    ("killed", killed_in_turn),
+    ("stopped", stopped_in_turn),
+    ("revoked", leases_revoked),
+)
+CHANGE_INTERVALS_S = (1.0, 2.0, 3.0)
 
 
-class RenewedDutyTests(ScenarioTests):
-    @parameterized.expand([(name, make) for name, make in TURNS_OF])
+class RepeatedTakeoverTests(ScenarioTests):
+    @parameterized.expand([(name, make) for name, make in KINDS_OF_CHANGE])
     def test_tasks_run_again(self, _name: str, make: Callable[[float], FaultScenario]) -> None:
         """A job's tasks stay away while its scheduler changes again and again, and after it.
 
@@ -196,16 +200,16 @@
         workers stay, one leaves or one crashes meanwhile. Each successor begins its wait for the
         workers that it has not seen anew.
         """
-        for every_s in EVERY_S:
-            fault = make(every_s)
+        for interval_s in CHANGE_INTERVALS_S:
+            fault = make(interval_s)
             scenarios: tuple[tuple[str, FaultScenario], ...] = (
                 ("all workers stay", fault),
-                ("a worker leaves", together(one_leaves, fault, after_s=0.2)),
+                ("a worker leaves", together(a_worker_leaves, fault, after_s=0.2)),
                 ("a worker crashes", together(fault, a_worker_crashes, after_s=0.6)),
             )
             for case, scenario in scenarios:
-                with self.subTest(every_s=every_s, case=case):
-                    self.assert_recovered(play(scenario))
+                with self.subTest(interval_s=interval_s, case=case):
+                    self.assert_recovered(run_fault_scenario(scenario))
 
 
 # ---- outages of the store
@@ -229,7 +233,7 @@
     return fault
 
 
-def leaving_after(fault: FaultScenario) -> FaultScenario:
+def followed_by_leaving(fault: FaultScenario) -> FaultScenario:
     """Let a worker leave just after a fault."""
 
     async def both(simulation: LastingTaskSimulation) -> None:
@@ -266,15 +270,15 @@
             fault = outage(for_s, is_silent=is_silent, are_leases_paused=are_paused)
             scenarios: tuple[tuple[str, FaultScenario, FaultScenario | None], ...] = (
                 ("all workers stay", fault, None),
-                ("a worker left", fault, one_leaves),
-                ("a worker leaves during it", together(one_leaves, fault, after_s=0.2), None),
-                ("a worker leaves after it", leaving_after(fault), None),
+                ("a worker left", fault, a_worker_leaves),
+                ("a worker leaves during it", together(a_worker_leaves, fault, after_s=0.2), None),
+                ("a worker leaves after it", followed_by_leaving(fault), None),
             )
             for case, scenario, before in scenarios:
                 with self.subTest(for_s=for_s, case=case):
-                    self.assert_recovered(play(scenario, before=before))
+                    self.assert_recovered(run_fault_scenario(scenario, before=before))
 
-    def test_entries_of_workers_that_were_lost(self) -> None:
+    def test_worker_registrations_that_were_lost(self) -> None:
         """A job's tasks stay away after an outage in which the list of workers ran out.
 
         The store serves nobody, and workers' entries run out with their leases. They come back one
@@ -282,12 +286,12 @@
         """
         for for_s in (OUTAGES_S[0], OUTAGES_S[-1]):
             fault = outage(for_s, is_silent=False, are_leases_paused=False, are_entries_lost=True)
-            for case, before in (("all workers stay", None), ("a worker left", one_leaves)):
+            for case, before in (("all workers stay", None), ("a worker left", a_worker_leaves)):
                 with self.subTest(for_s=for_s, case=case):
-                    self.assert_recovered(play(fault, before=before))
+                    self.assert_recovered(run_fault_scenario(fault, before=before))
 
     @parameterized.expand([(name, is_silent) for name, is_silent in ANSWERS])
-    def test_one_term_begins(self, _name: str, is_silent: bool) -> None:
+    def test_one_epoch_begins(self, _name: str, is_silent: bool) -> None:
         """All that a new term has learnt is lost 0.1 s after it began, and the next learns it anew.
 
         An instance bids as soon as the store answers, and wins. Then its watcher of the keys
@@ -295,7 +299,7 @@
         its own.
         """
         for for_s in OUTAGES_S:
-            for case, before in (("all workers stay", None), ("a worker left", one_leaves)):
+            for case, before in (("all workers stay", None), ("a worker left", a_worker_leaves)):
                 with self.subTest(for_s=for_s, case=case):
                     up_s: list[float] = []
 
@@ -307,10 +311,10 @@
                         await simulation.store_outage(for_s, is_silent=is_silent)
                         up_s.append(asyncio.get_running_loop().time())
 
-                    simulation = play(fault, before=before)
-                    self.assertLessEqual(simulation.terms_begun_after(up_s[0]), 1)
+                    simulation = run_fault_scenario(fault, before=before)
+                    self.assertLessEqual(simulation.epochs_begun_after(up_s[0]), 1)
 
-    def test_an_offer_that_is_taken_back_meanwhile(self) -> None:
+    def test_an_offer_that_is_withdrawn_during_an_outage(self) -> None:
         """A task is taken away with its worker just after the store is back.
 
         One worker is idle and offered. Another incarnation answers for a worker, and only the idle
@@ -320,18 +324,18 @@
         """
 
         async def fault(simulation: LastingTaskSimulation) -> None:
-            await simulation.submit(SPREAD_JOB, lasting(5, most_per_worker=1))
-            await asyncio.sleep(SETTLED_S)
+            await simulation.submit(SPREAD_JOB, lasting_step(5, most_per_worker=1))
+            await asyncio.sleep(SETTLE_S)
             (idle,) = simulation.offered()
             lost = used_worker(simulation)
             simulation.crash_worker(lost)
             simulation.fleet.absences[lost] = OrderStatus.GONE
-            while simulation.is_held_back(idle):
+            while simulation.is_worker_cordoned(idle):
                 await asyncio.sleep(0.001)
             await simulation.store_outage(3.6, is_silent=True)
             await simulation.lend_worker()
 
-        self.assert_recovered(play(fault))
+        self.assert_recovered(run_fault_scenario(fault))
 
     def test_a_second_outage_after_a_worker_left(self) -> None:
         """A lasting job has no task for 14 s after the second of two outages.
@@ -344,11 +348,11 @@
         async def fault(simulation: LastingTaskSimulation) -> None:
             await simulation.store_outage(5.8)
             await asyncio.sleep(2.5)
-            await one_leaves(simulation)
+            await a_worker_leaves(simulation)
             await asyncio.sleep(7.5)
             await simulation.store_outage(10.1, is_silent=True)
 
-        self.assert_recovered(play(fault))
+        self.assert_recovered(run_fault_scenario(fault))
 
 
 # ---- workers
@@ -358,11 +362,11 @@
     await simulation.replace_worker(used_worker(simulation))
 
 
-async def a_worker_is_silent_for_short(simulation: LastingTaskSimulation) -> None:
+async def a_worker_is_isolated_briefly(simulation: LastingTaskSimulation) -> None:
     await simulation.isolate_worker(used_worker(simulation), 2.5)
 
 
-async def a_worker_is_silent_for_long(simulation: LastingTaskSimulation) -> None:
+async def a_worker_is_isolated_for_long(simulation: LastingTaskSimulation) -> None:
     await simulation.isolate_worker(used_worker(simulation), 9.0)
 
 
@@ -390,8 +394,8 @@
 WORKER_FAULTS: tuple[FaultScenario, ...] = (
     a_worker_crashes,
     a_worker_is_replaced,
-    a_worker_is_silent_for_short,
-    a_worker_is_silent_for_long,
+    a_worker_is_isolated_briefly,
+    a_worker_is_isolated_for_long,
     a_task_fails,
     a_worker_is_lent,
     a_worker_is_taken_away,
@@ -399,19 +403,19 @@
 )
 
 
-async def nothing(_history: LastingTaskSimulation) -> None:
+async def no_fault(_simulation: LastingTaskSimulation) -> None:
     return None
 
 
-async def scheduler_cut(simulation: LastingTaskSimulation) -> None:
+async def scheduler_isolated(simulation: LastingTaskSimulation) -> None:
     await simulation.isolate_scheduler(5.5)
 
 
-OTHERS: tuple[tuple[str, FaultScenario], ...] = (
-    ("calm", nothing),
+CONCURRENT_FAULTS: tuple[tuple[str, FaultScenario], ...] = (
+    ("calm", no_fault),
     ("schedulers killed", killed_in_turn(1.0)),
     ("schedulers stopped", stopped_in_turn(1.0)),
-    ("scheduler cut", scheduler_cut),
+    ("scheduler cut", scheduler_isolated),
     ("all killed", all_killed),
     ("store down", outage(6.0, is_silent=False, are_leases_paused=False)),
 )
@@ -427,28 +431,28 @@
         schedulers are killed, stopped or cut from the store, all instances are killed, or the store
         is down.
         """
-        for case, other in OTHERS:
+        for case, other in CONCURRENT_FAULTS:
             with self.subTest(case=case):
-                self.assert_recovered(play(together(fault, other, after_s=0.7)))
+                self.assert_recovered(run_fault_scenario(together(fault, other, after_s=0.7)))
 
 
 # ---- mixes
 
-MIXED: tuple[tuple[int, FaultScenario], ...] = (
+WEIGHTED_FAULTS: tuple[tuple[int, FaultScenario], ...] = (
     (3, LastingTaskSimulation.kill_scheduler),
     (2, LastingTaskSimulation.stop_scheduler),
-    (1, scheduler_cut),
+    (1, scheduler_isolated),
     (1, all_killed),
     (1, outage(4.5, is_silent=True, are_leases_paused=False)),
     (1, outage(6.0, is_silent=False, are_leases_paused=True)),
     (1, outage(6.0, is_silent=False, are_leases_paused=False, are_entries_lost=True)),
     (1, outage(9.0, is_silent=False, are_leases_paused=False)),
-    (2, one_leaves),
-    (1, one_leaves_unanswering),
+    (2, a_worker_leaves),
+    (1, a_worker_leaves_unanswering),
     (2, a_worker_crashes),
     (2, a_worker_is_replaced),
-    (1, a_worker_is_silent_for_short),
-    (1, a_worker_is_silent_for_long),
+    (1, a_worker_is_isolated_briefly),
+    (1, a_worker_is_isolated_for_long),
     (2, a_task_fails),
     (2, a_worker_is_lent),
     (2, a_worker_is_taken_away),
@@ -456,36 +460,36 @@
 """Troubles of a mix, and how often each is drawn."""
 
 
-LEAST_WORKERS = 4
+MIN_WORKERS = 4
 """Others come while fewer are up, so that there is room."""
 
 
-async def mixed(simulation: LastingTaskSimulation) -> None:
+async def random_faults(simulation: LastingTaskSimulation) -> None:
     """Bring about faults, some of them at once, and hand in and cancel a job meanwhile."""
-    draw = random.Random(simulation.rng.random())
-    weights = [weight for weight, _ in MIXED]
-    running: list[Awaitable[None]] = [simulation.submit("00000000000000b1", lasting(2))]
-    for _ in range(TROUBLES_A_MIX):
-        _, fault = draw.choices(MIXED, weights)[0]
+    rng = random.Random(simulation.rng.random())
+    weights = [weight for weight, _ in WEIGHTED_FAULTS]
+    running: list[Awaitable[None]] = [simulation.submit("00000000000000b1", lasting_step(2))]
+    for _ in range(FAULTS_PER_MIX):
+        _, fault = rng.choices(WEIGHTED_FAULTS, weights)[0]
         running.append(asyncio.ensure_future(fault(simulation)))
-        await asyncio.sleep(draw.uniform(0, LONGEST_PAUSE_S))
-        if draw.random() < 0.1:
+        await asyncio.sleep(rng.uniform(0, MAX_PAUSE_S))
+        if rng.random() < 0.1:
             running.append(simulation.cancel(SECOND_JOB))
-        while simulation.workers_up() < LEAST_WORKERS:
+        while simulation.count_available_workers() < MIN_WORKERS:
             simulation.add_worker()
     await asyncio.gather(*running)
 
 
-class MixTests(ScenarioTests):
+class RandomFaultTests(ScenarioTests):
     def test_tasks_run_again(self) -> None:
         """A lasting task is missed, or runs twice, after faults that came on top of each other.
 
         Each seed draws its own order of outages, kills, planned stops, and workers that leave,
         crash, fall silent, are replaced or taken away.
         """
-        for seed in (*SEEDS, *KEPT_SEEDS):
+        for seed in (*SEEDS, *REGRESSION_SEEDS):
             with self.subTest(seed=seed):
-                self.assert_recovered(play(mixed, seed=seed))
+                self.assert_recovered(run_fault_scenario(random_faults, seed=seed))
 
 
 if __name__ == "__main__":
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -24,24 +24,24 @@
 
 JOB_ID = "00000000000000aa"
 OUTAGE_S = 9.0
-BACK_S = 4.0
+RESTART_WAIT_S = 4.0
 """Time from the store's return until the tasks run again: instances bid within 2 s, since their
 calls in flight have to time out, and whoever wins looks at all workers at once."""
 
 
-def _set_silent(simulation: SchedulingSimulation, is_silent: bool) -> None:
+def _set_store_silent(simulation: SchedulingSimulation, is_silent: bool) -> None:
     for instance in simulation.instances:
         instance.view.faults.is_silent = is_silent
 
 
-def _running(simulation: SchedulingSimulation) -> int:
+def _count_running_tasks(simulation: SchedulingSimulation) -> int:
     alive = [worker for worker in simulation.fleet.workers.values() if worker.is_alive]
     for worker in alive:
         worker.end_due_runs()
     return sum(len(worker.names()) for worker in alive)
 
 
-async def _begun(workers: int) -> SchedulingSimulation:
+async def _make_running_simulation(workers: int) -> SchedulingSimulation:
     """Return a history in which a job of two lasting tasks runs."""
     simulation = SchedulingSimulation(seed=1, workers=workers, instances=2)
     simulation.fleet.lasting.add(JOB_ID)
@@ -53,7 +53,7 @@
     return simulation
 
 
-class LeftWorkerTests(unittest.TestCase):
+class DepartedWorkerTests(unittest.TestCase):
     def test_tasks_run_again_soon_though_a_worker_left_long_before_the_outage(self) -> None:
         """Lasting tasks stood still for 14 s after an outage of the store, beside idle workers.
 
@@ -64,17 +64,17 @@
         """
 
         async def scenario() -> None:
-            simulation = await _begun(workers=3)
+            simulation = await _make_running_simulation(workers=3)
             idle = [one for one in simulation.fleet.workers.values() if not one.names()]
             self.assertEqual(1, len(idle))
             idle[0].crash()
             await asyncio.sleep(12.0)
-            _set_silent(simulation, True)
+            _set_store_silent(simulation, True)
             await asyncio.sleep(OUTAGE_S)
-            self.assertEqual(0, _running(simulation))
-            _set_silent(simulation, False)
-            await asyncio.sleep(BACK_S)
-            self.assertEqual(2, _running(simulation))
+            self.assertEqual(0, _count_running_tasks(simulation))
+            _set_store_silent(simulation, False)
+            await asyncio.sleep(RESTART_WAIT_S)
+            self.assertEqual(2, _count_running_tasks(simulation))
             self.assertEqual([], simulation.fleet.violations)
             for instance in simulation.instances:
                 await instance.kill()
@@ -97,17 +97,17 @@
         """
 
         async def scenario() -> None:
-            simulation = await _begun(workers=3)
+            simulation = await _make_running_simulation(workers=3)
             started = simulation.fleet.started
             if are_leases_paused:
                 simulation.store.pause_leases()
-            _set_silent(simulation, True)
+            _set_store_silent(simulation, True)
             await asyncio.sleep(outage_s)
-            _set_silent(simulation, False)
+            _set_store_silent(simulation, False)
             if are_leases_paused:
                 simulation.store.resume_leases()
-            await asyncio.sleep(BACK_S)
-            self.assertEqual(2, _running(simulation))
+            await asyncio.sleep(RESTART_WAIT_S)
+            self.assertEqual(2, _count_running_tasks(simulation))
             self.assertEqual(started, simulation.fleet.started)
             for instance in simulation.instances:
                 await instance.kill()
@@ -115,22 +115,22 @@
         run_scenario(scenario())
 
 
-class _SlowWatch(FaultInjectingStore):
+class _DelayedWatchStore(FaultInjectingStore):
     """A store whose watches are answered late while a test wants that."""
 
-    is_late = False
+    is_delayed = False
 
     async def watch(
         self, prefix: str, *, after_revision: int, wait_s: float
     ) -> Result[Changes, Failure]:
         outcome = await super().watch(prefix, after_revision=after_revision, wait_s=wait_s)
-        while self.is_late:
+        while self.is_delayed:
             await asyncio.sleep(0.05)
         return outcome
 
 
-class LateNewsTests(unittest.TestCase):
-    def test_news_of_an_earlier_key_does_not_end_the_next_term(self) -> None:
+class LateDeletionTests(unittest.TestCase):
+    def test_the_deletion_of_an_earlier_key_does_not_end_the_next_epoch(self) -> None:
         """Every scheduler gave up within half a second of its start, after an outage of the store.
 
         A scheduler lost its key in the outage, bid as soon as the store answered and won. Its watch
@@ -139,17 +139,17 @@
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
-            watched = _SlowWatch(store=store)
+            store_view = _DelayedWatchStore(store=store)
             leases: list[HeldLease] = []
 
             async def run_epoch(service: str, lease: HeldLease) -> None:
                 leases.append(lease)
-                keep = asyncio.create_task(lease.renew_until_lost())
+                renewal = asyncio.create_task(lease.renew_until_lost())
                 await lease.lost_event.wait()
-                keep.cancel()
+                renewal.cancel()
 
             elector = LeaderElector(
-                store=watched,
+                store=store_view,
                 root="duty/",
                 mark=lambda service: JobKeys(service=service).holder_mark,
                 instance="n0",
@@ -158,25 +158,25 @@
                 times=LeaseTiming(),
                 log=quiet_log(),
             )
-            follow = asyncio.create_task(elector.run())
+            watching = asyncio.create_task(elector.run())
             elector.serve({"antenna"})
             await asyncio.sleep(2.0)
-            watched.is_late = True
+            store_view.is_delayed = True
             store.revoke_lease(store.items["duty/antenna"].lease_id)
             await asyncio.sleep(3.0)
             self.assertEqual(2, len(leases))
-            watched.is_late = False
+            store_view.is_delayed = False
             await asyncio.sleep(2.0)
             self.assertEqual(2, len(leases))
             self.assertFalse(leases[1].lost_event.is_set())
-            follow.cancel()
+            watching.cancel()
             await elector.stop()
 
         run_scenario(scenario())
 
 
-class WakeTests(unittest.TestCase):
-    def test_a_scheduler_that_wakes_says_its_need_anew(self) -> None:
+class ResumptionTests(unittest.TestCase):
+    def test_a_scheduler_that_resumes_publishes_its_demand_again(self) -> None:
         """A turn that begins in an outage gets no machines until three seconds after it.
 
         The keeper rests in the outage as the schedulers do, and takes no machine on a word from
@@ -218,8 +218,8 @@
         harness.add_job(job("j", step(2, is_lasting=True)), is_old=True)
         sizer = PoolSizer(scheduler_state=harness.scheduler_state, limits=SizingLimits())
         for _ in range(20):
-            need = sizer.assess(frozenset(), now_s=harness.now_s, wall_s=WALL_S)
-            self.assertEqual((), need.free)
+            demand = sizer.assess(frozenset(), now_s=harness.now_s, wall_s=WALL_S)
+            self.assertEqual((), demand.free)
             harness.now_s += 0.1
         harness.scheduler_state.recovered("c", "seen")
         sizer.withdraw(harness.now_s, wall_s=WALL_S)
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -7,36 +7,36 @@
 
 from shallotworks.jobs import retry_after_s
 
-TRIES = 5
-STEP_S = 0.05
+ATTEMPTS = 5
+ARRIVAL_INTERVAL_S = 0.05
 
 
-def spent_part(outage_s: float, pause_s: Callable[[float], float]) -> float:
+def exhausted_fraction(outage_s: float, pause_s: Callable[[float], float]) -> float:
     """Return the part of an outage's callers who give up before the store is back."""
-    spent = 0
-    callers = round(outage_s / STEP_S)
+    exhausted = 0
+    callers = round(outage_s / ARRIVAL_INTERVAL_S)
     for number in range(callers):
-        at_s = number * STEP_S
-        for _ in range(TRIES - 1):
-            if at_s < outage_s:
-                at_s += pause_s(at_s)
-        spent += at_s < outage_s
-    return spent / callers
+        attempt_s = number * ARRIVAL_INTERVAL_S
+        for _ in range(ATTEMPTS - 1):
+            if attempt_s < outage_s:
+                attempt_s += pause_s(attempt_s)
+        exhausted += attempt_s < outage_s
+    return exhausted / callers
 
 
 class OutageTests(unittest.TestCase):
     @parameterized.expand([(3.0,), (4.7,), (6.0,), (9.0,)])
-    def test_callers_are_not_spent_before_the_store_is_back(self, outage_s: float) -> None:
+    def test_no_caller_gives_up_before_the_store_is_back(self, outage_s: float) -> None:
         """A crew is refused for good in an outage of nine seconds, having tried for four.
 
         Each refusal said to come back in a second, so that half of the outage's callers had used up
         their tries before its end.
         """
-        self.assertEqual(0.0, spent_part(outage_s, retry_after_s))
+        self.assertEqual(0.0, exhausted_fraction(outage_s, retry_after_s))
 
-    def test_coming_back_each_second_would_spend_them(self) -> None:
+    def test_callers_who_retry_each_second_give_up(self) -> None:
         """What is compared against: the longer the outage, the more give up."""
-        self.assertGreater(spent_part(9.0, lambda _: 1.0), 0.4)
+        self.assertGreater(exhausted_fraction(9.0, lambda _: 1.0), 0.4)
 
     @parameterized.expand([(0.0, 1), (0.5, 1), (1.5, 2), (2.5, 3), (60.0, 3)])
     def test_the_pause_grows_with_the_outage_within_bounds(
