--- a/tests/held_leases.py
+++ b/tests/held_leases.py
@@ -1,4 +1,4 @@
-"""Held keys for tests."""
+"""Acquires leased keys for tests."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
     marker_key: str = JobKeys(service=SERVICE).holder_mark,
     times: LeaseTiming | None = None,
 ) -> HeldLease | None:
-    """Return the holder of a key; ``None`` where another has it."""
+    """Acquire a key's lease; return ``None`` if another holder has it."""
     return await HeldLease.acquire(
         store=store,
         key=key,
@@ -36,7 +36,7 @@
     marker_key: str = JobKeys(service=SERVICE).holder_mark,
     times: LeaseTiming | None = None,
 ) -> HeldLease:
-    """Return the holder of a key, which is free."""
+    """Acquire the lease of a key that is free."""
     lease = await try_acquire(store, key=key, marker_key=marker_key, times=times)
     assert lease is not None
     return lease
--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -1,8 +1,9 @@
-"""Lasting tasks on the stand-ins, through faults that scenarios cause, judged all the while.
+"""Simulates lasting tasks on the stand-ins through faults, and checks the rules all the while.
 
-Instances, terms, bidders, their watchers and the list of workers are the product's own; the store,
-the workers and the keeper of machines are stand-ins. Workers register in the store as the
-platform's do, so that instances learn of them late or not at all while the store is down.
+Instances, service schedulers, leader electors, their watchers and the list of workers are the
+product's own; the store, the workers and the machine controller are stand-ins. Workers register in
+the store as the platform's do, so that instances learn of them late or not at all while the store
+is down.
 """
 
 from __future__ import annotations
@@ -55,53 +56,55 @@
 __all__ = ["RESTART_DEADLINE_S", "LastingTaskSimulation", "lasting_step"]
 
 RESTART_DEADLINE_S = 10.0
-"""A lasting task with room for it runs again within this after the last fault. Source: the users'
-rules: instances are in touch 3 s after a fault, the 4 s before a task is missed must be calm, and
-it may be missed for 3 s."""
+"""A lasting task with room for it runs again within this time after the last fault. Source: the
+users' rules: instances are in touch 3 s after a fault, the 4 s before a task is missed must be
+calm, and it may be missed for 3 s."""
 MISSED_AFTER_S = 3.0
-"""A task that was stopped to be moved is back sooner; one that is not is missed. Source: the users'
-rules."""
+"""A task counts as missed after this time; one that was stopped to be moved is back sooner.
+Source: the users' rules."""
 AWAY_AFTER_S = 4.5
-"""A task that is not at work for this long counts as away. Source: the platform's settings."""
+"""A task that has not served for this long counts as away. Source: the platform's settings."""
 MAX_TASK_LEASE_S = 6.0
-"""The longest lease of what runs on a worker: what lapses later than this after the last fault
-lapses in calm times."""
+"""The longest lease of what runs on a worker: a run that lapses later than this after the last
+fault lapses without a fault."""
 CANCEL_DEADLINE_S = 8.0
-"""A cancelled task runs no longer than this, 3 s for the cancel to be known and 5 s for a stop, in
-calm times."""
+"""Without faults a cancelled task stops within this time: 3 s until the cancellation is known,
+and 5 s for a stop."""
 DRAIN_S = 2.0
-"""A worker serves on for this long after the store has taken its word that it leaves."""
+"""A worker goes on serving for this time after the store has stored that it is draining."""
 REGISTRATION_TTL_S = 3.0
-"""A worker that sends nothing is listed for this long."""
+"""A worker that sends nothing stays listed for this time."""
 MAX_REREGISTRATION_S = 2.0
-"""Entries of workers that were lost in an outage of the store are back this long after it."""
+"""Workers whose registration was lost in an outage of the store register again within this time
+after it."""
 REPLACEMENT_DELAY_S = 1.5
-"""A new worker is there this long after an earlier one crashed or was taken away."""
+"""A new worker starts this long after an earlier one crashed or was taken away."""
 SAMPLE_INTERVAL_S = 0.2
 LEASE_EXPIRY_WAIT_S = 7.0
-"""A lease that no one extends has run out this long after a fault."""
+"""Leases that nobody extends have run out this long after a fault."""
 CONTROLLER_ROUND_S = 0.02
-"""Between the keeper's looks at what is offered: ten times as often as it has rounds, since an
-offer that must not be made must not be seen, whenever a round comes."""
+"""Pause between two reads of the offers. The machine controller runs rounds a tenth as often;
+the simulation reads more often, since an offer that must not be made must not be seen whenever a
+round begins."""
 EVACUATION_TIMEOUT_S = 20.0
-"""The keeper gives a worker up that is not offered for this long."""
+"""The machine controller gives up a worker that is not offered within this time."""
 LENDING_TIMEOUT_S = 2.0
-"""The keeper gives it up to lend a worker if none is offered for this long."""
+"""The machine controller gives up lending if no worker is offered within this time."""
 MAX_SUBMIT_ATTEMPTS = 40
 
 
 def lasting_step(count: int, **changes: object) -> Step:
-    """Return a step of lasting tasks of a core each, of which one may be away by our doing."""
+    """Return a step of lasting tasks of one core each, with a disruption budget of one task."""
     given: dict[str, object] = {"is_lasting": True, "may_miss": 1}
     return step(count, **(given | changes))
 
 
 class RecordingLog(StructuredLog):
-    """Keeps an instance's log lines, at the scenario's times.
+    """Records an instance's log lines with the simulated time.
 
     Args:
         process: The instance.
-        lines: All instances' lines.
+        lines: List to which the lines of all instances are appended.
     """
 
     __slots__ = ("_all_lines", "_instance")
@@ -112,21 +115,21 @@
         self._all_lines = lines
 
     def line(self, event: str, **fields: object) -> None:
-        """Keep a line."""
+        """Record a line."""
         now_s = asyncio.get_running_loop().time()
         text = " ".join(f"{key}={value}" for key, value in fields.items())
         self._all_lines.append(f"{now_s:8.3f} {self._instance} {event} {text}")
 
 
 class LastingInstance(Instance):
-    """An instance that reads workers and the keeper's word from the store, as the daemon does.
+    """An instance that reads the workers and the machine controller's record from the store.
 
     Args:
         name: Its name.
         store: The store.
-        faults: What all instances meet at the store.
+        faults: Faults of the store that all instances meet.
         fleet: The workers.
-        isolated: Workers that no instance reaches.
+        isolated: Workers that no instance can reach.
         log: Its decisions.
     """
 
@@ -151,13 +154,13 @@
         self.epoch_starts_s: list[float] = []
 
     async def kill(self) -> None:
-        """End at once, without a word to anyone."""
+        """End at once, without a handover."""
         self.view.faults = RecordFaults()
         self.orders.faults = OrderFaults()
         await super().kill()
 
     async def stop(self) -> None:
-        """End as after a signal to stop: duties are handed over."""
+        """End as after a stop signal: leases are handed over."""
         with contextlib.suppress(TimeoutError):
             await self.elector.stop()
         await self.kill()
@@ -184,7 +187,7 @@
         await service_scheduler.run()
 
     def _start_watchers(self) -> None:
-        """Follow workers and the keeper from the first duty on."""
+        """Start the watchers of the workers and the machine controller at the first epoch."""
         if self._are_watchers_started:
             return
         self._are_watchers_started = True
@@ -204,30 +207,30 @@
 
 
 class LastingWorkers(TaskWorkers):
-    """Workers whose judge also knows how many tasks of each step may be away by our doing.
+    """Workers that also check each step's disruption budget.
 
     Args:
-        rng: Draws lengths and faults.
+        rng: Draws durations and faults.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
         super().__init__(rng=rng)
         self.stable_from_s = 0.0
         self.isolated: set[str] = set()
-        """Workers that nobody reaches, while what runs there runs on."""
+        """Workers that nobody can reach, while their tasks run on."""
         self._steps: dict[TaskName, tuple[int, frozenset[TaskName]]] = {}
         self._last_serving_s: dict[TaskName, float] = {}
         self._disrupted: set[TaskName] = set()
 
     def add_step(self, names: frozenset[TaskName], may_miss: int) -> None:
-        """Judge from now on how many tasks of a step are away."""
+        """Check the disruption budget of a step from now on."""
         now_s = asyncio.get_running_loop().time()
         for name in names:
             self._steps[name] = (may_miss, names - {name})
             self._last_serving_s[name] = now_s
 
     def note_serving(self) -> None:
-        """See which tasks are at work."""
+        """Record which tasks serve."""
         now_s = asyncio.get_running_loop().time()
         for worker in self.workers.values():
             if worker.is_alive:
@@ -237,23 +240,25 @@
                     self._disrupted.discard(name)
 
     def check_stop(self, worker: TaskWorker, name: TaskName) -> None:
-        """Judge a stop: as many others as may be away must not be away already."""
+        """Check that a stop stays within the disruption budget of the task's step."""
         is_sound = worker.view.worker_id not in self.isolated and not worker.view.is_draining
         if is_sound and name in worker.serving_tasks():
             self._check_disruption(name, "stopped")
 
     def note_end(self, end: EndedTask) -> None:
-        """Judge a lease that lapses in calm times as a stop."""
+        """Check a lease that lapses without a fault as if it were a stop."""
         super().note_end(end)
         now_s = asyncio.get_running_loop().time()
         if end.kind is EndKind.LAPSED and now_s > self.stable_from_s + MAX_TASK_LEASE_S:
             self._check_disruption(end.name, "left to lapse")
 
     def take_away(self, worker: TaskWorker) -> None:
-        """Take a worker away that its scheduler offered: no lasting task may be there."""
+        """Take away a worker that its scheduler offered: no lasting task may run there."""
         now_s = asyncio.get_running_loop().time()
         for name in worker.serving_tasks():
-            self.violations.append(f"{now_s:.3f} {name} is at work on a worker that was offered")
+            self.violations.append(
+                f"{now_s:.3f} {name} serves on an offered worker that is taken away"
+            )
             self._check_disruption(name, "taken away")
         worker.crash()
 
@@ -274,10 +279,10 @@
 
 
 class LastingTaskSimulation:
-    """A store, workers, instances and lasting jobs; judged all the while.
+    """A store, workers, instances and lasting jobs, whose rules are checked all the while.
 
     Args:
-        seed: Draws everything.
+        seed: Seed of the random generator.
         workers: Number of workers.
         instances: Number of instances.
     """
@@ -309,16 +314,16 @@
             self.add_worker()
         self._initial_instances = instances
 
-    # ---- the scenario's frame
+    # ---- start, end and faults
 
     def start(self) -> None:
-        """Start the instances and the judge."""
+        """Start the instances and the checks."""
         for _ in range(self._initial_instances):
             self.add_instance()
         self._tasks.add(asyncio.create_task(self._monitor()))
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop everything."""
         for instance in self.instances:
             await instance.kill()
         for task in self._tasks:
@@ -327,7 +332,7 @@
 
     @contextlib.contextmanager
     def fault_period(self) -> Iterator[None]:
-        """Judge how long tasks are missed only from the end of this fault, or of the last."""
+        """Mark a fault: missed tasks are measured from the end of this fault, or of a later one."""
         self._open_faults += 1
         self.fleet.stable_from_s = float("inf")
         try:
@@ -340,11 +345,15 @@
 
     @property
     def recovered_after_s(self) -> float:
-        """Seconds from the end of the last fault until no task with room was missed any more."""
+        """Seconds from the end of the last fault until no task with room was missed."""
         return max(0.0, self._last_missed_s - self._last_fault_ended_s)
 
     async def wait_recovered(self, longest_s: float) -> None:
-        """Wait until leases have run out, and while tasks are missed."""
+        """Wait until leases have run out, and then until no task is missed.
+
+        Args:
+            longest_s: Longest wait for missed tasks.
+        """
         give_up_s = _now_s() + longest_s
         await asyncio.sleep(LEASE_EXPIRY_WAIT_S)
         while self._missing_since_s and _now_s() < give_up_s:
@@ -356,7 +365,7 @@
     # ---- callers
 
     async def submit(self, job_id: str, *steps: Step) -> None:
-        """Hand in a lasting job at drawn instances until it is accepted."""
+        """Submit a lasting job to random instances until it is accepted."""
         job = Job(job_id=job_id, policy=policy(service=SERVICE), spec="x", steps=steps)
         self.fleet.lasting.add(job_id)
         for _ in range(MAX_SUBMIT_ATTEMPTS):
@@ -372,7 +381,7 @@
             await asyncio.sleep(0.3)
 
     async def cancel(self, job_id: str) -> None:
-        """Cancel a job at drawn instances until that is acknowledged."""
+        """Cancel a job at random instances until that is acknowledged."""
         if job_id not in self._accepted or job_id in self._cancelled_s:
             return
         self._cancelled_s[job_id] = float("inf")
@@ -419,11 +428,11 @@
         return holders[0] if holders else None
 
     async def kill_scheduler(self) -> None:
-        """Kill whoever schedules; another instance comes in its place."""
+        """Kill the instance that schedules; another instance replaces it."""
         await self._replace(self.scheduler(), is_planned=False)
 
     async def stop_scheduler(self) -> None:
-        """Stop whoever schedules, as planned work does; another instance comes in its place."""
+        """Stop the instance that schedules, as planned work does; another instance replaces it."""
         await self._replace(self.scheduler(), is_planned=True)
 
     async def _replace(self, instance: LastingInstance | None, *, is_planned: bool) -> None:
@@ -432,11 +441,11 @@
                 return
             self.instances.remove(instance)
             self.add_instance()
-            self._record_event("killed" if not is_planned else "told to stop", instance.name)
+            self._record_event("killed" if not is_planned else "stopped", instance.name)
             await (instance.stop() if is_planned else instance.kill())
 
     async def kill_all(self, *, restart_s: float) -> None:
-        """Kill all instances at once; others are started a while later."""
+        """Kill all instances at once; start as many again after ``restart_s``."""
         with self.fault_period():
             self._record_event("killed", "all instances")
             killed, self.instances = self.instances, []
@@ -447,19 +456,19 @@
         self._record_event("started", "all instances")
 
     async def isolate_scheduler(self, for_s: float) -> None:
-        """Let the store not answer whoever schedules for a while, but all others."""
+        """Isolate the instance that schedules from the store for a while."""
         instance = self.scheduler()
         if instance is None:
             return
         with self.fault_period():
-            self._record_event("cut from the store", instance.name)
+            self._record_event("isolated from the store", instance.name)
             instance.view.faults = RecordFaults(is_silent=True)
             await asyncio.sleep(for_s)
             if instance in self.instances:
                 instance.view.faults = self._faults
 
     def epochs_begun_after(self, at_s: float) -> int:
-        """Return how many terms began after a moment."""
+        """Return how many epochs began after a point in time."""
         begins = (
             begun_s for instance in self._all_instances for begun_s in instance.epoch_starts_s
         )
@@ -475,13 +484,13 @@
         are_leases_paused: bool = False,
         are_entries_lost: bool = False,
     ) -> None:
-        """Let the store serve nobody for a while, after any outage that is under way.
+        """Make the store unavailable for a while, after any outage that is in progress.
 
         Args:
-            for_s: How long.
+            for_s: Duration of the outage.
             is_silent: Calls get no answer; else they are refused.
-            are_leases_paused: Leases lose no time meanwhile; else they run out.
-            are_entries_lost: Workers' entries run out too, and come back after the outage.
+            are_leases_paused: Leases do not run out during the outage.
+            are_entries_lost: Registrations of workers run out, and come back after the outage.
         """
         async with self._outage_lock:
             with self.fault_period():
@@ -514,7 +523,7 @@
             self._register(worker)
 
     def revoke_keys(self) -> None:
-        """Take all held keys away."""
+        """Revoke all leased keys."""
         with self.fault_period():
             self._record_event("revoked", "keys")
             self.store.revoke("shallotworks/")
@@ -522,7 +531,7 @@
     # ---- workers
 
     def add_worker(self, *, address: str = "") -> TaskWorker:
-        """Add a worker, and register it."""
+        """Add a worker and register it."""
         worker_id = f"w{len(self.fleet.workers)}"
         address = address or f"127.0.0.1:{len(self.fleet.workers) + 1}"
         worker = self.fleet.add(view(worker_id, service=SERVICE, address=address))
@@ -530,12 +539,12 @@
         return worker
 
     def count_available_workers(self) -> int:
-        """Return the number of workers that neither drain nor are over."""
+        """Return the number of live workers that are not draining."""
         workers = self.fleet.workers.values()
         return sum(1 for worker in workers if worker.is_alive and not worker.view.is_draining)
 
     def crash_worker(self, worker_id: str) -> None:
-        """End a worker without a word; its entry runs out later, also while the store is down."""
+        """Crash a worker; its registration expires later, also while the store is down."""
         with self.fault_period():
             self._record_event("crashes", worker_id)
             self.fleet.workers[worker_id].crash()
@@ -544,11 +553,11 @@
     async def retire_worker(
         self, worker_id: str, *, absence: OrderStatus = OrderStatus.UNSENT
     ) -> None:
-        """Let a worker drain, and go for good.
+        """Drain a worker and end it.
 
         Args:
             worker_id: The worker.
-            absence: What becomes of later calls: nobody listens, or nobody answers, at its address.
+            absence: Outcome of later calls to its address: no connection, or no answer.
         """
         with self.fault_period():
             await self._is_store_up.wait()
@@ -575,7 +584,7 @@
             self.fleet.absences[worker_id] = OrderStatus.GONE
 
     def fail_task(self, worker_id: str) -> None:
-        """Let a task of a worker fail through its own fault."""
+        """Make a task of a worker fail by itself."""
         with self.fault_period():
             worker = self.fleet.workers[worker_id]
             for name in sorted(worker.names())[:1]:
@@ -583,18 +592,18 @@
                 worker.fail(name)
 
     async def isolate_worker(self, worker_id: str, for_s: float) -> None:
-        """Let no instance reach a worker for a while; it stays listed and what runs runs on."""
+        """Make a worker unreachable for a while; it stays listed, and its tasks run on."""
         with self.fault_period():
-            self._record_event("silent", worker_id)
+            self._record_event("isolated", worker_id)
             self.fleet.isolated.add(worker_id)
             await asyncio.sleep(for_s)
             self.fleet.isolated.discard(worker_id)
-        self._record_event("reached again", worker_id)
+        self._record_event("reachable again", worker_id)
 
     async def maintain_worker(self, worker_id: str) -> None:
-        """Have a worker emptied as the keeper does, and take it away once it is offered."""
+        """Evacuate a worker as the machine controller does, and take it away once it is offered."""
         await self._is_store_up.wait()
-        self._record_event("due for upkeep", worker_id)
+        self._record_event("due for maintenance", worker_id)
         self._due |= {worker_id}
         self._publish_controller_record()
         give_up_s = _now_s() + EVACUATION_TIMEOUT_S
@@ -608,7 +617,7 @@
         self._publish_controller_record()
 
     async def lend_worker(self) -> None:
-        """Move an idle worker that is offered into another pool, as the keeper does."""
+        """Move an idle offered worker to another pool, as the machine controller does."""
         give_up_s = _now_s() + LENDING_TIMEOUT_S
         while _now_s() < give_up_s:
             lendable = [
@@ -634,14 +643,14 @@
                 self.add_worker(address=worker.view.address)
 
     def offered(self) -> tuple[str, ...]:
-        """Return what the scheduler offers, read just before an order as the keeper does."""
+        """Return the offered workers, read just before an order as the machine controller does."""
         item = self.store.items.get(pool_demand_key(SERVICE))
         if item is None or not self._is_store_up.is_set():
             return ()
         return PoolDemand.decode(item.value).free
 
     def is_worker_cordoned(self, worker_id: str) -> bool:
-        """Return whether whoever schedules starts nothing on a worker, since it is offered."""
+        """Return whether the scheduler starts nothing on a worker because it is offered."""
         scheduler = self.scheduler()
         if scheduler is None:
             return False
@@ -658,7 +667,7 @@
         self.store.put(machine_controller_key(), record.encode())
 
     def _register(self, worker: TaskWorker) -> None:
-        """Write a worker's entry as the platform's workers do."""
+        """Write a worker's registration as the platform's workers do."""
         worker_view = worker.view
         entry = {
             "service": worker_view.service,
@@ -686,7 +695,7 @@
         await asyncio.sleep(after_s)
         self._unregister(worker_id)
 
-    # ---- the judge
+    # ---- checks
 
     async def _monitor(self) -> None:
         while True:
@@ -729,7 +738,7 @@
     def _check_cancelled(self, name: TaskName) -> None:
         since_s = max(self._cancelled_s.get(name.job_id, float("inf")), self._last_fault_ended_s)
         if not self._open_faults and _now_s() - since_s > CANCEL_DEADLINE_S:
-            self._report(f"{name} runs on though it is cancelled", f"{since_s:.3f}")
+            self._report(f"{name} runs on although its job is cancelled", f"{since_s:.3f}")
 
     def _can_be_placed(self, name: TaskName, task_step: Step) -> bool:
         return any(
@@ -753,10 +762,10 @@
             self.violations.append(f"{_now_s():.3f} {text}")
 
     def _record_event(self, event: str, subject: str) -> None:
-        self.lines.append(f"{_now_s():8.3f} story {subject} {event}")
+        self.lines.append(f"{_now_s():8.3f} scenario {subject} {event}")
 
     def all_violations(self) -> list[str]:
-        """Return what broke a rule, with jobs whose stored state is wrong at the end."""
+        """Return all violations, including jobs whose stored state is wrong at the end."""
         found = [*self.violations, *self.fleet.violations]
         for job_id in self._accepted:
             item = self.store.items.get(JobKeys(service=SERVICE).progress(job_id))
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -1,4 +1,4 @@
-"""Tests of the record of workers that may run tasks, and of what a successor waits for."""
+"""Tests of the active workers record, and of how long a successor waits for recorded workers."""
 
 import asyncio
 import random
@@ -48,7 +48,7 @@
 
 
 async def _make_running_simulation(*, workers: int, instances: int) -> SchedulingSimulation:
-    """Return a history in which one lasting task runs."""
+    """Return a simulation in which one lasting task runs."""
     simulation = SchedulingSimulation(seed=3, workers=workers, instances=instances)
     simulation.fleet.lasting.add(JOB_ID)
     for instance in simulation.instances:
@@ -65,7 +65,7 @@
 
 
 async def _measure_restart_s(simulation: SchedulingSimulation) -> float:
-    """Return the time that passes until the task runs on a worker that is up."""
+    """Return the time that passes until the task runs on a worker that is alive."""
     loop = asyncio.get_running_loop()
     started_s = loop.time()
     while loop.time() - started_s < 30.0:
@@ -80,10 +80,9 @@
 
 class RecordContentsTests(unittest.TestCase):
     def test_workers_that_can_run_nothing_go_from_the_record(self) -> None:
-        """Each crash of a scheduler held earlier jobs up for as long as a lost worker's leases.
+        """A successor waits for crashed or drained workers that are still in the record.
 
-        Workers that crashed, or were drained and about to leave, stayed in the record, and whoever
-        took over waited for them; a drained one may leave while there is no scheduler.
+        Earlier jobs are then held back for as long as the leases of a lost worker last.
         """
 
         async def scenario() -> None:
@@ -94,6 +93,7 @@
             )
             self.assertEqual(set(simulation.fleet.workers), _recorded_workers(simulation))
             crashed.crash()
+            # A drained worker is removed early, since it may leave while there is no scheduler.
             drained.view = view(drained.view.worker_id, service=SERVICE, is_draining=True)
             simulation.fleet.changes += 1
             await asyncio.sleep(2.5)
@@ -109,10 +109,9 @@
         run_scenario(scenario())
 
     def test_a_write_carried_out_late_takes_no_worker_out(self) -> None:
-        """Two runs of one task at once, one on a worker that the successor has never heard of.
+        """A late write removes a worker on which a task was started meanwhile.
 
-        A write of the record was not answered, and carried out seconds later. Meanwhile a worker
-        was entered, and a task started there; the late write took the worker out again.
+        The successor does not know that worker, and runs the task a second time elsewhere.
         """
 
         async def scenario() -> None:
@@ -136,7 +135,7 @@
         run_scenario(scenario())
 
     def test_a_write_that_conflicts_with_its_own_earlier_one_is_retried(self) -> None:
-        """A worker is entered though an earlier write was carried out without an answer."""
+        """A worker is recorded although an earlier write was carried out without an answer."""
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
@@ -157,7 +156,7 @@
         run_scenario(scenario())
 
     def test_a_record_that_can_not_be_read_holds_earlier_jobs_back(self) -> None:
-        """A scheduler that can't read whom its predecessor used waits, and then goes on."""
+        """A scheduler that can't read which workers its predecessor used waits for their leases."""
 
         async def scenario() -> None:
             simulation = SchedulingSimulation(seed=4, workers=1, instances=1)
@@ -177,12 +176,9 @@
 
 class HandOverTests(unittest.TestCase):
     def test_a_worker_with_an_end_that_is_not_stored_stays_recorded(self) -> None:
-        """A clip was cut twice, when instances were restarted one after the other.
+        """A task runs twice: its end is known to a scheduler that stops before it stores the end.
 
-        A task ends, and its scheduler hears of it just after it has stored another end, so that
-        this one waits for the next commit. The scheduler is stopped in that moment and leaves word
-        that nothing runs on the worker; its successor waits for nobody, and starts the task again
-        elsewhere before it has asked the worker, which still tells the end.
+        The worker still reports the end, so the successor must poll it before it starts the task.
         """
 
         async def scenario() -> None:
@@ -208,6 +204,7 @@
             harness.add_job(job(JOB_ID, step(1)))
             (order,) = harness.start_orders()
             self.assertEqual("ended", order.run.worker_id)
+            # The end arrives just after another one was stored, and waits for the next commit.
             harness.report("ended", ended=((NAME, order.run.run_id, EndKind.DONE),))
             await workers.hand_over()
             self.assertEqual({"ended"}, set(record.active_workers))
@@ -220,10 +217,9 @@
         run_scenario(scenario())
 
     def test_a_scheduler_that_is_stopped_stores_all_progress(self) -> None:
-        """A successor waits for workers on which nothing runs, or runs ended tasks again.
+        """A scheduler stops between two commits of progress, and gives its key back.
 
-        The scheduler is stopped between two commits of progress; what it has learnt since the last
-        one is to be stored before its key is given back.
+        Its successor waits for workers on which nothing runs, or runs ended tasks again.
         """
 
         async def scenario() -> None:
@@ -239,7 +235,7 @@
             scheduler_state = scheduler.service_schedulers[-1].scheduler_state
             while len(simulation.fleet.done) < 2 or not scheduler_state.dirty():
                 await asyncio.sleep(0.001)
-            # A store that answers this slowly has not answered before the key is given back.
+            # Slow enough that the key would be released before a commit that is not awaited.
             scheduler.view.faults.delay_s = 0.05
             await scheduler.elector.stop()
             self.assertEqual([], scheduler_state.dirty())
@@ -251,11 +247,9 @@
 class LeaseTests(unittest.TestCase):
     @parameterized.expand([("recorded", True), ("not recorded", False)])
     def test_only_a_recorded_worker_is_given_leases(self, _name: str, is_recorded: bool) -> None:
-        """Two runs of one task at once, after two schedulers were lost one after the other.
+        """A task runs twice after two schedulers were lost one after the other.
 
-        The first left a worker that it had never reached, with the time until its tasks were over.
-        The second reached it and kept its tasks alive, and was lost before it could record that;
-        the third waited for the time that the first had left.
+        The second extended a worker's leases, and the record still gave the first one's end time.
         """
 
         async def scenario() -> None:
@@ -276,6 +270,8 @@
                 phase=RunPhase.STARTING,
                 since_s=loop.time(),
             )
+            # The run of an earlier epoch. The first scheduler never reached the worker and recorded
+            # the time left; the second is lost before it can record that it reached the worker.
             worker.start(StartOrder(run=run, spec="x"), 8, worker.clock_ms + 3000)
             lease = await acquire(FaultInjectingStore(store=RecordStore(rng=random.Random(1))))
             order_dispatcher = OrderDispatcher(
@@ -303,10 +299,9 @@
 
 class RecoveryWaitTests(unittest.TestCase):
     def test_a_task_on_a_worker_that_went_with_its_scheduler_runs_again_in_time(self) -> None:
-        """A lasting task stood still for 13 s after its scheduler and its worker were lost.
+        """A lasting task did not run for 13 s after its scheduler and its worker were lost at once.
 
-        Both went at the same moment. The successor could not know that nothing ran on the worker,
-        and waited for the longest leases that a predecessor which still lived could have granted.
+        The successor waits for the longest leases that a living predecessor could have granted.
         """
 
         async def scenario() -> None:
@@ -323,10 +318,9 @@
         run_scenario(scenario())
 
     def test_successive_schedulers_wait_once(self) -> None:
-        """A lasting task stood still for as long as instances were stopped in turn.
+        """A lasting task does not run for as long as instances are stopped one after another.
 
-        Each scheduler that was stopped had waited for a lost worker for some seconds, and left the
-        worker to its successor, which waited for it from the start.
+        Each successor waited for the same lost worker from the start.
         """
 
         async def scenario() -> None:
@@ -351,17 +345,16 @@
         run_scenario(scenario())
 
     def test_nothing_outlives_the_time_that_a_successor_waits(self) -> None:
-        """Two runs of one task at once, since a successor did not wait long enough.
+        """A task runs twice, since a successor that reaches no worker did not wait long enough.
 
-        A scheduler that the store does not answer goes on for some seconds, and grants leases until
-        the last moment; its successor reaches none of its workers.
+        A scheduler without an answer of the store extends leases until its grace period ends.
         """
         times = OrderTimes()
 
         async def scenario() -> float:
             simulation = await _make_running_simulation(workers=1, instances=1)
             scheduler = simulation.instances[0]
-            # The key's last renewal may have been confirmed just now.
+            # The last renewal of the key may have been confirmed just before this.
             scheduler.view.faults.is_down = True
             started_s = asyncio.get_running_loop().time()
             (worker,) = simulation.fleet.workers.values()
--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -25,7 +25,7 @@
 
 
 class SubmissionHarness:
-    """A store and a desk on it."""
+    """A store, and a job request handler that uses it."""
 
     def __init__(self, **faults: object) -> None:
         self.store = RecordStore(rng=random.Random(1))
@@ -35,17 +35,17 @@
         )
 
     async def submit(self) -> JobRequestStatus:
-        """Hand the job in."""
+        """Submit the job."""
         deadline_s = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
         return (await self.job_handler.submit(JOB, deadline_s=deadline_s)).status
 
     async def cancel(self) -> JobRequestStatus:
-        """Cancel it."""
+        """Cancel the job."""
         deadline_s = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
         return (await self.job_handler.cancel(policy(), JOB.job_id, deadline_s=deadline_s)).status
 
     async def state(self) -> JobState | JobRequestStatus:
-        """Ask for its state."""
+        """Ask for the job's state."""
         deadline_s = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
         answer = await self.job_handler.state(policy(), JOB.job_id, deadline_s=deadline_s)
         return answer.state or answer.status
@@ -63,7 +63,7 @@
     def test_the_answer_to_a_submission(
         self, _name: str, faults: dict[str, object], expected: JobRequestStatus, is_stored: bool
     ) -> None:
-        """A refused job is never stored, an accepted one is; in between the outcome is unknown."""
+        """A refused job is never stored and an accepted one is; any other outcome is unknown."""
 
         async def scenario() -> None:
             harness = SubmissionHarness(**faults)
@@ -74,11 +74,9 @@
         run_scenario(scenario())
 
     def test_no_refusal_after_a_try_with_unknown_outcome(self) -> None:
-        """A caller is told that its job was refused, and it runs.
+        """A caller that is told of a refusal submits its job elsewhere, and it runs all the same.
 
-        The first commit gets no answer and is carried out seconds later; then the store is down
-        and surely refuses the second. Told "refused", the caller would hand the job in elsewhere,
-        or give it up, and it would run all the same.
+        The first commit is carried out late and unanswered, and the store refuses the second.
         """
 
         async def scenario() -> None:
@@ -93,7 +91,7 @@
         run_scenario(scenario())
 
     def test_a_retry_after_a_lost_answer_is_accepted(self) -> None:
-        """The second try meets the first one's records, and the job is accepted."""
+        """The second attempt finds the records of the first, so that the job is accepted."""
 
         async def scenario() -> None:
             harness = SubmissionHarness(lost_part=1.0)
@@ -105,7 +103,7 @@
         run_scenario(scenario())
 
     def test_the_same_job_again_is_one_job(self) -> None:
-        """Also after it was completed."""
+        """A job that is submitted again stays one job, also after it was completed."""
 
         async def scenario() -> None:
             harness = SubmissionHarness()
@@ -121,7 +119,7 @@
 
 class StateTests(unittest.TestCase):
     def test_no_such_job_only_when_the_store_says_so(self) -> None:
-        """An accepted job is never denied: not while the store is down either."""
+        """An accepted job is never reported as unknown, not even while the store is down."""
 
         async def scenario() -> None:
             harness = SubmissionHarness()
@@ -136,7 +134,7 @@
 
 class CancelTests(unittest.TestCase):
     def test_acknowledged_once_stored(self) -> None:
-        """And the job stays cancelled."""
+        """A cancellation is acknowledged once it is stored, and the job stays cancelled."""
 
         async def scenario() -> None:
             harness = SubmissionHarness()
@@ -148,7 +146,7 @@
         run_scenario(scenario())
 
     def test_a_completed_job_stays_completed(self) -> None:
-        """A cancel that comes late is acknowledged and changes nothing."""
+        """A late cancellation is acknowledged and changes nothing."""
 
         async def scenario() -> None:
             harness = SubmissionHarness()
@@ -161,7 +159,7 @@
         run_scenario(scenario())
 
     def test_progress_written_during_a_cancel_is_kept(self) -> None:
-        """A scheduler's write between the cancel's reading and writing is not lost."""
+        """A scheduler's write between the cancellation's read and its write must not be lost."""
 
         async def scenario() -> None:
             harness = SubmissionHarness()
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.jobs`: what a job is, its progress, its records."""
+"""Tests of `shallotworks.jobs`: the definition of a job, its progress and its records."""
 
 import unittest
 
@@ -47,11 +47,11 @@
         ]
     )
     def test_an_invalid_job_is_reported(self, _name: str, job_under_test: Job) -> None:
-        """Each fault gives a sentence."""
+        """Each problem yields a sentence."""
         self.assertNotEqual([], list(job_problems(job_under_test)))
 
     def test_a_valid_job_has_no_problem(self) -> None:
-        """Steps after earlier ones, and repeats."""
+        """Steps may depend on earlier steps, and a job may repeat."""
         repeats = Repeats(first_s=1.0, interval_s=0.0, count=3)
         self.assertEqual(
             [], list(job_problems(job("j", step(2), step(1, after=(0,)), repeats=repeats)))
@@ -72,7 +72,7 @@
         self.assertEqual(6.0, progress.ended_s)
 
     def test_one_end_of_a_gang_counts_for_all_its_tasks(self) -> None:
-        """A gang's members end together."""
+        """The tasks of a gang end together, so that one end completes the step."""
         job_under_test = job("j", step(3, is_gang=True))
         progress = JobProgress(queue="q")
         progress.note_done(job_under_test, TaskName("j", 0, 0, 1), now_s=1.0)
@@ -89,7 +89,7 @@
     def test_a_job_fails_at_its_limit_of_failed_runs(
         self, _name: str, task_step: Step, runs: tuple[int, ...], expected: JobState
     ) -> None:
-        """A job fails with the last attempt of one task; lasting tasks may fail for ever."""
+        """A job fails with the last attempt of one task; lasting tasks may fail without limit."""
         job_under_test = job("j", task_step, policy=policy(most_attempts=2))
         progress = JobProgress(queue="q")
         for run_id in runs:
@@ -97,7 +97,7 @@
         self.assertIs(expected, progress.state)
 
     def test_a_final_state_stays(self) -> None:
-        """A cancelled job is not completed by a task that ends later."""
+        """A task that ends after its job was cancelled must not complete the job."""
         job_under_test = job("j", step(1))
         progress = JobProgress(queue="q")
         progress.finish(JobState.CANCELLED, now_s=1.0)
@@ -107,7 +107,7 @@
 
 class RecordTests(unittest.TestCase):
     def test_a_job_is_unchanged_by_encoding(self) -> None:
-        """All of its fields."""
+        """All fields of a job are stored."""
         job_under_test = job(
             "j",
             step(2, label="a", near_rack="r1", most_per_worker=1, is_gang=True, may_miss=1),
@@ -117,7 +117,7 @@
         self.assertEqual(job_under_test, decode_job(encode_job(job_under_test)))
 
     def test_progress_is_unchanged_by_encoding(self) -> None:
-        """Done tasks, failures and state."""
+        """Done tasks, failures and the state are stored."""
         job_under_test = job("j", step(70), step(1))
         progress = JobProgress(queue="q")
         progress.note_done(job_under_test, TaskName("j", 0, 0, 69), now_s=1.0)
@@ -129,12 +129,12 @@
 
     @parameterized.expand([(b"",), (b"{}",), (b'{"queue":"q","state":"odd"}',), (b"[1]",)])
     def test_an_unreadable_progress_record_is_an_error(self, record: bytes) -> None:
-        """Never a job without progress."""
+        """A record that can't be read must not be taken for a job without progress."""
         with self.assertRaises(ValueError):
             decode_progress(record)
 
     def test_keys(self) -> None:
-        """A key names its job; the scheduler's mark stands before all jobs."""
+        """A key identifies its job; the scheduler's marker key sorts before all jobs."""
         keys = JobKeys(service="s")
         self.assertEqual(("ab", False), keys.parse(keys.job("ab")))
         self.assertEqual(("ab", True), keys.parse(keys.progress("ab")))
@@ -143,7 +143,7 @@
 
 class ObjectiveTests(unittest.TestCase):
     def test_the_longest_chain_counts(self) -> None:
-        """Steps beside each other don't add up."""
+        """The estimates of steps that run in parallel are not added up."""
         job_under_test = job(
             "j",
             step(1, estimated_s=1.0),
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -1,7 +1,8 @@
-"""Lasting tasks run again soon after each fault, never twice at once, never too few by our doing.
+"""Lasting tasks run again soon after each fault, never twice at once, within disruption budgets.
 
-A task that is to last and has room must run again within `RUNS_AGAIN_S` of the last fault. A
-breach tells the scenario's time; `LastingTaskSimulation.lines` holds what the instances logged.
+A lasting task that has room must run again within `RESTART_DEADLINE_S` of the last fault. A
+violation names the simulated time; `LastingTaskSimulation.lines` holds the log lines of the
+instances.
 """
 
 import asyncio
@@ -16,18 +17,19 @@
 from tests.virtual_clock import run_scenario
 
 SETTLE_S = 4.0
-"""Jobs run by then, also on workers that were offered and taken back, and idle ones are offered."""
+"""Time after which jobs run, also on workers that were offered and withdrawn, and idle workers
+are offered."""
 PRIOR_FAULT_LEAD_S = 7.0
-"""A worker that left this long before a fault is over for all who watch it."""
+"""All watchers know by then that a worker which left this long before a fault has ended."""
 OBSERVATION_S = RESTART_DEADLINE_S + 3.0
-"""Stories are watched for this long after their last fault."""
+"""Time for which a simulation is observed after its last fault."""
 JOB = "00000000000000a1"
 SECOND_JOB = "00000000000000a2"
 SPREAD_JOB = "00000000000000a3"
 SEEDS = range(1, 21)
 REGRESSION_SEEDS = (33, 139, 163)
-"""Tasks of a worker that went silent or drained stood still for over 10 s: while their leases ran
-out the pool offered its idle workers, which were closed to lasting tasks for 3 s then."""
+"""Seeds with which tasks of a silent or drained worker did not run for over 10 s. While their
+leases ran out the pool offered its idle workers, which then accepted no lasting task for 3 s."""
 FAULTS_PER_MIX = 6
 MAX_PAUSE_S = 4.0
 
@@ -37,12 +39,12 @@
 def run_fault_scenario(
     fault: FaultScenario, *, seed: int = 1, before: FaultScenario | None = None
 ) -> LastingTaskSimulation:
-    """Play one scenario: two jobs that run, a fault, and a while in which to recover.
+    """Run one scenario: two jobs that run, a fault, and a period for the recovery.
 
     Args:
-        fault: What happens; over when it returns.
-        seed: Draws what the fault leaves open.
-        before: What happened well before.
+        fault: Causes the fault; returns when the fault is over.
+        seed: Seed of the simulation's random generator.
+        before: Causes an earlier fault, `PRIOR_FAULT_LEAD_S` before ``fault``.
     """
 
     async def scenario() -> LastingTaskSimulation:
@@ -63,7 +65,7 @@
 
 
 def used_worker(simulation: LastingTaskSimulation) -> str:
-    """Return the first worker that runs a task, or the first one where none does."""
+    """Return the first live worker that runs a task, or the first live one if none does."""
     up = [(key, one) for key, one in simulation.fleet.workers.items() if one.is_alive]
     used = [worker_id for worker_id, worker in up if worker.names()]
     return (used or [worker_id for worker_id, _ in up])[0]
@@ -82,7 +84,7 @@
 
 
 def together(first: FaultScenario, second: FaultScenario, *, after_s: float) -> FaultScenario:
-    """Bring both about, the second one a little later."""
+    """Return a fault that runs both, the second one ``after_s`` seconds later."""
 
     async def both(simulation: LastingTaskSimulation) -> None:
         async def later() -> None:
@@ -96,7 +98,7 @@
 
 class ScenarioTests(unittest.TestCase):
     def assert_recovered(self, simulation: LastingTaskSimulation) -> None:
-        """Nothing broke a rule, and all tasks ran soon after the last fault."""
+        """Assert that no rule was violated, and that all tasks ran soon after the last fault."""
         self.assertEqual([], simulation.all_violations())
         self.assertGreater(simulation.fleet.started, 0)
         self.assertLessEqual(simulation.recovered_after_s, RESTART_DEADLINE_S)
@@ -142,16 +144,14 @@
     def test_tasks_run_again(
         self, _name: str, fault: FaultScenario, before: FaultScenario | None
     ) -> None:
-        """A job's tasks stay away after all processes were lost and started again.
+        """Tasks do not run again after all instances were killed at once and started again.
 
-        All instances are killed at once, so that no scheduler hands over. The next one reads from
-        the store which workers its predecessors used. It waits for one of them that has left as for
-        one that may still run tasks, and starts nothing of earlier jobs until then.
+        Without a handover, the next scheduler waits for a recorded worker that has left.
         """
         self.assert_recovered(run_fault_scenario(fault, before=before))
 
 
-# ---- duties that change hands again and again
+# ---- repeated changes of the scheduler
 
 SCHEDULER_CHANGES = 4
 
@@ -194,11 +194,9 @@
 class RepeatedTakeoverTests(ScenarioTests):
     @parameterized.expand([(name, make) for name, make in KINDS_OF_CHANGE])
     def test_tasks_run_again(self, _name: str, make: Callable[[float], FaultScenario]) -> None:
-        """A job's tasks stay away while its scheduler changes again and again, and after it.
+        """Tasks do not run while their scheduler changes every one to three seconds, and after it.
 
-        Schedulers are killed, are stopped as planned or lose their keys every one to three seconds;
-        workers stay, one leaves or one crashes meanwhile. Each successor begins its wait for the
-        workers that it has not seen anew.
+        Each successor starts its wait for the workers that it has not reached from the beginning.
         """
         for interval_s in CHANGE_INTERVALS_S:
             fault = make(interval_s)
@@ -234,7 +232,7 @@
 
 
 def followed_by_leaving(fault: FaultScenario) -> FaultScenario:
-    """Let a worker leave just after a fault."""
+    """Return a fault that is followed by a worker's leaving 0.5 s later."""
 
     async def both(simulation: LastingTaskSimulation) -> None:
         worker_id = used_worker(simulation)
@@ -259,12 +257,9 @@
         ]
     )
     def test_tasks_run_again(self, _name: str, are_paused: bool, is_silent: bool) -> None:
-        """A job's tasks stay away after an outage of the store, while workers stand idle.
+        """Tasks do not run after an outage of the store, although workers are idle.
 
-        The store serves nobody, terms end without handing over, and tasks lapse. A worker left
-        before, leaves during the outage or just after it; the next term waits for it, since its
-        record still stands. Or nobody leaves, and the bidder whose watcher lags
-        behind takes the deletion of an earlier key for that of its own.
+        The next epoch waits for a worker that left, or takes an old key's deletion for its own.
         """
         for for_s in OUTAGES_S:
             fault = outage(for_s, is_silent=is_silent, are_leases_paused=are_paused)
@@ -279,10 +274,9 @@
                     self.assert_recovered(run_fault_scenario(scenario, before=before))
 
     def test_worker_registrations_that_were_lost(self) -> None:
-        """A job's tasks stay away after an outage in which the list of workers ran out.
+        """Tasks do not run after an outage in which the registrations of all workers ran out.
 
-        The store serves nobody, and workers' entries run out with their leases. They come back one
-        by one within two seconds of its return, so that a new term first sees none of its workers.
+        They come back one by one within 2 s, so that a new epoch sees no worker at first.
         """
         for for_s in (OUTAGES_S[0], OUTAGES_S[-1]):
             fault = outage(for_s, is_silent=False, are_leases_paused=False, are_entries_lost=True)
@@ -292,11 +286,9 @@
 
     @parameterized.expand([(name, is_silent) for name, is_silent in ANSWERS])
     def test_one_epoch_begins(self, _name: str, is_silent: bool) -> None:
-        """All that a new term has learnt is lost 0.1 s after it began, and the next learns it anew.
+        """An epoch ends 0.1 s after it began, and the next one has to recover all state again.
 
-        An instance bids as soon as the store answers, and wins. Then its watcher of the keys
-        catches up, and tells that the key of before the outage is gone; the bidder takes that for
-        its own.
+        The elector takes a late report of the deletion of its earlier key for its new one.
         """
         for for_s in OUTAGES_S:
             for case, before in (("all workers stay", None), ("a worker left", a_worker_leaves)):
@@ -317,10 +309,7 @@
     def test_an_offer_that_is_withdrawn_during_an_outage(self) -> None:
         """A task is taken away with its worker just after the store is back.
 
-        One worker is idle and offered. Another incarnation answers for a worker, and only the idle
-        one has room for its task: the offer is taken back, and before that is stored the store goes
-        down. The task starts there 3 s later. When the store is back, it still names the worker as
-        free, and the keeper, which asks there just before its order, takes it away.
+        The store goes down before a withdrawn offer is stored, and still lists the worker as free.
         """
 
         async def fault(simulation: LastingTaskSimulation) -> None:
@@ -330,6 +319,9 @@
             lost = used_worker(simulation)
             simulation.crash_worker(lost)
             simulation.fleet.absences[lost] = OrderStatus.GONE
+            # Only the idle worker has room for the lost worker's task, so that its offer is
+            # withdrawn. The task starts there 3 s later; the controller, which reads the offers
+            # just before its order, must not take the worker away when the store is back.
             while simulation.is_worker_cordoned(idle):
                 await asyncio.sleep(0.001)
             await simulation.store_outage(3.6, is_silent=True)
@@ -340,22 +332,22 @@
     def test_a_second_outage_after_a_worker_left(self) -> None:
         """A lasting job has no task for 14 s after the second of two outages.
 
-        In the first, all terms end and tasks lapse; a new term records all workers. One of them
-        leaves, and is over for that term. In the second, that term ends without handing over; the
-        tasks lapse again. The next terms wait for the worker that left.
+        The epoch between them recorded a worker that left, for which the next epoch waits.
         """
 
         async def fault(simulation: LastingTaskSimulation) -> None:
+            # All epochs end in the first outage and tasks lapse; a new epoch records all workers.
             await simulation.store_outage(5.8)
             await asyncio.sleep(2.5)
             await a_worker_leaves(simulation)
             await asyncio.sleep(7.5)
+            # That epoch ends without a handover, and tasks lapse again.
             await simulation.store_outage(10.1, is_silent=True)
 
         self.assert_recovered(run_fault_scenario(fault))
 
 
-# ---- workers
+# ---- faults of workers
 
 
 async def a_worker_is_replaced(simulation: LastingTaskSimulation) -> None:
@@ -412,10 +404,10 @@
 
 
 CONCURRENT_FAULTS: tuple[tuple[str, FaultScenario], ...] = (
-    ("calm", no_fault),
+    ("no other fault", no_fault),
     ("schedulers killed", killed_in_turn(1.0)),
     ("schedulers stopped", stopped_in_turn(1.0)),
-    ("scheduler cut", scheduler_isolated),
+    ("scheduler isolated", scheduler_isolated),
     ("all killed", all_killed),
     ("store down", outage(6.0, is_silent=False, are_leases_paused=False)),
 )
@@ -424,19 +416,16 @@
 class WorkerTests(ScenarioTests):
     @parameterized.expand([(one.__name__, one) for one in WORKER_FAULTS])
     def test_tasks_run_again(self, _name: str, fault: FaultScenario) -> None:
-        """A task stays away, or runs twice, after a fault of its worker.
+        """A task does not run, or runs twice, after a fault of its worker.
 
-        The worker crashes, is replaced at its address by another incarnation, is not reached for a
-        while, is lent or is taken away for upkeep, or the task fails; beside that, nothing happens,
-        schedulers are killed, stopped or cut from the store, all instances are killed, or the store
-        is down.
+        At the same time schedulers are killed, stopped or isolated, or the store is down.
         """
         for case, other in CONCURRENT_FAULTS:
             with self.subTest(case=case):
                 self.assert_recovered(run_fault_scenario(together(fault, other, after_s=0.7)))
 
 
-# ---- mixes
+# ---- random faults
 
 WEIGHTED_FAULTS: tuple[tuple[int, FaultScenario], ...] = (
     (3, LastingTaskSimulation.kill_scheduler),
@@ -457,15 +446,15 @@
     (2, a_worker_is_lent),
     (2, a_worker_is_taken_away),
 )
-"""Troubles of a mix, and how often each is drawn."""
+"""Faults of a random mix, and how often each is drawn."""
 
 
 MIN_WORKERS = 4
-"""Others come while fewer are up, so that there is room."""
+"""Workers are added while fewer than this are available, so that the tasks have room."""
 
 
 async def random_faults(simulation: LastingTaskSimulation) -> None:
-    """Bring about faults, some of them at once, and hand in and cancel a job meanwhile."""
+    """Cause random faults, some of them at once, and submit and cancel a job meanwhile."""
     rng = random.Random(simulation.rng.random())
     weights = [weight for weight, _ in WEIGHTED_FAULTS]
     running: list[Awaitable[None]] = [simulation.submit("00000000000000b1", lasting_step(2))]
@@ -482,10 +471,9 @@
 
 class RandomFaultTests(ScenarioTests):
     def test_tasks_run_again(self) -> None:
-        """A lasting task is missed, or runs twice, after faults that came on top of each other.
+        """A lasting task does not run, or runs twice, after several faults that overlap.
 
-        Each seed draws its own order of outages, kills, planned stops, and workers that leave,
-        crash, fall silent, are replaced or taken away.
+        Each seed draws its own order of faults of the store, the instances and the workers.
         """
         for seed in (*SEEDS, *REGRESSION_SEEDS):
             with self.subTest(seed=seed):
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of what holds lasting tasks back after the store was away; on the stand-ins."""
+"""Tests, on the stand-ins, of what delays lasting tasks after an outage of the store."""
 
 import asyncio
 import random
@@ -25,8 +25,8 @@
 JOB_ID = "00000000000000aa"
 OUTAGE_S = 9.0
 RESTART_WAIT_S = 4.0
-"""Time from the store's return until the tasks run again: instances bid within 2 s, since their
-calls in flight have to time out, and whoever wins looks at all workers at once."""
+"""Time from the store's return until the tasks run again. Instances bid within 2 s, since their
+calls in flight have to time out, and the one that wins polls all workers at once."""
 
 
 def _set_store_silent(simulation: SchedulingSimulation, is_silent: bool) -> None:
@@ -42,7 +42,7 @@
 
 
 async def _make_running_simulation(workers: int) -> SchedulingSimulation:
-    """Return a history in which a job of two lasting tasks runs."""
+    """Return a simulation in which a job of two lasting tasks runs."""
     simulation = SchedulingSimulation(seed=1, workers=workers, instances=2)
     simulation.fleet.lasting.add(JOB_ID)
     for instance in simulation.instances:
@@ -55,18 +55,17 @@
 
 class DepartedWorkerTests(unittest.TestCase):
     def test_tasks_run_again_soon_though_a_worker_left_long_before_the_outage(self) -> None:
-        """Lasting tasks stood still for 14 s after an outage of the store, beside idle workers.
+        """Lasting tasks were held back for 14 s after an outage, although workers were idle.
 
-        A worker with nothing on it left. Twelve seconds later the store fell silent, the scheduler
-        gave up without a word, and the tasks lapsed. Its successor found the worker in the record
-        of those that may run tasks, where it had stayed, and left all earlier jobs alone until the
-        leases of a worker that nobody can reach had surely run out.
+        The record still named a worker that had left, whose leases the next scheduler waited for.
         """
 
         async def scenario() -> None:
             simulation = await _make_running_simulation(workers=3)
             idle = [one for one in simulation.fleet.workers.values() if not one.names()]
             self.assertEqual(1, len(idle))
+            # The epoch that ends in the outage hands nothing over, so the worker must have been
+            # removed from the record before.
             idle[0].crash()
             await asyncio.sleep(12.0)
             _set_store_silent(simulation, True)
@@ -89,11 +88,9 @@
     def test_tasks_run_on_through_a_short_outage(
         self, _name: str, outage_s: float, are_leases_paused: bool
     ) -> None:
-        """Every lasting task was lost in an outage of the store of five seconds.
+        """All lasting tasks lapsed in an outage of the store of 5 s, as no lease was extended.
 
-        The scheduler stopped extending leases on workers when its grace was over, and nobody
-        extended them again before they ran out: where the store's leases had stood still with it,
-        the key of the scheduler that had given up stood for two seconds more.
+        A store that pauses leases also keeps the key of a scheduler that gave up for 2 s more.
         """
 
         async def scenario() -> None:
@@ -101,6 +98,8 @@
             started = simulation.fleet.started
             if are_leases_paused:
                 simulation.store.pause_leases()
+            # The scheduler extends the leases on workers only within its grace period; after that
+            # its successor has to extend them before they run out.
             _set_store_silent(simulation, True)
             await asyncio.sleep(outage_s)
             _set_store_silent(simulation, False)
@@ -116,7 +115,7 @@
 
 
 class _DelayedWatchStore(FaultInjectingStore):
-    """A store whose watches are answered late while a test wants that."""
+    """A store whose watches are answered late while a test requests it."""
 
     is_delayed = False
 
@@ -131,10 +130,9 @@
 
 class LateDeletionTests(unittest.TestCase):
     def test_the_deletion_of_an_earlier_key_does_not_end_the_next_epoch(self) -> None:
-        """Every scheduler gave up within half a second of its start, after an outage of the store.
+        """After an outage every scheduler gave up within half a second of its start.
 
-        A scheduler lost its key in the outage, bid as soon as the store answered and won. Its watch
-        of the keys was answered later, and told that the key was gone: the one from before.
+        Its delayed watch reported the deletion of the key that it held before the outage.
         """
 
         async def scenario() -> None:
@@ -161,6 +159,7 @@
             watching = asyncio.create_task(elector.run())
             elector.serve({"antenna"})
             await asyncio.sleep(2.0)
+            # The elector acquires the key again before its watch reports the deletion.
             store_view.is_delayed = True
             store.revoke_lease(store.items["duty/antenna"].lease_id)
             await asyncio.sleep(3.0)
@@ -177,10 +176,9 @@
 
 class ResumptionTests(unittest.TestCase):
     def test_a_scheduler_that_resumes_publishes_its_demand_again(self) -> None:
-        """A turn that begins in an outage gets no machines until three seconds after it.
+        """A pool whose demand did not change gets no machines until 3 s after an outage.
 
-        The keeper rests in the outage as the schedulers do, and takes no machine on a word from
-        before it. What a pool can do without had not changed, so that nothing was written.
+        The machine controller is suspended too, and acts on no demand from before the outage.
         """
 
         async def scenario() -> None:
@@ -190,6 +188,7 @@
             await asyncio.sleep(3.0)
             before = PoolDemand.decode(simulation.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual(2, len(before.free))
+            # The offers stay the same, so only the count of resumptions makes the record change.
             simulation.store.are_leases_paused = True
             instance.view.faults.is_down = True
             await asyncio.sleep(7.0)
@@ -206,17 +205,15 @@
 
 class RecoveringPoolTests(unittest.TestCase):
     def test_a_pool_with_tasks_to_recover_does_not_offer_its_workers(self) -> None:
-        """Lasting tasks waited 3 s longer than the recovery, beside idle workers.
+        """Lasting tasks waited for 3 s after the recovery, although workers were idle.
 
-        A new scheduler left earlier jobs alone until it had seen all workers. Meanwhile nothing
-        seemed to wait, so that it offered its idle workers to other pools. When the recovery was
-        over it took them back, and placed no lasting task on them while an order to take them away
-        might still come.
+        No lasting task is placed on a withdrawn worker while an order may still take it away.
         """
         harness = SchedulingHarness(view("a"), view("b"))
         harness.scheduler_state.pending_recovery["c"] = harness.now_s + 5.0
         harness.add_job(job("j", step(2, is_lasting=True)), is_old=True)
         sizer = PoolSizer(scheduler_state=harness.scheduler_state, limits=SizingLimits())
+        # Earlier jobs wait for worker c to be recovered; meanwhile nothing else seems to wait.
         for _ in range(20):
             demand = sizer.assess(frozenset(), now_s=harness.now_s, wall_s=WALL_S)
             self.assertEqual((), demand.free)
