--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -115,7 +115,7 @@
         self._is_stopping = True
         leases = list(self._leases.values())
         for lease in leases:
-            lease.mark_lost("this instance is stopping")
+            lease.mark_lost("stopping")
         await asyncio.wait_for(
             asyncio.gather(*self._bids.values(), return_exceptions=True), timeout=2.0
         )
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -71,7 +71,7 @@
         orders: Sends orders to workers.
         directory: Lists workers.
         advice: Says which workers may run a step.
-        machine_records: What the machine controller published: the workers to drain or taken away.
+        machine_records: What the machine controller published: workers to evacuate or taken away.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
         times: Times of orders.
@@ -205,19 +205,19 @@
             self._delete_old_jobs(),
             self._size_pool(),
         )
-        tasks = [asyncio.create_task(loop) for loop in coroutines]
-        lost_task = asyncio.create_task(self._lease.lost_event.wait())
+        tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
+        lease_lost = asyncio.create_task(self._lease.lost_event.wait())
         try:
-            done, _ = await asyncio.wait([*tasks, lost_task], return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait([*tasks, lease_lost], return_when=asyncio.FIRST_COMPLETED)
             for task in done:
-                if task is not lost_task and task.exception() is not None:
+                if task is not lease_lost and task.exception() is not None:
                     self._lease.mark_lost(f"a background task failed: {task.exception()!r}")
                     raise task.exception() or RuntimeError
             await self._order_dispatcher.settle(STOP_TIMEOUT_S)
             self._order_dispatcher.stop_polling()
             await self._hand_over()
         finally:
-            for task in (*tasks, lost_task, *self._background_tasks):
+            for task in (*tasks, lease_lost, *self._background_tasks):
                 task.cancel()
             self._order_dispatcher.close()
             self._log(
@@ -314,9 +314,9 @@
         while True:
             if directory.done():
                 directory.result()
-            began_s = self._dependencies.clock()
+            started_s = self._dependencies.clock()
             is_cut_short = self._lease.is_valid and self._decide()
-            await asyncio.sleep((self._dependencies.clock() - began_s) * DECISION_PAUSE_RATIO)
+            await asyncio.sleep((self._dependencies.clock() - started_s) * DECISION_PAUSE_RATIO)
             if not is_cut_short:
                 await self._order_dispatcher.wait(DECISION_INTERVAL_S)
 
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -132,19 +132,19 @@
         return listed
 
     async def update_record(self) -> bool:
-        """Make the record name the workers that this epoch may use, and no others.
+        """Make the record name the workers that this epoch may use or that may still run its tasks.
 
         The failure: a worker leaves or crashes, and stays in the record. After a crash or an outage
         of the store the next epoch can't reach it, and holds all earlier jobs back for 7 s though
-        nothing runs there. So ended workers are removed, and drained ones before they leave, since
-        they may end at a time when no scheduler runs.
+        nothing runs there. So ended workers are removed, and drained ones that run nothing before
+        they leave, since they may end at a time when no scheduler runs.
 
         Returns:
             Whether the store has confirmed the record.
         """
-        return await self._record.keep(self._usable_workers)
+        return await self._record.keep(self._workers_to_record)
 
-    def _usable_workers(self) -> dict[str, ActiveWorker]:
+    def _workers_to_record(self) -> dict[str, ActiveWorker]:
         listed = self._listed_workers()
         views = {
             worker_id: worker.view for worker_id, worker in self._scheduler_state.workers.items()
@@ -158,8 +158,8 @@
 
     def _may_have_runs(self, worker_id: str) -> bool:
         worker = self._scheduler_state.workers.get(worker_id)
-        is_unseen = worker_id in self._scheduler_state.pending_recovery
-        return is_unseen or (worker is not None and bool(worker.runs or worker.unsettled))
+        is_pending_recovery = worker_id in self._scheduler_state.pending_recovery
+        return is_pending_recovery or (worker is not None and bool(worker.runs or worker.unsettled))
 
     async def hand_over(self) -> None:
         """Record for the next epoch only the workers that may still run a task."""
@@ -180,10 +180,10 @@
         active_workers: dict[str, ActiveWorker] = {}
         for worker_id, worker in self._scheduler_state.workers.items():
             address = worker.view.address
-            until_s = self._scheduler_state.pending_recovery.get(worker_id)
-            if until_s is not None:
+            runs_ended_s = self._scheduler_state.pending_recovery.get(worker_id)
+            if runs_ended_s is not None:
                 active_workers[worker_id] = ActiveWorker(
-                    address=address, left_s=max(0.0, until_s - now_s)
+                    address=address, left_s=max(0.0, runs_ended_s - now_s)
                 )
             elif worker.runs or worker.unsettled:
                 active_workers[worker_id] = ActiveWorker(address=address)
--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -594,7 +594,7 @@
     async def isolate_worker(self, worker_id: str, for_s: float) -> None:
         """Make a worker unreachable for a while; it stays listed, and its tasks run on."""
         with self.fault_period():
-            self._record_event("isolated", worker_id)
+            self._record_event("silent", worker_id)
             self.fleet.isolated.add(worker_id)
             await asyncio.sleep(for_s)
             self.fleet.isolated.discard(worker_id)
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -79,7 +79,7 @@
 
 
 class RecordContentsTests(unittest.TestCase):
-    def test_workers_that_can_run_nothing_go_from_the_record(self) -> None:
+    def test_workers_that_can_run_nothing_are_removed_from_the_record(self) -> None:
         """A successor waits for crashed or drained workers that are still in the record.
 
         Earlier jobs are then held back for as long as the leases of a lost worker last.
@@ -108,7 +108,7 @@
 
         run_scenario(scenario())
 
-    def test_a_write_carried_out_late_takes_no_worker_out(self) -> None:
+    def test_a_write_carried_out_late_removes_no_worker(self) -> None:
         """A late write removes a worker on which a task was started meanwhile.
 
         The successor does not know that worker, and runs the task a second time elsewhere.
@@ -298,7 +298,7 @@
 
 
 class RecoveryWaitTests(unittest.TestCase):
-    def test_a_task_on_a_worker_that_went_with_its_scheduler_runs_again_in_time(self) -> None:
+    def test_a_task_runs_again_in_time_after_its_worker_and_scheduler_are_lost(self) -> None:
         """A lasting task did not run for 13 s after its scheduler and its worker were lost at once.
 
         The successor waits for the longest leases that a living predecessor could have granted.
@@ -344,7 +344,7 @@
 
         run_scenario(scenario())
 
-    def test_nothing_outlives_the_time_that_a_successor_waits(self) -> None:
+    def test_no_task_outlives_the_recovery_time(self) -> None:
         """A task runs twice, since a successor that reaches no worker did not wait long enough.
 
         A scheduler without an answer of the store extends leases until its grace period ends.
--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -118,7 +118,7 @@
 
 
 class StateTests(unittest.TestCase):
-    def test_no_such_job_only_when_the_store_says_so(self) -> None:
+    def test_no_such_job_only_if_the_store_confirms_it(self) -> None:
         """An accepted job is never reported as unknown, not even while the store is down."""
 
         async def scenario() -> None:
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -66,9 +66,9 @@
 
 def used_worker(simulation: LastingTaskSimulation) -> str:
     """Return the first live worker that runs a task, or the first live one if none does."""
-    up = [(key, one) for key, one in simulation.fleet.workers.items() if one.is_alive]
-    used = [worker_id for worker_id, worker in up if worker.names()]
-    return (used or [worker_id for worker_id, _ in up])[0]
+    alive = [(key, one) for key, one in simulation.fleet.workers.items() if one.is_alive]
+    used = [worker_id for worker_id, worker in alive if worker.names()]
+    return (used or [worker_id for worker_id, _ in alive])[0]
 
 
 async def a_worker_leaves(simulation: LastingTaskSimulation) -> None:
