--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -26,7 +26,7 @@
 
 __all__ = ["OrderDispatcher", "OrderTimes"]
 
-CLOCK_SKEW_PART = 0.02
+MAX_CLOCK_SKEW_RATIO = 0.02
 """How slow a worker's clock may be. Source: the platform's page on running tasks."""
 
 
@@ -53,12 +53,12 @@
     full_lease_s: float = 1.5
 
     @property
-    def silence_s(self) -> float:
+    def answer_overdue_s(self) -> float:
         """A worker that has not answered for this long gets no longer lease."""
         return self.poll_wait_s + self.answer_s
 
     @property
-    def horizon_s(self) -> float:
+    def lease_horizon_s(self) -> float:
         """Whatever runs ends this long after the last confirmed renewal of the scheduler's key."""
         return self.lease_s + self.full_lease_s
 
@@ -69,20 +69,22 @@
         Its key was confirmed for the last time before this term's came to be. Workers' clocks may
         be slow, and are reckoned from answers as old as the pause between looks.
         """
-        skew_s = CLOCK_SKEW_PART * (self.horizon_s + self.idle_poll_s + self.silence_s)
-        return self.horizon_s + skew_s + MARGIN_S
+        skew_s = MAX_CLOCK_SKEW_RATIO * (
+            self.lease_horizon_s + self.idle_poll_s + self.answer_overdue_s
+        )
+        return self.lease_horizon_s + skew_s + LEASE_END_MARGIN_S
 
 
-MARGIN_S = 0.2
-UNANSWERED_PAUSE_S = 0.5
-UNHEALTHY_PAUSE_S = 1.0
-NO_ROOM_PAUSE_S = 0.3
-LEAST_WAIT_S = 0.02
+LEASE_END_MARGIN_S = 0.2
+PAUSE_AFTER_NO_ANSWER_S = 0.5
+PAUSE_AFTER_UNHEALTHY_S = 1.0
+PAUSE_AFTER_NO_ROOM_S = 0.3
+MIN_ISOLATED_POLL_WAIT_S = 0.02
 """The least that a look waits at a worker which has to outlive a start in isolation."""
-CLOSED_WITHIN_S = 0.5
+CLOSED_CONNECTION_WITHIN_S = 0.5
 """A look that gets no answer this soon has not timed out: its connection was closed or refused."""
-_LOST = (OrderStatus.UNANSWERED, OrderStatus.UNSENT)
-SETTLE_WAIT_S = 0.3
+_NO_ANSWER_STATUSES = (OrderStatus.UNANSWERED, OrderStatus.UNSENT)
+POLL_PAUSE_S = 0.3
 """A look is held back this long for ends whose record is being stored: the worker would answer it
 at once with the same ends."""
 
@@ -106,17 +108,17 @@
 
     __slots__ = (
         "_clock",
-        "_followers",
         "_in_flight",
         "_lease",
         "_log",
         "_may_use",
         "_metrics",
-        "_news",
         "_on_progress",
         "_orders",
+        "_poll_events",
+        "_poll_tasks",
         "_scheduler_state",
-        "_stirred",
+        "_state_changed",
         "_times",
         "_wall_clock",
     )
@@ -145,56 +147,58 @@
         self._log = log
         self._metrics = metrics
         self._on_progress = on_progress
-        self._news = asyncio.Event()
-        self._stirred: dict[str, asyncio.Event] = {}
-        self._followers: dict[str, asyncio.Task[None]] = {}
+        self._state_changed = asyncio.Event()
+        self._poll_events: dict[str, asyncio.Event] = {}
+        self._poll_tasks: dict[str, asyncio.Task[None]] = {}
         self._in_flight: set[asyncio.Task[None]] = set()
 
     # ---- for the term
 
     def wake(self) -> None:
         """Say that there is news to decide on, which may concern any worker."""
-        self._news.set()
+        self._state_changed.set()
         for worker in self._scheduler_state.workers.values():
-            self._stir(worker)
+            self._request_poll(worker)
 
-    def _stir(self, worker: Worker) -> None:
+    def _request_poll(self, worker: Worker) -> None:
         """Have a worker looked at, if its follower waits for a reason to."""
-        event = self._stirred.get(worker.worker_id)
-        if event is not None and self._needs_look(worker):
+        event = self._poll_events.get(worker.worker_id)
+        if event is not None and self._needs_poll(worker):
             event.set()
 
-    def _order_answered(self, worker: Worker) -> None:
+    def _wake_for_worker(self, worker: Worker) -> None:
         """Say that there is news of one worker.
 
         Starts are answered hundreds of times a second in a turn: each concerns its worker alone.
         """
-        self._news.set()
-        self._stir(worker)
+        self._state_changed.set()
+        self._request_poll(worker)
 
     async def wait(self, longest_s: float) -> None:
         """Wait for news."""
         # Not `wait_for`, which loses a cancellation that comes with the news.
         try:
             async with asyncio.timeout(longest_s):
-                await self._news.wait()
+                await self._state_changed.wait()
         except TimeoutError:
             return
         finally:
-            self._news.clear()
+            self._state_changed.clear()
 
     def sync_workers(self) -> None:
         """Begin to follow workers that are new on the board."""
         for worker_id, worker in self._scheduler_state.workers.items():
-            task = self._followers.get(worker_id)
+            task = self._poll_tasks.get(worker_id)
             if task is None or task.done():
-                self._stirred[worker_id] = asyncio.Event()
-                self._followers[worker_id] = asyncio.create_task(self._follow(worker))
+                self._poll_events[worker_id] = asyncio.Event()
+                self._poll_tasks[worker_id] = asyncio.create_task(self._poll_repeatedly(worker))
         for worker_id in [
-            one for one in self._followers if one not in self._scheduler_state.workers
+            polled_id
+            for polled_id in self._poll_tasks
+            if polled_id not in self._scheduler_state.workers
         ]:
-            self._followers.pop(worker_id).cancel()
-            self._stirred.pop(worker_id, None)
+            self._poll_tasks.pop(worker_id).cancel()
+            self._poll_events.pop(worker_id, None)
 
     def carry_out(self, decision: StartOrder | StopOrder | PaceOrder) -> None:
         """Send an order, without waiting for its answer."""
@@ -218,7 +222,7 @@
         and not in the store when the key is given back. Not learnt, it stays with its worker, which
         tells it to the successor.
         """
-        for task in self._followers.values():
+        for task in self._poll_tasks.values():
             task.cancel()
 
     def close(self) -> None:
@@ -227,38 +231,38 @@
         for task in self._in_flight:
             task.cancel()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._in_flight.add(task)
-        task.add_done_callback(self._order_finished)
+        task.add_done_callback(self._on_order_task_done)
 
-    def _order_finished(self, task: asyncio.Task[None]) -> None:
+    def _on_order_task_done(self, task: asyncio.Task[None]) -> None:
         self._in_flight.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._lease.mark_lost(f"a fault: {task.exception()!r}")
 
     # ---- looks
 
-    async def _follow(self, worker: Worker) -> None:
+    async def _poll_repeatedly(self, worker: Worker) -> None:
         try:
             while self._scheduler_state.workers.get(worker.worker_id) is worker:
-                await self._await_reason(worker)
+                await self._await_poll_reason(worker)
                 if not self._lease.is_valid:
-                    await asyncio.sleep(SETTLE_WAIT_S)
+                    await asyncio.sleep(POLL_PAUSE_S)
                     continue
-                await self._look(worker)
+                await self._poll(worker)
         except Exception as error:
             self._lease.mark_lost(f"a fault: {error!r}")
             raise
 
-    async def _await_reason(self, worker: Worker) -> None:
-        event = self._stirred[worker.worker_id]
+    async def _await_poll_reason(self, worker: Worker) -> None:
+        event = self._poll_events[worker.worker_id]
         if worker.unsettled:
-            await _wait(event, SETTLE_WAIT_S, lambda: not worker.unsettled)
-        elif not self._needs_look(worker):
-            await _wait(event, self._times.idle_poll_s, lambda: self._needs_look(worker))
+            await _wait(event, POLL_PAUSE_S, lambda: not worker.unsettled)
+        elif not self._needs_poll(worker):
+            await _wait(event, self._times.idle_poll_s, lambda: self._needs_poll(worker))
 
-    def _needs_look(self, worker: Worker) -> bool:
+    def _needs_poll(self, worker: Worker) -> bool:
         return bool(
             worker.runs
             or not worker.is_fenced
@@ -266,11 +270,13 @@
             or worker.worker_id in self._scheduler_state.pending_recovery
         )
 
-    async def _look(self, worker: Worker) -> None:
+    async def _poll(self, worker: Worker) -> None:
         sent_s = self._clock()
         acknowledged = worker.highest_settled
-        lease_ms = self._extend(worker, sent_s) if self._may_extend(worker, sent_s) else None
-        wait_s = self._look_wait_s(worker)
+        lease_ms = (
+            self._extend_lease(worker, sent_s) if self._may_extend_lease(worker, sent_s) else None
+        )
+        wait_s = self._poll_wait_s(worker)
         outcome = await self._orders.poll(
             worker.view,
             token=self._scheduler_state.token,
@@ -281,12 +287,15 @@
         )
         self._metrics.count(f"scheduler.look.{outcome.status.value}")
         if outcome.report is None:
-            if outcome.status in _LOST and self._clock() - sent_s < wait_s + CLOSED_WITHIN_S:
+            if (
+                outcome.status in _NO_ANSWER_STATUSES
+                and self._clock() - sent_s < wait_s + CLOSED_CONNECTION_WITHIN_S
+            ):
                 self._scheduler_state.crashes.connection_closed(
                     worker, self._clock(), self._wall_clock()
                 )
-            self._look_failed(worker, outcome)
-            await asyncio.sleep(SETTLE_WAIT_S)
+            self._handle_poll_failure(worker, outcome)
+            await asyncio.sleep(POLL_PAUSE_S)
             return
         worker.acknowledged = max(worker.acknowledged, acknowledged)
         self._scheduler_state.reported(
@@ -297,37 +306,37 @@
             wall_s=self._wall_clock(),
         )
         self._on_progress()
-        self._news.set()
+        self._state_changed.set()
 
-    def _may_extend(self, worker: Worker, now_s: float) -> bool:
+    def _may_extend_lease(self, worker: Worker, now_s: float) -> bool:
         """Whether a look may extend the worker's lease.
 
         The failure: a worker that died silently, and whose tasks are never started again, since
         each look that it does not answer might have extended its lease. A look is answered within
         its wait, so after one that was not, leases are left to run out until one is answered.
         """
-        return bool(worker.runs) and now_s - worker.reported_s < self._times.silence_s
+        return bool(worker.runs) and now_s - worker.reported_s < self._times.answer_overdue_s
 
-    def _look_wait_s(self, worker: Worker) -> float:
-        if self._is_pressing(worker):
+    def _poll_wait_s(self, worker: Worker) -> float:
+        if self._needs_immediate_answer(worker):
             return 0.0
         left_s = self._scheduler_state.isolation.left_s(worker, self._clock())
         if left_s is None:
             return self._times.poll_wait_s
-        return min(self._times.poll_wait_s, max(left_s, LEAST_WAIT_S))
+        return min(self._times.poll_wait_s, max(left_s, MIN_ISOLATED_POLL_WAIT_S))
 
-    def _is_pressing(self, worker: Worker) -> bool:
+    def _needs_immediate_answer(self, worker: Worker) -> bool:
         if not worker.is_fenced or worker.unsettled or not worker.clock_ms:
             return True
-        if self._clock() - worker.reported_s >= self._times.silence_s:
+        if self._clock() - worker.reported_s >= self._times.answer_overdue_s:
             # Until it has answered, its lease is not extended.
             return True
-        pressing = (RunPhase.UNANSWERED, RunPhase.STOPPED)
-        return not worker.runs or any(run.phase in pressing for run in worker.runs.values())
+        awaited_phases = (RunPhase.UNANSWERED, RunPhase.STOPPED)
+        return not worker.runs or any(run.phase in awaited_phases for run in worker.runs.values())
 
-    def _look_failed(self, worker: Worker, outcome: OrderOutcome) -> None:
-        if not self._common_failure(worker, outcome):
-            worker.pause_until_s = self._clock() + UNANSWERED_PAUSE_S
+    def _handle_poll_failure(self, worker: Worker, outcome: OrderOutcome) -> None:
+        if not self._handle_fenced_or_gone(worker, outcome):
+            worker.pause_until_s = self._clock() + PAUSE_AFTER_NO_ANSWER_S
             self._log.line(
                 "look-failed",
                 worker=worker.worker_id,
@@ -337,9 +346,9 @@
                 lease_left_s=round(worker.lease_ends_s - self._clock(), 2),
                 token=self._scheduler_state.token,
             )
-        self._news.set()
+        self._state_changed.set()
 
-    def _extend(self, worker: Worker, sent_s: float) -> int | None:
+    def _extend_lease(self, worker: Worker, sent_s: float) -> int | None:
         """Return the end of a new lease on the worker's clock, and note when it has surely ended.
 
         The failure that the horizon guards against: a scheduler that is cut off from the store goes
@@ -352,14 +361,16 @@
         if not worker.clock_ms or not self._may_use(worker.worker_id):
             return None
         age_s = sent_s - worker.clock_at_s
-        lease_s = min(self._times.lease_s, self._times.horizon_s - self._lease.since_renewal_s)
+        lease_s = min(
+            self._times.lease_s, self._times.lease_horizon_s - self._lease.since_renewal_s
+        )
         if lease_s <= 0:
             return None
-        ends_s = sent_s + lease_s + CLOCK_SKEW_PART * (lease_s + age_s) + MARGIN_S
+        ends_s = sent_s + lease_s + MAX_CLOCK_SKEW_RATIO * (lease_s + age_s) + LEASE_END_MARGIN_S
         worker.lease_ends_s = max(worker.lease_ends_s, ends_s)
         return worker.clock_ms + int((age_s + lease_s) * 1000)
 
-    def _common_failure(self, worker: Worker, outcome: OrderOutcome) -> bool:
+    def _handle_fenced_or_gone(self, worker: Worker, outcome: OrderOutcome) -> bool:
         """Handle what ends more than one order; return whether it was that."""
         if outcome.status is OrderStatus.FENCED:
             self._lease.mark_lost(f"a later scheduler has fenced {worker.worker_id}")
@@ -375,7 +386,7 @@
         run = order.run
         worker = self._scheduler_state.workers.get(run.worker_id)
         sent_s = self._clock()
-        lease_ms = self._extend(worker, sent_s) if worker is not None else None
+        lease_ms = self._extend_lease(worker, sent_s) if worker is not None else None
         if worker is None or (run.name, run.run_id) not in worker.runs:
             return
         if lease_ms is None or not self._lease.is_valid:
@@ -400,30 +411,32 @@
             seen_s=round(now_s - worker.reported_s, 3),
             token=self._scheduler_state.token,
         )
-        self._start_answered(worker, run, outcome, now_s)
-        self._order_answered(worker)
+        self._handle_start_outcome(worker, run, outcome, now_s)
+        self._wake_for_worker(worker)
 
-    def _start_answered(
+    def _handle_start_outcome(
         self, worker: Worker, run: Run, outcome: OrderOutcome, now_s: float
     ) -> None:
-        is_gone = self._common_failure(worker, outcome)
+        is_fenced_or_gone = self._handle_fenced_or_gone(worker, outcome)
         may_have_run = outcome.status in (OrderStatus.OBEYED, OrderStatus.UNANSWERED)
         self._scheduler_state.crashes.start_answered(
             run, self._wall_clock(), may_have_run=may_have_run
         )
-        if is_gone:
+        if is_fenced_or_gone:
             return
         if may_have_run:
             if run.phase is RunPhase.STARTING:
                 is_running = outcome.status is OrderStatus.OBEYED
                 run.enter(RunPhase.RUNNING if is_running else RunPhase.UNANSWERED, now_s)
             if outcome.status is OrderStatus.UNANSWERED:
-                worker.pause_until_s = now_s + UNANSWERED_PAUSE_S
+                worker.pause_until_s = now_s + PAUSE_AFTER_NO_ANSWER_S
             return
-        self._learn_refusal(worker, run, outcome.status, now_s)
+        self._handle_refused_start(worker, run, outcome.status, now_s)
         self._scheduler_state.start_failed(run, now_s)
 
-    def _learn_refusal(self, worker: Worker, run: Run, status: OrderStatus, now_s: float) -> None:
+    def _handle_refused_start(
+        self, worker: Worker, run: Run, status: OrderStatus, now_s: float
+    ) -> None:
         """Learn from a start that was not carried out what the next one has to wait for."""
         step = self._scheduler_state.open_step(run.name)
         if status is OrderStatus.TOO_LATE:
@@ -435,9 +448,9 @@
             if step is not None:
                 step.refused(now_s)
         elif status is OrderStatus.NO_ROOM:
-            worker.pause_until_s = now_s + NO_ROOM_PAUSE_S
+            worker.pause_until_s = now_s + PAUSE_AFTER_NO_ROOM_S
         else:
-            worker.pause_until_s = now_s + UNHEALTHY_PAUSE_S
+            worker.pause_until_s = now_s + PAUSE_AFTER_UNHEALTHY_S
 
     async def _stop(self, order: StopOrder) -> None:
         run = order.run
@@ -456,9 +469,12 @@
             outcome=outcome.status.value,
             token=self._scheduler_state.token,
         )
-        if not self._common_failure(worker, outcome) and outcome.status is OrderStatus.OBEYED:
+        if (
+            not self._handle_fenced_or_gone(worker, outcome)
+            and outcome.status is OrderStatus.OBEYED
+        ):
             run.enter(RunPhase.STOPPED, self._clock())
-        self._order_answered(worker)
+        self._wake_for_worker(worker)
 
     async def _pace(self, order: PaceOrder) -> None:
         worker = self._scheduler_state.workers.get(order.run.worker_id)
@@ -475,7 +491,10 @@
             was=order.run.pace_percent,
             outcome=outcome.status.value,
         )
-        if not self._common_failure(worker, outcome) and outcome.status is OrderStatus.OBEYED:
+        if (
+            not self._handle_fenced_or_gone(worker, outcome)
+            and outcome.status is OrderStatus.OBEYED
+        ):
             order.run.pace_percent = order.percent
 
 
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -18,13 +18,13 @@
 
 __all__ = ["ProgressWriter"]
 
-GATHER_S = 0.02
+COMMIT_PAUSE_S = 0.02
 """Left between commits of progress, so that ends which come close together share one."""
 STORE_RETRY_S = 0.1
-MOST_ENTRIES = 32
+MAX_COMMIT_ENTRIES = 32
 """Conditions, writes and deletions of a commit. Source: the platform's page on its store, read
 strictly, for all lists together."""
-MOST_COMMITS = 4
+MAX_CONCURRENT_COMMITS = 4
 """Commits in flight at once. The load: in a turn 800 tasks end in a second, each of them the news
 of another job, and one commit after the other takes 15 jobs in 30 ms. What is not stored is not
 acknowledged, and meanwhile its worker isn't looked at."""
@@ -48,8 +48,8 @@
     """
 
     __slots__ = (
-        "_is_key_gone",
-        "_is_settled",
+        "_all_stored",
+        "_is_lease_lost",
         "_keys",
         "_lease",
         "_log",
@@ -77,10 +77,10 @@
         self._metrics = metrics
         self._on_stored = on_stored
         self._keys = JobKeys(service=scheduler_state.service)
-        self._is_key_gone = False
+        self._is_lease_lost = False
         self.wake = asyncio.Event()
         """Set when progress has changed."""
-        self._is_settled = asyncio.Event()
+        self._all_stored = asyncio.Event()
         """Set while the store has all that was to be stored at the last change."""
 
     async def run(self) -> None:
@@ -88,13 +88,13 @@
         while True:
             await self.wake.wait()
             self.wake.clear()
-            self._is_settled.clear()
+            self._all_stored.clear()
             while dirty := self._scheduler_state.dirty():
                 stored = await asyncio.gather(*map(self._store_batch, _batches(dirty)))
-                if self._is_key_gone:
+                if self._is_lease_lost:
                     break
-                await asyncio.sleep(GATHER_S if all(stored) else STORE_RETRY_S)
-            self._is_settled.set()
+                await asyncio.sleep(COMMIT_PAUSE_S if all(stored) else STORE_RETRY_S)
+            self._all_stored.set()
 
     async def settle(self, longest_s: float) -> None:
         """Wait until the store has all that is known, but no longer than this.
@@ -102,29 +102,34 @@
         A term that is stopped between two commits would leave tasks that have ended to be waited
         for by its successor, until that has seen their workers.
         """
-        self._is_settled.clear()
+        self._all_stored.clear()
         self.wake.set()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(longest_s):
-                await self._is_settled.wait()
+                await self._all_stored.wait()
 
-    async def _store_batch(self, entries: list[TrackedJob]) -> bool:
-        changes = {entry.job.job_id: entry.changes for entry in entries}
-        keys = {self._keys.progress(entry.job.job_id): entry for entry in entries}
+    async def _store_batch(self, tracked_jobs: list[TrackedJob]) -> bool:
+        changes = {tracked_job.job.job_id: tracked_job.changes for tracked_job in tracked_jobs}
+        keys = {
+            self._keys.progress(tracked_job.job.job_id): tracked_job for tracked_job in tracked_jobs
+        }
         outcome = await self._store.commit(
             Commit(
                 conditions=(
                     self._lease.condition,
-                    *(Condition(key=key, revision=entry.revision) for key, entry in keys.items()),
+                    *(
+                        Condition(key=key, revision=tracked_job.revision)
+                        for key, tracked_job in keys.items()
+                    ),
                 ),
                 writes=tuple(
-                    Write(key=key, value=encode_progress(entry.progress))
-                    for key, entry in keys.items()
+                    Write(key=key, value=encode_progress(tracked_job.progress))
+                    for key, tracked_job in keys.items()
                 ),
                 deletes=tuple(
-                    self._keys.job(entry.job.job_id)
-                    for entry in entries
-                    if entry.progress.state.is_final
+                    self._keys.job(tracked_job.job.job_id)
+                    for tracked_job in tracked_jobs
+                    if tracked_job.progress.state.is_final
                 ),
             )
         )
@@ -132,7 +137,7 @@
             self._log.line(
                 "progress-not-stored",
                 service=self._scheduler_state.service,
-                jobs=len(entries),
+                jobs=len(tracked_jobs),
                 reason=str(outcome.failure()),
             )
             return False
@@ -142,27 +147,29 @@
                 self._scheduler_state.stored(
                     StoredProgress(job_id=job_id, changes=change, revision=result.revision)
                 )
-            self._metrics.count("scheduler.progress.stored", len(entries))
+            self._metrics.count("scheduler.progress.stored", len(tracked_jobs))
             self._on_stored()
             return True
-        self._learn_conflict(result, keys)
+        self._handle_conflict(result, keys)
         return True
 
-    def _learn_conflict(self, conflict: Conflicted, keys: dict[str, TrackedJob]) -> None:
+    def _handle_conflict(self, conflict: Conflicted, keys: dict[str, TrackedJob]) -> None:
         current = {item.key: item for item in conflict.current}
         own = current.get(self._lease.key)
         if own is None or own.revision != self._lease.token:
-            self._is_key_gone = True
+            self._is_lease_lost = True
             self._lease.mark_lost("its key is gone or another's")
             return
-        for key, entry in keys.items():
+        for key, tracked_job in keys.items():
             item = current.get(key)
             if item is None:
-                self._scheduler_state.delete_job(entry.job.job_id)
-            elif item.revision != entry.revision:
-                self._log.line("progress-conflict", id=entry.job.job_id, revision=item.revision)
+                self._scheduler_state.delete_job(tracked_job.job.job_id)
+            elif item.revision != tracked_job.revision:
+                self._log.line(
+                    "progress-conflict", id=tracked_job.job.job_id, revision=item.revision
+                )
                 self._scheduler_state.update_progress(
-                    entry.job.job_id, decode_progress(item.value), item.revision
+                    tracked_job.job.job_id, decode_progress(item.value), item.revision
                 )
         self._on_stored()
 
@@ -171,13 +178,13 @@
     """Return the first jobs by commits, as many as fit into each beside the scheduler's key."""
     batches: list[list[TrackedJob]] = [[]]
     used = 1
-    for entry in dirty:
-        size = 3 if entry.progress.state.is_final else 2
-        if used + size > MOST_ENTRIES:
-            if len(batches) == MOST_COMMITS:
+    for tracked_job in dirty:
+        size = 3 if tracked_job.progress.state.is_final else 2
+        if used + size > MAX_COMMIT_ENTRIES:
+            if len(batches) == MAX_CONCURRENT_COMMITS:
                 break
             batches.append([])
             used = 1
-        batches[-1].append(entry)
+        batches[-1].append(tracked_job)
         used += size
     return batches
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -31,21 +31,21 @@
 RUN_IDS_PER_EPOCH = 1_000_000
 """Run ids begin at the term's fencing token times this, so that a successor's are higher than all
 that its predecessors gave out without knowing the last one."""
-MISSING_REPORTS = 2
+MISSING_REPORTS_BEFORE_STOP = 2
 """Reports without a run that runs, after which it is stopped: answers overtake each other."""
-SUSPECT_JOBS = 2
-SUSPECT_WINDOW_S = 6.0
-SUSPECT_S = 6.0
+FAILED_JOBS_TO_AVOID_WORKER = 2
+FAILED_JOBS_WINDOW_S = 6.0
+AVOID_WORKER_S = 6.0
 """A worker on which two jobs failed with nothing done between them is used last for this long:
 troubles of single workers last 5 to 7 s."""
-MOST_ARRIVALS = 1_000
-FRESH_S = 2.0
+MAX_TRACKED_ARRIVALS = 1_000
+FRESH_REPORT_AGE_S = 2.0
 """A worker that runs lasting tasks reports once a second; one silent for longer may be dead.
 A task counts as away after 4.5 s (source: the platform's settings)."""
-ADOPTED_S = 0.5
+ADOPTED_RUN_CONFIRM_S = 0.5
 """A run that an earlier scheduler has stopped is listed at work for 0.2 s more (source: the
 platform's settings); an adopted one that is reported at work this long after was not stopped."""
-UNSENT_PHASES = (RunPhase.RESERVED, RunPhase.STARTING)
+START_PENDING_PHASES = (RunPhase.RESERVED, RunPhase.STARTING)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -81,11 +81,11 @@
     """
 
     __slots__ = (
-        "_awaiting",
+        "_ends_awaiting_commit",
+        "_last_run_id",
         "_lasting_from_s",
         "_log",
-        "_next_run",
-        "_replaced",
+        "_replaced_worker_ids",
         "arrivals",
         "crashes",
         "entries",
@@ -103,7 +103,7 @@
         self.service = service
         self.token = token
         self._log = log
-        self._next_run = token * RUN_IDS_PER_EPOCH
+        self._last_run_id = token * RUN_IDS_PER_EPOCH
         self.entries: dict[str, TrackedJob] = {}
         """Jobs that are open, or whose end is not stored yet, or of which a run may be alive."""
         self.finished_jobs: dict[str, float] = {}
@@ -116,20 +116,20 @@
         self.pending_recovery: dict[str, float] = {}
         """Workers that may run tasks of earlier terms and were not seen yet, with the time after
         which whatever they ran has ended."""
-        self.arrivals: deque[Arrival] = deque(maxlen=MOST_ARRIVALS)
+        self.arrivals: deque[Arrival] = deque(maxlen=MAX_TRACKED_ARRIVALS)
         """Time of day and core-seconds of the latest jobs."""
-        self._awaiting: dict[str, list[tuple[int, Worker, int]]] = {}
+        self._ends_awaiting_commit: dict[str, list[tuple[int, Worker, int]]] = {}
         self.crashes = CrashBlame(
             entries=self.entries,
             workers=self.workers,
-            first_run_id=self._next_run,
+            first_run_id=self._last_run_id,
             log=log,
-            close=self._close,
+            close=self._close_job,
         )
         self.isolation = Isolation(
             entries=self.entries, workers=self.workers, blame=self.crashes, log=log
         )
-        self._replaced: set[str] = set()
+        self._replaced_worker_ids: set[str] = set()
         """Incarnations that another one has replaced, as long as they are listed."""
         self._lasting_from_s: dict[str, float] = {}
         """Workers that are not on the board yet; see `keep_lasting_off`."""
@@ -145,27 +145,27 @@
         if progress.state.is_final:
             self.add_finished_job(job.job_id, progress)
             return
-        entry = TrackedJob(job=job, progress=progress, revision=revision, is_old=is_old)
-        self.entries[job.job_id] = entry
+        tracked_job = TrackedJob(job=job, progress=progress, revision=revision, is_old=is_old)
+        self.entries[job.job_id] = tracked_job
         if not is_old and not job.is_lasting:
-            self.arrivals.append((wall_s, entry.work_core_s))
+            self.arrivals.append((wall_s, tracked_job.work_core_s))
         self.timed.add(job.job_id)
-        self.open_due(entry, wall_s)
+        self.open_due(tracked_job, wall_s)
 
     def update_progress(self, job_id: str, progress: JobProgress, revision: int) -> None:
         """Learn that a job's progress was written, by this scheduler or by a caller's cancel."""
-        entry = self.entries.get(job_id)
-        if entry is None or revision <= entry.revision:
+        tracked_job = self.entries.get(job_id)
+        if tracked_job is None or revision <= tracked_job.revision:
             return
-        entry.revision = revision
+        tracked_job.revision = revision
         if not progress.state.is_final:
             return
-        if not entry.progress.state.is_final:
-            entry.progress.finish(progress.state, now_s=progress.ended_s)
-            self._close(entry, progress.state.value)
+        if not tracked_job.progress.state.is_final:
+            tracked_job.progress.finish(progress.state, now_s=progress.ended_s)
+            self._close_job(tracked_job, progress.state.value)
         # The store's final state stands, also beside one that was reached here meanwhile.
-        self._settle(entry, entry.changes)
-        self._retire(entry)
+        self._release_stored_ends(tracked_job, tracked_job.changes)
+        self._drop_if_finished(tracked_job)
 
     def add_finished_job(self, job_id: str, progress: JobProgress) -> None:
         """Learn of a job that had ended before this scheduler began."""
@@ -174,54 +174,56 @@
     def delete_job(self, job_id: str) -> None:
         """Forget a job that the store no longer has."""
         self.finished_jobs.pop(job_id, None)
-        entry = self.entries.pop(job_id, None)
-        if entry is not None:
-            self._close(entry, "deleted")
+        tracked_job = self.entries.pop(job_id, None)
+        if tracked_job is not None:
+            self._close_job(tracked_job, "deleted")
             # Nothing of it will be stored any more that its ends could wait for.
-            self._settle(entry, entry.changes)
+            self._release_stored_ends(tracked_job, tracked_job.changes)
 
-    def open_due(self, entry: TrackedJob, wall_s: float) -> None:
+    def open_due(self, tracked_job: TrackedJob, wall_s: float) -> None:
         """Open the steps of all occurrences that are due."""
-        job = entry.job
-        while entry.next_occurrence < job.occurrences:
-            occurrence = entry.next_occurrence
+        job = tracked_job.job
+        while tracked_job.next_occurrence < job.occurrences:
+            occurrence = tracked_job.next_occurrence
             if job.repeats is not None and job.due_s(occurrence) > wall_s:
                 return
-            entry.next_occurrence += 1
+            tracked_job.next_occurrence += 1
             for number in range(len(job.steps)):
-                self._open_step(entry, occurrence, number)
+                self._open_step(tracked_job, occurrence, number)
         self.timed.discard(job.job_id)
 
-    def _open_step(self, entry: TrackedJob, occurrence: int, number: int) -> None:
-        job, progress = entry.job, entry.progress
+    def _open_step(self, tracked_job: TrackedJob, occurrence: int, number: int) -> None:
+        job, progress = tracked_job.job, tracked_job.progress
         key = (occurrence, number)
-        if key in entry.steps or progress.is_step_done(job, occurrence, number):
+        if key in tracked_job.steps or progress.is_step_done(job, occurrence, number):
             return
         earlier = job.steps[number].after
         if not all(progress.is_step_done(job, occurrence, before) for before in earlier):
             return
-        step = TrackedStep(tracked_job=entry, occurrence=occurrence, number=number)
+        step = TrackedStep(tracked_job=tracked_job, occurrence=occurrence, number=number)
         step.waiting = [
             index
             for index in range(step.step.count)
-            if not progress.is_done(step.name(index)) and step.name(index) not in entry.live
+            if not progress.is_done(step.name(index)) and step.name(index) not in tracked_job.live
         ]
-        entry.steps[key] = step
+        tracked_job.steps[key] = step
 
     def open_steps(self) -> Iterator[TrackedStep]:
         """Yield the steps with tasks that wait for a worker and may be started."""
         is_recovered = not self.pending_recovery
-        for entry in self.entries.values():
-            if entry.is_old and not is_recovered:
+        for tracked_job in self.entries.values():
+            if tracked_job.is_old and not is_recovered:
                 continue
-            for step in entry.steps.values():
+            for step in tracked_job.steps.values():
                 if step.waiting:
                     yield step
 
     def open_step(self, name: TaskName) -> TrackedStep | None:
         """Return a task's step, if its turn has come and it isn't done."""
-        entry = self.entries.get(name.job_id)
-        return entry.steps.get((name.occurrence, name.step)) if entry is not None else None
+        tracked_job = self.entries.get(name.job_id)
+        return (
+            tracked_job.steps.get((name.occurrence, name.step)) if tracked_job is not None else None
+        )
 
     def tasks_to_place(self, now_s: float, wall_s: float) -> Iterator[WaitingTasks]:
         """Yield the tasks that wait for a worker, and lasting ones that may soon, by their steps.
@@ -230,24 +232,24 @@
         until a silent worker's leases are out, offers its idle workers meanwhile; lasting tasks are
         kept off these for 3 s after they were taken back.
         """
-        for entry in self.entries.values():
-            for step in entry.steps.values():
+        for tracked_job in self.entries.values():
+            for step in tracked_job.steps.values():
                 if step.waiting:
                     yield WaitingTasks(step.step, len(step.waiting), step.is_hopeless(wall_s))
         for worker in self.workers.values():
-            if self._may_lose_lasting(worker, now_s):
+            if self._may_lose_lasting_tasks(worker, now_s):
                 for run in worker.runs.values():
                     if run.step.is_lasting:
                         yield WaitingTasks(run.step, 1, False)
 
-    def _may_lose_lasting(self, worker: Worker, now_s: float) -> bool:
-        is_well = worker.is_listed and now_s - worker.reported_s < FRESH_S
-        return not is_well or worker.view.is_draining
+    def _may_lose_lasting_tasks(self, worker: Worker, now_s: float) -> bool:
+        is_reporting = worker.is_listed and now_s - worker.reported_s < FRESH_REPORT_AGE_S
+        return not is_reporting or worker.view.is_draining
 
-    def _close(self, entry: TrackedJob, reason: str) -> None:
-        entry.steps.clear()
-        self.timed.discard(entry.job.job_id)
-        for runs in entry.live.values():
+    def _close_job(self, tracked_job: TrackedJob, reason: str) -> None:
+        tracked_job.steps.clear()
+        self.timed.discard(tracked_job.job.job_id)
+        for runs in tracked_job.live.values():
             for run in runs:
                 self.request_stop(run, reason)
 
@@ -255,36 +257,40 @@
 
     def dirty(self) -> list[TrackedJob]:
         """Return the jobs whose latest progress the store lacks."""
-        return [entry for entry in self.entries.values() if entry.is_dirty]
+        return [tracked_job for tracked_job in self.entries.values() if tracked_job.is_dirty]
 
     def stored(self, stored: StoredProgress) -> None:
         """Take note that progress was stored; ends that waited for it may be acknowledged."""
-        entry = self.entries.get(stored.job_id)
-        if entry is None:
+        tracked_job = self.entries.get(stored.job_id)
+        if tracked_job is None:
             return
-        entry.revision = max(entry.revision, stored.revision)
-        self._settle(entry, stored.changes)
-        self._retire(entry)
+        tracked_job.revision = max(tracked_job.revision, stored.revision)
+        self._release_stored_ends(tracked_job, stored.changes)
+        self._drop_if_finished(tracked_job)
 
-    def _retire(self, entry: TrackedJob) -> None:
+    def _drop_if_finished(self, tracked_job: TrackedJob) -> None:
         """Let go of a job that is over: decisions walk over the others only."""
-        job_id = entry.job.job_id
-        if entry.progress.state.is_final and not entry.is_dirty and not entry.live:
+        job_id = tracked_job.job.job_id
+        if (
+            tracked_job.progress.state.is_final
+            and not tracked_job.is_dirty
+            and not tracked_job.live
+        ):
             self.entries.pop(job_id, None)
             self.isolation.forget(job_id)
-            self.finished_jobs[job_id] = entry.progress.ended_s
+            self.finished_jobs[job_id] = tracked_job.progress.ended_s
 
-    def _settle(self, entry: TrackedJob, changes: int) -> None:
-        entry.stored_changes = max(entry.stored_changes, changes)
-        waiting = self._awaiting.get(entry.job.job_id, [])
+    def _release_stored_ends(self, tracked_job: TrackedJob, changes: int) -> None:
+        tracked_job.stored_changes = max(tracked_job.stored_changes, changes)
+        waiting = self._ends_awaiting_commit.get(tracked_job.job.job_id, [])
         for change, worker, number in waiting:
             if change <= changes:
                 worker.unsettled.discard(number)
-        left = [row for row in waiting if row[0] > changes]
+        left = [pending_end for pending_end in waiting if pending_end[0] > changes]
         if left:
-            self._awaiting[entry.job.job_id] = left
+            self._ends_awaiting_commit[tracked_job.job.job_id] = left
         else:
-            self._awaiting.pop(entry.job.job_id, None)
+            self._ends_awaiting_commit.pop(tracked_job.job.job_id, None)
 
     # ---- workers
 
@@ -300,13 +306,13 @@
 
     def replaced(self, worker_id: str, now_s: float, wall_s: float) -> None:
         """Learn that another incarnation has answered at a worker's address."""
-        self._replaced.add(worker_id)
+        self._replaced_worker_ids.add(worker_id)
         self.worker_ended(worker_id, "another incarnation", now_s, wall_s)
 
     def drop_replaced(self, listed: dict[str, WorkerView]) -> None:
         """Drop replaced workers from a list, on which they stand for seconds more."""
-        self._replaced.intersection_update(listed)
-        for worker_id in self._replaced:
+        self._replaced_worker_ids.intersection_update(listed)
+        for worker_id in self._replaced_worker_ids:
             del listed[worker_id]
 
     def keep_lasting_off(self, worker_id: str, until_s: float) -> None:
@@ -352,8 +358,10 @@
         if is_planned or worker.view.is_draining:
             self.crashes.worker_left(worker)
         else:
-            self.crashes.worker_ended(worker, wall_s, is_replaced=worker_id in self._replaced)
-        self._void_runs(worker, reason, now_s)
+            self.crashes.worker_ended(
+                worker, wall_s, is_replaced=worker_id in self._replaced_worker_ids
+            )
+        self._lapse_runs(worker, reason, now_s)
 
     def lapse(self, worker: Worker, now_s: float, wall_s: float) -> None:
         """Learn that a worker's lease has certainly run out: nothing runs there any more."""
@@ -366,9 +374,9 @@
         )
         worker.is_fenced = False
         self.crashes.worker_silent(worker, wall_s)
-        self._void_runs(worker, "lease out", now_s)
+        self._lapse_runs(worker, "lease out", now_s)
 
-    def _void_runs(self, worker: Worker, reason: str, now_s: float) -> None:
+    def _lapse_runs(self, worker: Worker, reason: str, now_s: float) -> None:
         for run in list(worker.runs.values()):
             self._log.line(
                 "run-lost",
@@ -399,81 +407,81 @@
         worker.clock_ms, worker.clock_at_s = report.clock_ms, now_s
         for end in report.ended:
             if end.number > worker.seen_ends:
-                self._end_learnt(worker, end, now_s, wall_s)
+                self._handle_end(worker, end, now_s, wall_s)
                 worker.seen_ends = end.number
         listed = set()
-        for row in report.running:
-            listed.add((row.name, row.run_id))
-            self._row_learnt(worker, row, now_s)
+        for running_task in report.running:
+            listed.add((running_task.name, running_task.run_id))
+            self._handle_running_task(worker, running_task, now_s)
         for run in [run for key, run in worker.runs.items() if key not in listed]:
-            self._not_listed(worker, run, sent_s, now_s)
+            self._handle_missing_run(worker, run, sent_s, now_s)
         worker.reported_s = now_s
         worker.closed_s = None
         self.isolation.answered(worker, now_s)
         self.recovered(worker.worker_id, "seen")
 
-    def _row_learnt(self, worker: Worker, row: RunningTask, now_s: float) -> None:
-        run = worker.runs.get((row.name, row.run_id))
+    def _handle_running_task(self, worker: Worker, running_task: RunningTask, now_s: float) -> None:
+        run = worker.runs.get((running_task.name, running_task.run_id))
         if run is None:
-            run = self._adopt(worker, row, now_s)
+            run = self._adopt(worker, running_task, now_s)
         if run.phase in (RunPhase.STARTING, RunPhase.UNANSWERED):
             run.enter(RunPhase.RUNNING, now_s)
-        if row.percent != run.percent:
+        if running_task.percent != run.percent:
             run.progressed_s = now_s
-        run.percent, run.figure, run.missing = row.percent, row.figure, 0
-        if row.checkpoint:
-            run.checkpoint = row.checkpoint
+        run.percent, run.figure, run.missing = running_task.percent, running_task.figure, 0
+        if running_task.checkpoint:
+            run.checkpoint = running_task.checkpoint
 
-    def _adopt(self, worker: Worker, row: RunningTask, now_s: float) -> Run:
+    def _adopt(self, worker: Worker, running_task: RunningTask, now_s: float) -> Run:
         """Take over a run that this term has not started; stop it where it should not be."""
-        entry = self.entries.get(row.name.job_id)
-        step = _step_of(entry, row.name)
+        tracked_job = self.entries.get(running_task.name.job_id)
+        step = _step_of(tracked_job, running_task.name)
         run = Run(
-            name=row.name,
-            run_id=row.run_id,
+            name=running_task.name,
+            run_id=running_task.run_id,
             step=step or UNKNOWN_STEP,
             worker_id=worker.worker_id,
             phase=RunPhase.RUNNING,
             since_s=now_s,
         )
         worker.add(run)
-        if entry is not None:
-            entry.add_run(run)
-        if entry is None or step is None or not self._may_adopt(entry, run):
+        if tracked_job is not None:
+            tracked_job.add_run(run)
+        if tracked_job is None or step is None or not self._may_adopt(tracked_job, run):
             self.request_stop(run, "stray")
             return run
-        step_entry = entry.steps.get((row.name.occurrence, row.name.step))
-        if step_entry is not None and row.name.number in step_entry.waiting:
-            step_entry.waiting.remove(row.name.number)
-        entry.runs[row.name] = run
-        self._note_begun(entry)
+        tracked_step = tracked_job.steps.get((running_task.name.occurrence, running_task.name.step))
+        if tracked_step is not None and running_task.name.number in tracked_step.waiting:
+            tracked_step.waiting.remove(running_task.name.number)
+        tracked_job.runs[running_task.name] = run
+        self._mark_job_running(tracked_job)
         self._log.line(
             "run-adopted",
-            id=row.name.job_id,
-            task=list(row.name[1:]),
-            run=row.run_id,
+            id=running_task.name.job_id,
+            task=list(running_task.name[1:]),
+            run=running_task.run_id,
             worker=worker.worker_id,
             token=self.token,
         )
         return run
 
-    def _may_adopt(self, entry: TrackedJob, run: Run) -> bool:
+    def _may_adopt(self, tracked_job: TrackedJob, run: Run) -> bool:
         """Whether a run counts; also one whose step has not opened here yet.
 
         The failure: two runs of one task at once. The ends that open a step may be told after a
         run of it is seen, and a run that was given up as a stray was started again meanwhile.
         """
-        is_over = entry.progress.state.is_final or entry.progress.is_done(run.name)
-        return not is_over and run.name not in entry.runs
+        is_over = tracked_job.progress.state.is_final or tracked_job.progress.is_done(run.name)
+        return not is_over and run.name not in tracked_job.runs
 
-    def _not_listed(self, worker: Worker, run: Run, sent_s: float, now_s: float) -> None:
+    def _handle_missing_run(self, worker: Worker, run: Run, sent_s: float, now_s: float) -> None:
         """Judge a run that a report does not list.
 
         The failure: a start without an answer may still be carried out, seconds later. Only a stop
         that was obeyed rules that out, since the worker then refuses the run; a report that was
         asked for after it, without the run, makes its absence certain.
         """
-        if run.phase in UNSENT_PHASES or run.phase_s >= sent_s:
+        if run.phase in START_PENDING_PHASES or run.phase_s >= sent_s:
             return
         if run.phase is RunPhase.STOPPED:
             self.crashes.survived(run)
@@ -482,7 +490,7 @@
             self.request_stop(run, "start-unanswered")
         elif run.phase is RunPhase.RUNNING:
             run.missing += 1
-            if run.missing >= MISSING_REPORTS:
+            if run.missing >= MISSING_REPORTS_BEFORE_STOP:
                 self.request_stop(run, "not-listed")
 
     # ---- runs
@@ -501,21 +509,21 @@
         )
         worker.add(run)
         step.waiting.remove(index)
-        entry = step.tracked_job
-        entry.runs[run.name] = run
-        entry.add_run(run)
-        self._note_begun(entry)
+        tracked_job = step.tracked_job
+        tracked_job.runs[run.name] = run
+        tracked_job.add_run(run)
+        self._mark_job_running(tracked_job)
         return run
 
-    def _note_begun(self, entry: TrackedJob) -> None:
-        if entry.progress.state is JobState.QUEUED:
-            entry.progress.state = JobState.RUNNING
-            entry.changes += 1
+    def _mark_job_running(self, tracked_job: TrackedJob) -> None:
+        if tracked_job.progress.state is JobState.QUEUED:
+            tracked_job.progress.state = JobState.RUNNING
+            tracked_job.changes += 1
 
     def next_run_id(self) -> int:
         """Return a run id that was never used."""
-        self._next_run += 1
-        return self._next_run
+        self._last_run_id += 1
+        return self._last_run_id
 
     def start_failed(self, run: Run, now_s: float) -> None:
         """Learn that a start was refused, so that the run does not exist."""
@@ -531,9 +539,9 @@
             run.stop_reason = reason
             self.runs_to_stop.add(run)
 
-    def _end_learnt(self, worker: Worker, end: EndedTask, now_s: float, wall_s: float) -> None:
+    def _handle_end(self, worker: Worker, end: EndedTask, now_s: float, wall_s: float) -> None:
         run = worker.runs.get((end.name, end.run_id))
-        entry = self.entries.get(end.name.job_id)
+        tracked_job = self.entries.get(end.name.job_id)
         self._log.line(
             "run-ended",
             id=end.name.job_id,
@@ -544,54 +552,64 @@
             ran_s=round(now_s - run.since_s, 3) if run is not None else None,
             token=self.token,
         )
-        is_known = entry is not None and _step_of(entry, end.name) is not None
-        if entry is not None and is_known and self._count_end(entry, worker, end, now_s, wall_s):
+        is_known = tracked_job is not None and _step_of(tracked_job, end.name) is not None
+        if (
+            tracked_job is not None
+            and is_known
+            and self._record_end(tracked_job, worker, end, now_s, wall_s)
+        ):
             worker.unsettled.add(end.number)
-            row = (entry.changes, worker, end.number)
-            self._awaiting.setdefault(entry.job.job_id, []).append(row)
+            pending_end = (tracked_job.changes, worker, end.number)
+            self._ends_awaiting_commit.setdefault(tracked_job.job.job_id, []).append(pending_end)
         if run is not None:
             self.crashes.survived(run)
             self._finish_run(worker, run, end.kind, end.checkpoint, now_s)
 
-    def _count_end(
-        self, entry: TrackedJob, worker: Worker, end: EndedTask, now_s: float, wall_s: float
+    def _record_end(
+        self, tracked_job: TrackedJob, worker: Worker, end: EndedTask, now_s: float, wall_s: float
     ) -> bool:
         """Put an end into its job's progress; return whether that must be stored."""
-        if entry.progress.state.is_final:
+        if tracked_job.progress.state.is_final:
             return False
         if end.kind is EndKind.DONE:
             worker.failed_jobs.clear()
             worker.avoid_until_s = 0.0
-            return self._task_done(entry, end.name, end.run_id, wall_s)
+            return self._record_done(tracked_job, end.name, end.run_id, wall_s)
         if end.kind is not EndKind.FAILED:
             return False
-        self._suspect(worker, entry.job.job_id, now_s)
-        entry.avoid[end.name] = entry.avoid.get(end.name, frozenset()) | {worker.worker_id}
-        if not entry.progress.note_failed(entry.job, end.name, end.run_id, now_s=wall_s):
+        self._note_failed_job(worker, tracked_job.job.job_id, now_s)
+        tracked_job.avoid[end.name] = tracked_job.avoid.get(end.name, frozenset()) | {
+            worker.worker_id
+        }
+        if not tracked_job.progress.note_failed(
+            tracked_job.job, end.name, end.run_id, now_s=wall_s
+        ):
             return False
-        entry.changes += 1
-        if entry.progress.state.is_final:
-            self._close(entry, "job-failed")
+        tracked_job.changes += 1
+        if tracked_job.progress.state.is_final:
+            self._close_job(tracked_job, "job-failed")
         return True
 
-    def _task_done(self, entry: TrackedJob, name: TaskName, run_id: int, wall_s: float) -> bool:
-        if entry.progress.is_done(name):
+    def _record_done(
+        self, tracked_job: TrackedJob, name: TaskName, run_id: int, wall_s: float
+    ) -> bool:
+        if tracked_job.progress.is_done(name):
             return False
-        current = entry.runs.get(name)
+        current = tracked_job.runs.get(name)
         if current is not None and current.run_id != run_id:
             self.request_stop(current, "done-elsewhere")
-        entry.progress.note_done(entry.job, name, now_s=wall_s)
-        entry.changes += 1
-        step = entry.steps.get((name.occurrence, name.step))
+        tracked_job.progress.note_done(tracked_job.job, name, now_s=wall_s)
+        tracked_job.changes += 1
+        step = tracked_job.steps.get((name.occurrence, name.step))
         if step is not None and name.number in step.waiting:
             step.waiting.remove(name.number)
-        if entry.progress.is_step_done(entry.job, name.occurrence, name.step):
-            entry.steps.pop((name.occurrence, name.step), None)
-            for number, later in enumerate(entry.job.steps):
+        if tracked_job.progress.is_step_done(tracked_job.job, name.occurrence, name.step):
+            tracked_job.steps.pop((name.occurrence, name.step), None)
+            for number, later in enumerate(tracked_job.job.steps):
                 if name.step in later.after:
-                    self._open_step(entry, name.occurrence, number)
-        if entry.progress.state.is_final:
-            self._close(entry, "completed")
+                    self._open_step(tracked_job, name.occurrence, number)
+        if tracked_job.progress.state.is_final:
+            self._close_job(tracked_job, "completed")
         return True
 
     def _finish_run(
@@ -602,32 +620,32 @@
         if worker.isolated is run:
             worker.isolated = None
         self.runs_to_stop.discard(run)
-        entry = self.entries.get(run.name.job_id)
-        if entry is None:
+        tracked_job = self.entries.get(run.name.job_id)
+        if tracked_job is None:
             return
         if run.step.is_checkpointed and (checkpoint or run.checkpoint):
-            entry.checkpoints[run.name] = checkpoint or run.checkpoint
-        entry.remove_run(run)
-        self._retire(entry)
-        step = entry.steps.get((run.name.occurrence, run.name.step))
+            tracked_job.checkpoints[run.name] = checkpoint or run.checkpoint
+        tracked_job.remove_run(run)
+        self._drop_if_finished(tracked_job)
+        step = tracked_job.steps.get((run.name.occurrence, run.name.step))
         is_waiting = step is not None and run.name.number in step.waiting
-        if step is None or is_waiting or run.name in entry.live:
+        if step is None or is_waiting or run.name in tracked_job.live:
             return
-        if not entry.progress.is_done(run.name):
+        if not tracked_job.progress.is_done(run.name):
             step.waiting.append(run.name.number)
 
-    def _suspect(self, worker: Worker, job_id: str, now_s: float) -> None:
+    def _note_failed_job(self, worker: Worker, job_id: str, now_s: float) -> None:
         worker.failed_jobs[job_id] = now_s
-        recent = [at for at in worker.failed_jobs.values() if now_s - at < SUSPECT_WINDOW_S]
-        if len(recent) < SUSPECT_JOBS:
+        recent = [at for at in worker.failed_jobs.values() if now_s - at < FAILED_JOBS_WINDOW_S]
+        if len(recent) < FAILED_JOBS_TO_AVOID_WORKER:
             return
-        worker.avoid_until_s = now_s + SUSPECT_S
+        worker.avoid_until_s = now_s + AVOID_WORKER_S
         self._log.line(
             "worker-suspected",
             worker=worker.worker_id,
             failed_jobs=len(recent),
-            window_s=SUSPECT_WINDOW_S,
-            for_s=SUSPECT_S,
+            window_s=FAILED_JOBS_WINDOW_S,
+            for_s=AVOID_WORKER_S,
         )
 
     # ---- counts
@@ -635,9 +653,9 @@
     def waiting_jobs(self) -> dict[str, int]:
         """Return for each queue the jobs for which no task has started."""
         counts: dict[str, int] = {}
-        for entry in self.entries.values():
-            if entry.progress.state is JobState.QUEUED:
-                queue = entry.job.policy.queue
+        for tracked_job in self.entries.values():
+            if tracked_job.progress.state is JobState.QUEUED:
+                queue = tracked_job.job.policy.queue
                 counts[queue] = counts.get(queue, 0) + 1
         return counts
 
@@ -651,21 +669,21 @@
         runs = step.tracked_job.runs
         names = (step.name(index) for index in range(step.step.count))
         others = [name for name in names if name != excluding.name]
-        return sum(1 for name in others if not self._is_at_work(runs.get(name), now_s))
+        return sum(1 for name in others if not self._is_serving(runs.get(name), now_s))
 
-    def _is_at_work(self, run: Run | None, now_s: float) -> bool:
+    def _is_serving(self, run: Run | None, now_s: float) -> bool:
         if run is None or not run.is_serving or run.is_stop_requested:
             return False
         worker = self.workers.get(run.worker_id)
-        if worker is None or now_s - worker.reported_s >= FRESH_S:
+        if worker is None or now_s - worker.reported_s >= FRESH_REPORT_AGE_S:
             return False
         is_adopted = run.run_id <= self.token * RUN_IDS_PER_EPOCH
-        return not is_adopted or worker.reported_s - run.since_s >= ADOPTED_S
+        return not is_adopted or worker.reported_s - run.since_s >= ADOPTED_RUN_CONFIRM_S
 
 
-def _step_of(entry: TrackedJob | None, name: TaskName) -> Step | None:
-    if entry is None or not 0 <= name.step < len(entry.job.steps):
+def _step_of(tracked_job: TrackedJob | None, name: TaskName) -> Step | None:
+    if tracked_job is None or not 0 <= name.step < len(tracked_job.job.steps):
         return None
-    step = entry.job.steps[name.step]
-    is_within = 0 <= name.number < step.count and 0 <= name.occurrence < entry.job.occurrences
+    step = tracked_job.job.steps[name.step]
+    is_within = 0 <= name.number < step.count and 0 <= name.occurrence < tracked_job.job.occurrences
     return step if is_within else None
