--- a/src/shallotworks/scheduling/__init__.py
+++ b/src/shallotworks/scheduling/__init__.py
@@ -1,8 +1,8 @@
 """Scheduling: which worker runs which task, in which order, under leases and fencing tokens.
 
-`ServiceScheduler` is one term of a service's scheduler; `LeaderElector` wins terms. What is decided
-stands in `DecisionEngine`, `Placement`, the order of work and pacing, which need no network. This
-package knows workers, machines and the store only through protocols.
+`LeaderElector` runs a `ServiceScheduler` for one epoch of each service whose lease it acquires.
+`DecisionEngine`, `Placement`, the task order and pacing decide without using the network. This
+package accesses workers, machines and the store only through protocols.
 """
 
 from ._active_workers import ActiveWorker, ActiveWorkersRecord, active_workers_key
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -1,4 +1,4 @@
-"""Carrying out decisions: orders to workers under leases, and looks at them."""
+"""Sends the scheduler's orders to workers under leases, and polls the workers."""
 
 from __future__ import annotations
 
@@ -27,23 +27,25 @@
 __all__ = ["OrderDispatcher", "OrderTimes"]
 
 MAX_CLOCK_SKEW_RATIO = 0.02
-"""How slow a worker's clock may be. Source: the platform's page on running tasks."""
+"""How slow a worker's clock may run. Source: the platform's page on running tasks."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderTimes:
-    """Times of orders and leases.
+    """Times of orders and leases, in seconds.
 
     Args:
-        lease_s: What runs on a worker ends this long after the last order that extended it. Long
-            enough for a successor to take over after a crash (2.5 s) and for an outage of the
-            store; short enough that tasks on a cut worker run again soon.
-        poll_wait_s: A look waits this long at the worker for an end.
-        answer_s: Time for an order's answer beyond its own wait: workers answer in milliseconds.
-        idle_poll_s: A worker with nothing to run is looked at this often, for its clock.
+        lease_s: All runs on a worker end this long after the last order that extended its lease.
+            Long enough for a successor to take over after a crash (2.5 s) and for an outage of the
+            store; short enough that tasks on an unreachable worker run again soon.
+        poll_wait_s: How long the worker holds a poll open until a run ends.
+        answer_s: Time for the answer to an order or poll, beyond the poll's own wait. Workers
+            answer in milliseconds.
+        idle_poll_s: Interval between polls of a worker without runs, which read its clock.
         full_lease_s: Leases are granted in full for this long after the last confirmed renewal of
-            the scheduler's key, and no lease ends later than one granted then. Three renewals; it
-            bounds how long a successor waits for a worker that it can't reach.
+            the scheduler's key; later ones are cut so that none ends after the last full one. It
+            spans three renewals, and bounds how long a successor waits for a worker that it can't
+            reach.
     """
 
     lease_s: float = 5.0
@@ -54,20 +56,21 @@
 
     @property
     def answer_overdue_s(self) -> float:
-        """A worker that has not answered for this long gets no longer lease."""
+        """A worker that has not answered a poll for this long gets no extension of its lease."""
         return self.poll_wait_s + self.answer_s
 
     @property
     def lease_horizon_s(self) -> float:
-        """Whatever runs ends this long after the last confirmed renewal of the scheduler's key."""
+        """All runs end this long after the last confirmed renewal of the scheduler's key."""
         return self.lease_s + self.full_lease_s
 
     @property
     def recovery_s(self) -> float:
-        """Time after which whatever an earlier term started on an unseen worker has ended.
+        """Time after which all runs of earlier epochs have ended on a worker that has not answered.
 
-        Its key was confirmed for the last time before this term's came to be. Workers' clocks may
-        be slow, and are reckoned from answers as old as the pause between looks.
+        The last renewal of an earlier epoch's key was confirmed before this epoch's key was
+        created. The margin allows for slow clocks of workers, which are extrapolated from answers
+        that may be as old as the interval between polls.
         """
         skew_s = MAX_CLOCK_SKEW_RATIO * (
             self.lease_horizon_s + self.idle_poll_s + self.answer_overdue_s
@@ -80,30 +83,31 @@
 PAUSE_AFTER_UNHEALTHY_S = 1.0
 PAUSE_AFTER_NO_ROOM_S = 0.3
 MIN_ISOLATED_POLL_WAIT_S = 0.02
-"""The least that a look waits at a worker which has to outlive a start in isolation."""
+"""Shortest wait of a poll at a worker that has to survive the start of an isolated run."""
 CLOSED_CONNECTION_WITHIN_S = 0.5
-"""A look that gets no answer this soon has not timed out: its connection was closed or refused."""
+"""A poll that fails within this time after its wait has not timed out: its connection was closed or
+refused."""
 _NO_ANSWER_STATUSES = (OrderStatus.UNANSWERED, OrderStatus.UNSENT)
 POLL_PAUSE_S = 0.3
-"""A look is held back this long for ends whose record is being stored: the worker would answer it
-at once with the same ends."""
+"""Pause before the next poll of a worker after a failed poll, while the scheduler may give no
+orders, or until reported ends are stored: the worker would answer at once with the same ends."""
 
 
 class OrderDispatcher:
-    """Sends orders and teaches the board what came of them.
+    """Sends orders and records their outcomes in the scheduler's state.
 
     Args:
-        scheduler_state: What is known.
-        lease: Whether orders may be given, asked before each.
-        orders: Sends them.
+        scheduler_state: Jobs, workers and runs.
+        lease: The lease on the scheduler's key, which must be valid before each order.
+        orders: Client that sends the orders.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
-        times: Times.
-        may_use: Whether a successor will know that tasks may run on a worker, by its id; without
-            that none is granted a lease there.
-        log: One line for each order.
+        times: Times of orders and leases.
+        may_use: Returns whether the stored record of active workers has a worker, by its id. Only
+            then does a successor know that tasks may run there, and a lease may be granted.
+        log: Gets a line for each order.
         metrics: Counters and latencies.
-        on_progress: Called when a job's progress has changed.
+        on_progress: Called after each poll's report, which may have changed jobs' progress.
     """
 
     __slots__ = (
@@ -152,31 +156,32 @@
         self._poll_tasks: dict[str, asyncio.Task[None]] = {}
         self._in_flight: set[asyncio.Task[None]] = set()
 
-    # ---- for the term
+    # ---- used by the service scheduler
 
     def wake(self) -> None:
-        """Say that there is news to decide on, which may concern any worker."""
+        """Request a new decision, after a change that may concern any worker."""
         self._state_changed.set()
         for worker in self._scheduler_state.workers.values():
             self._request_poll(worker)
 
     def _request_poll(self, worker: Worker) -> None:
-        """Have a worker looked at, if its follower waits for a reason to."""
+        """Wake the polling task of a worker, if there is a reason to poll it now."""
         event = self._poll_events.get(worker.worker_id)
         if event is not None and self._needs_poll(worker):
             event.set()
 
     def _wake_for_worker(self, worker: Worker) -> None:
-        """Say that there is news of one worker.
+        """Request a new decision, after a change that concerns one worker.
 
-        Starts are answered hundreds of times a second in a turn: each concerns its worker alone.
+        Under a burst of jobs, hundreds of starts are answered in a second. Each concerns only its
+        worker, so the other workers' polling tasks are not woken.
         """
         self._state_changed.set()
         self._request_poll(worker)
 
     async def wait(self, longest_s: float) -> None:
-        """Wait for news."""
-        # Not `wait_for`, which loses a cancellation that comes with the news.
+        """Wait until the state has changed, but no longer than ``longest_s``."""
+        # Not `wait_for`, which loses a cancellation that arrives together with the event.
         try:
             async with asyncio.timeout(longest_s):
                 await self._state_changed.wait()
@@ -186,7 +191,7 @@
             self._state_changed.clear()
 
     def sync_workers(self) -> None:
-        """Begin to follow workers that are new on the board."""
+        """Start polling tasks for new workers, and cancel those of workers that have ended."""
         for worker_id, worker in self._scheduler_state.workers.items():
             task = self._poll_tasks.get(worker_id)
             if task is None or task.done():
@@ -211,22 +216,22 @@
             self._spawn(self._pace(decision))
 
     async def settle(self, longest_s: float) -> None:
-        """Wait for the orders in flight."""
+        """Wait for the orders in flight, but no longer than ``longest_s``."""
         if self._in_flight:
             await asyncio.wait(list(self._in_flight), timeout=longest_s)
 
     def stop_polling(self) -> None:
-        """Look at no worker any more, so that the board learns of no further ends.
+        """Stop polling workers, so that no further ends are recorded.
 
-        The failure: an end that is learnt while the last progress is being stored is on the board
-        and not in the store when the key is given back. Not learnt, it stays with its worker, which
-        tells it to the successor.
+        An end that is recorded while the last progress is being stored would be missing in the
+        store when the key is released. An end that is not recorded stays with its worker, which
+        reports it to the successor.
         """
         for task in self._poll_tasks.values():
             task.cancel()
 
     def close(self) -> None:
-        """Stop looking, and give up the orders in flight."""
+        """Stop polling, and cancel the orders in flight."""
         self.stop_polling()
         for task in self._in_flight:
             task.cancel()
@@ -239,9 +244,9 @@
     def _on_order_task_done(self, task: asyncio.Task[None]) -> None:
         self._in_flight.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._lease.mark_lost(f"a fault: {task.exception()!r}")
+            self._lease.mark_lost(f"unexpected error: {task.exception()!r}")
 
-    # ---- looks
+    # ---- polls
 
     async def _poll_repeatedly(self, worker: Worker) -> None:
         try:
@@ -252,7 +257,7 @@
                     continue
                 await self._poll(worker)
         except Exception as error:
-            self._lease.mark_lost(f"a fault: {error!r}")
+            self._lease.mark_lost(f"unexpected error: {error!r}")
             raise
 
     async def _await_poll_reason(self, worker: Worker) -> None:
@@ -309,11 +314,11 @@
         self._state_changed.set()
 
     def _may_extend_lease(self, worker: Worker, now_s: float) -> bool:
-        """Whether a look may extend the worker's lease.
+        """Return whether a poll may extend the worker's lease.
 
-        The failure: a worker that died silently, and whose tasks are never started again, since
-        each look that it does not answer might have extended its lease. A look is answered within
-        its wait, so after one that was not, leases are left to run out until one is answered.
+        Each poll without an answer might have extended the lease. If polls of a worker that died
+        silently went on to do so, its tasks would never be started again. A poll is answered within
+        its wait, so after one without an answer the lease is not extended until one is answered.
         """
         return bool(worker.runs) and now_s - worker.reported_s < self._times.answer_overdue_s
 
@@ -329,7 +334,7 @@
         if not worker.is_fenced or worker.unsettled or not worker.clock_ms:
             return True
         if self._clock() - worker.reported_s >= self._times.answer_overdue_s:
-            # Until it has answered, its lease is not extended.
+            # Its lease is not extended until it has answered.
             return True
         awaited_phases = (RunPhase.UNANSWERED, RunPhase.STOPPED)
         return not worker.runs or any(run.phase in awaited_phases for run in worker.runs.values())
@@ -349,14 +354,18 @@
         self._state_changed.set()
 
     def _extend_lease(self, worker: Worker, sent_s: float) -> int | None:
-        """Return the end of a new lease on the worker's clock, and note when it has surely ended.
+        """Extend a worker's lease, and record when it has certainly expired.
 
-        The failure that the horizon guards against: a scheduler that is cut off from the store goes
-        on granting full leases, and its successor has to wait that much longer for each worker that
+        The horizon bounds leases of a scheduler that is cut off from the store. If it went on
+        granting full leases, its successor would have to wait that much longer for each worker that
         it can't reach.
 
-        The worker's clock is reckoned from its last answer, so the reckoning is early by the way
-        back and late by what the clock loses; the end noted here allows for both.
+        The worker's clock is extrapolated from its last answer. The estimate is early by the delay
+        of that answer, and late by what the clock has lost since; the recorded end allows for both.
+
+        Returns:
+            The end of the lease in milliseconds on the worker's clock, or ``None`` if no lease may
+            be granted.
         """
         if not worker.clock_ms or not self._may_use(worker.worker_id):
             return None
@@ -371,7 +380,10 @@
         return worker.clock_ms + int((age_s + lease_s) * 1000)
 
     def _handle_fenced_or_gone(self, worker: Worker, outcome: OrderOutcome) -> bool:
-        """Handle what ends more than one order; return whether it was that."""
+        """Handle an outcome that ends this epoch or the worker; return whether it was one.
+
+        After ``FENCED`` the scheduler's lease is lost; after ``GONE`` the worker has ended.
+        """
         if outcome.status is OrderStatus.FENCED:
             self._lease.mark_lost(f"a later scheduler has fenced {worker.worker_id}")
             return True
@@ -437,7 +449,7 @@
     def _handle_refused_start(
         self, worker: Worker, run: Run, status: OrderStatus, now_s: float
     ) -> None:
-        """Learn from a start that was not carried out what the next one has to wait for."""
+        """Delay or prepare the next start according to why the worker refused this one."""
         step = self._scheduler_state.open_step(run.name)
         if status is OrderStatus.TOO_LATE:
             worker.is_fenced = False
@@ -499,7 +511,10 @@
 
 
 async def _wait(event: asyncio.Event, longest_s: float, until: Callable[[], bool]) -> None:
-    """Wait until the condition holds, asked whenever the event is set, or the time is over."""
+    """Wait until the condition holds, but no longer than ``longest_s``.
+
+    The condition is checked at first and whenever the event is set.
+    """
     loop = asyncio.get_running_loop()
     ends_s = loop.time() + longest_s
     while not until() and loop.time() < ends_s:
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -1,4 +1,4 @@
-"""Storing the progress of jobs, several in one commit, before ends are acknowledged."""
+"""Stores the progress of jobs, several in one commit, before workers' ends are acknowledged."""
 
 from __future__ import annotations
 
@@ -19,32 +19,33 @@
 __all__ = ["ProgressWriter"]
 
 COMMIT_PAUSE_S = 0.02
-"""Left between commits of progress, so that ends which come close together share one."""
+"""Pause between commits of progress, so that ends that arrive close together share a commit."""
 STORE_RETRY_S = 0.1
 MAX_COMMIT_ENTRIES = 32
-"""Conditions, writes and deletions of a commit. Source: the platform's page on its store, read
-strictly, for all lists together."""
+"""Most conditions, writes and deletions of a commit, all counted together, which is the strict
+reading of the limit. Source: the platform's page on its store."""
 MAX_CONCURRENT_COMMITS = 4
-"""Commits in flight at once. The load: in a turn 800 tasks end in a second, each of them the news
-of another job, and one commit after the other takes 15 jobs in 30 ms. What is not stored is not
-acknowledged, and meanwhile its worker isn't looked at."""
+"""In a burst, 800 tasks of as many jobs end in a second, but commits one after the other store only
+15 jobs in 30 ms. Ends that are not stored are not acknowledged, and meanwhile polls of their
+workers are held back."""
 
 
 class ProgressWriter:
-    """Stores what a board has learnt of its jobs.
+    """Stores the progress of jobs in a scheduler's state.
 
-    Each commit demands that the scheduler's key is still its own and that nobody else has written
-    the jobs' progress meanwhile, as a caller's cancel does; then it learns what was written. With a
-    final state the job's own record goes, which only running it needs: a successor then reads 0.1
-    KB for a job that is over instead of 3 KB.
+    Each commit is conditional on the scheduler's key being still its own, and on the progress
+    records being unchanged, which a caller's cancel writes too. After a conflict the current
+    records are applied to the scheduler's state. With a final state the commit deletes the job's
+    own record, which is needed only to run the job: a successor then reads 0.1 KB for a finished
+    job instead of 3 KB.
 
     Args:
-        scheduler_state: What is known.
-        lease: The scheduler's key.
+        scheduler_state: Jobs, workers and runs.
+        lease: The lease on the scheduler's key.
         store: The store.
-        log: Failures and conflicts.
+        log: Gets failures and conflicts.
         metrics: Counters.
-        on_stored: Called after each commit.
+        on_stored: Called after each commit and each conflict, unless the lease is lost.
     """
 
     __slots__ = (
@@ -81,7 +82,7 @@
         self.wake = asyncio.Event()
         """Set when progress has changed."""
         self._all_stored = asyncio.Event()
-        """Set while the store has all that was to be stored at the last change."""
+        """Set when `run` has nothing left to store or the lease is lost, until progress changes."""
 
     async def run(self) -> None:
         """Store progress as it changes, until cancelled."""
@@ -97,10 +98,10 @@
             self._all_stored.set()
 
     async def settle(self, longest_s: float) -> None:
-        """Wait until the store has all that is known, but no longer than this.
+        """Wait until all progress is stored, but no longer than ``longest_s``.
 
-        A term that is stopped between two commits would leave tasks that have ended to be waited
-        for by its successor, until that has seen their workers.
+        If an epoch stopped between two commits, its successor would have to wait for tasks that
+        have ended, until their workers have answered it.
         """
         self._all_stored.clear()
         self.wake.set()
@@ -158,7 +159,7 @@
         own = current.get(self._lease.key)
         if own is None or own.revision != self._lease.token:
             self._is_lease_lost = True
-            self._lease.mark_lost("its key is gone or another's")
+            self._lease.mark_lost("its key was deleted or is held by another scheduler")
             return
         for key, tracked_job in keys.items():
             item = current.get(key)
@@ -175,7 +176,7 @@
 
 
 def _batches(dirty: list[TrackedJob]) -> list[list[TrackedJob]]:
-    """Return the first jobs by commits, as many as fit into each beside the scheduler's key."""
+    """Return the jobs for the next commits, as many for each as fit beside the key's condition."""
     batches: list[list[TrackedJob]] = [[]]
     used = 1
     for tracked_job in dirty:
--- a/src/shallotworks/scheduling/_protocols.py
+++ b/src/shallotworks/scheduling/_protocols.py
@@ -1,4 +1,4 @@
-"""What the scheduler needs of the world around it."""
+"""Protocols of the scheduler's dependencies: workers, discovery, machines and maintenance."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class WorkerOrders(Protocol):
-    """Gives orders to workers, each for one incarnation and under a fencing token."""
+    """Sends orders to workers, each to one incarnation and with a fencing token."""
 
     async def poll(
         self,
@@ -39,15 +39,16 @@
         wait_s: float,
         timeout_s: float,
     ) -> OrderOutcome:
-        """Ask what runs and what has ended, and extend the lease of all that runs.
+        """Poll a worker for its running and ended tasks, and extend the lease of all its runs.
 
         Args:
             worker: The worker.
             token: The fencing token.
-            acknowledged: Ends up to this number may be forgotten.
-            lease_until_ms: On the worker's clock; ``None`` to leave the lease as it is.
-            wait_s: How long the worker waits for an end.
-            timeout_s: Time for the whole call.
+            acknowledged: The worker may forget ends up to this number.
+            lease_until_ms: The new end of the lease in milliseconds on the worker's clock;
+                ``None`` leaves the lease as it is.
+            wait_s: How long the worker waits for a task to end before it answers.
+            timeout_s: Time limit of the whole call.
         """
         ...
 
@@ -62,12 +63,12 @@
         ...
 
     async def pace(self, worker: WorkerView, order: PaceOrder, *, token: int) -> OrderOutcome:
-        """Let a run work at a share of its speed."""
+        """Set the share of its full speed at which a run works."""
         ...
 
 
 class WorkerDirectory(Protocol):
-    """The workers that discovery lists."""
+    """Workers that discovery lists."""
 
     def workers_of(self, service: str) -> dict[str, WorkerView]:
         """Return the listed workers of a service by id."""
@@ -75,12 +76,12 @@
 
     @property
     def is_synced(self) -> bool:
-        """Whether the list was read whole."""
+        """Whether the list has been read completely."""
         ...
 
     @property
     def version(self) -> int:
-        """Rises with each change of the list."""
+        """A number that rises with each change of the list."""
         ...
 
 
@@ -89,8 +90,8 @@
     """Answer of the advice service.
 
     Args:
-        tickets: The ticket of each worker that may run the step.
-        valid_s: How long they may be used.
+        tickets: Tickets by the ids of the workers that may run the step.
+        valid_s: How long the tickets may be used, in seconds.
     """
 
     tickets: dict[str, str]
@@ -98,18 +99,18 @@
 
 
 class AdviceService(Protocol):
-    """Knows which workers may run a step of some queues."""
+    """Decides which workers may run the steps of jobs in some queues."""
 
     async def ask(
         self, step: tuple[str, int, int], worker_ids: tuple[str, ...]
     ) -> Result[Permits, Failure]:
-        """Ask which of some workers may run a step."""
+        """Ask which of the given workers may run a step."""
         ...
 
 
 @unique
 class MachineState(Enum):
-    """States of a machine."""
+    """State of a machine."""
 
     UP = "up"
     MOVING = "moving"
@@ -119,13 +120,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Machine:
-    """A machine, which outlives the incarnations of workers on it.
+    """A machine, on which one incarnation of a worker after another runs.
 
     Args:
-        name: Its name.
-        pool: The service whose pool it is in.
-        state: Its state.
-        worker_id: The worker on it; empty for none.
+        name: Name of the machine.
+        pool: The service whose pool the machine is in.
+        state: State of the machine.
+        worker_id: The worker on the machine; empty for none.
     """
 
     name: str
@@ -136,18 +137,18 @@
 
 @unique
 class MachineOrderStatus(Enum):
-    """What became of an order for a machine."""
+    """Outcome of an order for a machine."""
 
     OBEYED = "obeyed"
     FENCED = "fenced"
     BUSY = "busy"
     NOT_IN_WAVE = "not-in-wave"
     MISFIT = "misfit"
-    """There is no such machine, or it can't be in that pool."""
+    """There is no such machine, or the machine can't be in that pool."""
     REFUSED = "refused"
-    """Nothing was done; it may be asked again."""
+    """Nothing was done; the order may be repeated."""
     UNANSWERED = "unanswered"
-    """It may have been carried out."""
+    """The order may have been carried out."""
 
 
 class Machines(Protocol):
@@ -158,23 +159,23 @@
         ...
 
     async def start_maintenance(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
-        """Take a machine down for its upkeep; all that runs there ends at once."""
+        """Take a machine down for maintenance, which ends all runs there at once."""
         ...
 
     async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
-        """Move a machine into another service's pool; all that runs there ends at once."""
+        """Move a machine into another service's pool, which ends all runs there at once."""
         ...
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MaintenanceWave:
-    """A wave of upkeep that the operators ask for.
+    """A wave of machine maintenance that operators have requested.
 
     Args:
-        wave: Its number.
-        machines: The machines that are due.
-        duration_s: Time for all of them.
-        most_at_once: Machines that may be down for it at the same time.
+        wave: Number of the wave.
+        machines: Names of the machines to maintain.
+        duration_s: Time limit of the whole wave, in seconds.
+        most_at_once: How many of the machines may be down for the wave at the same time.
     """
 
     wave: int
@@ -184,16 +185,16 @@
 
 
 class MaintenanceSchedule(Protocol):
-    """The waves that operators ask for, and where their state is told."""
+    """Maintenance waves that operators have requested, and the record of their state."""
 
     def waves(self) -> tuple[MaintenanceWave, ...]:
-        """Return all waves."""
+        """Return all requested waves."""
         ...
 
     def status_key(self, wave: int) -> str:
-        """Return the key under which a wave's state is told."""
+        """Return the store's key of a wave's state."""
         ...
 
     def encode_status(self, is_completed: bool) -> bytes:
-        """Return a wave's state as the operators read it."""
+        """Return a wave's state in the form that operators read."""
         ...
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -1,4 +1,4 @@
-"""All that the scheduler of one service knows, and how it learns it, without network or clock."""
+"""State of one service's scheduler: its jobs, workers and runs; uses no network and no clock."""
 
 from __future__ import annotations
 
@@ -29,33 +29,37 @@
 __all__ = ["RUN_IDS_PER_EPOCH", "SchedulerState", "StoredProgress", "WaitingTasks"]
 
 RUN_IDS_PER_EPOCH = 1_000_000
-"""Run ids begin at the term's fencing token times this, so that a successor's are higher than all
-that its predecessors gave out without knowing the last one."""
+"""Run ids of an epoch begin at its fencing token times this, so that they are higher than all ids
+of earlier epochs, although the scheduler does not know the last of these."""
 MISSING_REPORTS_BEFORE_STOP = 2
-"""Reports without a run that runs, after which it is stopped: answers overtake each other."""
+"""A running task that this many reports of its worker do not list is stopped. One report is not
+enough, since answers can arrive out of order."""
 FAILED_JOBS_TO_AVOID_WORKER = 2
 FAILED_JOBS_WINDOW_S = 6.0
 AVOID_WORKER_S = 6.0
-"""A worker on which two jobs failed with nothing done between them is used last for this long:
-troubles of single workers last 5 to 7 s."""
+"""A worker on which `FAILED_JOBS_TO_AVOID_WORKER` jobs failed within `FAILED_JOBS_WINDOW_S`, with
+no task done in between, is the last choice for this long. Faults of single workers last 5 to 7 s.
+"""
 MAX_TRACKED_ARRIVALS = 1_000
 FRESH_REPORT_AGE_S = 2.0
-"""A worker that runs lasting tasks reports once a second; one silent for longer may be dead.
-A task counts as away after 4.5 s (source: the platform's settings)."""
+"""A worker that runs lasting tasks reports once a second; one whose last report is older than this
+may be dead. The platform counts a task as unavailable after 4.5 s.
+Source: the platform's settings."""
 ADOPTED_RUN_CONFIRM_S = 0.5
-"""A run that an earlier scheduler has stopped is listed at work for 0.2 s more (source: the
-platform's settings); an adopted one that is reported at work this long after was not stopped."""
+"""An adopted run counts as serving once its worker reports it this long after the adoption. A run
+that an earlier scheduler has stopped is listed as serving for only 0.2 s more.
+Source: the platform's settings."""
 START_PENDING_PHASES = (RunPhase.RESERVED, RunPhase.STARTING)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoredProgress:
-    """Progress that the store has taken.
+    """Progress of a job that the store has committed.
 
     Args:
-        job_id: Whose.
-        changes: Up to which change.
-        revision: The store's revision of it.
+        job_id: The job.
+        changes: Number of the job's latest change that the commit includes.
+        revision: The store's revision of the progress record.
     """
 
     job_id: str
@@ -64,7 +68,7 @@
 
 
 class WaitingTasks(NamedTuple):
-    """Tasks of a step that wait for a worker, and whether their job can't be in time any more."""
+    """Tasks of a step that wait for a worker, and whether their job can't meet its objective."""
 
     step: Step
     tasks: int
@@ -72,12 +76,12 @@
 
 
 class SchedulerState:
-    """Jobs, workers and runs of one service during one term of its scheduler.
+    """Jobs, workers and runs of one service, as known in one epoch of its scheduler.
 
     Args:
         service: The service.
-        token: The term's fencing token.
-        log: One line for each end of a run and each change of what is believed of a worker.
+        token: The epoch's fencing token.
+        log: Gets a line for each end of a run and each change in a worker's state.
     """
 
     __slots__ = (
@@ -105,19 +109,19 @@
         self._log = log
         self._last_run_id = token * RUN_IDS_PER_EPOCH
         self.entries: dict[str, TrackedJob] = {}
-        """Jobs that are open, or whose end is not stored yet, or of which a run may be alive."""
+        """Jobs that have not ended, whose end is not stored, or with a run that may be alive."""
         self.finished_jobs: dict[str, float] = {}
-        """Jobs whose final state is stored, with the time of day at which they reached it."""
+        """Jobs whose final state is stored, with the time of day in seconds at which they ended."""
         self.workers: dict[str, Worker] = {}
         self.runs_to_stop: set[Run] = set()
-        """Runs that are to be stopped, until their end is certain."""
+        """Runs that must be stopped, each until its end is certain."""
         self.timed: set[str] = set()
         """Jobs with occurrences that are not due yet."""
         self.pending_recovery: dict[str, float] = {}
-        """Workers that may run tasks of earlier terms and were not seen yet, with the time after
-        which whatever they ran has ended."""
+        """Workers that may run tasks of earlier epochs and have not answered this scheduler, with
+        the time on the scheduler's clock after which all these tasks have ended."""
         self.arrivals: deque[Arrival] = deque(maxlen=MAX_TRACKED_ARRIVALS)
-        """Time of day and core-seconds of the latest jobs."""
+        """Time of day in seconds and estimated work in core-seconds of the latest jobs."""
         self._ends_awaiting_commit: dict[str, list[tuple[int, Worker, int]]] = {}
         self.crashes = CrashBlame(
             entries=self.entries,
@@ -130,16 +134,16 @@
             entries=self.entries, workers=self.workers, blame=self.crashes, log=log
         )
         self._replaced_worker_ids: set[str] = set()
-        """Incarnations that another one has replaced, as long as they are listed."""
+        """Incarnations that another one has replaced, for as long as discovery lists them."""
         self._lasting_from_s: dict[str, float] = {}
-        """Workers that are not on the board yet; see `keep_lasting_off`."""
+        """Values of `Worker.lasting_from_s` for workers that are not in `workers` yet."""
 
     # ---- jobs
 
     def add_job(
         self, job: Job, progress: JobProgress, *, revision: int, is_old: bool, wall_s: float
     ) -> None:
-        """Learn of a job and its progress."""
+        """Add a job from the store with its progress, unless it is known already."""
         if job.job_id in self.entries or job.job_id in self.finished_jobs:
             return
         if progress.state.is_final:
@@ -153,7 +157,7 @@
         self.open_due(tracked_job, wall_s)
 
     def update_progress(self, job_id: str, progress: JobProgress, revision: int) -> None:
-        """Learn that a job's progress was written, by this scheduler or by a caller's cancel."""
+        """Record that a job's progress was written, by this scheduler or by a caller's cancel."""
         tracked_job = self.entries.get(job_id)
         if tracked_job is None or revision <= tracked_job.revision:
             return
@@ -163,21 +167,21 @@
         if not tracked_job.progress.state.is_final:
             tracked_job.progress.finish(progress.state, now_s=progress.ended_s)
             self._close_job(tracked_job, progress.state.value)
-        # The store's final state stands, also beside one that was reached here meanwhile.
+        # The stored final state wins: one that this scheduler has reached meanwhile is not stored.
         self._release_stored_ends(tracked_job, tracked_job.changes)
         self._drop_if_finished(tracked_job)
 
     def add_finished_job(self, job_id: str, progress: JobProgress) -> None:
-        """Learn of a job that had ended before this scheduler began."""
+        """Add a job that had ended before this scheduler's epoch began."""
         self.finished_jobs[job_id] = progress.ended_s
 
     def delete_job(self, job_id: str) -> None:
-        """Forget a job that the store no longer has."""
+        """Remove a job that the store no longer has."""
         self.finished_jobs.pop(job_id, None)
         tracked_job = self.entries.pop(job_id, None)
         if tracked_job is not None:
             self._close_job(tracked_job, "deleted")
-            # Nothing of it will be stored any more that its ends could wait for.
+            # No later commit will include this job, so its ends can't wait for one.
             self._release_stored_ends(tracked_job, tracked_job.changes)
 
     def open_due(self, tracked_job: TrackedJob, wall_s: float) -> None:
@@ -209,7 +213,10 @@
         tracked_job.steps[key] = step
 
     def open_steps(self) -> Iterator[TrackedStep]:
-        """Yield the steps with tasks that wait for a worker and may be started."""
+        """Yield the steps with waiting tasks that may be started.
+
+        Jobs of earlier epochs are left out until all workers have been recovered.
+        """
         is_recovered = not self.pending_recovery
         for tracked_job in self.entries.values():
             if tracked_job.is_old and not is_recovered:
@@ -219,18 +226,19 @@
                     yield step
 
     def open_step(self, name: TaskName) -> TrackedStep | None:
-        """Return a task's step, if its turn has come and it isn't done."""
+        """Return a task's step, or ``None`` if the step is not open or is done."""
         tracked_job = self.entries.get(name.job_id)
         return (
             tracked_job.steps.get((name.occurrence, name.step)) if tracked_job is not None else None
         )
 
     def tasks_to_place(self, now_s: float, wall_s: float) -> Iterator[WaitingTasks]:
-        """Yield the tasks that wait for a worker, and lasting ones that may soon, by their steps.
+        """Yield the waiting tasks by step, and lasting tasks that may soon have to be moved.
 
-        The failure: a pool that has to see all workers before it starts earlier jobs, or to wait
-        until a silent worker's leases are out, offers its idle workers meanwhile; lasting tasks are
-        kept off these for 3 s after they were taken back.
+        Without these, a pool that waits for answers of all workers before it starts earlier jobs,
+        or that waits for the leases of a silent worker to run out, would offer its idle workers to
+        other pools. Lasting tasks are not placed on an offered worker until 3 s after the offer was
+        withdrawn.
         """
         for tracked_job in self.entries.values():
             for step in tracked_job.steps.values():
@@ -253,14 +261,14 @@
             for run in runs:
                 self.request_stop(run, reason)
 
-    # ---- what the store has
+    # ---- stored progress
 
     def dirty(self) -> list[TrackedJob]:
-        """Return the jobs whose latest progress the store lacks."""
+        """Return the jobs whose latest progress is not stored."""
         return [tracked_job for tracked_job in self.entries.values() if tracked_job.is_dirty]
 
     def stored(self, stored: StoredProgress) -> None:
-        """Take note that progress was stored; ends that waited for it may be acknowledged."""
+        """Record that progress was stored, so that the ends in it may be acknowledged."""
         tracked_job = self.entries.get(stored.job_id)
         if tracked_job is None:
             return
@@ -269,7 +277,7 @@
         self._drop_if_finished(tracked_job)
 
     def _drop_if_finished(self, tracked_job: TrackedJob) -> None:
-        """Let go of a job that is over: decisions walk over the others only."""
+        """Remove a job from the ones to decide on if it is final and stored and has no live run."""
         job_id = tracked_job.job.job_id
         if (
             tracked_job.progress.state.is_final
@@ -295,7 +303,7 @@
     # ---- workers
 
     def update_worker(self, view: WorkerView) -> None:
-        """Learn of a worker, or that what is known of it has changed."""
+        """Add a worker, or update what discovery says of it."""
         worker = self.workers.get(view.worker_id)
         if worker is None:
             worker = self.workers[view.worker_id] = Worker(view=view)
@@ -305,18 +313,18 @@
         worker.is_listed = True
 
     def replaced(self, worker_id: str, now_s: float, wall_s: float) -> None:
-        """Learn that another incarnation has answered at a worker's address."""
+        """Record that a worker has ended, since another incarnation answered at its address."""
         self._replaced_worker_ids.add(worker_id)
         self.worker_ended(worker_id, "another incarnation", now_s, wall_s)
 
     def drop_replaced(self, listed: dict[str, WorkerView]) -> None:
-        """Drop replaced workers from a list, on which they stand for seconds more."""
+        """Remove replaced workers from ``listed``: discovery lists them for some seconds more."""
         self._replaced_worker_ids.intersection_update(listed)
         for worker_id in self._replaced_worker_ids:
             del listed[worker_id]
 
     def keep_lasting_off(self, worker_id: str, until_s: float) -> None:
-        """Place no lasting task on a worker before then, also if it is not on the board yet."""
+        """Place no lasting task on a worker before ``until_s``, also if it is added later."""
         worker = self.workers.get(worker_id)
         if worker is None:
             self._lasting_from_s[worker_id] = until_s
@@ -324,27 +332,27 @@
             worker.lasting_from_s = until_s
 
     def mark_unlisted(self, worker_id: str) -> None:
-        """Learn that discovery no longer lists a worker; it may live and still run tasks."""
+        """Record that discovery no longer lists a worker, which may be alive and run tasks."""
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.is_listed = False
 
     def recovered(self, worker_id: str, how: str) -> None:
-        """Learn that what earlier terms left on a worker is known, or has surely ended."""
+        """Record that a worker's runs of earlier epochs are known, or have certainly ended."""
         if self.pending_recovery.pop(worker_id, None) is not None and not self.pending_recovery:
             self._log.line("recovery-over", last_worker=worker_id, how=how, token=self.token)
 
     def worker_ended(
         self, worker_id: str, reason: str, now_s: float, wall_s: float, *, is_planned: bool = False
     ) -> None:
-        """Learn for certain that a worker is over, with all that it ran.
+        """Record that a worker has certainly ended, with all its runs.
 
         Args:
             worker_id: The worker.
-            reason: How that is known.
-            now_s: The scheduler's clock.
-            wall_s: Time of day.
-            is_planned: It was taken away, and has not crashed.
+            reason: How this is known.
+            now_s: Time on the scheduler's clock in seconds.
+            wall_s: Time of day in seconds.
+            is_planned: The worker was taken away and has not crashed.
         """
         if worker_id in self.pending_recovery and not is_planned:
             self.crashes.earlier_runs_lost()
@@ -364,7 +372,7 @@
         self._lapse_runs(worker, reason, now_s)
 
     def lapse(self, worker: Worker, now_s: float, wall_s: float) -> None:
-        """Learn that a worker's lease has certainly run out: nothing runs there any more."""
+        """Record that a worker's lease has certainly expired, which has ended all its runs."""
         self._log.line(
             "worker-lease-out",
             worker=worker.worker_id,
@@ -394,14 +402,14 @@
     def reported(
         self, worker: Worker, report: WorkerReport, *, sent_s: float, now_s: float, wall_s: float
     ) -> None:
-        """Learn from a worker's answer to a look.
+        """Record a worker's answer to a poll.
 
         Args:
             worker: The worker.
             report: Its answer.
-            sent_s: When the look was sent.
-            now_s: The scheduler's clock.
-            wall_s: Time of day.
+            sent_s: When the poll was sent, on the scheduler's clock in seconds.
+            now_s: Time on the scheduler's clock in seconds.
+            wall_s: Time of day in seconds.
         """
         worker.is_fenced = True
         worker.clock_ms, worker.clock_at_s = report.clock_ms, now_s
@@ -433,7 +441,7 @@
             run.checkpoint = running_task.checkpoint
 
     def _adopt(self, worker: Worker, running_task: RunningTask, now_s: float) -> Run:
-        """Take over a run that this term has not started; stop it where it should not be."""
+        """Track a run that this epoch has not started, and stop it if it is not wanted."""
         tracked_job = self.entries.get(running_task.name.job_id)
         step = _step_of(tracked_job, running_task.name)
         run = Run(
@@ -466,20 +474,21 @@
         return run
 
     def _may_adopt(self, tracked_job: TrackedJob, run: Run) -> bool:
-        """Whether a run counts; also one whose step has not opened here yet.
+        """Return whether a run becomes the current one of its task, even if its step is not open.
 
-        The failure: two runs of one task at once. The ends that open a step may be told after a
-        run of it is seen, and a run that was given up as a stray was started again meanwhile.
+        A worker may report a run before other workers report the ends that open its step. If such
+        a run were stopped as a stray, its task could start again before the stop took effect, and
+        would run twice at once.
         """
         is_over = tracked_job.progress.state.is_final or tracked_job.progress.is_done(run.name)
         return not is_over and run.name not in tracked_job.runs
 
     def _handle_missing_run(self, worker: Worker, run: Run, sent_s: float, now_s: float) -> None:
-        """Judge a run that a report does not list.
+        """Handle a run that its worker's report does not list.
 
-        The failure: a start without an answer may still be carried out, seconds later. Only a stop
-        that was obeyed rules that out, since the worker then refuses the run; a report that was
-        asked for after it, without the run, makes its absence certain.
+        A start without an answer may still be carried out seconds later. Only a stop that the
+        worker obeyed rules this out, since the worker then refuses the run. A report that was
+        requested after the stop and does not list the run makes the run's end certain.
         """
         if run.phase in START_PENDING_PHASES or run.phase_s >= sent_s:
             return
@@ -498,7 +507,7 @@
     def new_run(
         self, step: TrackedStep, index: int, worker: Worker, run_id: int, now_s: float
     ) -> Run:
-        """Give a waiting task to a worker."""
+        """Assign a waiting task to a worker as a new run."""
         run = Run(
             name=step.name(index),
             run_id=run_id,
@@ -521,19 +530,19 @@
             tracked_job.changes += 1
 
     def next_run_id(self) -> int:
-        """Return a run id that was never used."""
+        """Return a run id that no earlier run has."""
         self._last_run_id += 1
         return self._last_run_id
 
     def start_failed(self, run: Run, now_s: float) -> None:
-        """Learn that a start was refused, so that the run does not exist."""
+        """Remove a run whose start was not sent or was refused; its task waits again."""
         worker = self.workers.get(run.worker_id)
         if worker is not None and (run.name, run.run_id) in worker.runs:
             self.crashes.survived(run)
             self._finish_run(worker, run, EndKind.STOPPED, "", now_s)
 
     def request_stop(self, run: Run, reason: str) -> None:
-        """Have a run stopped."""
+        """Mark a run to be stopped, unless it is marked already."""
         if not run.is_stop_requested:
             run.is_stop_requested = True
             run.stop_reason = reason
@@ -568,7 +577,7 @@
     def _record_end(
         self, tracked_job: TrackedJob, worker: Worker, end: EndedTask, now_s: float, wall_s: float
     ) -> bool:
-        """Put an end into its job's progress; return whether that must be stored."""
+        """Add a run's end to its job's progress; return whether this must be stored."""
         if tracked_job.progress.state.is_final:
             return False
         if end.kind is EndKind.DONE:
@@ -615,7 +624,7 @@
     def _finish_run(
         self, worker: Worker, run: Run, kind: EndKind, checkpoint: str, now_s: float
     ) -> None:
-        """Free a run's room and let its task wait again where it has more to do."""
+        """Free a run's resources and queue its task again if the task is not done."""
         worker.remove(run)
         if worker.isolated is run:
             worker.isolated = None
@@ -651,7 +660,7 @@
     # ---- counts
 
     def waiting_jobs(self) -> dict[str, int]:
-        """Return for each queue the jobs for which no task has started."""
+        """Return by queue the number of jobs of which no task has started."""
         counts: dict[str, int] = {}
         for tracked_job in self.entries.values():
             if tracked_job.progress.state is JobState.QUEUED:
@@ -660,11 +669,12 @@
         return counts
 
     def away(self, step: TrackedStep, *, excluding: Run, now_s: float) -> int:
-        """Return how many tasks of a lasting step are not at work, or may not be.
+        """Return how many tasks of a lasting step, besides the excluded one, may not be serving.
 
-        The failure: a worker dies without a word, its last report says that its task is at work,
-        and another task of the step is stopped. So only what was reported of late counts. The same
-        with a task that the last scheduler had stopped just before this one adopted it.
+        A worker can die silently after it reported its task as serving; another task of the step
+        would then be stopped although its disruption budget is spent. So only recent reports count.
+        For the same reason, an adopted run that the previous scheduler may have stopped just before
+        the adoption does not count as serving.
         """
         runs = step.tracked_job.runs
         names = (step.name(index) for index in range(step.step.count))
