--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -141,13 +141,13 @@
         ]
         self.accepted: dict[str, Job] = {}
         self.refused: set[str] = set()
-        self._instances_made = instances
+        self._instance_count = instances
 
     async def run_jobs(self, count: int, over_s: float) -> None:
         """Hand in jobs at drawn moments."""
-        await asyncio.gather(*(self._hand_in(number, over_s) for number in range(count)))
+        await asyncio.gather(*(self._submit_drawn_job(number, over_s) for number in range(count)))
 
-    async def _hand_in(self, number: int, over_s: float) -> None:
+    async def _submit_drawn_job(self, number: int, over_s: float) -> None:
         await asyncio.sleep(self.rng.uniform(0, over_s))
         job_id = f"{number:016x}"
         steps = [step(self.rng.randint(1, 3), estimated_s=0.8)]
@@ -160,7 +160,7 @@
 
     async def submit(self, job_id: str, *steps: Step) -> None:
         """Hand in a job at drawn instances until it is accepted."""
-        one = Job(job_id=job_id, policy=policy(service=SERVICE), spec="x", steps=steps)
+        submitted_job = Job(job_id=job_id, policy=policy(service=SERVICE), spec="x", steps=steps)
         for number, later in enumerate(steps):
             for index in range(later.count):
                 self.fleet.after[TaskName(job_id, 0, number, index)] = tuple(
@@ -170,9 +170,11 @@
                 )
         for _ in range(20):
             instance = self.rng.choice(self.instances)
-            answer = await instance.job_handler.submit(one, deadline_s=instance.now_s() + 1.5)
+            answer = await instance.job_handler.submit(
+                submitted_job, deadline_s=instance.now_s() + 1.5
+            )
             if answer.status.value == "accepted":
-                self.accepted[job_id] = one
+                self.accepted[job_id] = submitted_job
                 return
             await asyncio.sleep(0.3)
 
@@ -192,18 +194,20 @@
         """Kill an instance; another comes in its place."""
         self.instances.remove(instance)
         await instance.kill()
-        self._instances_made += 1
-        newcomer = Instance(name=f"n{self._instances_made}", store=self.store, fleet=self.fleet)
-        self.instances.append(newcomer)
-        newcomer.start()
+        self._instance_count += 1
+        replacement = Instance(name=f"n{self._instance_count}", store=self.store, fleet=self.fleet)
+        self.instances.append(replacement)
+        replacement.start()
 
     def scheduler(self) -> Instance | None:
         """Return the instance that holds the service's key."""
         item = self.store.items.get(f"shallotworks/duty/scheduler/{SERVICE}")
         if item is None:
             return None
-        holders = [one for one in self.instances if one.name == item.value.decode()]
-        return holders[0] if holders else None
+        lease_holders = [
+            instance for instance in self.instances if instance.name == item.value.decode()
+        ]
+        return lease_holders[0] if lease_holders else None
 
     def state(self, job_id: str) -> JobState | None:
         """Return a job's stored state."""
@@ -212,18 +216,18 @@
 
     def violations(self) -> list[str]:
         """Return what broke a rule."""
-        found = list(self.fleet.violations)
-        for job_id, one in self.accepted.items():
+        violations_found = list(self.fleet.violations)
+        for job_id, submitted_job in self.accepted.items():
             state = self.state(job_id)
             if state not in (JobState.COMPLETED, JobState.CANCELLED):
-                found.append(f"job {job_id} is {state} at the end")
+                violations_found.append(f"job {job_id} is {state} at the end")
             names = [
                 TaskName(job_id, 0, number, index)
-                for number, part in enumerate(one.steps)
-                for index in range(part.count)
+                for number, job_step in enumerate(submitted_job.steps)
+                for index in range(job_step.count)
             ]
             if state is JobState.COMPLETED and not all(name in self.fleet.done for name in names):
-                found.append(f"job {job_id} is completed with tasks that are not done")
+                violations_found.append(f"job {job_id} is completed with tasks that are not done")
             if state is JobState.CANCELLED and job_id not in self.fleet.cancelled:
-                found.append(f"job {job_id} is cancelled and nobody asked for it")
-        return found
+                violations_found.append(f"job {job_id} is cancelled and nobody asked for it")
+        return violations_found
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -52,9 +52,9 @@
 SERVICE = "antenna"
 BORROWER = "coverage"
 JOB = "00000000000000aa"
-UPKEEP_S = 2.0
+MAINTENANCE_S = 2.0
 MOVE_S = 1.5
-KEEPER_WAITS_S = 3.2
+CONTROLLER_START_DELAY_S = 3.2
 
 
 def now_s() -> float:
@@ -62,7 +62,7 @@
     return asyncio.get_running_loop().time()
 
 
-class Budget:
+class DisruptionBudgetChecker:
     """Judges each end of a lasting task by the others of its step that are away.
 
     A task counts as away as soon as it is not at work.
@@ -81,34 +81,34 @@
 
     def serving_tasks(self) -> set[TaskName]:
         """Return the tasks that are at work."""
-        working = set()
+        serving = set()
         for worker in self._fleet.workers.values():
             if worker.is_alive:
                 worker.end_due_runs()
                 runs = worker._runs.values()
-                working.update(run.name for run in runs if run.percent(now_s()) >= 100)
-        return working
+                serving.update(run.name for run in runs if run.percent(now_s()) >= 100)
+        return serving
 
-    def order_ends(self, names: set[TaskName], how: str) -> None:
-        """Judge tasks at work that are ended by an order, all at one moment."""
-        working = self.serving_tasks()
+    def check_order(self, names: set[TaskName], how: str) -> None:
+        """Check serving tasks that one order ends, all at the same moment."""
+        serving = self.serving_tasks()
         for name in sorted(names):
-            away = [other for other in self._names if other not in working and other != name]
+            away = [other for other in self._names if other not in serving and other != name]
             if name in self._names and len(away) >= self._may_miss:
                 self.violations.append(f"{now_s():.3f} {how} ends {name[3]}, {len(away)} are away")
-            working.discard(name)
+            serving.discard(name)
 
 
-class JudgedWorkers(TaskWorkers):
+class CheckedWorkers(TaskWorkers):
     """Workers whose ends by a stop are judged."""
 
-    budget: Budget | None = None
+    budget: DisruptionBudgetChecker | None = None
 
     def note_end(self, end: EndedTask) -> None:
         """Take note of an end."""
         super().note_end(end)
         if self.budget is not None and end.kind is EndKind.STOPPED:
-            self.budget.order_ends({end.name}, "a stop")
+            self.budget.check_order({end.name}, "a stop")
 
 
 class SchedulerHandle:
@@ -133,7 +133,7 @@
         self.store.faults.is_silent = True
 
 
-class Site:
+class TakeoverHarness:
     """A service with lasting tasks, its machines, their keeper and the service's schedulers.
 
     Implements `Machines` and `MaintenanceSchedule`. Each machine has the name of its worker with an
@@ -143,13 +143,13 @@
     def __init__(self, *workers: str, **step_fields: int) -> None:
         rng = random.Random(1)
         self.store = RecordStore(rng=rng)
-        self.fleet = JudgedWorkers(rng=rng)
+        self.fleet = CheckedWorkers(rng=rng)
         self.machines: dict[str, Machine] = {}
-        self.taken: list[str] = []
-        """Lasting tasks at work that orders for machines ended; a scheduler gives none away."""
-        self.order_s = 0.0
+        self.ended_by_machine_orders: list[str] = []
+        """Serving lasting tasks that orders for machines ended, which no scheduler may allow."""
+        self.order_delay_s = 0.0
         """Time from an order for a machine to its being carried out."""
-        self.asked: tuple[MaintenanceWave, ...] = ()
+        self.requested_waves: tuple[MaintenanceWave, ...] = ()
         for name in workers:
             self._add("m" + name, name, SERVICE)
         count = step_fields.pop("count")
@@ -162,7 +162,9 @@
         self.fleet.lasting.add(JOB)
         self.fleet.cpu_millicores[JOB] = self.job.steps[0].cpu_millicores
         names = [TaskName(JOB, 0, 0, index) for index in range(count)]
-        self.budget = Budget(fleet=self.fleet, names=names, may_miss=self.job.steps[0].may_miss)
+        self.budget = DisruptionBudgetChecker(
+            fleet=self.fleet, names=names, may_miss=self.job.steps[0].may_miss
+        )
         self.fleet.budget = self.budget
         self.controller_records = MachineRecords(log=quiet_log())
         self._tasks: list[asyncio.Task[None]] = []
@@ -179,31 +181,33 @@
         return Success(tuple(self.machines.values()))
 
     async def start_maintenance(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
-        return await self._take(
-            machine, MachineState.MAINTENANCE, self.machines[machine].pool, UPKEEP_S
+        return await self._end_worker(
+            machine, MachineState.MAINTENANCE, self.machines[machine].pool, MAINTENANCE_S
         )
 
     async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
-        return await self._take(machine, MachineState.MOVING, pool, MOVE_S)
+        return await self._end_worker(machine, MachineState.MOVING, pool, MOVE_S)
 
-    async def _take(
+    async def _end_worker(
         self, machine: str, state: MachineState, pool: str, for_s: float
     ) -> MachineOrderStatus:
-        await asyncio.sleep(self.order_s)
+        await asyncio.sleep(self.order_delay_s)
         if self.machines[machine].state is not MachineState.UP:
             return MachineOrderStatus.BUSY
         worker = self.fleet.workers[self.machines[machine].worker_id]
-        ended = self.budget.serving_tasks() & worker.names()
-        self.taken += [f"{now_s():.3f} {state.value} ends {name[3]}" for name in sorted(ended)]
-        self.budget.order_ends(ended, state.value)
+        ended_tasks = self.budget.serving_tasks() & worker.names()
+        self.ended_by_machine_orders += [
+            f"{now_s():.3f} {state.value} ends {name[3]}" for name in sorted(ended_tasks)
+        ]
+        self.budget.check_order(ended_tasks, state.value)
         worker.crash()
         self.machines[machine] = Machine(name=machine, pool=pool, state=state)
-        life = f"{worker.view.worker_id}+"
-        asyncio.get_running_loop().call_later(for_s, self._add, machine, life, pool)
+        next_worker_id = f"{worker.view.worker_id}+"
+        asyncio.get_running_loop().call_later(for_s, self._add, machine, next_worker_id, pool)
         return MachineOrderStatus.OBEYED
 
     def waves(self) -> tuple[MaintenanceWave, ...]:
-        return self.asked
+        return self.requested_waves
 
     def status_key(self, wave: int) -> str:
         return f"status/{wave}"
@@ -211,13 +215,13 @@
     def encode_status(self, is_completed: bool) -> bytes:
         return b""
 
-    def ask_wave(self, *machines: str) -> None:
+    def request_wave(self, *machines: str) -> None:
         """Ask for a wave that may take all its machines at once."""
-        self.asked = (
+        self.requested_waves = (
             MaintenanceWave(wave=1, machines=machines, duration_s=30, most_at_once=len(machines)),
         )
 
-    def tell_due(self, *workers: str) -> None:
+    def publish_due_workers(self, *workers: str) -> None:
         """Say in the keeper's place which workers are to be emptied."""
         self.store.put(
             machine_controller_key(), MachineControllerRecord(due=frozenset(workers)).encode()
@@ -226,18 +230,18 @@
     def drain(self, *workers: str) -> None:
         """Let workers say that they are about to leave."""
         for worker in workers:
-            one = self.fleet.workers[worker]
-            one.view = dataclasses.replace(one.view, is_draining=True)
+            task_worker = self.fleet.workers[worker]
+            task_worker.view = dataclasses.replace(task_worker.view, is_draining=True)
         # The list's version is reckoned from the workers that are not listed.
         self.fleet.unlisted.add("none")
 
-    def borrow(self, count: int) -> None:
+    def publish_shortfall(self, count: int) -> None:
         """Let another service lack machines."""
         self.store.put(pool_demand_key(BORROWER), PoolDemand(lacking=count).encode())
 
     # ---- holders
 
-    async def begin_keeper(self) -> None:
+    async def start_controller(self) -> None:
         """Begin a term of the keeper, and let its wait before the first order pass."""
         store = FaultInjectingStore(store=self.store)
         lease = await acquire(store, key="keeper", marker_key="keeper-mark")
@@ -256,9 +260,9 @@
         )
         controller = MachineController(lease=lease, dependencies=dependencies)
         self._tasks += [asyncio.create_task(watcher.run()), asyncio.create_task(controller.run())]
-        await asyncio.sleep(KEEPER_WAITS_S + 0.1)
+        await asyncio.sleep(CONTROLLER_START_DELAY_S + 0.1)
 
-    async def begin_term(self, *, cut: set[str] | None = None) -> SchedulerHandle:
+    async def start_scheduler(self, *, cut: set[str] | None = None) -> SchedulerHandle:
         """Begin a term of the service's scheduler.
 
         Args:
@@ -266,8 +270,10 @@
         """
         store = FaultInjectingStore(store=self.store)
         orders = FaultInjectingOrders(fleet=self.fleet, faults=OrderFaults(cut=cut or set()))
-        mark = JobKeys(service=SERVICE).holder_mark
-        lease = await acquire(store, key=f"shallotworks/duty/scheduler/{SERVICE}", marker_key=mark)
+        marker_key = JobKeys(service=SERVICE).holder_mark
+        lease = await acquire(
+            store, key=f"shallotworks/duty/scheduler/{SERVICE}", marker_key=marker_key
+        )
         machine_records = MachineRecords(log=quiet_log())
         watcher = PrefixWatcher(
             store=store, prefix=MACHINES_PREFIX, listener=machine_records, log=quiet_log()
@@ -327,10 +333,10 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-class UnseenWorkerTests(unittest.TestCase):
+class UnansweredWorkerTests(unittest.TestCase):
     """A successor knows from a record which workers there are, before it knows what runs there."""
 
-    def test_a_wave_takes_no_worker_that_the_successor_has_not_seen(self) -> None:
+    def test_a_wave_takes_no_worker_that_has_not_answered_the_successor(self) -> None:
         """Users meet none of a service's three tasks, of which one may be away.
 
         A wave wants the tasks' workers emptied when the scheduler is killed. Its successor puts the
@@ -340,20 +346,22 @@
         """
 
         async def scenario(wait_s: float) -> list[str]:
-            site = Site("w0", "w1", "w2", "w3", count=3, may_miss=1, cpu_millicores=3000)
-            first = await site.begin_term()
-            await site.submit()
-            await site.begin_keeper()
-            taken = {run.worker_id for run in _runs(first)}
-            site.ask_wave(*("m" + worker for worker in sorted(taken)))
-            while not site.controller_records.controller.due:
+            harness = TakeoverHarness(
+                "w0", "w1", "w2", "w3", count=3, may_miss=1, cpu_millicores=3000
+            )
+            first = await harness.start_scheduler()
+            await harness.submit()
+            await harness.start_controller()
+            busy_worker_ids = {run.worker_id for run in _runs(first)}
+            harness.request_wave(*("m" + worker for worker in sorted(busy_worker_ids)))
+            while not harness.controller_records.controller.due:
                 await asyncio.sleep(0.005)
-            await site.kill(first)
+            await harness.kill(first)
             await asyncio.sleep(wait_s)
-            await site.begin_term()
+            await harness.start_scheduler()
             await asyncio.sleep(1.0)
-            await site.close()
-            return site.taken
+            await harness.close()
+            return harness.ended_by_machine_orders
 
         for part in range(8):
             with self.subTest(successor_begins_after_s=part * 0.025):
@@ -367,23 +375,25 @@
         """
 
         async def scenario() -> list[str]:
-            site = Site("w0", "w1", "w2", "w3", count=3, may_miss=1, cpu_millicores=3000)
-            first = await site.begin_term()
-            await site.submit()
-            await site.begin_keeper()
-            taken = sorted({run.worker_id for run in _runs(first)})
-            await site.kill(first)
-            site.borrow(2)
-            await site.begin_term(cut=set(taken[:2]))
+            harness = TakeoverHarness(
+                "w0", "w1", "w2", "w3", count=3, may_miss=1, cpu_millicores=3000
+            )
+            first = await harness.start_scheduler()
+            await harness.submit()
+            await harness.start_controller()
+            busy_worker_ids = sorted({run.worker_id for run in _runs(first)})
+            await harness.kill(first)
+            harness.publish_shortfall(2)
+            await harness.start_scheduler(cut=set(busy_worker_ids[:2]))
             await asyncio.sleep(2.0)
-            await site.close()
-            return site.taken
+            await harness.close()
+            return harness.ended_by_machine_orders
 
         self.assertEqual([], run_scenario(scenario()))
 
 
 class AdoptedRunTests(unittest.TestCase):
-    def test_what_the_predecessor_has_just_stopped_counts_as_away(self) -> None:
+    def test_a_run_that_the_predecessor_has_just_stopped_counts_as_not_serving(self) -> None:
         """Users meet one of a service's three tasks, of which one may be away.
 
         A scheduler that is cut off from the store stops a task, since its worker is due for upkeep.
@@ -392,35 +402,37 @@
         """
 
         async def scenario(wait_s: float) -> list[str]:
-            site = Site("w0", "w1", "w2", "w3", count=3, may_miss=1, cpu_millicores=3000)
-            first = await site.begin_term()
-            await site.submit()
+            harness = TakeoverHarness(
+                "w0", "w1", "w2", "w3", count=3, may_miss=1, cpu_millicores=3000
+            )
+            first = await harness.start_scheduler()
+            await harness.submit()
             await asyncio.sleep(2.0)
             # No keeper, whose orders for the machines have tests of their own. Each process walks
             # through the due workers in an order of its own, which here is the same for both.
             due = sorted({run.worker_id for run in _runs(first)})
             last = list(frozenset(due))[-1]
-            site.tell_due(last)
+            harness.publish_due_workers(last)
             while not any(run.is_stop_requested for run in _runs(first)):
                 await asyncio.sleep(0.005)
-            site.tell_due(*due)
+            harness.publish_due_workers(*due)
             first.cut_from_store()
-            site.revoke()
+            harness.revoke()
             await asyncio.sleep(wait_s)
-            await site.begin_term()
+            await harness.start_scheduler()
             await asyncio.sleep(3.0)
-            await site.close()
-            return site.budget.violations
+            await harness.close()
+            return harness.budget.violations
 
         for part in range(8):
             with self.subTest(successor_begins_after_s=part * 0.025):
                 self.assertEqual([], run_scenario(scenario(part * 0.025)))
 
 
-class EarlierWordTests(unittest.TestCase):
+class EarlierOfferTests(unittest.TestCase):
     """What a scheduler told the keeper may stand for longer than it means it."""
 
-    def test_a_lasting_task_keeps_off_what_the_predecessor_offered(self) -> None:
+    def test_no_lasting_task_starts_on_a_worker_that_the_predecessor_offered(self) -> None:
         """A service's task is taken away at work, with no look at its budget.
 
         An order to lend an idle worker is under way when the worker's scheduler changes. Within a
@@ -429,22 +441,22 @@
         """
 
         async def scenario() -> list[str]:
-            site = Site("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
-            first = await site.begin_term()
-            await site.begin_keeper()
-            site.order_s = 0.7
-            site.borrow(1)
+            harness = TakeoverHarness("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
+            first = await harness.start_scheduler()
+            await harness.start_controller()
+            harness.order_delay_s = 0.7
+            harness.publish_shortfall(1)
             await asyncio.sleep(0.25)
-            await site.kill(first)
-            await site.submit()
-            await site.begin_term()
+            await harness.kill(first)
+            await harness.submit()
+            await harness.start_scheduler()
             await asyncio.sleep(1.5)
-            await site.close()
-            return site.taken
+            await harness.close()
+            return harness.ended_by_machine_orders
 
         self.assertEqual([], run_scenario(scenario()))
 
-    def test_a_lasting_task_keeps_off_what_the_store_still_offers(self) -> None:
+    def test_no_lasting_task_starts_on_a_worker_that_the_store_still_offers(self) -> None:
         """A service's task is taken away at work, with no look at its budget.
 
         A scheduler that is cut off from the store can't take its offers back. A worker drains;
@@ -453,21 +465,23 @@
         """
 
         async def scenario() -> list[str]:
-            site = Site("w0", "w1", "w2", "w3", "w4", count=3, may_miss=1, cpu_millicores=3000)
-            first = await site.begin_term()
-            await site.submit()
-            await site.begin_keeper()
+            harness = TakeoverHarness(
+                "w0", "w1", "w2", "w3", "w4", count=3, may_miss=1, cpu_millicores=3000
+            )
+            first = await harness.start_scheduler()
+            await harness.submit()
+            await harness.start_controller()
             first.cut_from_store()
-            site.drain(min(run.worker_id for run in _runs(first)))
+            harness.drain(min(run.worker_id for run in _runs(first)))
             await asyncio.sleep(3.75)
-            site.borrow(2)
+            harness.publish_shortfall(2)
             await asyncio.sleep(1.0)
-            await site.close()
-            return site.taken
+            await harness.close()
+            return harness.ended_by_machine_orders
 
         self.assertEqual([], run_scenario(scenario()))
 
-    def test_an_offer_that_the_store_takes_late_does_not_outlive_its_withdrawal(self) -> None:
+    def test_an_offer_that_the_store_writes_late_does_not_outlive_its_withdrawal(self) -> None:
         """A service's task is taken away at work, with no look at its budget.
 
         The store does not answer an offer, and carries it out 2.5 s later, when the scheduler has
@@ -476,26 +490,26 @@
         """
 
         async def scenario() -> list[str]:
-            site = Site("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
-            first = await site.begin_term()
-            await site.submit()
+            harness = TakeoverHarness("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
+            first = await harness.start_scheduler()
+            await harness.submit()
             await asyncio.sleep(0.2)
             first.store.faults.late_s = 2.5
             first.store.faults.late_part = 1.0
             await asyncio.sleep(0.6)
             first.store.faults.late_part = 0.0
             await asyncio.sleep(0.8)
-            site.drain(min(run.worker_id for run in _runs(first)))
-            await site.begin_keeper()
+            harness.drain(min(run.worker_id for run in _runs(first)))
+            await harness.start_controller()
             await asyncio.sleep(0.6)
-            site.borrow(1)
+            harness.publish_shortfall(1)
             await asyncio.sleep(1.0)
-            await site.close()
-            return site.taken
+            await harness.close()
+            return harness.ended_by_machine_orders
 
         self.assertEqual([], run_scenario(scenario()))
 
-    def test_an_offer_that_was_taken_without_an_answer_is_taken_back(self) -> None:
+    def test_an_offer_that_was_written_without_an_answer_is_withdrawn(self) -> None:
         """A service's task is taken away at work, with no look at its budget.
 
         The store carries an offer out and its answer is lost. Until the call is given up the worker
@@ -504,21 +518,21 @@
         """
 
         async def scenario() -> tuple[list[str], int]:
-            site = Site("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
-            first = await site.begin_term()
-            await site.submit()
+            harness = TakeoverHarness("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
+            first = await harness.start_scheduler()
+            await harness.submit()
             await asyncio.sleep(0.2)
             first.store.faults.lost_part = 1.0
             await asyncio.sleep(0.6)
             first.store.faults.lost_part = 0.0
-            site.drain(min(run.worker_id for run in _runs(first)))
-            await site.begin_keeper()
+            harness.drain(min(run.worker_id for run in _runs(first)))
+            await harness.start_controller()
             await asyncio.sleep(1.0)
-            site.borrow(1)
+            harness.publish_shortfall(1)
             await asyncio.sleep(1.0)
-            serving_tasks = len(site.budget.serving_tasks())
-            await site.close()
-            return site.taken, serving_tasks
+            serving_tasks = len(harness.budget.serving_tasks())
+            await harness.close()
+            return harness.ended_by_machine_orders, serving_tasks
 
         self.assertEqual(([], 2), run_scenario(scenario()))
 
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -29,10 +29,10 @@
 from tests.virtual_clock import run_scenario
 
 KEYS = JobKeys(service=SERVICE)
-DONE = TaskName("j", 0, 0, 0)
+TASK_NAME = TaskName("j", 0, 0, 0)
 
 
-class StoredTests(unittest.TestCase):
+class ProgressWriterTests(unittest.TestCase):
     def test_a_finished_job_leaves_its_state_only(self) -> None:
         """A service stands still after its scheduler was replaced, on a slow link.
 
@@ -57,7 +57,7 @@
 
         run_scenario(scenario())
 
-    def test_a_batch_keeps_within_the_entries_of_a_commit(self) -> None:
+    def test_a_batch_keeps_within_the_entry_limit_of_a_commit(self) -> None:
         """Progress of many finished jobs that is never stored, since the commit is too large."""
 
         async def scenario() -> None:
@@ -65,7 +65,7 @@
             largest = 0
             harness = SchedulingHarness(view("a", cpu_millicores=90_000, memory_mb=90_000))
 
-            class Counting(FaultInjectingStore):
+            class CountingStore(FaultInjectingStore):
                 async def commit(self, commit: Commit) -> object:  # type: ignore[override]
                     nonlocal largest
                     entries = (*commit.conditions, *commit.writes, *commit.deletes)
@@ -76,8 +76,8 @@
             lease = await acquire(FaultInjectingStore(store=store))
             for number in range(30):
                 name = f"{number:04}"
-                one = job(name, step(1))
-                harness.add_job(one)
+                small_job = job(name, step(1))
+                harness.add_job(small_job)
                 harness.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
                 record = Write(key=KEYS.progress(name), value=b"")
                 store.apply_commit(Commit(writes=(record,)))
@@ -85,7 +85,7 @@
             writer = ProgressWriter(
                 scheduler_state=harness.scheduler_state,
                 lease=lease,
-                store=Counting(store=store),
+                store=CountingStore(store=store),
                 log=quiet_log(),
                 metrics=Metrics(),
                 on_stored=lambda: None,
@@ -99,7 +99,7 @@
 
         run_scenario(scenario())
 
-    def test_a_turn_of_ended_tasks_is_stored_in_a_moment(self) -> None:
+    def test_a_burst_of_ended_tasks_is_stored_quickly(self) -> None:
         """Workers are full of ended tasks that their scheduler has not looked at for long.
 
         In a turn the ends of sixty jobs come within a moment, and the store takes 50 ms for a call.
@@ -141,7 +141,7 @@
 
 
 class HandOverTests(unittest.TestCase):
-    def test_a_stopped_scheduler_names_only_workers_that_run_something(self) -> None:
+    def test_a_stopped_scheduler_records_only_workers_with_runs(self) -> None:
         """Jobs stand still for 10 s each time that an instance is stopped on purpose.
 
         The scheduler's record named all workers that it had ever used, and its successor waited for
@@ -168,7 +168,7 @@
         run_scenario(scenario())
 
 
-class BoardTests(unittest.TestCase):
+class SchedulerStateTests(unittest.TestCase):
     def test_ends_of_a_deleted_job_are_acknowledged(self) -> None:
         """A worker tells the same ends again for as long as it lives, and a drained one is kept on.
 
@@ -177,12 +177,12 @@
         """
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
-        harness.report("a", ended=((DONE, 5, EndKind.DONE),))
+        harness.report("a", ended=((TASK_NAME, 5, EndKind.DONE),))
         self.assertEqual({1}, harness.worker("a").unsettled)
         harness.scheduler_state.delete_job("j")
         self.assertEqual(set(), harness.worker("a").unsettled)
 
-    def test_a_stored_cancel_stands(self) -> None:
+    def test_a_stored_cancel_is_not_overwritten(self) -> None:
         """A job whose cancel was acknowledged is shown as completed later.
 
         A caller's cancel is stored while the last end is being put into the job's progress; the
@@ -190,40 +190,40 @@
         """
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
-        harness.report("a", ended=((DONE, 5, EndKind.DONE),))
-        entry = harness.scheduler_state.entries["j"]
-        self.assertTrue(entry.is_dirty)
+        harness.report("a", ended=((TASK_NAME, 5, EndKind.DONE),))
+        tracked_job = harness.scheduler_state.entries["j"]
+        self.assertTrue(tracked_job.is_dirty)
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
         harness.scheduler_state.update_progress("j", cancelled, 9)
-        self.assertFalse(entry.is_dirty)
+        self.assertFalse(tracked_job.is_dirty)
         self.assertIn("j", harness.scheduler_state.finished_jobs)
 
-    def test_a_job_is_let_go_once_no_run_of_it_can_be_alive(self) -> None:
+    def test_a_job_is_dropped_once_no_run_of_it_can_be_alive(self) -> None:
         """A cancelled job's run that works on, since nobody has it stopped any more."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         (start,) = harness.start_orders()
-        row = RunningTask(name=DONE, run_id=start.run.run_id)
-        harness.report("a", running=(row,))
+        running_task = RunningTask(name=TASK_NAME, run_id=start.run.run_id)
+        harness.report("a", running=(running_task,))
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
         harness.scheduler_state.update_progress("j", cancelled, 9)
         self.assertIn("j", harness.scheduler_state.entries)
-        self.assertEqual([StopOrder], [type(one) for one in harness.decide()])
-        harness.report("a", ended=((DONE, start.run.run_id, EndKind.STOPPED),))
+        self.assertEqual([StopOrder], [type(order) for order in harness.decide()])
+        harness.report("a", ended=((TASK_NAME, start.run.run_id, EndKind.STOPPED),))
         self.assertNotIn("j", harness.scheduler_state.entries)
         self.assertEqual([], harness.start_orders())
 
     def test_records_of_finished_jobs_are_read(self) -> None:
         """What was stored can be told: a finished job's progress needs no job's record."""
         progress = JobProgress(queue="sweeps")
-        progress.note_done(job("j", step(1)), DONE, now_s=4.0)
+        progress.note_done(job("j", step(1)), TASK_NAME, now_s=4.0)
         read = decode_progress(encode_progress(progress))
         self.assertIs(JobState.COMPLETED, read.state)
         self.assertGreater(len(encode_job(job("j", step(1)))), 0)
 
 
-class StrengthTests(unittest.TestCase):
-    def test_duties_spread_over_instances(self) -> None:
+class LeaseDistributionTests(unittest.TestCase):
+    def test_leases_spread_over_instances(self) -> None:
         """Most of a fleet stands still when one instance dies, since it had won four duties.
 
         The instance was the first one up, and bid for all duties side by side.
@@ -248,17 +248,17 @@
                 )
                 for number in range(3)
             ]
-            following = [asyncio.create_task(one.run()) for one in electors]
-            for one in electors:
-                one.serve({f"s{number}" for number in range(6)})
+            elector_tasks = [asyncio.create_task(elector.run()) for elector in electors]
+            for elector in electors:
+                elector.serve({f"s{number}" for number in range(6)})
                 await asyncio.sleep(0.1)
             await asyncio.sleep(3.0)
-            held = [len(one._leases) for one in electors]
+            held = [len(elector._leases) for elector in electors]
             self.assertEqual(6, sum(held))
             self.assertLessEqual(max(held), 3)
-            for one in electors:
-                await one.stop()
-            for task in following:
+            for elector in electors:
+                await elector.stop()
+            for task in elector_tasks:
                 task.cancel()
 
         run_scenario(scenario())
@@ -266,12 +266,12 @@
     @parameterized.expand(
         [("that has a slow link", 0.1, 0), ("though it has a duty already", 0.516, 1)]
     )
-    def test_a_strong_instance_bids_before_a_weak_one(
-        self, _: str, weak_strength: float, strong_duties: int
+    def test_a_strong_instance_tries_before_a_weak_one(
+        self, _: str, weak_strength: float, strong_lease_count: int
     ) -> None:
         """A duty goes to an instance with a quarter of the processor while a better one lives."""
 
-        def elector(name: str, strength: float) -> LeaderElector:
+        def make_elector(name: str, strength: float) -> LeaderElector:
             return LeaderElector(
                 store=FaultInjectingStore(store=RecordStore(rng=random.Random(1))),
                 root="duty/",
@@ -285,11 +285,11 @@
             )
 
         for number in range(20):
-            strong = elector(f"s{number}", 1.0)
+            strong = make_elector(f"s{number}", 1.0)
             strong._leases = dict.fromkeys(
-                map(str, range(strong_duties)), mock.Mock(spec=HeldLease)
+                map(str, range(strong_lease_count)), mock.Mock(spec=HeldLease)
             )
-            weak = elector(f"w{number}", weak_strength)
+            weak = make_elector(f"w{number}", weak_strength)
             self.assertLess(strong._delay_s("antenna"), weak._delay_s("antenna"))
 
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -27,49 +27,49 @@
 from tests.virtual_clock import run_scenario
 
 JOB_ID = "00000000000000ab"
-NAME = TaskName(JOB_ID, 0, 0, 0)
-ONE, TWO = ActiveWorker(address="a:1"), ActiveWorker(address="b:1")
-LATE_S = 4.0
+TASK_NAME = TaskName(JOB_ID, 0, 0, 0)
+WORKER_ONE, WORKER_TWO = ActiveWorker(address="a:1"), ActiveWorker(address="b:1")
+LATE_WRITE_S = 4.0
 """Longer than the stand-in takes to carry out what it did not answer."""
-UNANSWERED_S = 20.0
-STARTED_AGAIN_S = 10.0
-AWAY_S = 6.0
-WRITE_AGAIN_S = 1.5
+EXPIRY_WAIT_S = 20.0
+RESTART_LIMIT_S = 10.0
+OUTAGE_S = 6.0
+REWRITE_DELAY_S = 1.5
 """A scheduler's call in flight times out after 0.8 s, and it writes its next need 0.2 s later."""
 
 
-class _Deaf(FaultInjectingStore):
+class _AnswerLosingStore(FaultInjectingStore):
     """A store that carries out what one instance asks, and whose answers to it are lost."""
 
-    is_deaf = False
+    loses_answers = False
 
     async def get(self, key: str) -> Result[Item | None, Failure]:
         outcome = await super().get(key)
-        return await self._lose() if self.is_deaf else outcome
+        return await self._lose_answer() if self.loses_answers else outcome
 
     async def renew_lease(self, lease_id: int) -> Result[None, Failure]:
         outcome = await super().renew_lease(lease_id)
-        return await self._lose() if self.is_deaf else outcome
+        return await self._lose_answer() if self.loses_answers else outcome
 
-    async def _lose(self) -> Err[Failure]:
+    async def _lose_answer(self) -> Err[Failure]:
         await asyncio.sleep(self._timeout_s)
         return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason="the answer was lost"))
 
 
-async def _recorded() -> tuple[RecordStore, FaultInjectingStore, ActiveWorkersRecord]:
+async def _make_record() -> tuple[RecordStore, FaultInjectingStore, ActiveWorkersRecord]:
     """Return a store in which the record names two workers."""
     store = RecordStore(rng=random.Random(1))
-    caller = FaultInjectingStore(store=store)
-    lease = await acquire(caller)
+    store_client = FaultInjectingStore(store=store)
+    lease = await acquire(store_client)
     asyncio.get_running_loop().create_task(lease.renew_until_lost())
-    record = ActiveWorkersRecord(service=SERVICE, lease=lease, store=caller, log=quiet_log())
+    record = ActiveWorkersRecord(service=SERVICE, lease=lease, store=store_client, log=quiet_log())
     await record.read()
-    assert await record.keep(lambda: {"one": ONE, "two": TWO})
-    return store, caller, record
+    assert await record.keep(lambda: {"one": WORKER_ONE, "two": WORKER_TWO})
+    return store, store_client, record
 
 
-class RecordTests(unittest.TestCase):
-    def test_a_worker_that_came_back_outlives_the_late_write_that_took_it_out(self) -> None:
+class ActiveWorkersRecordTests(unittest.TestCase):
+    def test_a_late_write_does_not_remove_a_worker_that_was_recorded_again(self) -> None:
         """Two runs of one task at once, one on a worker that the successor has never heard of.
 
         After an outage a worker's entry was gone, and it was taken out of the record; the store
@@ -78,19 +78,19 @@
         """
 
         async def scenario() -> None:
-            store, caller, record = await _recorded()
-            caller.faults.late_part = 1.0
-            self.assertFalse(await record.keep(lambda: {"one": ONE}))
-            caller.faults.late_part = 0.0
-            self.assertTrue(await record.keep(lambda: {"one": ONE, "two": TWO}))
+            store, store_client, record = await _make_record()
+            store_client.faults.late_part = 1.0
+            self.assertFalse(await record.keep(lambda: {"one": WORKER_ONE}))
+            store_client.faults.late_part = 0.0
+            self.assertTrue(await record.keep(lambda: {"one": WORKER_ONE, "two": WORKER_TWO}))
             self.assertTrue(record.may_use("two"))
-            await asyncio.sleep(LATE_S)
+            await asyncio.sleep(LATE_WRITE_S)
             stored = ActiveWorkersRecord.decode(store.items[active_workers_key(SERVICE)].value)
             self.assertIn("two", stored)
 
         run_scenario(scenario())
 
-    def test_a_task_on_a_worker_that_came_back_does_not_run_twice(self) -> None:
+    def test_a_task_on_a_worker_that_was_recorded_again_does_not_run_twice(self) -> None:
         """The scenario before, played to its end: all workers can be reached all the while.
 
         The process that had scheduled was killed; its successor had one worker to see, saw it and
@@ -106,7 +106,7 @@
             scheduler = simulation.scheduler()
             assert scheduler is not None
             scheduler.view.faults.late_part = 1.0
-            scheduler.view.faults.late_s = LATE_S
+            scheduler.view.faults.late_s = LATE_WRITE_S
             simulation.fleet.unlisted.add("w1")
             await asyncio.sleep(0.5)
             scheduler.view.faults.late_part = 0.0
@@ -117,8 +117,8 @@
             simulation.fleet.changes += 1
             await asyncio.sleep(0.5)
             await simulation.submit(JOB_ID, step(1, is_lasting=True))
-            await asyncio.sleep(LATE_S)
-            self.assertIn(NAME, simulation.fleet.workers["w1"].names())
+            await asyncio.sleep(LATE_WRITE_S)
+            self.assertIn(TASK_NAME, simulation.fleet.workers["w1"].names())
             simulation.fleet.workers["w0"].view = view("w0", service=SERVICE)
             simulation.fleet.changes += 1
             await simulation.replace(scheduler)
@@ -129,7 +129,7 @@
 
         run_scenario(scenario())
 
-    def test_no_task_starts_on_a_worker_that_is_being_taken_out(self) -> None:
+    def test_no_task_starts_on_a_worker_that_is_being_removed(self) -> None:
         """Two runs of one task at once, one on a worker that the successor has never heard of.
 
         A worker was being taken out of the record, since its entry said that it drains; the board
@@ -138,9 +138,9 @@
         """
 
         async def scenario() -> None:
-            _, caller, record = await _recorded()
-            caller.faults.delay_s = 0.2
-            taken_out = asyncio.create_task(record.keep(lambda: {"one": ONE}))
+            _, store_client, record = await _make_record()
+            store_client.faults.delay_s = 0.2
+            taken_out = asyncio.create_task(record.keep(lambda: {"one": WORKER_ONE}))
             await asyncio.sleep(0.1)
             self.assertFalse(record.may_use("two"))
             self.assertTrue(record.may_use("one"))
@@ -149,8 +149,8 @@
         run_scenario(scenario())
 
 
-class RestTests(unittest.TestCase):
-    def test_a_duty_whose_holder_hears_no_answers_goes_to_another(self) -> None:
+class LeaseRenewalTests(unittest.TestCase):
+    def test_a_lease_whose_holder_gets_no_answers_goes_to_another(self) -> None:
         """A service stood still for as long as one instance got no answers from the store.
 
         Its calls were carried out all the while. It rested and renewed the key with each try, so
@@ -159,22 +159,22 @@
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
-            deaf = _Deaf(store=store)
-            lease = await acquire(deaf)
-            keep = asyncio.create_task(lease.renew_until_lost())
+            losing_store = _AnswerLosingStore(store=store)
+            lease = await acquire(losing_store)
+            renewal = asyncio.create_task(lease.renew_until_lost())
             await asyncio.sleep(1.0)
-            deaf.is_deaf = True
-            await asyncio.sleep(UNANSWERED_S)
+            losing_store.loses_answers = True
+            await asyncio.sleep(EXPIRY_WAIT_S)
             store.expire()
             self.assertFalse(lease.is_valid)
             await acquire(FaultInjectingStore(store=store))
-            keep.cancel()
+            renewal.cancel()
 
         run_scenario(scenario())
 
 
-class NeedTests(unittest.TestCase):
-    def test_an_offer_carried_out_late_does_not_stand_after_it_was_taken_back(self) -> None:
+class PoolDemandTests(unittest.TestCase):
+    def test_an_offer_written_late_does_not_outlive_its_withdrawal(self) -> None:
         """A machine was taken away under a lasting task, on the word of its own scheduler.
 
         The scheduler offered an idle worker, and the store did not answer. A task came, the offer
@@ -197,7 +197,7 @@
             self.assertFalse(await service_scheduler._publish_demand(offer))
             faults.late_part = 0.0
             self.assertTrue(await service_scheduler._publish_demand(PoolDemand(token=token)))
-            await asyncio.sleep(LATE_S)
+            await asyncio.sleep(LATE_WRITE_S)
             stored = PoolDemand.decode(simulation.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual((), stored.free)
             await simulation.instances[0].kill()
@@ -205,16 +205,16 @@
         run_scenario(scenario())
 
 
-class KeeperTests(unittest.TestCase):
-    async def _rest(self, machine_harness: MachineHarness, lease: HeldLease) -> None:
+class MachineControllerOutageTests(unittest.TestCase):
+    async def _suspend_controller(self, machine_harness: MachineHarness, lease: HeldLease) -> None:
         """Keep the store away for so long that the keeper rests, while leases stand still."""
         machine_harness.store.are_leases_paused = True
         lease._store.faults.is_silent = True
-        await asyncio.sleep(AWAY_S)
+        await asyncio.sleep(OUTAGE_S)
         self.assertFalse(lease.is_valid)
         lease._store.faults.is_silent = False
 
-    def test_a_keeper_that_wakes_takes_no_machine_on_a_word_from_before_the_outage(self) -> None:
+    def test_a_resumed_controller_takes_no_machine_that_was_offered_before_the_outage(self) -> None:
         """A machine was taken away under tasks that its scheduler had started in an outage.
 
         The scheduler took its offer back while the store was away, and could not say so; its call
@@ -227,10 +227,10 @@
             lease = await machine_harness.start()
             machine_harness.publish_demand("antenna", free=True)
             await asyncio.sleep(5.0)
-            await self._rest(machine_harness, lease)
+            await self._suspend_controller(machine_harness, lease)
             # What lacks machines has written first.
             machine_harness.publish_demand("radar", lacking=1)
-            await asyncio.sleep(WRITE_AGAIN_S)
+            await asyncio.sleep(REWRITE_DELAY_S)
             machine_harness.publish_demand("antenna")
             await asyncio.sleep(5.0)
             self.assertTrue(lease.is_valid)
@@ -239,7 +239,7 @@
 
         run_scenario(scenario())
 
-    def test_a_keeper_that_wakes_goes_on_by_words_from_after_the_outage(self) -> None:
+    def test_a_resumed_controller_acts_on_records_from_after_the_outage(self) -> None:
         """A turn that began in an outage got no machines for three seconds after it.
 
         The keeper had rested and left all machines alone until every call from before had surely
@@ -253,7 +253,7 @@
             machine_harness.publish_demand("antenna", free=True)
             machine_harness.publish_demand("sonar", free=True)
             await asyncio.sleep(5.0)
-            await self._rest(machine_harness, lease)
+            await self._suspend_controller(machine_harness, lease)
             machine_harness.publish_demand("radar", lacking=8, woke=1)
             machine_harness.publish_demand("sonar", free=True, woke=1)
             await asyncio.sleep(2.0)
@@ -266,7 +266,7 @@
 
         run_scenario(scenario())
 
-    def test_a_word_that_was_taken_without_an_answer_is_taken_back(self) -> None:
+    def test_a_record_that_was_written_without_an_answer_is_replaced(self) -> None:
         """A worker was emptied for good, though its upkeep was over.
 
         The keeper said that the worker was due, and the store did not answer; when it was not due
@@ -292,8 +292,8 @@
         run_scenario(scenario())
 
 
-class LapseTests(unittest.TestCase):
-    def test_runs_of_a_worker_that_died_after_a_late_order_are_started_again(self) -> None:
+class LeaseExpiryTests(unittest.TestCase):
+    def test_runs_of_a_worker_that_died_after_a_late_order_are_restarted(self) -> None:
         """A lasting task never ran again until its scheduler was replaced.
 
         A worker that ran it answered the start of another task that the order's time was over; so
@@ -309,7 +309,7 @@
         # What `OrderDispatcher` does when an order came too late.
         harness.worker("a").is_fenced = False
         harness.scheduler_state.mark_unlisted("a")
-        harness.now_s += STARTED_AGAIN_S
+        harness.now_s += RESTART_LIMIT_S
         self.assertEqual(["b"], [one.run.worker_id for one in harness.start_orders()])
 
 
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -20,11 +20,11 @@
 from tests.virtual_clock import run_scenario
 
 SEEDS = range(1, 9)
-WORKERS = 12
-JOBS = 40
-OVER_S = 10.0
-AFTER_S = 16.0
-DRAIN_S = 2.5
+WORKER_COUNT = 12
+JOB_COUNT = 40
+SUBMIT_PERIOD_S = 10.0
+WIND_DOWN_S = 16.0
+DRAIN_PERIOD_S = 2.5
 """A worker that leaves serves on for this long, longer than any task here takes."""
 
 
@@ -34,10 +34,10 @@
     def __init__(self, *, fleet: TaskWorkers) -> None:
         super().__init__(rng=fleet.rng)
         self.times_done: Counter[TaskName] = Counter()
-        self.listed_though_dead: set[str] = set()
+        self.stale_worker_ids: set[str] = set()
 
     def workers_of(self, service: str) -> dict[str, WorkerView]:
-        stale = {name: self.workers[name].view for name in self.listed_though_dead}
+        stale = {name: self.workers[name].view for name in self.stale_worker_ids}
         return super().workers_of(service) | stale
 
     def note_end(self, end: EndedTask) -> None:
@@ -45,7 +45,7 @@
         self.times_done[end.name] += end.kind is EndKind.DONE
 
 
-def history_of(seed: int) -> tuple[SchedulingSimulation, CountingWorkers]:
+def make_simulation(seed: int) -> tuple[SchedulingSimulation, CountingWorkers]:
     """Return a history whose workers count."""
     simulation = SchedulingSimulation(seed=seed, workers=0, instances=3)
     fleet = CountingWorkers(fleet=simulation.fleet)
@@ -53,36 +53,36 @@
     for instance in simulation.instances:
         instance.orders._fleet = fleet
         instance.directory = fleet
-    for number in range(WORKERS):
+    for number in range(WORKER_COUNT):
         fleet.add(view(f"w{number}", service=SERVICE))
     return simulation, fleet
 
 
-def count_looks(orders: FaultInjectingOrders, worker_id: str, looks: list[int]) -> None:
-    """Count an instance's looks at one worker."""
+def count_polls(orders: FaultInjectingOrders, worker_id: str, polls: list[int]) -> None:
+    """Count an instance's polls at one worker."""
     poll = orders.poll
 
     async def counted(worker: WorkerView, **arguments: Any) -> OrderOutcome:
-        looks[0] += worker.worker_id == worker_id
+        polls[0] += worker.worker_id == worker_id
         return await poll(worker, **arguments)
 
     orders.poll = counted  # type: ignore[method-assign]
 
 
-async def replace_one_after_the_other(fleet: TaskWorkers) -> None:
+async def replace_workers_in_turn(fleet: TaskWorkers) -> None:
     """Drain each worker, let it leave, and put another one in its place."""
-    for number in range(WORKERS):
+    for number in range(WORKER_COUNT):
         leaving = fleet.workers[f"w{number}"]
         leaving.view = replace(leaving.view, is_draining=True)
         fleet.changes += 1
         fleet.add(view(f"new{number}", service=SERVICE))
         await asyncio.sleep(0.8)
-        asyncio.get_running_loop().call_later(DRAIN_S - 0.8, leaving.crash)
+        asyncio.get_running_loop().call_later(DRAIN_PERIOD_S - 0.8, leaving.crash)
 
 
-async def take_away(simulation: SchedulingSimulation) -> None:
+async def crash_busy_workers(simulation: SchedulingSimulation) -> None:
     """End workers without a word, as orders to them are under way, and bring others."""
-    for number in range(WORKERS // 2):
+    for number in range(WORKER_COUNT // 2):
         await asyncio.sleep(simulation.rng.uniform(0.5, 1.5))
         busy = [one for one in simulation.fleet.workers.values() if one.is_alive and one.names()]
         if busy:
@@ -90,13 +90,13 @@
         simulation.fleet.add(view(f"new{number}", service=SERVICE))
 
 
-async def play(simulation: SchedulingSimulation, *faults: object) -> None:
+async def run_with_faults(simulation: SchedulingSimulation, *faults: object) -> None:
     """Run jobs beside a fault, then let all come to rest."""
     for instance in simulation.instances:
         instance.start()
     await asyncio.sleep(1.0)
-    await asyncio.gather(simulation.run_jobs(JOBS, OVER_S), *faults)  # type: ignore[arg-type]
-    await asyncio.sleep(AFTER_S)
+    await asyncio.gather(simulation.run_jobs(JOB_COUNT, SUBMIT_PERIOD_S), *faults)  # type: ignore[arg-type]
+    await asyncio.sleep(WIND_DOWN_S)
     for instance in simulation.instances:
         await instance.kill()
 
@@ -111,15 +111,15 @@
         """
 
         async def scenario() -> None:
-            simulation, fleet = history_of(seed)
-            await play(simulation, replace_one_after_the_other(fleet))
+            simulation, fleet = make_simulation(seed)
+            await run_with_faults(simulation, replace_workers_in_turn(fleet))
             self.assertEqual([], simulation.violations())
             self.assertEqual({}, {one: n for one, n in fleet.times_done.items() if n > 1})
 
         run_scenario(scenario())
 
     @parameterized.expand([(seed, lost) for seed in SEEDS for lost in (0.0, 0.2)])
-    def test_jobs_come_back_whose_workers_are_taken_away(self, seed: int, lost: float) -> None:
+    def test_jobs_are_completed_whose_workers_crash(self, seed: int, lost: float) -> None:
         """A crew waits at a mast's gate for a trace that never comes.
 
         Workers end without a word while starts are on their way to them, or were carried out
@@ -127,41 +127,41 @@
         """
 
         async def scenario() -> None:
-            simulation, _ = history_of(seed)
+            simulation, _ = make_simulation(seed)
             for instance in simulation.instances:
                 instance.orders.faults.lost_part = lost
-            await play(simulation, take_away(simulation))
+            await run_with_faults(simulation, crash_busy_workers(simulation))
             self.assertEqual([], simulation.violations())
 
         run_scenario(scenario())
 
-    def test_a_crashed_worker_is_looked_at_no_more_once_another_has_answered(self) -> None:
+    def test_a_crashed_worker_is_not_polled_once_another_has_answered(self) -> None:
         """A dead worker was looked at again and again for as long as its entry stood listed."""
 
         async def scenario() -> None:
-            simulation, fleet = history_of(1)
+            simulation, fleet = make_simulation(1)
             for instance in simulation.instances:
                 instance.start()
             await asyncio.sleep(1.0)
             await simulation.submit("00000000000000aa", step(1, is_lasting=True))
             await asyncio.sleep(1.0)
             dead = next(iter(fleet.workers.values()))
-            fleet.listed_though_dead.add(dead.view.worker_id)
+            fleet.stale_worker_ids.add(dead.view.worker_id)
             dead.crash()
             fleet.absences[dead.view.worker_id] = OrderStatus.GONE
-            looks = [0]
+            polls = [0]
             for instance in simulation.instances:
-                count_looks(instance.orders, dead.view.worker_id, looks)
+                count_polls(instance.orders, dead.view.worker_id, polls)
             for _ in range(10):
                 await asyncio.sleep(0.5)
                 fleet.changes += 1
-            self.assertLessEqual(looks[0], 1)
+            self.assertLessEqual(polls[0], 1)
             for instance in simulation.instances:
                 await instance.kill()
 
         run_scenario(scenario())
 
-    def test_a_list_that_loses_all_workers_for_a_while_ends_nothing(self) -> None:
+    def test_a_list_that_is_empty_for_a_while_ends_no_run(self) -> None:
         """All tasks of a service end and start anew, though their workers are well.
 
         The list of workers comes back empty after the store was away: two hundred entries are gone
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -14,14 +14,14 @@
 from tests.virtual_clock import run_scenario
 
 SEEDS = range(1, 9)
-JOBS = 25
-OVER_S = 12.0
-AFTER_S = 26.0
+JOB_COUNT = 25
+SUBMIT_PERIOD_S = 12.0
+WIND_DOWN_S = 26.0
 
 FaultScenario = Callable[[SchedulingSimulation], Awaitable[None]]
 
 
-async def killed_scheduler(simulation: SchedulingSimulation) -> None:
+async def crashed_schedulers(simulation: SchedulingSimulation) -> None:
     for _ in range(2):
         await asyncio.sleep(simulation.rng.uniform(2, 5))
         scheduler = simulation.scheduler()
@@ -29,7 +29,7 @@
             await simulation.replace(scheduler)
 
 
-async def all_killed(simulation: SchedulingSimulation) -> None:
+async def all_instances_crashed(simulation: SchedulingSimulation) -> None:
     await asyncio.sleep(simulation.rng.uniform(3, 6))
     for instance in list(simulation.instances):
         await simulation.replace(instance)
@@ -45,7 +45,7 @@
     scheduler.view.faults.is_silent = False
 
 
-async def scheduler_cut_and_successor_blind(simulation: SchedulingSimulation) -> None:
+async def scheduler_cut_and_successor_without_two_workers(simulation: SchedulingSimulation) -> None:
     await asyncio.sleep(simulation.rng.uniform(2, 5))
     scheduler = simulation.scheduler()
     if scheduler is None:
@@ -86,7 +86,7 @@
         instance.orders.faults.late_part = 0.1
         instance.orders.faults.lost_part = 0.1
         instance.orders.faults.late_s = simulation.rng.uniform(1, 8)
-    await killed_scheduler(simulation)
+    await crashed_schedulers(simulation)
 
 
 async def keys_revoked(simulation: SchedulingSimulation) -> None:
@@ -95,7 +95,7 @@
         simulation.store.revoke("shallotworks/")
 
 
-async def history_forgotten(simulation: SchedulingSimulation) -> None:
+async def history_compacted(simulation: SchedulingSimulation) -> None:
     for _ in range(4):
         await asyncio.sleep(simulation.rng.uniform(0.5, 2))
         simulation.store.compact_history()
@@ -112,20 +112,20 @@
 
 
 FAULT_SCENARIOS: tuple[FaultScenario, ...] = (
-    killed_scheduler,
-    all_killed,
+    crashed_schedulers,
+    all_instances_crashed,
     scheduler_cut_from_store,
-    scheduler_cut_and_successor_blind,
+    scheduler_cut_and_successor_without_two_workers,
     store_down,
     lost_and_late_commits,
     late_orders,
     keys_revoked,
-    history_forgotten,
+    history_compacted,
     workers_crash_and_are_cut,
 )
 
 
-def play(seed: int, fault: FaultScenario | None) -> SchedulingSimulation:
+def run_simulation(seed: int, fault: FaultScenario | None) -> SchedulingSimulation:
     """Play one history on a clock of its own."""
 
     async def scenario() -> SchedulingSimulation:
@@ -134,8 +134,8 @@
             instance.start()
         await asyncio.sleep(1.0)
         faults = [fault(simulation)] if fault is not None else []
-        await asyncio.gather(simulation.run_jobs(JOBS, OVER_S), *faults)
-        await asyncio.sleep(AFTER_S)
+        await asyncio.gather(simulation.run_jobs(JOB_COUNT, SUBMIT_PERIOD_S), *faults)
+        await asyncio.sleep(WIND_DOWN_S)
         for instance in simulation.instances:
             await instance.kill()
         return simulation
@@ -143,16 +143,16 @@
     return run_scenario(scenario())
 
 
-class HistoryTests(unittest.TestCase):
+class FaultScenarioTests(unittest.TestCase):
     @parameterized.expand([(one.__name__, one) for one in FAULT_SCENARIOS])
-    def test_promises_hold(self, _name: str, fault: FaultScenario) -> None:
+    def test_invariants_hold_through_each_fault(self, _name: str, fault: FaultScenario) -> None:
         """Through each fault, for a fixed set of seeds, nothing breaks."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                simulation = play(seed, fault)
+                simulation = run_simulation(seed, fault)
                 self.assertEqual([], simulation.violations())
-                self.assertGreater(len(simulation.accepted), JOBS // 2)
-                self.assertGreater(simulation.fleet.started, JOBS)
+                self.assertGreater(len(simulation.accepted), JOB_COUNT // 2)
+                self.assertGreater(simulation.fleet.started, JOB_COUNT)
 
 
 if __name__ == "__main__":
--- a/tests/test_scheduling_orders.py
+++ b/tests/test_scheduling_orders.py
@@ -9,7 +9,7 @@
 from tests.scheduling_simulation import SchedulingSimulation
 from tests.virtual_clock import run_scenario
 
-REFUSED_ID = "00000000000000aa"
+REFUSED_JOB_ID = "00000000000000aa"
 
 
 class SilentWorkerTests(unittest.TestCase):
@@ -28,10 +28,10 @@
             await asyncio.sleep(1.0)
             await simulation.submit("0000000000000001", step(1))
             await asyncio.sleep(1.5)
-            busy = next(one for one in simulation.fleet.workers.values() if one.names())
-            busy.crash()
+            busy_worker = next(one for one in simulation.fleet.workers.values() if one.names())
+            busy_worker.crash()
             await asyncio.sleep(8.0)
-            others = [one for one in simulation.fleet.workers.values() if one is not busy]
+            others = [one for one in simulation.fleet.workers.values() if one is not busy_worker]
             self.assertTrue(any(one.names() for one in others))
             await simulation.instances[0].kill()
 
@@ -39,32 +39,34 @@
 
 
 class RefusedStartTests(unittest.TestCase):
-    def test_a_start_that_is_invalid_is_repeated_less_and_less(self) -> None:
+    def test_an_invalid_start_is_retried_with_growing_pauses(self) -> None:
         """A job that no worker takes was sent to each of them every second, and paused them all."""
 
         async def scenario() -> None:
             simulation = SchedulingSimulation(seed=1, workers=1, instances=1)
             orders = simulation.instances[0].orders
-            start, tries = orders.start, []
-
-            async def refusing(worker: WorkerView, order: StartOrder, **times: int) -> OrderOutcome:
-                if order.run.name.job_id != REFUSED_ID:
-                    return await start(worker, order, **times)
-                tries.append(asyncio.get_running_loop().time())
+            start, attempts_s = orders.start, []
+
+            async def refuse_start(
+                worker: WorkerView, order: StartOrder, **arguments: int
+            ) -> OrderOutcome:
+                if order.run.name.job_id != REFUSED_JOB_ID:
+                    return await start(worker, order, **arguments)
+                attempts_s.append(asyncio.get_running_loop().time())
                 return OrderOutcome(status=OrderStatus.INVALID, detail="status 400")
 
-            orders.start = refusing  # type: ignore[method-assign]
+            orders.start = refuse_start  # type: ignore[method-assign]
             simulation.instances[0].start()
             await asyncio.sleep(1.0)
-            await simulation.submit(REFUSED_ID, step(1))
-            sound = [f"{number:016x}" for number in range(1, 6)]
-            for job_id in sound:
+            await simulation.submit(REFUSED_JOB_ID, step(1))
+            valid_job_ids = [f"{number:016x}" for number in range(1, 6)]
+            for job_id in valid_job_ids:
                 simulation.fleet.work_s[job_id] = 0.3
                 await simulation.submit(job_id, step(1, cpu_millicores=4000))
                 await asyncio.sleep(0.8)
                 self.assertIs(JobState.COMPLETED, simulation.state(job_id))
             await asyncio.sleep(16.0)
-            self.assertLessEqual(len(tries), 5)
+            self.assertLessEqual(len(attempts_s), 5)
             await simulation.instances[0].kill()
 
         run_scenario(scenario())
--- a/tests/test_scheduling_takeover.py
+++ b/tests/test_scheduling_takeover.py
@@ -8,7 +8,7 @@
 
 
 class TakeoverTests(unittest.TestCase):
-    def test_a_later_step_that_runs_is_adopted_before_its_turn_is_known(self) -> None:
+    def test_a_running_task_of_a_step_that_is_not_open_is_adopted(self) -> None:
         """Two runs of one task at once, after a scheduler was killed.
 
         The first step is done, its ends are not stored yet, and the second step's task runs on
@@ -44,7 +44,7 @@
         harness.report("b", ended=((name, 6, EndKind.STOPPED),))
         self.assertEqual([name], [order.run.name for order in harness.start_orders()])
 
-    def test_earlier_jobs_wait_for_workers_that_were_not_seen(self) -> None:
+    def test_earlier_jobs_wait_for_workers_that_have_not_answered(self) -> None:
         """Two runs of one task at once, one on a worker that the successor can't reach.
 
         The predecessor recorded worker c. Until c has answered, or its leases have surely run out,
@@ -58,7 +58,7 @@
         harness.now_s += 10.1
         self.assertEqual(["old"], [order.run.name.job_id for order in harness.start_orders()])
 
-    def test_a_failure_that_is_told_again_counts_once(self) -> None:
+    def test_a_failure_that_is_reported_twice_counts_once(self) -> None:
         """A job shown as failed after one failure, since its end was told to two schedulers."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
