--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -1,4 +1,4 @@
-"""Several instances scheduling one service on the stand-ins, through faults drawn by seed."""
+"""Simulation of several instances that schedule one service on the stand-ins."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class Instance:
-    """One entry instance, which can be killed and frozen."""
+    """An entry instance, which can be killed and cut off from the store and from workers."""
 
     def __init__(self, *, name: str, store: RecordStore, fleet: TaskWorkers) -> None:
         self.name = name
@@ -60,7 +60,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._fleet = fleet
         self.directory: WorkerDirectory = fleet
-        """Lists workers; a scenario may put another in its place before the instance starts."""
+        """Lists workers; a scenario may replace it before the instance starts."""
         self.job_handler = JobRequestHandler(
             store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=self.now_s
         )
@@ -80,12 +80,12 @@
         return asyncio.get_running_loop().time()
 
     def start(self) -> None:
-        """Begin to bid."""
+        """Start trying to acquire the service's lease."""
         self._tasks.add(asyncio.create_task(self.elector.run()))
         self.elector.serve({SERVICE})
 
     async def kill(self) -> None:
-        """End at once, without a word to anyone."""
+        """End the instance at once, without releasing or reporting anything."""
         self.view.faults.is_down = True
         self.orders.faults.cut = set(self._fleet.workers)
         for task in (*self._tasks, *self.elector._bids.values()):
@@ -113,13 +113,13 @@
 
 
 class SchedulingSimulation:
-    """A store, workers, instances and callers; judged at the end.
+    """A store, workers, instances and callers, whose invariants are checked at the end.
 
     Args:
-        seed: Draws everything.
+        seed: Seed of all random choices.
         workers: Number of workers.
         instances: Number of instances.
-        fleet: The workers' type, for scenarios in which they judge or do more.
+        fleet: Type of the workers, for scenarios in which they check or do more.
     """
 
     def __init__(
@@ -144,7 +144,7 @@
         self._instance_count = instances
 
     async def run_jobs(self, count: int, over_s: float) -> None:
-        """Hand in jobs at drawn moments."""
+        """Submit jobs at drawn moments within ``over_s`` seconds."""
         await asyncio.gather(*(self._submit_drawn_job(number, over_s) for number in range(count)))
 
     async def _submit_drawn_job(self, number: int, over_s: float) -> None:
@@ -159,7 +159,7 @@
             await self.cancel(job_id)
 
     async def submit(self, job_id: str, *steps: Step) -> None:
-        """Hand in a job at drawn instances until it is accepted."""
+        """Submit a job to drawn instances until one accepts it, at most 20 times."""
         submitted_job = Job(job_id=job_id, policy=policy(service=SERVICE), spec="x", steps=steps)
         for number, later in enumerate(steps):
             for index in range(later.count):
@@ -179,7 +179,7 @@
             await asyncio.sleep(0.3)
 
     async def cancel(self, job_id: str) -> None:
-        """Cancel a job at drawn instances until that is acknowledged."""
+        """Cancel a job at drawn instances until one acknowledges it, at most 20 times."""
         for _ in range(20):
             instance = self.rng.choice(self.instances)
             answer = await instance.job_handler.cancel(
@@ -191,7 +191,7 @@
             await asyncio.sleep(0.3)
 
     async def replace(self, instance: Instance) -> None:
-        """Kill an instance; another comes in its place."""
+        """Kill an instance and start another one."""
         self.instances.remove(instance)
         await instance.kill()
         self._instance_count += 1
@@ -215,7 +215,7 @@
         return decode_progress(item.value).state if item is not None else None
 
     def violations(self) -> list[str]:
-        """Return what broke a rule."""
+        """Return descriptions of the invariants that were violated."""
         violations_found = list(self.fleet.violations)
         for job_id, submitted_job in self.accepted.items():
             state = self.state(job_id)
@@ -229,5 +229,5 @@
             if state is JobState.COMPLETED and not all(name in self.fleet.done for name in names):
                 violations_found.append(f"job {job_id} is completed with tasks that are not done")
             if state is JobState.CANCELLED and job_id not in self.fleet.cancelled:
-                violations_found.append(f"job {job_id} is cancelled and nobody asked for it")
+                violations_found.append(f"job {job_id} is cancelled without a request")
         return violations_found
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -1,8 +1,8 @@
-"""Tests of the budget of lasting tasks while a service's scheduler changes.
+"""Tests of the disruption budget of lasting tasks while a service's scheduler is replaced.
 
-Terms, the keeper of machines and the store's records are the real ones; workers, machines and the
-store are stand-ins on a clock that tests advance. A judge counts how many tasks of a step are away
-whenever an order for a task or for a machine ends one that is at work.
+Schedulers, the machine controller and their records are the real ones; workers, machines and the
+store are stand-ins on a virtual clock. Whenever an order for a task or for a machine ends a serving
+task, a checker counts how many other tasks of its step are not serving.
 """
 
 from __future__ import annotations
@@ -63,14 +63,12 @@
 
 
 class DisruptionBudgetChecker:
-    """Judges each end of a lasting task by the others of its step that are away.
-
-    A task counts as away as soon as it is not at work.
+    """Checks at each end of a lasting task how many other tasks of its step are not serving.
 
     Args:
         fleet: The workers.
         names: The tasks of the step.
-        may_miss: How many of them may be away at once.
+        may_miss: How many of the tasks may be out of service at once.
     """
 
     def __init__(self, *, fleet: TaskWorkers, names: list[TaskName], may_miss: int) -> None:
@@ -80,7 +78,7 @@
         self.violations: list[str] = []
 
     def serving_tasks(self) -> set[TaskName]:
-        """Return the tasks that are at work."""
+        """Return the tasks that serve."""
         serving = set()
         for worker in self._fleet.workers.values():
             if worker.is_alive:
@@ -93,26 +91,28 @@
         """Check serving tasks that one order ends, all at the same moment."""
         serving = self.serving_tasks()
         for name in sorted(names):
-            away = [other for other in self._names if other not in serving and other != name]
-            if name in self._names and len(away) >= self._may_miss:
-                self.violations.append(f"{now_s():.3f} {how} ends {name[3]}, {len(away)} are away")
+            not_serving = [other for other in self._names if other not in serving and other != name]
+            if name in self._names and len(not_serving) >= self._may_miss:
+                self.violations.append(
+                    f"{now_s():.3f} {how} ends {name[3]}, {len(not_serving)} are not serving"
+                )
             serving.discard(name)
 
 
 class CheckedWorkers(TaskWorkers):
-    """Workers whose ends by a stop are judged."""
+    """Workers whose runs that end by a stop are checked against the disruption budget."""
 
     budget: DisruptionBudgetChecker | None = None
 
     def note_end(self, end: EndedTask) -> None:
-        """Take note of an end."""
+        """Record an end of a run."""
         super().note_end(end)
         if self.budget is not None and end.kind is EndKind.STOPPED:
             self.budget.check_order({end.name}, "a stop")
 
 
 class SchedulerHandle:
-    """A term that runs, and what stands between it and the world."""
+    """A running service scheduler, with its lease and its access to the store and to workers."""
 
     def __init__(
         self,
@@ -129,15 +129,15 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def cut_from_store(self) -> None:
-        """No call to the store is answered from now on."""
+        """Leave all further calls to the store unanswered."""
         self.store.faults.is_silent = True
 
 
 class TakeoverHarness:
-    """A service with lasting tasks, its machines, their keeper and the service's schedulers.
+    """A service with lasting tasks, its machines, the machine controller and the schedulers.
 
-    Implements `Machines` and `MaintenanceSchedule`. Each machine has the name of its worker with an
-    ``m`` before it.
+    Implements `Machines` and `MaintenanceSchedule`. The name of a machine is ``m`` and the name of
+    its first worker.
     """
 
     def __init__(self, *workers: str, **step_fields: int) -> None:
@@ -148,7 +148,7 @@
         self.ended_by_machine_orders: list[str] = []
         """Serving lasting tasks that orders for machines ended, which no scheduler may allow."""
         self.order_delay_s = 0.0
-        """Time from an order for a machine to its being carried out."""
+        """Delay in seconds until an order for a machine is carried out."""
         self.requested_waves: tuple[MaintenanceWave, ...] = ()
         for name in workers:
             self._add("m" + name, name, SERVICE)
@@ -216,33 +216,33 @@
         return b""
 
     def request_wave(self, *machines: str) -> None:
-        """Ask for a wave that may take all its machines at once."""
+        """Request a wave that may take down all its machines at once."""
         self.requested_waves = (
             MaintenanceWave(wave=1, machines=machines, duration_s=30, most_at_once=len(machines)),
         )
 
     def publish_due_workers(self, *workers: str) -> None:
-        """Say in the keeper's place which workers are to be emptied."""
+        """Write the machine controller's record of the workers that are to be drained."""
         self.store.put(
             machine_controller_key(), MachineControllerRecord(due=frozenset(workers)).encode()
         )
 
     def drain(self, *workers: str) -> None:
-        """Let workers say that they are about to leave."""
+        """Mark workers as draining."""
         for worker in workers:
             task_worker = self.fleet.workers[worker]
             task_worker.view = dataclasses.replace(task_worker.view, is_draining=True)
-        # The list's version is reckoned from the workers that are not listed.
+        # The version of the worker list depends on the workers that are not listed.
         self.fleet.unlisted.add("none")
 
     def publish_shortfall(self, count: int) -> None:
-        """Let another service lack machines."""
+        """Write a demand record of another service that lacks machines."""
         self.store.put(pool_demand_key(BORROWER), PoolDemand(lacking=count).encode())
 
-    # ---- holders
+    # ---- controller and schedulers
 
     async def start_controller(self) -> None:
-        """Begin a term of the keeper, and let its wait before the first order pass."""
+        """Start a machine controller, and wait until it may give its first order."""
         store = FaultInjectingStore(store=self.store)
         lease = await acquire(store, key="keeper", marker_key="keeper-mark")
         dependencies = MachineControllerDependencies(
@@ -263,10 +263,10 @@
         await asyncio.sleep(CONTROLLER_START_DELAY_S + 0.1)
 
     async def start_scheduler(self, *, cut: set[str] | None = None) -> SchedulerHandle:
-        """Begin a term of the service's scheduler.
+        """Start a scheduler of the service.
 
         Args:
-            cut: Workers that it can't reach.
+            cut: Workers that the scheduler can't reach.
         """
         store = FaultInjectingStore(store=self.store)
         orders = FaultInjectingOrders(fleet=self.fleet, faults=OrderFaults(cut=cut or set()))
@@ -303,12 +303,12 @@
         return handle
 
     def revoke(self) -> None:
-        """Take the scheduler's keys away."""
+        """Delete the scheduler's keys in the store."""
         self.store.revoke("shallotworks/duty/scheduler/")
         self.store.revoke(JobKeys(service=SERVICE).holder_mark)
 
     async def kill(self, handle: SchedulerHandle) -> None:
-        """End a term without a word, and its keys with it."""
+        """Kill a scheduler, which releases nothing itself, and delete its keys."""
         handle.store.faults.is_down = True
         for task in handle.tasks:
             task.cancel()
@@ -316,7 +316,7 @@
         self.revoke()
 
     async def submit(self) -> None:
-        """Hand the lasting job in."""
+        """Submit the lasting job."""
         job_handler = JobRequestHandler(
             store=FaultInjectingStore(store=self.store),
             metrics=Metrics(),
@@ -327,22 +327,19 @@
         assert answer.status.value == "accepted"
 
     async def close(self) -> None:
-        """End everything."""
+        """Cancel all tasks of the harness."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 class UnansweredWorkerTests(unittest.TestCase):
-    """A successor knows from a record which workers there are, before it knows what runs there."""
+    """A successor reads from a record which workers there are before it knows what they run."""
 
     def test_a_wave_takes_no_worker_that_has_not_answered_the_successor(self) -> None:
-        """Users meet none of a service's three tasks, of which one may be away.
+        """A wave took down all tasks of a step after a successor offered workers it had not polled.
 
-        A wave wants the tasks' workers emptied when the scheduler is killed. Its successor puts the
-        recorded workers on its board and tells what is free before its first looks are answered:
-        without runs, these workers seem empty. It takes that back a tenth of a second later, and
-        the keeper has ordered their upkeep meanwhile.
+        Recorded workers seem idle until their first polls are answered, a tenth of a second later.
         """
 
         async def scenario(wait_s: float) -> list[str]:
@@ -368,10 +365,9 @@
                 self.assertEqual([], run_scenario(scenario(part * 0.025)))
 
     def test_a_worker_that_the_successor_cannot_reach_is_not_lent(self) -> None:
-        """Users meet one of a service's three tasks, of which one may be away.
+        """Two of three serving tasks were ended when a successor offered unreachable workers.
 
-        The scheduler is killed, and its successor can't reach two of the tasks' workers. It has
-        seen nothing run there, so they count as idle, and the keeper lends them to another service.
+        It knew of no runs on them, so they counted as idle and were moved to another service.
         """
 
         async def scenario() -> list[str]:
@@ -394,11 +390,9 @@
 
 class AdoptedRunTests(unittest.TestCase):
     def test_a_run_that_the_predecessor_has_just_stopped_counts_as_not_serving(self) -> None:
-        """Users meet one of a service's three tasks, of which one may be away.
+        """Two of three tasks were stopped when a successor counted a just stopped one as serving.
 
-        A scheduler that is cut off from the store stops a task, since its worker is due for upkeep.
-        A stopped task is listed and at 100 percent for 0.2 s more; in this time a successor takes
-        the service over, counts the task as at work and stops the next one.
+        A worker lists a stopped task at 100 percent for 0.2 s more, in which a successor began.
         """
 
         async def scenario(wait_s: float) -> list[str]:
@@ -408,8 +402,8 @@
             first = await harness.start_scheduler()
             await harness.submit()
             await asyncio.sleep(2.0)
-            # No keeper, whose orders for the machines have tests of their own. Each process walks
-            # through the due workers in an order of its own, which here is the same for both.
+            # No machine controller runs here, since its orders have tests of their own. Schedulers
+            # iterate over the due workers in the order of a set, which is the same for both here.
             due = sorted({run.worker_id for run in _runs(first)})
             last = list(frozenset(due))[-1]
             harness.publish_due_workers(last)
@@ -430,14 +424,12 @@
 
 
 class EarlierOfferTests(unittest.TestCase):
-    """What a scheduler told the keeper may stand for longer than it means it."""
+    """The store may still have an offer of a worker that the scheduler has withdrawn."""
 
     def test_no_lasting_task_starts_on_a_worker_that_the_predecessor_offered(self) -> None:
-        """A service's task is taken away at work, with no look at its budget.
+        """A machine order ended a task that a successor had started on an offered worker.
 
-        An order to lend an idle worker is under way when the worker's scheduler changes. Within a
-        term, lasting tasks keep off a worker that was offered for 3 s; the successor knows of no
-        offer, starts a waiting task there, and the order ends it.
+        Lasting tasks avoid an offered worker for 3 s, but a successor did not know of the offer.
         """
 
         async def scenario() -> list[str]:
@@ -457,11 +449,9 @@
         self.assertEqual([], run_scenario(scenario()))
 
     def test_no_lasting_task_starts_on_a_worker_that_the_store_still_offers(self) -> None:
-        """A service's task is taken away at work, with no look at its budget.
+        """A machine order ended a task on a worker whose offer a cut off scheduler can't withdraw.
 
-        A scheduler that is cut off from the store can't take its offers back. A worker drains;
-        after 3 s its task is started on one that was offered. The scheduler may act for 4 s, and
-        the service's next one is slow to begin. The keeper still reads the offer and takes it.
+        Lasting tasks avoid the worker for 3 s, but a scheduler may act for 4 s without the store.
         """
 
         async def scenario() -> list[str]:
@@ -482,11 +472,9 @@
         self.assertEqual([], run_scenario(scenario()))
 
     def test_an_offer_that_the_store_writes_late_does_not_outlive_its_withdrawal(self) -> None:
-        """A service's task is taken away at work, with no look at its budget.
+        """A machine order ended a task whose worker was offered by a write that came 2.5 s late.
 
-        The store does not answer an offer, and carries it out 2.5 s later, when the scheduler has
-        offered the worker once more, taken that back, and waits to start a task there. It takes its
-        last answered word for the one that stands, and does not tell it again.
+        The scheduler had withdrawn the offer by then, and did not write its last demand again.
         """
 
         async def scenario() -> list[str]:
@@ -510,11 +498,9 @@
         self.assertEqual([], run_scenario(scenario()))
 
     def test_an_offer_that_was_written_without_an_answer_is_withdrawn(self) -> None:
-        """A service's task is taken away at work, with no look at its budget.
+        """A machine order ended a task whose worker was offered by a write without an answer.
 
-        The store carries an offer out and its answer is lost. Until the call is given up the worker
-        is needed again; the scheduler's need is the one of its last answered word, so it tells
-        nothing, and the offer stands.
+        The new demand equalled the last acknowledged one, so the scheduler wrote no withdrawal.
         """
 
         async def scenario() -> tuple[list[str], int]:
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -1,4 +1,4 @@
-"""Tests of jobs that are over: what stays of them in the store and on a scheduler's board."""
+"""Tests of finished jobs: what of them is kept in the store and in the scheduler's state."""
 
 import asyncio
 import json
@@ -34,10 +34,9 @@
 
 class ProgressWriterTests(unittest.TestCase):
     def test_a_finished_job_leaves_its_state_only(self) -> None:
-        """A service stands still after its scheduler was replaced, on a slow link.
+        """A successor on a slow link started late, since it read the records of finished jobs.
 
-        Its successor reads all records of the service's jobs before it starts anything, those of a
-        thousand finished jobs with 3 KB each. Only a job that is still to be run needs that.
+        A thousand records had 3 KB each, though only a job that is still to run needs its record.
         """
 
         async def scenario() -> None:
@@ -58,7 +57,7 @@
         run_scenario(scenario())
 
     def test_a_batch_keeps_within_the_entry_limit_of_a_commit(self) -> None:
-        """Progress of many finished jobs that is never stored, since the commit is too large."""
+        """Progress of many finished jobs was never stored, since the commit was too large."""
 
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
@@ -100,11 +99,9 @@
         run_scenario(scenario())
 
     def test_a_burst_of_ended_tasks_is_stored_quickly(self) -> None:
-        """Workers are full of ended tasks that their scheduler has not looked at for long.
+        """Workers with ended tasks were polled late, since the ends were stored in serial commits.
 
-        In a turn the ends of sixty jobs come within a moment, and the store takes 50 ms for a call.
-        Stored fifteen jobs at a time, the last of them waited for four calls one after the other,
-        and a worker with ends that are not stored is not looked at meanwhile.
+        Sixty jobs took four calls of 50 ms, with 15 jobs each; meanwhile workers were not polled.
         """
 
         async def scenario() -> None:
@@ -142,10 +139,9 @@
 
 class HandOverTests(unittest.TestCase):
     def test_a_stopped_scheduler_records_only_workers_with_runs(self) -> None:
-        """Jobs stand still for 10 s each time that an instance is stopped on purpose.
+        """Jobs waited for 10 s after each planned stop of an instance.
 
-        The scheduler's record named all workers that it had ever used, and its successor waited for
-        those among them that were gone.
+        The record had all workers that were ever used; the successor waited for the gone ones.
         """
 
         async def scenario() -> None:
@@ -170,10 +166,9 @@
 
 class SchedulerStateTests(unittest.TestCase):
     def test_ends_of_a_deleted_job_are_acknowledged(self) -> None:
-        """A worker tells the same ends again for as long as it lives, and a drained one is kept on.
+        """A worker repeated its ends forever, and a drained one never left, after a job's deletion.
 
-        A job's end was learnt, and its record was gone before its progress was stored; what the
-        acknowledgement waited for could not come any more.
+        The acknowledgement waited for a commit of the deleted job's progress, which never came.
         """
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
@@ -183,10 +178,9 @@
         self.assertEqual(set(), harness.worker("a").unsettled)
 
     def test_a_stored_cancel_is_not_overwritten(self) -> None:
-        """A job whose cancel was acknowledged is shown as completed later.
+        """A job whose cancel was acknowledged became completed later.
 
-        A caller's cancel is stored while the last end is being put into the job's progress; the
-        scheduler then wrote its own final state over it.
+        The scheduler wrote its own final state over the cancel, which was stored meanwhile.
         """
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
@@ -199,7 +193,7 @@
         self.assertIn("j", harness.scheduler_state.finished_jobs)
 
     def test_a_job_is_dropped_once_no_run_of_it_can_be_alive(self) -> None:
-        """A cancelled job's run that works on, since nobody has it stopped any more."""
+        """A cancelled job's run went on, since the job was dropped before the run was stopped."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         (start,) = harness.start_orders()
@@ -214,7 +208,7 @@
         self.assertEqual([], harness.start_orders())
 
     def test_records_of_finished_jobs_are_read(self) -> None:
-        """What was stored can be told: a finished job's progress needs no job's record."""
+        """The progress of a finished job can be decoded without the job's own record."""
         progress = JobProgress(queue="sweeps")
         progress.note_done(job("j", step(1)), TASK_NAME, now_s=4.0)
         read = decode_progress(encode_progress(progress))
@@ -224,9 +218,9 @@
 
 class LeaseDistributionTests(unittest.TestCase):
     def test_leases_spread_over_instances(self) -> None:
-        """Most of a fleet stands still when one instance dies, since it had won four duties.
+        """Most services lost their scheduler when one instance died, which held four leases.
 
-        The instance was the first one up, and bid for all duties side by side.
+        The instance was the first to start, and tried to acquire all leases at the same time.
         """
 
         async def scenario() -> None:
@@ -264,12 +258,12 @@
         run_scenario(scenario())
 
     @parameterized.expand(
-        [("that has a slow link", 0.1, 0), ("though it has a duty already", 0.516, 1)]
+        [("with a slow link", 0.1, 0), ("although it holds a lease already", 0.516, 1)]
     )
     def test_a_strong_instance_tries_before_a_weak_one(
         self, _: str, weak_strength: float, strong_lease_count: int
     ) -> None:
-        """A duty goes to an instance with a quarter of the processor while a better one lives."""
+        """A lease went to an instance with a quarter of the processor of another live one."""
 
         def make_elector(name: str, strength: float) -> LeaderElector:
             return LeaderElector(
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -1,4 +1,4 @@
-"""Tests of what late writes and lost answers leave behind; on the stand-ins."""
+"""Tests of late writes and lost answers of the store, on the stand-ins."""
 
 import asyncio
 import random
@@ -30,16 +30,16 @@
 TASK_NAME = TaskName(JOB_ID, 0, 0, 0)
 WORKER_ONE, WORKER_TWO = ActiveWorker(address="a:1"), ActiveWorker(address="b:1")
 LATE_WRITE_S = 4.0
-"""Longer than the stand-in takes to carry out what it did not answer."""
+"""Longer than the delay after which the stand-in carries out an unanswered write."""
 EXPIRY_WAIT_S = 20.0
 RESTART_LIMIT_S = 10.0
 OUTAGE_S = 6.0
 REWRITE_DELAY_S = 1.5
-"""A scheduler's call in flight times out after 0.8 s, and it writes its next need 0.2 s later."""
+"""A scheduler's call in flight times out after 0.8 s; the next demand is written 0.2 s later."""
 
 
 class _AnswerLosingStore(FaultInjectingStore):
-    """A store that carries out what one instance asks, and whose answers to it are lost."""
+    """A store that carries out an instance's calls while its answers to the instance are lost."""
 
     loses_answers = False
 
@@ -57,7 +57,7 @@
 
 
 async def _make_record() -> tuple[RecordStore, FaultInjectingStore, ActiveWorkersRecord]:
-    """Return a store in which the record names two workers."""
+    """Return a store, its client, and a stored record of two workers."""
     store = RecordStore(rng=random.Random(1))
     store_client = FaultInjectingStore(store=store)
     lease = await acquire(store_client)
@@ -70,11 +70,9 @@
 
 class ActiveWorkersRecordTests(unittest.TestCase):
     def test_a_late_write_does_not_remove_a_worker_that_was_recorded_again(self) -> None:
-        """Two runs of one task at once, one on a worker that the successor has never heard of.
+        """A task ran twice at once, since a late write removed its worker from the stored record.
 
-        After an outage a worker's entry was gone, and it was taken out of the record; the store
-        did not answer. Its entry came back, so that the record seemed to stand as wanted: nothing
-        was written, and a task was started there. Then the store carried out the first write.
+        The worker was listed again, and the record seemed unchanged, so it was not written again.
         """
 
         async def scenario() -> None:
@@ -91,10 +89,9 @@
         run_scenario(scenario())
 
     def test_a_task_on_a_worker_that_was_recorded_again_does_not_run_twice(self) -> None:
-        """The scenario before, played to its end: all workers can be reached all the while.
+        """A successor started a task on the only recorded worker while another ran it.
 
-        The process that had scheduled was killed; its successor had one worker to see, saw it and
-        started the task there, while the other one ran it under a lease that was still good.
+        A late write had removed the other worker, whose lease was valid and which was reachable.
         """
 
         async def scenario() -> None:
@@ -112,7 +109,7 @@
             scheduler.view.faults.late_part = 0.0
             simulation.fleet.unlisted.clear()
             await asyncio.sleep(2.0)
-            # Its only task fits on the worker that came back alone.
+            # The only task fits on no worker but the one that is listed again.
             simulation.fleet.workers["w0"].view = view("w0", service=SERVICE, cpu_millicores=100)
             simulation.fleet.changes += 1
             await asyncio.sleep(0.5)
@@ -130,11 +127,9 @@
         run_scenario(scenario())
 
     def test_no_task_starts_on_a_worker_that_is_being_removed(self) -> None:
-        """Two runs of one task at once, one on a worker that the successor has never heard of.
+        """A task ran twice at once, since it was started on a worker being removed from the record.
 
-        A worker was being taken out of the record, since its entry said that it drains; the board
-        had not heard of that. A task was started there before the store answered, and the process
-        that had just written was killed.
+        The scheduler was killed after the write, and its successor did not know of the worker.
         """
 
         async def scenario() -> None:
@@ -151,10 +146,9 @@
 
 class LeaseRenewalTests(unittest.TestCase):
     def test_a_lease_whose_holder_gets_no_answers_goes_to_another(self) -> None:
-        """A service stood still for as long as one instance got no answers from the store.
+        """A service stopped for as long as one instance got no answers from the store.
 
-        Its calls were carried out all the while. It rested and renewed the key with each try, so
-        that nobody else could win it.
+        The store carried out its calls, so the suspended scheduler went on renewing its lease.
         """
 
         async def scenario() -> None:
@@ -175,11 +169,9 @@
 
 class PoolDemandTests(unittest.TestCase):
     def test_an_offer_written_late_does_not_outlive_its_withdrawal(self) -> None:
-        """A machine was taken away under a lasting task, on the word of its own scheduler.
+        """A machine with a lasting task was moved, since its offer came after its withdrawal.
 
-        The scheduler offered an idle worker, and the store did not answer. A task came, the offer
-        was taken back and that was stored; then the store carried out the first write. The keeper
-        reads the store's word before it takes a machine.
+        The store had not answered the write of the offer, and carried it out late.
         """
 
         async def scenario() -> None:
@@ -207,7 +199,7 @@
 
 class MachineControllerOutageTests(unittest.TestCase):
     async def _suspend_controller(self, machine_harness: MachineHarness, lease: HeldLease) -> None:
-        """Keep the store away for so long that the keeper rests, while leases stand still."""
+        """Make the store unavailable until the controller is suspended, with leases paused."""
         machine_harness.store.are_leases_paused = True
         lease._store.faults.is_silent = True
         await asyncio.sleep(OUTAGE_S)
@@ -215,11 +207,9 @@
         lease._store.faults.is_silent = False
 
     def test_a_resumed_controller_takes_no_machine_that_was_offered_before_the_outage(self) -> None:
-        """A machine was taken away under tasks that its scheduler had started in an outage.
+        """A machine with tasks was moved on an offer that its scheduler had withdrawn in an outage.
 
-        The scheduler took its offer back while the store was away, and could not say so; its call
-        in flight had to time out before it wrote again. The keeper had rested, and gave orders
-        with its first look, which a new keeper does not.
+        A resumed controller acted at once, before the scheduler's call in flight had timed out.
         """
 
         async def scenario() -> None:
@@ -228,7 +218,7 @@
             machine_harness.publish_demand("antenna", free=True)
             await asyncio.sleep(5.0)
             await self._suspend_controller(machine_harness, lease)
-            # What lacks machines has written first.
+            # The pool that lacks machines writes its demand first.
             machine_harness.publish_demand("radar", lacking=1)
             await asyncio.sleep(REWRITE_DELAY_S)
             machine_harness.publish_demand("antenna")
@@ -240,11 +230,9 @@
         run_scenario(scenario())
 
     def test_a_resumed_controller_acts_on_records_from_after_the_outage(self) -> None:
-        """A turn that began in an outage got no machines for three seconds after it.
+        """A burst of jobs in an outage got no machines for three seconds after the outage.
 
-        The keeper had rested and left all machines alone until every call from before had surely
-        timed out, though machines that were off had nothing to lose, and schedulers had spoken
-        again. What it has not heard of since, it still leaves alone.
+        Standby machines and pools with new records are usable before all older calls time out.
         """
 
         async def scenario() -> None:
@@ -259,18 +247,19 @@
             await asyncio.sleep(2.0)
             self.assertTrue(lease.is_valid)
             taken = {machine for _, machine, _ in machine_harness.moves()}
-            self.assertFalse({"m0", "m1", "m2", "m3"} & taken, "a word from before the outage")
-            self.assertTrue({"m9", "m10"} <= taken, "machines that are off")
-            self.assertTrue({"m6", "m7", "m8"} & taken, "a pool that has spoken again")
+            self.assertFalse({"m0", "m1", "m2", "m3"} & taken, "offered before the outage")
+            self.assertTrue({"m9", "m10"} <= taken, "standby machines")
+            self.assertTrue(
+                {"m6", "m7", "m8"} & taken, "a pool with a record from after the outage"
+            )
             machine_harness.stop()
 
         run_scenario(scenario())
 
     def test_a_record_that_was_written_without_an_answer_is_replaced(self) -> None:
-        """A worker was emptied for good, though its upkeep was over.
+        """A worker stayed drained after its maintenance, since the due record was not replaced.
 
-        The keeper said that the worker was due, and the store did not answer; when it was not due
-        any more, that was what the keeper had been answered last, and nothing was written.
+        The new record equalled the last acknowledged one, so the controller did not write it.
         """
 
         async def scenario() -> None:
@@ -294,11 +283,9 @@
 
 class LeaseExpiryTests(unittest.TestCase):
     def test_runs_of_a_worker_that_died_after_a_late_order_are_restarted(self) -> None:
-        """A lasting task never ran again until its scheduler was replaced.
+        """A lasting task never ran again, since its worker's lease never expired in the scheduler.
 
-        A worker that ran it answered the start of another task that the order's time was over; so
-        it counted as unreached, and was lost before the next look. Only reached workers' leases
-        run out on the board, so that the task counted as running for ever.
+        The worker answered that an order was too late, counted as unreached, and then was lost.
         """
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1, is_lasting=True)))
@@ -306,7 +293,7 @@
         harness.worker("a").lease_ends_s = harness.now_s + 5.0
         order.run.enter(order.run.phase.RUNNING, harness.now_s)
         harness.add(view("b"))
-        # What `OrderDispatcher` does when an order came too late.
+        # `OrderDispatcher` clears the flag when a worker answers that an order came too late.
         harness.worker("a").is_fenced = False
         harness.scheduler_state.mark_unlisted("a")
         harness.now_s += RESTART_LIMIT_S
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -1,7 +1,7 @@
-"""Histories of workers that are taken away or replaced while orders are under way.
+"""Simulations of workers that crash or are replaced while orders are in flight.
 
-What crews complained of: a trace that never came back, since its worker had been taken away in the
-middle of an order; and a stock check that ran twice while workers were replaced one after another.
+Two failures are guarded against: a job that never ends, since its worker crashed during an order,
+and a task that runs twice while workers are replaced one after the other.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 SUBMIT_PERIOD_S = 10.0
 WIND_DOWN_S = 16.0
 DRAIN_PERIOD_S = 2.5
-"""A worker that leaves serves on for this long, longer than any task here takes."""
+"""A draining worker leaves after this time, which is longer than any task here takes."""
 
 
 class CountingWorkers(TaskWorkers):
-    """Workers that count how often each task was done."""
+    """Workers that count how often each task is done, and may be listed after a crash."""
 
     def __init__(self, *, fleet: TaskWorkers) -> None:
         super().__init__(rng=fleet.rng)
@@ -46,7 +46,7 @@
 
 
 def make_simulation(seed: int) -> tuple[SchedulingSimulation, CountingWorkers]:
-    """Return a history whose workers count."""
+    """Return a simulation and its workers, which count the tasks that are done."""
     simulation = SchedulingSimulation(seed=seed, workers=0, instances=3)
     fleet = CountingWorkers(fleet=simulation.fleet)
     simulation.fleet = fleet
@@ -59,7 +59,7 @@
 
 
 def count_polls(orders: FaultInjectingOrders, worker_id: str, polls: list[int]) -> None:
-    """Count an instance's polls at one worker."""
+    """Count an instance's polls of one worker."""
     poll = orders.poll
 
     async def counted(worker: WorkerView, **arguments: Any) -> OrderOutcome:
@@ -70,7 +70,7 @@
 
 
 async def replace_workers_in_turn(fleet: TaskWorkers) -> None:
-    """Drain each worker, let it leave, and put another one in its place."""
+    """Drain one worker after the other, and add a new worker for each."""
     for number in range(WORKER_COUNT):
         leaving = fleet.workers[f"w{number}"]
         leaving.view = replace(leaving.view, is_draining=True)
@@ -81,7 +81,7 @@
 
 
 async def crash_busy_workers(simulation: SchedulingSimulation) -> None:
-    """End workers without a word, as orders to them are under way, and bring others."""
+    """Crash workers that run tasks at drawn moments, and add a new worker for each."""
     for number in range(WORKER_COUNT // 2):
         await asyncio.sleep(simulation.rng.uniform(0.5, 1.5))
         busy = [one for one in simulation.fleet.workers.values() if one.is_alive and one.names()]
@@ -91,7 +91,7 @@
 
 
 async def run_with_faults(simulation: SchedulingSimulation, *faults: object) -> None:
-    """Run jobs beside a fault, then let all come to rest."""
+    """Run jobs during some faults, wait until the jobs end, and kill all instances."""
     for instance in simulation.instances:
         instance.start()
     await asyncio.sleep(1.0)
@@ -104,11 +104,7 @@
 class ReplacedWorkersTests(unittest.TestCase):
     @parameterized.expand([(seed,) for seed in SEEDS])
     def test_each_task_is_done_once_while_workers_are_replaced(self, seed: int) -> None:
-        """A stock check ran twice, and two tubes were ordered.
-
-        The workers of a service are replaced one after the other: each drains, serves on for a
-        while, and leaves, and another comes in its place.
-        """
+        """A task ran twice while the workers of its service were drained and replaced in turn."""
 
         async def scenario() -> None:
             simulation, fleet = make_simulation(seed)
@@ -120,10 +116,9 @@
 
     @parameterized.expand([(seed, lost) for seed in SEEDS for lost in (0.0, 0.2)])
     def test_jobs_are_completed_whose_workers_crash(self, seed: int, lost: float) -> None:
-        """A crew waits at a mast's gate for a trace that never comes.
+        """A job never ended after its worker crashed while a start was in flight or unanswered.
 
-        Workers end without a word while starts are on their way to them, or were carried out
-        without an answer; their tasks have to run elsewhere, and none twice at once.
+        The tasks have to run on other workers, and none twice at once.
         """
 
         async def scenario() -> None:
@@ -136,7 +131,7 @@
         run_scenario(scenario())
 
     def test_a_crashed_worker_is_not_polled_once_another_has_answered(self) -> None:
-        """A dead worker was looked at again and again for as long as its entry stood listed."""
+        """A crashed and replaced worker was polled for as long as discovery listed it."""
 
         async def scenario() -> None:
             simulation, fleet = make_simulation(1)
@@ -162,10 +157,9 @@
         run_scenario(scenario())
 
     def test_a_list_that_is_empty_for_a_while_ends_no_run(self) -> None:
-        """All tasks of a service end and start anew, though their workers are well.
+        """All tasks of a service were started anew, though their workers were alive.
 
-        The list of workers comes back empty after the store was away: two hundred entries are gone
-        at once, and written again three seconds later.
+        After a store outage, 200 entries were missing in the worker list for three seconds.
         """
 
         async def scenario() -> None:
@@ -176,7 +170,7 @@
             job_id = "0" * 16
             simulation.fleet.lasting.add(job_id)
             await simulation.submit(job_id, step(60, is_lasting=True, cpu_millicores=1000))
-            # Lasting tasks keep off workers that stood as free when their job came.
+            # Lasting tasks are not placed on workers that were offered when their job arrived.
             await asyncio.sleep(5.0)
             started = simulation.fleet.started
             self.assertEqual(60, started)
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -1,7 +1,8 @@
-"""Histories of schedulers through faults, judged by what workers and callers see.
+"""Simulations of schedulers through faults, checked by what workers and callers observe.
 
-Each scenario is a promise to users: nothing runs twice at once or again, nothing starts before
-its turn or after its cancelling, what was accepted is completed, what is completed was done.
+Each scenario checks the same invariants: no task runs twice at once or again after it is done, none
+starts before its step's predecessors are done or after its job is cancelled, every accepted job is
+completed unless it is cancelled, and all tasks of a completed job are done.
 """
 
 import asyncio
@@ -126,7 +127,7 @@
 
 
 def run_simulation(seed: int, fault: FaultScenario | None) -> SchedulingSimulation:
-    """Play one history on a clock of its own."""
+    """Run one simulation on a virtual clock of its own."""
 
     async def scenario() -> SchedulingSimulation:
         simulation = SchedulingSimulation(seed=seed)
@@ -146,7 +147,7 @@
 class FaultScenarioTests(unittest.TestCase):
     @parameterized.expand([(one.__name__, one) for one in FAULT_SCENARIOS])
     def test_invariants_hold_through_each_fault(self, _name: str, fault: FaultScenario) -> None:
-        """Through each fault, for a fixed set of seeds, nothing breaks."""
+        """An invariant was violated during a fault, for one of a fixed set of seeds."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 simulation = run_simulation(seed, fault)
--- a/tests/test_scheduling_orders.py
+++ b/tests/test_scheduling_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders and leases, on the stand-ins."""
+"""Tests of orders to workers and of workers' leases, on the stand-ins."""
 
 import asyncio
 import unittest
@@ -14,11 +14,9 @@
 
 class SilentWorkerTests(unittest.TestCase):
     def test_tasks_of_a_worker_that_died_silently_run_again(self) -> None:
-        """A job that never ends after a worker lost power.
+        """A job never ended after its worker lost power, since unanswered polls extended its lease.
 
-        The worker runs a task and dies without a word. Each look at it is not answered, and might
-        have extended its lease, so the task was held to be alive as long as looks were sent. It
-        must run elsewhere once the lease that was surely granted has run out.
+        The task must run elsewhere once the last lease that was certainly granted has expired.
         """
 
         async def scenario() -> None:
@@ -40,7 +38,7 @@
 
 class RefusedStartTests(unittest.TestCase):
     def test_an_invalid_start_is_retried_with_growing_pauses(self) -> None:
-        """A job that no worker takes was sent to each of them every second, and paused them all."""
+        """A job that no worker accepts was sent to each one every second, and paused them all."""
 
         async def scenario() -> None:
             simulation = SchedulingSimulation(seed=1, workers=1, instances=1)
--- a/tests/test_scheduling_takeover.py
+++ b/tests/test_scheduling_takeover.py
@@ -1,4 +1,4 @@
-"""Tests of what a scheduler's successor learns from workers, and what it must not start."""
+"""Tests of what a scheduler's successor adopts from workers, and what it must not start."""
 
 import unittest
 
@@ -9,13 +9,9 @@
 
 class TakeoverTests(unittest.TestCase):
     def test_a_running_task_of_a_step_that_is_not_open_is_adopted(self) -> None:
-        """Two runs of one task at once, after a scheduler was killed.
+        """A task ran twice at once, since a successor stopped its run as a stray and restarted it.
 
-        The first step is done, its ends are not stored yet, and the second step's task runs on
-        worker a. The scheduler is killed. Its successor hears from a first, which runs a task of a
-        step whose turn, as far as it knows, has not come; only then does b tell the first step's
-        end, and the second step opens. The successor stopped the run on a as a stray, and before
-        that took effect started the task again on b.
+        Worker a reported the run before worker b reported the end that opens the run's step.
         """
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("j", step(1), step(1, after=(0,))), is_old=True)
@@ -27,10 +23,9 @@
         self.assertIs(JobState.COMPLETED, harness.scheduler_state.entries["j"].progress.state)
 
     def test_a_task_waits_until_its_stray_run_has_ended(self) -> None:
-        """Two runs of one task at once, after a run was given up on a worker that still had it.
+        """A task ran twice at once, since it was restarted while its stray run was being stopped.
 
-        A worker lists two runs of one task; the one that counts fails. The task may start again
-        only when the other run, which is being stopped, has ended too.
+        Two workers report a run each; the current run fails, and the other one is still alive.
         """
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("j", step(1)))
@@ -45,10 +40,9 @@
         self.assertEqual([name], [order.run.name for order in harness.start_orders()])
 
     def test_earlier_jobs_wait_for_workers_that_have_not_answered(self) -> None:
-        """Two runs of one task at once, one on a worker that the successor can't reach.
+        """A task ran twice at once, with one run on a worker that the successor could not reach.
 
-        The predecessor recorded worker c. Until c has answered, or its leases have surely run out,
-        tasks of earlier jobs may run there; jobs that were accepted since may not.
+        Only jobs of the earlier epoch wait for its answer or the certain expiry of its lease.
         """
         harness = SchedulingHarness(view("a"))
         harness.scheduler_state.pending_recovery["c"] = harness.now_s + 10
@@ -59,7 +53,7 @@
         self.assertEqual(["old"], [order.run.name.job_id for order in harness.start_orders()])
 
     def test_a_failure_that_is_reported_twice_counts_once(self) -> None:
-        """A job shown as failed after one failure, since its end was told to two schedulers."""
+        """A job failed after one failed run, since the run's end was reported to two schedulers."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         name = TaskName("j", 0, 0, 0)
