--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -82,6 +82,7 @@
 PAUSE_AFTER_NO_ANSWER_S = 0.5
 PAUSE_AFTER_UNHEALTHY_S = 1.0
 PAUSE_AFTER_NO_ROOM_S = 0.3
+"""No task is placed on a worker while one of these three pauses lasts."""
 MIN_ISOLATED_POLL_WAIT_S = 0.02
 """Shortest wait of a poll at a worker that has to survive the start of an isolated run."""
 CLOSED_CONNECTION_WITHIN_S = 0.5
@@ -173,7 +174,7 @@
     def _wake_for_worker(self, worker: Worker) -> None:
         """Request a new decision, after a change that concerns one worker.
 
-        Under a burst of jobs, hundreds of starts are answered in a second. Each concerns only its
+        In a burst of jobs, hundreds of starts are answered in a second. Each concerns only its
         worker, so the other workers' polling tasks are not woken.
         """
         self._state_changed.set()
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -235,10 +235,10 @@
     def tasks_to_place(self, now_s: float, wall_s: float) -> Iterator[WaitingTasks]:
         """Yield the waiting tasks by step, and lasting tasks that may soon have to be moved.
 
-        Without these, a pool that waits for answers of all workers before it starts earlier jobs,
-        or that waits for the leases of a silent worker to run out, would offer its idle workers to
-        other pools. Lasting tasks are not placed on an offered worker until 3 s after the offer was
-        withdrawn.
+        Both count as demand for workers. Otherwise a pool that waits for answers of all workers
+        before it starts earlier jobs, or for the leases of a silent worker to expire, would offer
+        its idle workers to other pools. Lasting tasks are not placed on an offered worker until 3 s
+        after the offer was withdrawn.
         """
         for tracked_job in self.entries.values():
             for step in tracked_job.steps.values():
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -146,7 +146,7 @@
         self.fleet = CheckedWorkers(rng=rng)
         self.machines: dict[str, Machine] = {}
         self.ended_by_machine_orders: list[str] = []
-        """Serving lasting tasks that orders for machines ended, which no scheduler may allow."""
+        """Serving tasks that orders for machines ended; no scheduler may offer their workers."""
         self.order_delay_s = 0.0
         """Delay in seconds until an order for a machine is carried out."""
         self.requested_waves: tuple[MaintenanceWave, ...] = ()
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -135,11 +135,11 @@
         async def scenario() -> None:
             _, store_client, record = await _make_record()
             store_client.faults.delay_s = 0.2
-            taken_out = asyncio.create_task(record.keep(lambda: {"one": WORKER_ONE}))
+            removal = asyncio.create_task(record.keep(lambda: {"one": WORKER_ONE}))
             await asyncio.sleep(0.1)
             self.assertFalse(record.may_use("two"))
             self.assertTrue(record.may_use("one"))
-            await taken_out
+            await removal
 
         run_scenario(scenario())
 
