--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -145,7 +145,7 @@
         result = outcome.unwrap()
         if isinstance(result, Committed):
             for job_id, change in changes.items():
-                self._scheduler_state.stored(
+                self._scheduler_state.note_stored(
                     StoredProgress(job_id=job_id, changes=change, revision=result.revision)
                 )
             self._metrics.count("scheduler.progress.stored", len(tracked_jobs))
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -267,7 +267,7 @@
         """Return the jobs whose latest progress is not stored."""
         return [tracked_job for tracked_job in self.entries.values() if tracked_job.is_dirty]
 
-    def stored(self, stored: StoredProgress) -> None:
+    def note_stored(self, stored: StoredProgress) -> None:
         """Record that progress was stored, so that the ends in it may be acknowledged."""
         tracked_job = self.entries.get(stored.job_id)
         if tracked_job is None:
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -123,7 +123,7 @@
             stored = StoredProgress(
                 job_id=entry.job.job_id, changes=entry.changes, revision=entry.revision + 1
             )
-            self.scheduler_state.stored(stored)
+            self.scheduler_state.note_stored(stored)
 
     def report(
         self,
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -210,7 +210,7 @@
             self.assertEqual({"ended"}, set(record.active_workers))
             (dirty,) = harness.scheduler_state.dirty()
             stored = StoredProgress(job_id=JOB_ID, changes=dirty.changes, revision=2)
-            harness.scheduler_state.stored(stored)
+            harness.scheduler_state.note_stored(stored)
             await workers.hand_over()
             self.assertEqual(set(), set(record.active_workers))
 
