--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -304,7 +304,7 @@
             await asyncio.sleep(POLL_PAUSE_S)
             return
         worker.acknowledged = max(worker.acknowledged, acknowledged)
-        self._scheduler_state.reported(
+        self._scheduler_state.apply_report(
             worker,
             outcome.report,
             sent_s=sent_s,
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -399,7 +399,7 @@
             )
             self._finish_run(worker, run, EndKind.LAPSED, "", now_s)
 
-    def reported(
+    def apply_report(
         self, worker: Worker, report: WorkerReport, *, sent_s: float, now_s: float, wall_s: float
     ) -> None:
         """Record a worker's answer to a poll.
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -139,7 +139,7 @@
             self.ends[worker_id] = self.ends.get(worker_id, 0) + 1
             number = self.ends[worker_id]
             rows.append(EndedTask(number=number, name=name, run_id=run_id, kind=kind))
-        self.scheduler_state.reported(
+        self.scheduler_state.apply_report(
             self.worker(worker_id),
             WorkerReport(clock_ms=1000, running=running, ended=tuple(rows)),
             sent_s=self.now_s if sent_s is None else sent_s,
