--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -389,7 +389,7 @@
             self._lease.mark_lost(f"a later scheduler has fenced {worker.worker_id}")
             return True
         if outcome.status is OrderStatus.GONE:
-            self._scheduler_state.replaced(worker.worker_id, self._clock(), self._wall_clock())
+            self._scheduler_state.note_replaced(worker.worker_id, self._clock(), self._wall_clock())
             return True
         return False
 
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -312,7 +312,7 @@
         worker.view = view
         worker.is_listed = True
 
-    def replaced(self, worker_id: str, now_s: float, wall_s: float) -> None:
+    def note_replaced(self, worker_id: str, now_s: float, wall_s: float) -> None:
         """Record that a worker has ended, since another incarnation answered at its address."""
         self._replaced_worker_ids.add(worker_id)
         self.worker_ended(worker_id, "another incarnation", now_s, wall_s)
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -44,7 +44,7 @@
     harness.scheduler_state.crashes.connection_closed(
         harness.worker(worker_id), harness.now_s, WALL_S
     )
-    harness.scheduler_state.replaced(worker_id, harness.now_s, WALL_S)
+    harness.scheduler_state.note_replaced(worker_id, harness.now_s, WALL_S)
 
 
 def blames_of(harness: SchedulingHarness, job_id: str = "j") -> list[list[Blame]]:
@@ -132,7 +132,7 @@
         harness.now_s += 0.1
         harness.report("a", running=(RunningTask(name=NAME, run_id=order.run.run_id),))
         harness.now_s += 5.0
-        harness.scheduler_state.replaced("a", harness.now_s, WALL_S)
+        harness.scheduler_state.note_replaced("a", harness.now_s, WALL_S)
         self.assertEqual([[SOLE]], blames_of(harness))
 
     def test_lasting_tasks_that_have_run_for_long_are_not_blamed(self) -> None:
@@ -167,7 +167,7 @@
             )
         harness.now_s += 3.0
         for one in workers:
-            harness.scheduler_state.replaced(one, harness.now_s, WALL_S)
+            harness.scheduler_state.note_replaced(one, harness.now_s, WALL_S)
         self.assertEqual([[LATE]] * 4, blames_of(harness))
 
     @parameterized.expand([("taken away", True, False), ("drained", False, True)])
@@ -195,7 +195,7 @@
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         (order,) = harness.start_orders()
-        harness.scheduler_state.replaced("a", harness.now_s, WALL_S)
+        harness.scheduler_state.note_replaced("a", harness.now_s, WALL_S)
         self.assertEqual([], blames_of(harness))
         harness.scheduler_state.crashes.start_answered(order.run, WALL_S, may_have_run=may_have_run)
         self.assertEqual([[SOLE]] if may_have_run else [], blames_of(harness))
@@ -238,7 +238,7 @@
         worker = harness.worker(order.run.worker_id)
         harness.scheduler_state.lapse(worker, harness.now_s, WALL_S)
         if is_replaced:
-            harness.scheduler_state.replaced(worker.worker_id, harness.now_s, WALL_S)
+            harness.scheduler_state.note_replaced(worker.worker_id, harness.now_s, WALL_S)
         else:
             harness.scheduler_state.worker_ended(
                 worker.worker_id, "no longer listed", harness.now_s, WALL_S
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -49,7 +49,7 @@
         harness.now_s += 0.25
         harness.report("a")
         harness.now_s += 3.0
-        harness.scheduler_state.replaced("a", harness.now_s, WALL_S)
+        harness.scheduler_state.note_replaced("a", harness.now_s, WALL_S)
         log.flush()
         records = [json.loads(line) for line in b"".join(lines).splitlines()]
         lost = [record for record in records if record["event"] == "run-lost"]
