--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -141,7 +141,7 @@
         for worker_id, until_s in list(scheduler_state.pending_recovery.items()):
             if now_s > until_s:
                 scheduler_state.crashes.earlier_runs_lost()
-                scheduler_state.recovered(worker_id, "leases out")
+                scheduler_state.note_recovered(worker_id, "leases out")
         for worker in list(scheduler_state.workers.values()):
             self._apply_worker_timeouts(worker, now_s)
 
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -337,7 +337,7 @@
         if worker is not None:
             worker.is_listed = False
 
-    def recovered(self, worker_id: str, how: str) -> None:
+    def note_recovered(self, worker_id: str, how: str) -> None:
         """Record that a worker's runs of earlier epochs are known, or have certainly ended."""
         if self.pending_recovery.pop(worker_id, None) is not None and not self.pending_recovery:
             self._log.line("recovery-over", last_worker=worker_id, how=how, token=self.token)
@@ -356,7 +356,7 @@
         """
         if worker_id in self.pending_recovery and not is_planned:
             self.crashes.earlier_runs_lost()
-        self.recovered(worker_id, reason)
+        self.note_recovered(worker_id, reason)
         worker = self.workers.pop(worker_id, None)
         if worker is None:
             return
@@ -426,7 +426,7 @@
         worker.reported_s = now_s
         worker.closed_s = None
         self.isolation.answered(worker, now_s)
-        self.recovered(worker.worker_id, "seen")
+        self.note_recovered(worker.worker_id, "seen")
 
     def _handle_running_task(self, worker: Worker, running_task: RunningTask, now_s: float) -> None:
         run = worker.runs.get((running_task.name, running_task.run_id))
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -218,7 +218,7 @@
             demand = sizer.assess(frozenset(), now_s=harness.now_s, wall_s=WALL_S)
             self.assertEqual((), demand.free)
             harness.now_s += 0.1
-        harness.scheduler_state.recovered("c", "seen")
+        harness.scheduler_state.note_recovered("c", "seen")
         sizer.withdraw(harness.now_s, wall_s=WALL_S)
         self.assertEqual(2, len(harness.start_orders()))
 
