--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -147,7 +147,7 @@
 
     def _apply_worker_timeouts(self, worker: Worker, now_s: float) -> None:
         if now_s > worker.lease_ends_s and _may_lease_lapse(worker):
-            self._scheduler_state.lapse(worker, now_s, self._wall_s)
+            self._scheduler_state.expire_lease(worker, now_s, self._wall_s)
         if not worker.is_listed and not worker.runs and now_s > worker.lease_ends_s:
             reason = "no longer listed"
             self._scheduler_state.worker_ended(worker.worker_id, reason, now_s, self._wall_s)
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -371,7 +371,7 @@
             )
         self._lapse_runs(worker, reason, now_s)
 
-    def lapse(self, worker: Worker, now_s: float, wall_s: float) -> None:
+    def expire_lease(self, worker: Worker, now_s: float, wall_s: float) -> None:
         """Record that a worker's lease has certainly expired, which has ended all its runs."""
         self._log.line(
             "worker-lease-out",
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -220,7 +220,7 @@
         (order,) = harness.start_orders()
         worker = harness.worker(order.run.worker_id)
         confirm(harness, order)
-        harness.scheduler_state.lapse(worker, harness.now_s, WALL_S)
+        harness.scheduler_state.expire_lease(worker, harness.now_s, WALL_S)
         self.assertEqual([[SOLE]], blames_of(harness))
         harness.report(worker.worker_id)
         (again,) = harness.start_orders()
@@ -236,7 +236,7 @@
         harness.add_job(job("j", step(1)))
         (order,) = harness.start_orders()
         worker = harness.worker(order.run.worker_id)
-        harness.scheduler_state.lapse(worker, harness.now_s, WALL_S)
+        harness.scheduler_state.expire_lease(worker, harness.now_s, WALL_S)
         if is_replaced:
             harness.scheduler_state.note_replaced(worker.worker_id, harness.now_s, WALL_S)
         else:
