--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -129,7 +129,7 @@
         step = tracked_job.steps.get((run.name.occurrence, run.name.step))
         if step is None:
             return True
-        away = self._scheduler_state.away(step, excluding=run, now_s=self._now_s)
+        away = self._scheduler_state.count_not_serving(step, excluding=run, now_s=self._now_s)
         return away < max(1, run.step.may_miss)
 
     # ---- timeouts
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -668,7 +668,7 @@
                 counts[queue] = counts.get(queue, 0) + 1
         return counts
 
-    def away(self, step: TrackedStep, *, excluding: Run, now_s: float) -> int:
+    def count_not_serving(self, step: TrackedStep, *, excluding: Run, now_s: float) -> int:
         """Return how many tasks of a lasting step, besides the excluded one, may not be serving.
 
         A worker can die silently after it reported its task as serving; another task of the step
