--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -90,7 +90,7 @@
             await self.wake.wait()
             self.wake.clear()
             self._all_stored.clear()
-            while dirty := self._scheduler_state.dirty():
+            while dirty := self._scheduler_state.unstored_jobs():
                 stored = await asyncio.gather(*map(self._store_batch, _batches(dirty)))
                 if self._is_lease_lost:
                     break
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -263,7 +263,7 @@
 
     # ---- stored progress
 
-    def dirty(self) -> list[TrackedJob]:
+    def unstored_jobs(self) -> list[TrackedJob]:
         """Return the jobs whose latest progress is not stored."""
         return [tracked_job for tracked_job in self.entries.values() if tracked_job.is_dirty]
 
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -119,7 +119,7 @@
 
     def store(self) -> None:
         """Store the progress of all jobs."""
-        for entry in self.scheduler_state.dirty():
+        for entry in self.scheduler_state.unstored_jobs():
             stored = StoredProgress(
                 job_id=entry.job.job_id, changes=entry.changes, revision=entry.revision + 1
             )
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -208,7 +208,7 @@
             harness.report("ended", ended=((NAME, order.run.run_id, EndKind.DONE),))
             await workers.hand_over()
             self.assertEqual({"ended"}, set(record.active_workers))
-            (dirty,) = harness.scheduler_state.dirty()
+            (dirty,) = harness.scheduler_state.unstored_jobs()
             stored = StoredProgress(job_id=JOB_ID, changes=dirty.changes, revision=2)
             harness.scheduler_state.note_stored(stored)
             await workers.hand_over()
@@ -233,12 +233,12 @@
             whole_worker = step(1, cpu_millicores=4000)
             await asyncio.gather(*(simulation.submit(one, whole_worker) for one in job_ids))
             scheduler_state = scheduler.service_schedulers[-1].scheduler_state
-            while len(simulation.fleet.done) < 2 or not scheduler_state.dirty():
+            while len(simulation.fleet.done) < 2 or not scheduler_state.unstored_jobs():
                 await asyncio.sleep(0.001)
             # Slow enough that the key would be released before a commit that is not awaited.
             scheduler.view.faults.delay_s = 0.05
             await scheduler.elector.stop()
-            self.assertEqual([], scheduler_state.dirty())
+            self.assertEqual([], scheduler_state.unstored_jobs())
             await _kill_instances(simulation)
 
         run_scenario(scenario())
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -129,7 +129,7 @@
             writer.wake.set()
             running = asyncio.create_task(writer.run())
             began_s = loop.time()
-            while harness.scheduler_state.dirty():
+            while harness.scheduler_state.unstored_jobs():
                 await asyncio.sleep(0.005)
             self.assertLess(loop.time() - began_s, 0.15)
             running.cancel()
