--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -95,10 +95,10 @@
         "entries",
         "finished_jobs",
         "isolation",
+        "jobs_with_future_occurrences",
         "pending_recovery",
         "runs_to_stop",
         "service",
-        "timed",
         "token",
         "workers",
     )
@@ -115,7 +115,7 @@
         self.workers: dict[str, Worker] = {}
         self.runs_to_stop: set[Run] = set()
         """Runs that must be stopped, each until its end is certain."""
-        self.timed: set[str] = set()
+        self.jobs_with_future_occurrences: set[str] = set()
         """Jobs with occurrences that are not due yet."""
         self.pending_recovery: dict[str, float] = {}
         """Workers that may run tasks of earlier epochs and have not answered this scheduler, with
@@ -153,7 +153,7 @@
         self.entries[job.job_id] = tracked_job
         if not is_old and not job.is_lasting:
             self.arrivals.append((wall_s, tracked_job.work_core_s))
-        self.timed.add(job.job_id)
+        self.jobs_with_future_occurrences.add(job.job_id)
         self.open_due(tracked_job, wall_s)
 
     def update_progress(self, job_id: str, progress: JobProgress, revision: int) -> None:
@@ -194,7 +194,7 @@
             tracked_job.next_occurrence += 1
             for number in range(len(job.steps)):
                 self._open_step(tracked_job, occurrence, number)
-        self.timed.discard(job.job_id)
+        self.jobs_with_future_occurrences.discard(job.job_id)
 
     def _open_step(self, tracked_job: TrackedJob, occurrence: int, number: int) -> None:
         job, progress = tracked_job.job, tracked_job.progress
@@ -256,7 +256,7 @@
 
     def _close_job(self, tracked_job: TrackedJob, reason: str) -> None:
         tracked_job.steps.clear()
-        self.timed.discard(tracked_job.job.job_id)
+        self.jobs_with_future_occurrences.discard(tracked_job.job.job_id)
         for runs in tracked_job.live.values():
             for run in runs:
                 self.request_stop(run, reason)
