--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -137,7 +137,7 @@
     def _apply_timeouts(self, now_s: float, wall_s: float) -> None:
         scheduler_state = self._scheduler_state
         for job_id in list(scheduler_state.jobs_with_future_occurrences):
-            scheduler_state.open_due(scheduler_state.entries[job_id], wall_s)
+            scheduler_state.open_due_steps(scheduler_state.entries[job_id], wall_s)
         for worker_id, until_s in list(scheduler_state.pending_recovery.items()):
             if now_s > until_s:
                 scheduler_state.crashes.earlier_runs_lost()
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -154,7 +154,7 @@
         if not is_old and not job.is_lasting:
             self.arrivals.append((wall_s, tracked_job.work_core_s))
         self.jobs_with_future_occurrences.add(job.job_id)
-        self.open_due(tracked_job, wall_s)
+        self.open_due_steps(tracked_job, wall_s)
 
     def update_progress(self, job_id: str, progress: JobProgress, revision: int) -> None:
         """Record that a job's progress was written, by this scheduler or by a caller's cancel."""
@@ -184,7 +184,7 @@
             # No later commit will include this job, so its ends can't wait for one.
             self._release_stored_ends(tracked_job, tracked_job.changes)
 
-    def open_due(self, tracked_job: TrackedJob, wall_s: float) -> None:
+    def open_due_steps(self, tracked_job: TrackedJob, wall_s: float) -> None:
         """Open the steps of all occurrences that are due."""
         job = tracked_job.job
         while tracked_job.next_occurrence < job.occurrences:
