--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -659,7 +659,7 @@
 
     # ---- counts
 
-    def waiting_jobs(self) -> dict[str, int]:
+    def count_waiting_jobs(self) -> dict[str, int]:
         """Return by queue the number of jobs of which no task has started."""
         counts: dict[str, int] = {}
         for tracked_job in self.entries.values():
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -395,7 +395,7 @@
             self._wait_monitor.report(now_s=now_s, wall_s=wall_s)
             await self._worker_tracker.update_record()
             await self._pending_counts_record.put(
-                json.dumps(self.scheduler_state.waiting_jobs(), sort_keys=True).encode()
+                json.dumps(self.scheduler_state.count_waiting_jobs(), sort_keys=True).encode()
             )
             await asyncio.sleep(PUBLISH_INTERVAL_S)
 
