--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -158,13 +158,13 @@
 def _note_completed(
     scheduler_state: SchedulerState, ended_s: dict[str, float], now_s: float
 ) -> None:
-    for job_id, entry in scheduler_state.entries.items():
+    for job_id, entry in scheduler_state.tracked_jobs.items():
         if entry.progress.state is JobState.COMPLETED:
             ended_s.setdefault(job_id, now_s)
 
 
 def _shares(scheduler_state: SchedulerState, ended_s: dict[str, float]) -> tuple[float, float]:
-    entries = sorted(scheduler_state.entries.values(), key=lambda entry: entry.work_core_s)
+    entries = sorted(scheduler_state.tracked_jobs.values(), key=lambda entry: entry.work_core_s)
     within = [
         ended_s.get(entry.job.job_id, 1e9) <= entry.job.accepted_s + entry.job.objective_s()
         for entry in entries
--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -40,7 +40,7 @@
     """Blames crashes of workers on tasks, and fails jobs whose tasks crash repeatedly.
 
     Args:
-        entries: The service's jobs by id.
+        tracked_jobs: The service's jobs by id.
         workers: The service's workers by id.
         first_run_id: Runs with lower ids belong to earlier epochs.
         log: Receives a line for each blame, which also says whether the job is failed.
@@ -51,10 +51,10 @@
         "_close",
         "_connection_losses",
         "_crashes",
-        "_entries",
         "_first_run_id",
         "_log",
         "_may_miss_crashes",
+        "_tracked_jobs",
         "_unanswered_starts",
         "_workers",
     )
@@ -62,13 +62,13 @@
     def __init__(
         self,
         *,
-        entries: dict[str, TrackedJob],
+        tracked_jobs: dict[str, TrackedJob],
         workers: dict[str, Worker],
         first_run_id: int,
         log: StructuredLog,
         close: Callable[[TrackedJob, str], None],
     ) -> None:
-        self._entries = entries
+        self._tracked_jobs = tracked_jobs
         self._workers = workers
         self._first_run_id = first_run_id
         self._log = log
@@ -164,7 +164,7 @@
         A scheduler that ends before it detects a crash leaves no blame. The start is therefore
         stored while it is sent, so that the next scheduler can blame it.
         """
-        tracked_job = self._entries[run.name.job_id]
+        tracked_job = self._tracked_jobs[run.name.job_id]
         if self._may_miss_crashes and tracked_job.is_old and not run.step.is_lasting:
             self._note(run, Blame.SHARED, is_certain=False, wall_s=wall_s)
 
@@ -201,7 +201,7 @@
         return len(near) >= MIN_MASS_CRASH_WORKERS - 1
 
     def _note(self, run: Run, blame: Blame, *, is_certain: bool, wall_s: float) -> None:
-        tracked_job = self._entries.get(run.name.job_id)
+        tracked_job = self._tracked_jobs.get(run.name.job_id)
         if (
             tracked_job is None
             or tracked_job.progress.state.is_final
@@ -239,7 +239,7 @@
         """Return the uncertain lost runs on a worker, with their jobs and tasks."""
         return [
             (tracked_job, TaskName(tracked_job.job.job_id, *key), lost)
-            for tracked_job in self._entries.values()
+            for tracked_job in self._tracked_jobs.values()
             if tracked_job.progress.lost and not tracked_job.progress.state.is_final
             for key, runs in tracked_job.progress.lost.items()
             for lost in runs
@@ -282,7 +282,7 @@
         worker = self._workers.get(run.worker_id)
         if worker is not None and worker.isolated is run:
             worker.isolated = None
-        tracked_job = self._entries.get(run.name.job_id)
+        tracked_job = self._tracked_jobs.get(run.name.job_id)
         if tracked_job is not None and tracked_job.progress.lost:
             self._clear(tracked_job, run.name, run.run_id)
 
@@ -300,7 +300,7 @@
 
     def probation_s(self, run: Run) -> float:
         """Return how many seconds a worker has to survive a run before the run is no suspect."""
-        tracked_job = self._entries.get(run.name.job_id)
+        tracked_job = self._tracked_jobs.get(run.name.job_id)
         if tracked_job is None or not tracked_job.progress.lost:
             return MIN_PROBATION_S
         earlier = tracked_job.progress.lost_runs(tracked_job.job, run.name)
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -123,7 +123,7 @@
         """
         if run.is_stop_requested:
             return False
-        tracked_job = self._scheduler_state.entries.get(run.name.job_id)
+        tracked_job = self._scheduler_state.tracked_jobs.get(run.name.job_id)
         if tracked_job is None or tracked_job.progress.state.is_final:
             return True
         step = tracked_job.steps.get((run.name.occurrence, run.name.step))
@@ -137,7 +137,7 @@
     def _apply_timeouts(self, now_s: float, wall_s: float) -> None:
         scheduler_state = self._scheduler_state
         for job_id in list(scheduler_state.jobs_with_future_occurrences):
-            scheduler_state.open_due_steps(scheduler_state.entries[job_id], wall_s)
+            scheduler_state.open_due_steps(scheduler_state.tracked_jobs[job_id], wall_s)
         for worker_id, until_s in list(scheduler_state.pending_recovery.items()):
             if now_s > until_s:
                 scheduler_state.crashes.earlier_runs_lost()
@@ -170,7 +170,7 @@
         if worker.reported_s - run.progressed_s > limit_s:
             worker.avoid_until_s = now_s + limit_s
             self._scheduler_state.request_stop(run, "stands-still")
-            tracked_job = self._scheduler_state.entries.get(run.name.job_id)
+            tracked_job = self._scheduler_state.tracked_jobs.get(run.name.job_id)
             if tracked_job is not None:
                 avoided = tracked_job.avoid.get(run.name, frozenset())
                 tracked_job.avoid[run.name] = avoided | {worker.worker_id}
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -31,23 +31,23 @@
     """Reserves workers for suspects and releases the starts of these.
 
     Args:
-        entries: The service's jobs by id.
+        tracked_jobs: The service's jobs by id.
         workers: The service's workers by id.
         blame: Decides which tasks are suspects, and for how long runs are on probation.
         log: Receives a line for each suspect that its worker has survived.
     """
 
-    __slots__ = ("_blame", "_cleared_jobs", "_entries", "_log", "_reserved", "_workers")
+    __slots__ = ("_blame", "_cleared_jobs", "_log", "_reserved", "_tracked_jobs", "_workers")
 
     def __init__(
         self,
         *,
-        entries: dict[str, TrackedJob],
+        tracked_jobs: dict[str, TrackedJob],
         workers: dict[str, Worker],
         blame: CrashBlame,
         log: StructuredLog,
     ) -> None:
-        self._entries = entries
+        self._tracked_jobs = tracked_jobs
         self._workers = workers
         self._blame = blame
         self._log = log
@@ -141,7 +141,7 @@
 
     def isolate(self, run: Run, worker: Worker, *, now_s: float, wall_s: float) -> None:
         """Reserve a worker for the start of a suspect, and record the start for storing."""
-        tracked_job = self._entries[run.name.job_id]
+        tracked_job = self._tracked_jobs[run.name.job_id]
         worker.isolated = run
         run.enter(RunPhase.RESERVED, now_s)
         lost = LostRun(
@@ -154,7 +154,7 @@
         """Yield the reserved starts that no longer wait, each with whether it may be sent."""
         for run, (change, since_s) in list(self._reserved.items()):
             worker = self._workers.get(run.worker_id)
-            tracked_job = self._entries.get(run.name.job_id)
+            tracked_job = self._tracked_jobs.get(run.name.job_id)
             if worker is None or (run.name, run.run_id) not in worker.runs:
                 del self._reserved[run]
             elif tracked_job is None or run.is_stop_requested:
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -92,7 +92,6 @@
         "_replaced_worker_ids",
         "arrivals",
         "crashes",
-        "entries",
         "finished_jobs",
         "isolation",
         "jobs_with_future_occurrences",
@@ -100,6 +99,7 @@
         "runs_to_stop",
         "service",
         "token",
+        "tracked_jobs",
         "workers",
     )
 
@@ -108,7 +108,7 @@
         self.token = token
         self._log = log
         self._last_run_id = token * RUN_IDS_PER_EPOCH
-        self.entries: dict[str, TrackedJob] = {}
+        self.tracked_jobs: dict[str, TrackedJob] = {}
         """Jobs that have not ended, whose end is not stored, or with a run that may be alive."""
         self.finished_jobs: dict[str, float] = {}
         """Jobs whose final state is stored, with the time of day in seconds at which they ended."""
@@ -124,14 +124,14 @@
         """Time of day in seconds and estimated work in core-seconds of the latest jobs."""
         self._ends_awaiting_commit: dict[str, list[tuple[int, Worker, int]]] = {}
         self.crashes = CrashBlame(
-            entries=self.entries,
+            tracked_jobs=self.tracked_jobs,
             workers=self.workers,
             first_run_id=self._last_run_id,
             log=log,
             close=self._close_job,
         )
         self.isolation = Isolation(
-            entries=self.entries, workers=self.workers, blame=self.crashes, log=log
+            tracked_jobs=self.tracked_jobs, workers=self.workers, blame=self.crashes, log=log
         )
         self._replaced_worker_ids: set[str] = set()
         """Incarnations that another one has replaced, for as long as discovery lists them."""
@@ -144,13 +144,13 @@
         self, job: Job, progress: JobProgress, *, revision: int, is_old: bool, wall_s: float
     ) -> None:
         """Add a job from the store with its progress, unless it is known already."""
-        if job.job_id in self.entries or job.job_id in self.finished_jobs:
+        if job.job_id in self.tracked_jobs or job.job_id in self.finished_jobs:
             return
         if progress.state.is_final:
             self.add_finished_job(job.job_id, progress)
             return
         tracked_job = TrackedJob(job=job, progress=progress, revision=revision, is_old=is_old)
-        self.entries[job.job_id] = tracked_job
+        self.tracked_jobs[job.job_id] = tracked_job
         if not is_old and not job.is_lasting:
             self.arrivals.append((wall_s, tracked_job.work_core_s))
         self.jobs_with_future_occurrences.add(job.job_id)
@@ -158,7 +158,7 @@
 
     def update_progress(self, job_id: str, progress: JobProgress, revision: int) -> None:
         """Record that a job's progress was written, by this scheduler or by a caller's cancel."""
-        tracked_job = self.entries.get(job_id)
+        tracked_job = self.tracked_jobs.get(job_id)
         if tracked_job is None or revision <= tracked_job.revision:
             return
         tracked_job.revision = revision
@@ -178,7 +178,7 @@
     def delete_job(self, job_id: str) -> None:
         """Remove a job that the store no longer has."""
         self.finished_jobs.pop(job_id, None)
-        tracked_job = self.entries.pop(job_id, None)
+        tracked_job = self.tracked_jobs.pop(job_id, None)
         if tracked_job is not None:
             self._close_job(tracked_job, "deleted")
             # No later commit will include this job, so its ends can't wait for one.
@@ -218,7 +218,7 @@
         Jobs of earlier epochs are left out until all workers have been recovered.
         """
         is_recovered = not self.pending_recovery
-        for tracked_job in self.entries.values():
+        for tracked_job in self.tracked_jobs.values():
             if tracked_job.is_old and not is_recovered:
                 continue
             for step in tracked_job.steps.values():
@@ -227,7 +227,7 @@
 
     def open_step(self, name: TaskName) -> TrackedStep | None:
         """Return a task's step, or ``None`` if the step is not open or is done."""
-        tracked_job = self.entries.get(name.job_id)
+        tracked_job = self.tracked_jobs.get(name.job_id)
         return (
             tracked_job.steps.get((name.occurrence, name.step)) if tracked_job is not None else None
         )
@@ -240,7 +240,7 @@
         its idle workers to other pools. Lasting tasks are not placed on an offered worker until 3 s
         after the offer was withdrawn.
         """
-        for tracked_job in self.entries.values():
+        for tracked_job in self.tracked_jobs.values():
             for step in tracked_job.steps.values():
                 if step.waiting:
                     yield WaitingTasks(step.step, len(step.waiting), step.is_hopeless(wall_s))
@@ -265,11 +265,11 @@
 
     def unstored_jobs(self) -> list[TrackedJob]:
         """Return the jobs whose latest progress is not stored."""
-        return [tracked_job for tracked_job in self.entries.values() if tracked_job.is_dirty]
+        return [tracked_job for tracked_job in self.tracked_jobs.values() if tracked_job.is_dirty]
 
     def note_stored(self, stored: StoredProgress) -> None:
         """Record that progress was stored, so that the ends in it may be acknowledged."""
-        tracked_job = self.entries.get(stored.job_id)
+        tracked_job = self.tracked_jobs.get(stored.job_id)
         if tracked_job is None:
             return
         tracked_job.revision = max(tracked_job.revision, stored.revision)
@@ -284,7 +284,7 @@
             and not tracked_job.is_dirty
             and not tracked_job.live
         ):
-            self.entries.pop(job_id, None)
+            self.tracked_jobs.pop(job_id, None)
             self.isolation.forget(job_id)
             self.finished_jobs[job_id] = tracked_job.progress.ended_s
 
@@ -442,7 +442,7 @@
 
     def _adopt(self, worker: Worker, running_task: RunningTask, now_s: float) -> Run:
         """Track a run that this epoch has not started, and stop it if it is not wanted."""
-        tracked_job = self.entries.get(running_task.name.job_id)
+        tracked_job = self.tracked_jobs.get(running_task.name.job_id)
         step = _step_of(tracked_job, running_task.name)
         run = Run(
             name=running_task.name,
@@ -550,7 +550,7 @@
 
     def _handle_end(self, worker: Worker, end: EndedTask, now_s: float, wall_s: float) -> None:
         run = worker.runs.get((end.name, end.run_id))
-        tracked_job = self.entries.get(end.name.job_id)
+        tracked_job = self.tracked_jobs.get(end.name.job_id)
         self._log.line(
             "run-ended",
             id=end.name.job_id,
@@ -629,7 +629,7 @@
         if worker.isolated is run:
             worker.isolated = None
         self.runs_to_stop.discard(run)
-        tracked_job = self.entries.get(run.name.job_id)
+        tracked_job = self.tracked_jobs.get(run.name.job_id)
         if tracked_job is None:
             return
         if run.step.is_checkpointed and (checkpoint or run.checkpoint):
@@ -662,7 +662,7 @@
     def count_waiting_jobs(self) -> dict[str, int]:
         """Return by queue the number of jobs of which no task has started."""
         counts: dict[str, int] = {}
-        for tracked_job in self.entries.values():
+        for tracked_job in self.tracked_jobs.values():
             if tracked_job.progress.state is JobState.QUEUED:
                 queue = tracked_job.job.policy.queue
                 counts[queue] = counts.get(queue, 0) + 1
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -266,7 +266,7 @@
 
     def _apply_progress(self, job_id: str, item: Item) -> None:
         progress = decode_progress(item.value)
-        if job_id in self.scheduler_state.entries:
+        if job_id in self.scheduler_state.tracked_jobs:
             self.scheduler_state.update_progress(job_id, progress, item.revision)
             return
         if job_id in self.scheduler_state.finished_jobs:
@@ -328,7 +328,7 @@
         if is_waiting and self._sizer.withdraw(now_s, wall_s=wall_s):
             self._decide_once()
         self._order_dispatcher.sync_workers()
-        if any(tracked_job.is_dirty for tracked_job in self.scheduler_state.entries.values()):
+        if any(tracked_job.is_dirty for tracked_job in self.scheduler_state.tracked_jobs.values()):
             self._progress_writer.wake.set()
         return self.decision_engine.is_cut_short
 
@@ -358,7 +358,7 @@
             await asyncio.sleep(STORE_RETRY_S)
         self._log(
             "term-prepared",
-            jobs=len(self.scheduler_state.entries),
+            jobs=len(self.scheduler_state.tracked_jobs),
             workers_recorded=recorded,
             awaited=name_some(self.scheduler_state.pending_recovery, MAX_PENDING_WORKERS_LOGGED),
         )
@@ -366,7 +366,7 @@
 
     async def _request_advice(self, request: AdviceRequest) -> None:
         outcome = await self._dependencies.advice.ask(request.step, request.worker_ids)
-        tracked_job = self.scheduler_state.entries.get(request.step[0])
+        tracked_job = self.scheduler_state.tracked_jobs.get(request.step[0])
         step = tracked_job.steps.get(request.step[1:]) if tracked_job is not None else None
         if step is None:
             return
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -122,7 +122,7 @@
             "tasks_waiting": sum(len(step.waiting) for step in waiting),
             "tasks_recovering": tasks_recovering(self._scheduler_state),
             "tasks_hopeless": sum(len(step.waiting) for step in hopeless),
-            "jobs": len(self._scheduler_state.entries),
+            "jobs": len(self._scheduler_state.tracked_jobs),
             "unseen_workers": len(self._scheduler_state.pending_recovery),
         }
 
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -188,7 +188,7 @@
     if not scheduler_state.pending_recovery:
         return
     startable = set(scheduler_state.open_steps())
-    for entry in scheduler_state.entries.values():
+    for entry in scheduler_state.tracked_jobs.values():
         for step in entry.steps.values():
             if step.waiting and step not in startable:
                 yield step
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -49,7 +49,7 @@
 
 def blames_of(harness: SchedulingHarness, job_id: str = "j") -> list[list[Blame]]:
     """Return the blames of each task of a job."""
-    progress = harness.scheduler_state.entries[job_id].progress
+    progress = harness.scheduler_state.tracked_jobs[job_id].progress
     return [[one.blame for one in runs] for _, runs in sorted(progress.lost.items())]
 
 
@@ -243,7 +243,7 @@
             harness.scheduler_state.worker_ended(
                 worker.worker_id, "no longer listed", harness.now_s, WALL_S
             )
-        (runs,) = harness.scheduler_state.entries["j"].progress.lost.values()
+        (runs,) = harness.scheduler_state.tracked_jobs["j"].progress.lost.values()
         self.assertEqual([(blame, True)], [(one.blame, one.is_certain) for one in runs])
 
 
@@ -346,7 +346,7 @@
         confirm(self.harness, order)
         self.harness.now_s += 3.0
         crash(self.harness, order.run.worker_id)
-        entry = self.harness.scheduler_state.entries["j"]
+        entry = self.harness.scheduler_state.tracked_jobs["j"]
         self.assertIs(JobState.FAILED, entry.progress.state)
         self.assertEqual([], self.harness.start_orders())
 
@@ -395,7 +395,7 @@
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (*lost(*earlier), row)})
         self.harness.add_job(job("j", step(1)), progress=progress, is_old=True)
         self.harness.decide()
-        entry = self.harness.scheduler_state.entries["j"]
+        entry = self.harness.scheduler_state.tracked_jobs["j"]
         known = entry.progress.lost_runs(entry.job, NAME)
         self.assertEqual(crashes, sum(one.is_certain for one in known))
         self.assertEqual(is_given_up, entry.progress.state is JobState.FAILED)
@@ -415,7 +415,7 @@
         for number in range(crashes):
             worker = harness.add(view(f"x{number}"))
             harness.add_job(job(f"c{number}", step(1, label="none", is_lasting=True)))
-            entry = harness.scheduler_state.entries[f"c{number}"]
+            entry = harness.scheduler_state.tracked_jobs[f"c{number}"]
             (lost_step,) = entry.steps.values()
             harness.scheduler_state.new_run(
                 lost_step, 0, worker, harness.scheduler_state.next_run_id(), harness.now_s
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -80,7 +80,7 @@
                 harness.report("a", ended=((TaskName(name, 0, 0, 0), 5, EndKind.DONE),))
                 record = Write(key=KEYS.progress(name), value=b"")
                 store.apply_commit(Commit(writes=(record,)))
-                harness.scheduler_state.entries[name].revision = store.revision
+                harness.scheduler_state.tracked_jobs[name].revision = store.revision
             writer = ProgressWriter(
                 scheduler_state=harness.scheduler_state,
                 lease=lease,
@@ -116,7 +116,7 @@
                 store.store.apply_commit(
                     Commit(writes=(Write(key=KEYS.progress(name), value=b""),))
                 )
-                harness.scheduler_state.entries[name].revision = store.store.revision
+                harness.scheduler_state.tracked_jobs[name].revision = store.store.revision
             store.faults.delay_s = 0.05
             writer = ProgressWriter(
                 scheduler_state=harness.scheduler_state,
@@ -185,7 +185,7 @@
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         harness.report("a", ended=((TASK_NAME, 5, EndKind.DONE),))
-        tracked_job = harness.scheduler_state.entries["j"]
+        tracked_job = harness.scheduler_state.tracked_jobs["j"]
         self.assertTrue(tracked_job.is_dirty)
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
         harness.scheduler_state.update_progress("j", cancelled, 9)
@@ -201,10 +201,10 @@
         harness.report("a", running=(running_task,))
         cancelled = JobProgress(queue="sweeps", state=JobState.CANCELLED, ended_s=3.0)
         harness.scheduler_state.update_progress("j", cancelled, 9)
-        self.assertIn("j", harness.scheduler_state.entries)
+        self.assertIn("j", harness.scheduler_state.tracked_jobs)
         self.assertEqual([StopOrder], [type(order) for order in harness.decide()])
         harness.report("a", ended=((TASK_NAME, start.run.run_id, EndKind.STOPPED),))
-        self.assertNotIn("j", harness.scheduler_state.entries)
+        self.assertNotIn("j", harness.scheduler_state.tracked_jobs)
         self.assertEqual([], harness.start_orders())
 
     def test_records_of_finished_jobs_are_read(self) -> None:
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -95,7 +95,7 @@
         while harness.start_orders():
             pass
         harness.add_job(job("f" * 16, wanted))
-        entry = harness.scheduler_state.entries["f" * 16].steps[(0, 0)]
+        entry = harness.scheduler_state.tracked_jobs["f" * 16].steps[(0, 0)]
         placement = Placement.of(entry, now_s=harness.now_s, wall_s=1_000_000.0)
         workers = list(harness.scheduler_state.workers.values())
         candidates = Candidates(placement=placement, workers=workers)
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -350,7 +350,7 @@
         harness.add_job(one)
         run = harness.start_orders()[0].run
         run.enter(RunPhase.RUNNING, harness.now_s)
-        progress = harness.scheduler_state.entries["j"].progress.__class__(
+        progress = harness.scheduler_state.tracked_jobs["j"].progress.__class__(
             queue="q", state=JobState.CANCELLED
         )
         harness.scheduler_state.update_progress("j", progress, revision=2)
@@ -447,7 +447,7 @@
         asked = harness.decide()
         self.assertEqual([AdviceRequest], [type(one) for one in asked])
         self.assertEqual([], harness.decide())
-        entry = harness.scheduler_state.entries["j"].steps[(0, 0)]
+        entry = harness.scheduler_state.tracked_jobs["j"].steps[(0, 0)]
         entry.is_asking, entry.permits = False, {"b": "t-b"}
         starts = harness.start_orders()
         self.assertEqual([("b", "t-b")] * 2, [(one.run.worker_id, one.ticket) for one in starts])
--- a/tests/test_scheduling_takeover.py
+++ b/tests/test_scheduling_takeover.py
@@ -20,7 +20,7 @@
         harness.report("b", ended=((first, 4, EndKind.DONE),))
         self.assertEqual([], harness.decide())
         harness.report("a", ended=((second, 5, EndKind.DONE),))
-        self.assertIs(JobState.COMPLETED, harness.scheduler_state.entries["j"].progress.state)
+        self.assertIs(JobState.COMPLETED, harness.scheduler_state.tracked_jobs["j"].progress.state)
 
     def test_a_task_waits_until_its_stray_run_has_ended(self) -> None:
         """A task ran twice at once, since it was restarted while its stray run was being stopped.
@@ -59,9 +59,9 @@
         name = TaskName("j", 0, 0, 0)
         for _ in range(2):
             harness.report("a", ended=((name, 5, EndKind.FAILED),))
-        self.assertIs(JobState.QUEUED, harness.scheduler_state.entries["j"].progress.state)
+        self.assertIs(JobState.QUEUED, harness.scheduler_state.tracked_jobs["j"].progress.state)
         harness.report("a", ended=((name, 6, EndKind.FAILED),))
-        self.assertIs(JobState.FAILED, harness.scheduler_state.entries["j"].progress.state)
+        self.assertIs(JobState.FAILED, harness.scheduler_state.tracked_jobs["j"].progress.state)
 
 
 if __name__ == "__main__":
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -72,7 +72,7 @@
 
 def reason_of(harness: SchedulingHarness, job_id: str = "j") -> WaitReason:
     """Return why the first step of a job waits."""
-    entry = harness.scheduler_state.entries[job_id].steps[(0, 0)]
+    entry = harness.scheduler_state.tracked_jobs[job_id].steps[(0, 0)]
     return waiting_reason(harness.scheduler_state, entry, now_s=harness.now_s, wall_s=WALL_S)
 
 
@@ -191,7 +191,7 @@
         """Guards against the reason `READY` for a gang whose other members are being stopped."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(3, is_gang=True)))
-        harness.scheduler_state.entries["j"].steps[(0, 0)].waiting.remove(1)
+        harness.scheduler_state.tracked_jobs["j"].steps[(0, 0)].waiting.remove(1)
         self.assertIs(WaitReason.GANG, reason_of(harness))
 
     def test_the_reason_is_that_of_the_worker_that_came_closest(self) -> None:
