--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -323,7 +323,7 @@
         for worker_id in self._replaced_worker_ids:
             del listed[worker_id]
 
-    def keep_lasting_off(self, worker_id: str, until_s: float) -> None:
+    def defer_lasting_tasks(self, worker_id: str, until_s: float) -> None:
         """Place no lasting task on a worker before ``until_s``, also if it is added later."""
         worker = self.workers.get(worker_id)
         if worker is None:
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -405,7 +405,7 @@
         published: PoolDemand | None = None
         resumes = _ResumeCounter()
         while True:
-            self._sizer.keep_lasting_off(self._possible_offers(), self._dependencies.clock())
+            self._sizer.defer_lasting_tasks(self._possible_offers(), self._dependencies.clock())
             machine_records = self._dependencies.machine_records
             demand = self._sizer.assess(
                 machine_records.controller.due,
@@ -434,7 +434,7 @@
         offers = self._possible_offers() | set(demand.free)
         if not await self._demand_record.put(demand.encode()):
             return False
-        self._sizer.keep_lasting_off(offers, self._dependencies.clock())
+        self._sizer.defer_lasting_tasks(offers, self._dependencies.clock())
         self._log("need-told", lacking=demand.lacking, free=len(demand.free))
         return True
 
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -280,10 +280,12 @@
         self._offered = self._offered - withdrawn
         return bool(withdrawn)
 
-    def keep_lasting_off(self, worker_ids: Iterable[str], now_s: float) -> None:
+    def defer_lasting_tasks(self, worker_ids: Iterable[str], now_s: float) -> None:
         """Keep lasting tasks off workers that the controller may still consider free."""
         for worker_id in worker_ids:
-            self._scheduler_state.keep_lasting_off(worker_id, now_s + self._limits.lasting_after_s)
+            self._scheduler_state.defer_lasting_tasks(
+                worker_id, now_s + self._limits.lasting_after_s
+            )
 
     def _set_offered(self, worker: Worker, is_offered: bool, now_s: float) -> None:
         if worker.worker_id in self._cordoned:
