--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -92,9 +92,9 @@
         Runs on probation are blamed and stored at once, because this scheduler may end before the
         crash is certain.
         """
-        if worker.closed_s is not None:
+        if worker.connection_closed_s is not None:
             return
-        worker.closed_s = now_s
+        worker.connection_closed_s = now_s
         self._connection_losses.append((now_s, worker.worker_id))
         self.worker_silent(worker, wall_s)
 
@@ -191,12 +191,13 @@
 
     def _is_mass_crash(self, worker: Worker) -> bool:
         """Whether many other workers closed their connections at the same moment as this one."""
-        if worker.closed_s is None:
+        if worker.connection_closed_s is None:
             return False
         near = {
             other
             for at_s, other in self._connection_losses
-            if abs(at_s - worker.closed_s) <= MASS_CRASH_WINDOW_S and other != worker.worker_id
+            if abs(at_s - worker.connection_closed_s) <= MASS_CRASH_WINDOW_S
+            and other != worker.worker_id
         }
         return len(near) >= MIN_MASS_CRASH_WORKERS - 1
 
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -280,7 +280,7 @@
         "avoid_until_s",
         "clock_at_s",
         "clock_ms",
-        "closed_s",
+        "connection_closed_s",
         "cpu_used",
         "failed_jobs",
         "gpus_used",
@@ -326,7 +326,7 @@
         self.lasting_from_s = 0.0
         """Lasting tasks are not placed here before this time, because an order to remove the worker
         may still arrive."""
-        self.closed_s: float | None = None
+        self.connection_closed_s: float | None = None
         """Time at which the worker closed its connections, if it has not answered since."""
         self.isolated: Run | None = None
         """A suspect that may crash the worker; nothing else is started here until its probation is
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -424,7 +424,7 @@
         for run in [run for key, run in worker.runs.items() if key not in listed]:
             self._handle_missing_run(worker, run, sent_s, now_s)
         worker.reported_s = now_s
-        worker.closed_s = None
+        worker.connection_closed_s = None
         self.isolation.answered(worker, now_s)
         self.note_recovered(worker.worker_id, "seen")
 
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -211,7 +211,7 @@
         self.assertEqual([[SOLE]], blames_of(harness))
         harness.report(worker.worker_id, ended=((NAME, order.run.run_id, EndKind.FAILED),))
         self.assertEqual([], blames_of(harness))
-        self.assertIsNone(worker.closed_s)
+        self.assertIsNone(worker.connection_closed_s)
 
     def test_a_lapsed_run_is_cleared_when_its_worker_answers_again(self) -> None:
         """Guards against isolating tasks without end after their worker was unreachable once."""
