--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -135,7 +135,9 @@
 
 
 def _accept(scheduler_state: SchedulerState, job: Job, now_s: float) -> None:
-    scheduler_state.add_job(job, JobProgress(queue="q"), revision=1, is_old=False, wall_s=now_s)
+    scheduler_state.add_job(
+        job, JobProgress(queue="q"), revision=1, is_inherited=False, wall_s=now_s
+    )
 
 
 def _end_some(
--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -165,7 +165,7 @@
         stored while it is sent, so that the next scheduler can blame it.
         """
         tracked_job = self._tracked_jobs[run.name.job_id]
-        if self._may_miss_crashes and tracked_job.is_old and not run.step.is_lasting:
+        if self._may_miss_crashes and tracked_job.is_inherited and not run.step.is_lasting:
             self._note(run, Blame.SHARED, is_certain=False, wall_s=wall_s)
 
     def _assign_blame(self, worker: Worker) -> list[tuple[Run, Blame]]:
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -141,7 +141,7 @@
     # ---- jobs
 
     def add_job(
-        self, job: Job, progress: JobProgress, *, revision: int, is_old: bool, wall_s: float
+        self, job: Job, progress: JobProgress, *, revision: int, is_inherited: bool, wall_s: float
     ) -> None:
         """Add a job from the store with its progress, unless it is known already."""
         if job.job_id in self.tracked_jobs or job.job_id in self.finished_jobs:
@@ -149,9 +149,11 @@
         if progress.state.is_final:
             self.add_finished_job(job.job_id, progress)
             return
-        tracked_job = TrackedJob(job=job, progress=progress, revision=revision, is_old=is_old)
+        tracked_job = TrackedJob(
+            job=job, progress=progress, revision=revision, is_inherited=is_inherited
+        )
         self.tracked_jobs[job.job_id] = tracked_job
-        if not is_old and not job.is_lasting:
+        if not is_inherited and not job.is_lasting:
             self.arrivals.append((wall_s, tracked_job.work_core_s))
         self.jobs_with_future_occurrences.add(job.job_id)
         self.open_due_steps(tracked_job, wall_s)
@@ -219,7 +221,7 @@
         """
         is_recovered = not self.pending_recovery
         for tracked_job in self.tracked_jobs.values():
-            if tracked_job.is_old and not is_recovered:
+            if tracked_job.is_inherited and not is_recovered:
                 continue
             for step in tracked_job.steps.values():
                 if step.waiting:
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -285,7 +285,7 @@
             decode_job(record.value),
             progress,
             revision=item.revision,
-            is_old=record.revision < self._lease.token,
+            is_inherited=record.revision < self._lease.token,
             wall_s=self._dependencies.wall_clock(),
         )
 
--- a/src/shallotworks/scheduling/_tracked_jobs.py
+++ b/src/shallotworks/scheduling/_tracked_jobs.py
@@ -98,7 +98,7 @@
         job: The job.
         progress: The progress of the job.
         revision: The revision of the progress in the store.
-        is_old: Whether the job was accepted before this scheduler's epoch, so that an earlier
+        is_inherited: Whether the job was accepted before this scheduler's epoch, so that an earlier
             scheduler may have started tasks of it.
     """
 
@@ -107,7 +107,7 @@
         "chains_s",
         "changes",
         "checkpoints",
-        "is_old",
+        "is_inherited",
         "job",
         "live",
         "next_occurrence",
@@ -119,11 +119,13 @@
         "work_core_s",
     )
 
-    def __init__(self, *, job: Job, progress: JobProgress, revision: int, is_old: bool) -> None:
+    def __init__(
+        self, *, job: Job, progress: JobProgress, revision: int, is_inherited: bool
+    ) -> None:
         self.job = job
         self.progress = progress
         self.revision = revision
-        self.is_old = is_old
+        self.is_inherited = is_inherited
         self.changes = 0
         """Number of changes of the progress in this epoch."""
         self.stored_changes = 0
--- a/tests/scheduling_fakes.py
+++ b/tests/scheduling_fakes.py
@@ -84,7 +84,7 @@
         self,
         one: Job,
         *,
-        is_old: bool = False,
+        is_inherited: bool = False,
         progress: JobProgress | None = None,
         wall_s: float = WALL_S,
     ) -> None:
@@ -93,7 +93,7 @@
             one,
             progress or JobProgress(queue=one.policy.queue),
             revision=1,
-            is_old=is_old,
+            is_inherited=is_inherited,
             wall_s=wall_s,
         )
 
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -260,7 +260,9 @@
             one = job(JOB_ID, step(1, is_lasting=True))
             scheduler_state = SchedulerState(service=SERVICE, token=9, log=quiet_log())
             progress = JobProgress(queue="sweeps")
-            scheduler_state.add_job(one, progress, revision=1, is_old=True, wall_s=loop.time())
+            scheduler_state.add_job(
+                one, progress, revision=1, is_inherited=True, wall_s=loop.time()
+            )
             scheduler_state.update_worker(worker.view)
             run = Run(
                 name=NAME,
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -393,7 +393,7 @@
         """Guards against dropping a start of a dead scheduler, or taking it for the only cause."""
         row = LostRun(run_id=5, worker_id="a" if is_alive else "z", blame=SOLE, is_certain=False)
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (*lost(*earlier), row)})
-        self.harness.add_job(job("j", step(1)), progress=progress, is_old=True)
+        self.harness.add_job(job("j", step(1)), progress=progress, is_inherited=True)
         self.harness.decide()
         entry = self.harness.scheduler_state.tracked_jobs["j"]
         known = entry.progress.lost_runs(entry.job, NAME)
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -211,7 +211,7 @@
         """
         harness = SchedulingHarness(view("a"), view("b"))
         harness.scheduler_state.pending_recovery["c"] = harness.now_s + 5.0
-        harness.add_job(job("j", step(2, is_lasting=True)), is_old=True)
+        harness.add_job(job("j", step(2, is_lasting=True)), is_inherited=True)
         sizer = PoolSizer(scheduler_state=harness.scheduler_state, limits=SizingLimits())
         # Earlier jobs wait for worker c to be recovered; meanwhile nothing else seems to wait.
         for _ in range(20):
--- a/tests/test_scheduling_takeover.py
+++ b/tests/test_scheduling_takeover.py
@@ -14,7 +14,7 @@
         Worker a reported the run before worker b reported the end that opens the run's step.
         """
         harness = SchedulingHarness(view("a"), view("b"))
-        harness.add_job(job("j", step(1), step(1, after=(0,))), is_old=True)
+        harness.add_job(job("j", step(1), step(1, after=(0,))), is_inherited=True)
         first, second = TaskName("j", 0, 0, 0), TaskName("j", 0, 1, 0)
         harness.report("a", running=(RunningTask(name=second, run_id=5),))
         harness.report("b", ended=((first, 4, EndKind.DONE),))
@@ -46,7 +46,7 @@
         """
         harness = SchedulingHarness(view("a"))
         harness.scheduler_state.pending_recovery["c"] = harness.now_s + 10
-        harness.add_job(job("old", step(1)), is_old=True)
+        harness.add_job(job("old", step(1)), is_inherited=True)
         harness.add_job(job("new", step(1)))
         self.assertEqual(["new"], [order.run.name.job_id for order in harness.start_orders()])
         harness.now_s += 10.1
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -355,7 +355,7 @@
         # they may run on. One of these workers is gone.
         harness = WaitingHarness("a", "b")
         harness.scheduler_state.pending_recovery.update({"gone": 110.0, "cut": 104.0})
-        harness.add_job(job("old", step(3, is_lasting=True)), is_old=True)
+        harness.add_job(job("old", step(3, is_lasting=True)), is_inherited=True)
         harness.add_job(job("new", step(1)))
         summary = harness.summarise()
         self.assertEqual(((WaitReason.RECOVERY, 3), (WaitReason.READY, 1)), summary.counts)
@@ -381,7 +381,7 @@
             with self.subTest(pending=pending):
                 harness = SchedulingHarness(view("a"))
                 harness.scheduler_state.pending_recovery.update(pending)
-                harness.add_job(job("old", step(3, is_lasting=True)), is_old=True)
+                harness.add_job(job("old", step(3, is_lasting=True)), is_inherited=True)
                 harness.add_job(job("new", step(2)))
                 sizer = PoolSizer(scheduler_state=harness.scheduler_state, limits=SizingLimits())
                 self.assertEqual(recovering, sizer.state(wall_s=WALL_S)["tasks_recovering"])
@@ -402,7 +402,7 @@
         harness.scheduler_state.pending_recovery.update(unseen)
         harness.add_job(job("ends", step(1, label="big")))
         harness.report_after(0.0)
-        harness.add_job(job("lasts", step(2, is_lasting=True)), is_old=True)
+        harness.add_job(job("lasts", step(2, is_lasting=True)), is_inherited=True)
         harness.report_after(1.0)
         row = harness.report_after(1.0)[-1]
         expected = {
