--- a/src/shallotworks/fleet/_apply.py
+++ b/src/shallotworks/fleet/_apply.py
@@ -36,11 +36,11 @@
 
 __all__ = ["apply"]
 
-ENDED_PLANS_KEPT = 200
+MAX_ENDED_PLANS = 200
 SHORT_DIGEST_LENGTH = 12
 SHARE_TOLERANCE = 1e-9
 
-_Outcome = Result[FleetState, Failure]
+_ApplyResult = Result[FleetState, Failure]
 _Value = TypeVar("_Value")
 
 
@@ -59,38 +59,38 @@
     return handler(state, change).map(lambda after: replace(after, revision=state.revision + 1))
 
 
-def _refuse(kind: ErrorKind, reason: str) -> _Outcome:
+def _refuse(kind: ErrorKind, reason: str) -> _ApplyResult:
     return Err(Failure(kind=kind, reason=reason))
 
 
-def _with(entries: Mapping[str, _Value], name: str, value: _Value) -> dict[str, _Value]:
+def _put_entry(entries: Mapping[str, _Value], name: str, value: _Value) -> dict[str, _Value]:
     return {**entries, name: value}
 
 
-def _without(entries: Mapping[str, _Value], name: str) -> dict[str, _Value]:
+def _drop_entry(entries: Mapping[str, _Value], name: str) -> dict[str, _Value]:
     return {key: value for key, value in entries.items() if key != name}
 
 
-def _put_data_centre(state: FleetState, change: PutDataCentre) -> _Outcome:
+def _put_data_centre(state: FleetState, change: PutDataCentre) -> _ApplyResult:
     entry = change.data_centre
-    return Success(replace(state, data_centres=_with(state.data_centres, entry.name, entry)))
+    return Success(replace(state, data_centres=_put_entry(state.data_centres, entry.name, entry)))
 
 
-def _put_pool(state: FleetState, change: PutPool) -> _Outcome:
-    return Success(replace(state, pools=_with(state.pools, change.pool.name, change.pool)))
+def _put_pool(state: FleetState, change: PutPool) -> _ApplyResult:
+    return Success(replace(state, pools=_put_entry(state.pools, change.pool.name, change.pool)))
 
 
-def _remove_pool(state: FleetState, change: RemovePool) -> _Outcome:
+def _remove_pool(state: FleetState, change: RemovePool) -> _ApplyResult:
     if change.name not in state.pools:
         return _refuse(ErrorKind.NOT_FOUND, f"no pool {change.name}")
     if any(state.instances_of(change.name)):
         return _refuse(ErrorKind.CONFLICT, f"pool {change.name} still holds instances")
     if any(state.services_of(change.name)):
         return _refuse(ErrorKind.CONFLICT, f"pool {change.name} still serves services")
-    return Success(replace(state, pools=_without(state.pools, change.name)))
+    return Success(replace(state, pools=_drop_entry(state.pools, change.name)))
 
 
-def _put_service(state: FleetState, change: PutService) -> _Outcome:
+def _put_service(state: FleetState, change: PutService) -> _ApplyResult:
     service = change.service
     if service.pool not in state.pools:
         return _refuse(ErrorKind.NOT_FOUND, f"no pool {service.pool}")
@@ -101,28 +101,28 @@
         return _refuse(
             ErrorKind.CONFLICT, f"the shares of pool {service.pool} would add up to more than 1"
         )
-    return Success(replace(state, services=_with(state.services, service.name, service)))
+    return Success(replace(state, services=_put_entry(state.services, service.name, service)))
 
 
-def _remove_service(state: FleetState, change: RemoveService) -> _Outcome:
+def _remove_service(state: FleetState, change: RemoveService) -> _ApplyResult:
     if change.name not in state.services:
         return _refuse(ErrorKind.NOT_FOUND, f"no service {change.name}")
-    return Success(replace(state, services=_without(state.services, change.name)))
+    return Success(replace(state, services=_drop_entry(state.services, change.name)))
 
 
-def _put_team(state: FleetState, change: PutTeam) -> _Outcome:
+def _put_team(state: FleetState, change: PutTeam) -> _ApplyResult:
     if change.team.quota_slots < 0:
         return _refuse(ErrorKind.INVALID_REQUEST, "a quota is not negative")
-    return Success(replace(state, teams=_with(state.teams, change.team.name, change.team)))
+    return Success(replace(state, teams=_put_entry(state.teams, change.team.name, change.team)))
 
 
-def _remove_team(state: FleetState, change: RemoveTeam) -> _Outcome:
+def _remove_team(state: FleetState, change: RemoveTeam) -> _ApplyResult:
     if change.name not in state.teams:
         return _refuse(ErrorKind.NOT_FOUND, f"no team {change.name}")
-    return Success(replace(state, teams=_without(state.teams, change.name)))
+    return Success(replace(state, teams=_drop_entry(state.teams, change.name)))
 
 
-def _put_instance(state: FleetState, change: PutInstance) -> _Outcome:
+def _put_instance(state: FleetState, change: PutInstance) -> _ApplyResult:
     entry = change.instance
     if entry.pool not in state.pools:
         return _refuse(ErrorKind.NOT_FOUND, f"no pool {entry.pool}")
@@ -140,19 +140,19 @@
             held_by=present.held_by,
             maintained_at_s=present.maintained_at_s,
         )
-    return Success(replace(state, instances=_with(state.instances, entry.name, entry)))
+    return Success(replace(state, instances=_put_entry(state.instances, entry.name, entry)))
 
 
-def _remove_instance(state: FleetState, change: RemoveInstance) -> _Outcome:
+def _remove_instance(state: FleetState, change: RemoveInstance) -> _ApplyResult:
     if change.name not in state.instances:
         return _refuse(ErrorKind.NOT_FOUND, f"no instance {change.name}")
-    holder = state.open_plan_holding((change.name,))
-    if holder is not None:
-        return _refuse(ErrorKind.CONFLICT, _held(change.name, holder))
-    return Success(replace(state, instances=_without(state.instances, change.name)))
+    holding_plan = state.open_plan_holding((change.name,))
+    if holding_plan is not None:
+        return _refuse(ErrorKind.CONFLICT, _held_message(change.name, holding_plan))
+    return Success(replace(state, instances=_drop_entry(state.instances, change.name)))
 
 
-def _move_instance(state: FleetState, change: MoveInstance) -> _Outcome:
+def _move_instance(state: FleetState, change: MoveInstance) -> _ApplyResult:
     entry = state.instances.get(change.name)
     if entry is None:
         return _refuse(ErrorKind.NOT_FOUND, f"no instance {change.name}")
@@ -164,25 +164,27 @@
         )
     if entry.condition is not Condition.CORDONED:
         return _refuse(ErrorKind.CONFLICT, f"{entry.name} is not cordoned")
-    fenced = _fence(state, change.plan, change.fencing_token, (change.name,))
+    fenced = _check_fencing_token(state, change.plan, change.fencing_token, (change.name,))
     return fenced.map(
         lambda after: _replace_instances(after, [replace(entry, pool=change.to_pool)])
     )
 
 
-def _set_condition(state: FleetState, change: SetCondition) -> _Outcome:
+def _set_condition(state: FleetState, change: SetCondition) -> _ApplyResult:
     unknown = [name for name in change.names if name not in state.instances]
     if unknown:
         return _refuse(ErrorKind.NOT_FOUND, f"no instance {unknown[0]}")
-    fenced = _fence(state, change.plan, change.fencing_token, change.names)
+    fenced = _check_fencing_token(state, change.plan, change.fencing_token, change.names)
     return fenced.bind(lambda after: _change_condition(after, change))
 
 
-def _change_condition(state: FleetState, change: SetCondition) -> _Outcome:
+def _change_condition(state: FleetState, change: SetCondition) -> _ApplyResult:
     if change.condition is Condition.CORDONED and change.plan:
         plan = state.plans[change.plan]
         if plan.state is not PlanState.RUNNING:
-            return _refuse(ErrorKind.CONFLICT, f"plan {_short(plan.digest)} is {plan.state.value}")
+            return _refuse(
+                ErrorKind.CONFLICT, f"plan {_short_digest(plan.digest)} is {plan.state.value}"
+            )
     changed = []
     for name in change.names:
         entry = state.instances[name]
@@ -200,7 +202,9 @@
     return Success(after)
 
 
-def _check_budgets(*, before: FleetState, after: FleetState, changed: list[Instance]) -> _Outcome:
+def _check_budgets(
+    *, before: FleetState, after: FleetState, changed: list[Instance]
+) -> _ApplyResult:
     """Refuse a cordon that overspends a budget.
 
     Every process applies this at the one revision the cordon would become, so two plans, or two
@@ -220,24 +224,28 @@
     return Success(after)
 
 
-def _set_health(state: FleetState, change: SetHealth) -> _Outcome:
+def _set_health(state: FleetState, change: SetHealth) -> _ApplyResult:
     known = [state.instances[name] for name in change.names if name in state.instances]
     changed = [replace(entry, healthy=change.healthy) for entry in known]
     return Success(_replace_instances(state, changed))
 
 
-def _confirm_plan(state: FleetState, change: ConfirmPlan) -> _Outcome:
+def _confirm_plan(state: FleetState, change: ConfirmPlan) -> _ApplyResult:
     if change.digest in state.plans:
-        return _refuse(ErrorKind.CONFLICT, f"plan {_short(change.digest)} is confirmed already")
+        return _refuse(
+            ErrorKind.CONFLICT, f"plan {_short_digest(change.digest)} is confirmed already"
+        )
     unknown = [name for name in change.instances if name not in state.instances]
     if unknown:
         return _refuse(ErrorKind.STALE_PLAN, f"instance {unknown[0]} is gone")
-    holder = state.open_plan_holding(change.instances)
-    if holder is not None:
-        both = sorted(set(holder.instances) & set(change.instances))
-        return _refuse(ErrorKind.CONFLICT, _held(both[0], holder))
+    holding_plan = state.open_plan_holding(change.instances)
+    if holding_plan is not None:
+        shared_names = sorted(set(holding_plan.instances) & set(change.instances))
+        return _refuse(ErrorKind.CONFLICT, _held_message(shared_names[0], holding_plan))
     if change.basis and change.basis != precondition_digest(state, change.instances):
-        return _refuse(ErrorKind.STALE_PLAN, f"what plan {_short(change.digest)} rests on changed")
+        return _refuse(
+            ErrorKind.STALE_PLAN, f"what plan {_short_digest(change.digest)} rests on changed"
+        )
     record = PlanRecord(
         digest=change.digest,
         intent=change.intent,
@@ -246,55 +254,57 @@
         base_revision=change.base_revision,
         instances=change.instances,
     )
-    return Success(replace(state, plans=_with(state.plans, record.digest, record)))
+    return Success(replace(state, plans=_put_entry(state.plans, record.digest, record)))
 
 
-def _advance_plan(state: FleetState, change: AdvancePlan) -> _Outcome:
-    fenced = _fence(state, change.digest, change.fencing_token, ())
+def _advance_plan(state: FleetState, change: AdvancePlan) -> _ApplyResult:
+    fenced = _check_fencing_token(state, change.digest, change.fencing_token, ())
     return fenced.map(lambda after: _record_steps(after, change))
 
 
 def _record_steps(state: FleetState, change: AdvancePlan) -> FleetState:
     plan = state.plans[change.digest]
     plan = replace(plan, steps_done=max(plan.steps_done, change.steps_done))
-    return replace(state, plans=_with(state.plans, plan.digest, plan))
+    return replace(state, plans=_put_entry(state.plans, plan.digest, plan))
 
 
-def _finish_plan(state: FleetState, change: FinishPlan) -> _Outcome:
+def _finish_plan(state: FleetState, change: FinishPlan) -> _ApplyResult:
     plan = state.plans.get(change.digest)
     if plan is None:
-        return _refuse(ErrorKind.NOT_FOUND, f"no confirmed plan {_short(change.digest)}")
+        return _refuse(ErrorKind.NOT_FOUND, f"no confirmed plan {_short_digest(change.digest)}")
     if not plan.state.is_open:
         return _refuse(
-            ErrorKind.CONFLICT, f"plan {_short(plan.digest)} is {plan.state.value} already"
+            ErrorKind.CONFLICT, f"plan {_short_digest(plan.digest)} is {plan.state.value} already"
         )
     if change.state is PlanState.RUNNING:
         return _refuse(ErrorKind.INVALID_REQUEST, "an open plan can't be set back to running")
     if plan.state is PlanState.CANCELLING and change.state is PlanState.DONE:
         # The failure: an operator's cancel and the conductor's last step cross; accepting "done"
         # would drop a cancel that was accepted. Refused, the conductor rolls back instead.
-        return _refuse(ErrorKind.CONFLICT, f"plan {_short(plan.digest)} is being cancelled")
+        return _refuse(ErrorKind.CONFLICT, f"plan {_short_digest(plan.digest)} is being cancelled")
     if change.state is PlanState.CANCELLING:
-        return Success(_end(state, plan, change))
-    fenced = _fence(state, change.digest, change.fencing_token, ())
-    return fenced.map(lambda after: _end(after, after.plans[change.digest], change))
+        return Success(_set_plan_state(state, plan, change))
+    fenced = _check_fencing_token(state, change.digest, change.fencing_token, ())
+    return fenced.map(lambda after: _set_plan_state(after, after.plans[change.digest], change))
 
 
-def _end(state: FleetState, plan: PlanRecord, change: FinishPlan) -> FleetState:
+def _set_plan_state(state: FleetState, plan: PlanRecord, change: FinishPlan) -> FleetState:
     plan = replace(plan, state=change.state, outcome=change.outcome)
     if not change.state.is_open:
         plan = replace(plan, ended_at_s=change.at_s, instances=())
-    plans = _with(state.plans, plan.digest, plan)
+    plans = _put_entry(state.plans, plan.digest, plan)
     ended = sorted(
         (entry for entry in plans.values() if not entry.state.is_open),
         key=lambda entry: (entry.ended_at_s, entry.digest),
     )
-    for old in ended[:-ENDED_PLANS_KEPT]:
-        plans = _without(plans, old.digest)
+    for oldest in ended[:-MAX_ENDED_PLANS]:
+        plans = _drop_entry(plans, oldest.digest)
     return replace(state, plans=plans)
 
 
-def _fence(state: FleetState, digest: str, token: int, names: tuple[str, ...]) -> _Outcome:
+def _check_fencing_token(
+    state: FleetState, digest: str, token: int, names: tuple[str, ...]
+) -> _ApplyResult:
     """Check that a writer may still act for a plan on these instances, and keep its token.
 
     The failure: a conductor is paused past its lease, another takes over, the first wakes and
@@ -302,46 +312,46 @@
     process alike, whenever it arrives.
     """
     if not digest:
-        holder = state.open_plan_holding(names)
-        if holder is not None:
-            return _refuse(ErrorKind.CONFLICT, _held(names[0], holder))
+        holding_plan = state.open_plan_holding(names)
+        if holding_plan is not None:
+            return _refuse(ErrorKind.CONFLICT, _held_message(names[0], holding_plan))
         return Success(state)
     plan = state.plans.get(digest)
     if plan is None or not plan.state.is_open:
-        return _refuse(ErrorKind.CONFLICT, f"plan {_short(digest)} is not open")
+        return _refuse(ErrorKind.CONFLICT, f"plan {_short_digest(digest)} is not open")
     if not set(names) <= set(plan.instances):
         return _refuse(
-            ErrorKind.CONFLICT, f"plan {_short(digest)} does not hold all of these instances"
+            ErrorKind.CONFLICT, f"plan {_short_digest(digest)} does not hold all of these instances"
         )
     if token < plan.fencing_token:
         return _refuse(
             ErrorKind.LEASE_LOST,
-            f"token {token} of plan {_short(digest)} is older than the one in force",
+            f"token {token} of plan {_short_digest(digest)} is older than the one in force",
         )
     plan = replace(plan, fencing_token=token)
-    return Success(replace(state, plans=_with(state.plans, digest, plan)))
+    return Success(replace(state, plans=_put_entry(state.plans, digest, plan)))
 
 
 def _replace_instances(state: FleetState, changed: list[Instance]) -> FleetState:
     return replace(state, instances={**state.instances, **{entry.name: entry for entry in changed}})
 
 
-def _held(name: str, plan: PlanRecord) -> str:
+def _held_message(name: str, plan: PlanRecord) -> str:
     return (
-        f"{name} is held by plan {_short(plan.digest)} ({plan.intent}),"
-        f" confirmed by {plan.confirmed_by} at {_time(plan.confirmed_at_s)}"
+        f"{name} is held by plan {_short_digest(plan.digest)} ({plan.intent}),"
+        f" confirmed by {plan.confirmed_by} at {_format_time(plan.confirmed_at_s)}"
     )
 
 
-def _time(unix_s: float) -> str:
+def _format_time(unix_s: float) -> str:
     return datetime.fromtimestamp(unix_s, tz=UTC).strftime("%Y-%m-%d %H:%M UTC")
 
 
-def _short(digest: str) -> str:
+def _short_digest(digest: str) -> str:
     return digest[:SHORT_DIGEST_LENGTH]
 
 
-_HANDLERS: dict[type, Callable[[FleetState, Any], _Outcome]] = {
+_HANDLERS: dict[type, Callable[[FleetState, Any], _ApplyResult]] = {
     PutDataCentre: _put_data_centre,
     PutPool: _put_pool,
     RemovePool: _remove_pool,
--- a/src/shallotworks/fleet/_preconditions.py
+++ b/src/shallotworks/fleet/_preconditions.py
@@ -25,23 +25,23 @@
     pools = {state.instances[name].pool for name in names if name in state.instances}
     members = (entry for entry in state.instances.values() if entry.pool in pools)
     digest = hashlib.sha256()
-    for line in sorted(_fact(entry) for entry in members):
+    for line in sorted(_instance_line(entry) for entry in members):
         digest.update(line.encode())
     for line in sorted(f"missing {name}\n" for name in names if name not in state.instances):
         digest.update(line.encode())
-    for line in _budgets(state, pools):
+    for line in _budget_lines(state, pools):
         digest.update(line.encode())
     return digest.hexdigest()
 
 
-def _fact(entry: Instance) -> str:
+def _instance_line(entry: Instance) -> str:
     return (
         f"{entry.name}|{entry.pool}|{entry.data_centre}|{entry.rack}|{entry.slots}"
         f"|{entry.condition.value}|{entry.healthy}\n"
     )
 
 
-def _budgets(state: FleetState, pools: set[str]) -> list[str]:
+def _budget_lines(state: FleetState, pools: set[str]) -> list[str]:
     return sorted(
         f"{entry.pool}|{entry.name}|{entry.max_unavailable}\n"
         for entry in state.services.values()
--- a/src/shallotworks/plans/_conductor.py
+++ b/src/shallotworks/plans/_conductor.py
@@ -18,7 +18,7 @@
 from ._protocols import PlanLease
 from ._records import Plan
 from ._registry import plan_key
-from ._tasks import stop_all
+from ._tasks import cancel_all
 from ._writer import PlanWriter
 
 __all__ = ["Conductor"]
@@ -60,44 +60,44 @@
         try:
             while True:
                 revision = self._dependencies.view.state().revision
-                self._start_new()
+                self._start_new_plans()
                 await self._dependencies.view.wait_for(revision + 1)
         finally:
             for task in self._tasks.values():
                 task.cancel()
             await asyncio.gather(*self._tasks.values(), return_exceptions=True)
 
-    def _start_new(self) -> None:
+    def _start_new_plans(self) -> None:
         self._tasks = {digest: task for digest, task in self._tasks.items() if not task.done()}
         for digest, record in self._dependencies.view.state().plans.items():
             if record.state.is_open and digest not in self._tasks:
-                self._tasks[digest] = asyncio.ensure_future(self._conduct(digest))
+                self._tasks[digest] = asyncio.ensure_future(self._conduct_until_ended(digest))
 
-    async def _conduct(self, digest: str) -> None:
+    async def _conduct_until_ended(self, digest: str) -> None:
         """Conduct one plan until it has ended, here or elsewhere."""
-        ended = asyncio.ensure_future(self._until_ended(digest))
+        ended = asyncio.ensure_future(self._wait_until_ended(digest))
         try:
             while not ended.done():
-                await self._turn_unless(ended, digest)
+                await self._run_attempt(ended, digest)
         finally:
-            await stop_all((ended,))
+            await cancel_all((ended,))
 
-    async def _turn_unless(self, ended: asyncio.Task[None], digest: str) -> None:
+    async def _run_attempt(self, ended: asyncio.Task[None], digest: str) -> None:
         """Take one turn, cut short when the plan has ended elsewhere."""
-        turn = asyncio.ensure_future(self._take_turn(digest))
+        attempt = asyncio.ensure_future(self._hold_lease_and_run(digest))
         try:
-            await asyncio.wait((turn, ended), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((attempt, ended), return_when=asyncio.FIRST_COMPLETED)
         finally:
-            await stop_all((turn,))
-        if not turn.cancelled() and turn.exception() is not None:
+            await cancel_all((attempt,))
+        if not attempt.cancelled() and attempt.exception() is not None:
             # One plan's fault must not end the others; it shows in this counter, and the plan is
             # taken up again from the state.
             self._dependencies.metrics.count("plans.conductor_faults")
-            logging.error("plan %s: conductor failed: %r", digest, turn.exception())
+            logging.error("plan %s: conductor failed: %r", digest, attempt.exception())
         if not ended.done():
             await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _until_ended(self, digest: str) -> None:
+    async def _wait_until_ended(self, digest: str) -> None:
         view = self._dependencies.view
         while True:
             state = view.state()
@@ -106,7 +106,7 @@
                 return
             await view.wait_for(state.revision + 1)
 
-    async def _take_turn(self, digest: str) -> None:
+    async def _hold_lease_and_run(self, digest: str) -> None:
         """Wait for the lease, then conduct until the plan ends or the lease is lost."""
         lease = self._plan_leases(digest)
         try:
@@ -138,10 +138,10 @@
         """Read the plan, waiting out a store that is down."""
         while True:
             result = await self._store.get(plan_key(digest))
-            found = result.unwrap() if isinstance(result, Success) else None
-            if found is not None:
+            entry = result.unwrap() if isinstance(result, Success) else None
+            if entry is not None:
                 try:
-                    return Plan.decode(found.value)
+                    return Plan.decode(entry.value)
                 except ValidationError:
                     logging.error("plan %s: the stored plan can't be read", digest)
             self._dependencies.metrics.count("plans.loads_repeated")
--- a/src/shallotworks/plans/_instance_run.py
+++ b/src/shallotworks/plans/_instance_run.py
@@ -127,34 +127,34 @@
         Raises:
             ShallotworksError: ``LEASE_LOST``; nothing was done after it.
         """
-        end = StepOutcome.DONE
+        outcome = StepOutcome.DONE
         for action in self._step.actions:
-            end = await self._act(action, return_timeout_s=return_timeout_s)
-            if end is not StepOutcome.DONE:
+            outcome = await self._run_action(action, return_timeout_s=return_timeout_s)
+            if outcome is not StepOutcome.DONE:
                 break
-        self._metrics.count(f"plans.steps.{end.name.lower()}")
-        self._record(EventKind.PLAN_STEP, end.value)
-        return end
+        self._metrics.count(f"plans.steps.{outcome.name.lower()}")
+        self._record(EventKind.PLAN_STEP, outcome.value)
+        return outcome
 
     async def probe_and_return(self, *, return_timeout_s: float) -> StepOutcome:
         """Return the instance as it is, for a plan that is rolled back."""
-        end = await self._probe(reboot_id="", limit_s=return_timeout_s)
-        return await self._return(maintained=False) if end is StepOutcome.DONE else end
+        outcome = await self._probe(reboot_id="", timeout_s=return_timeout_s)
+        return await self._return(maintained=False) if outcome is StepOutcome.DONE else outcome
 
-    async def _act(self, action: Action, *, return_timeout_s: float) -> StepOutcome:
+    async def _run_action(self, action: Action, *, return_timeout_s: float) -> StepOutcome:
         match action:
             case Action.CORDON:
                 return StepOutcome.DONE
             case Action.DRAIN:
                 return await self._drain()
             case Action.REBOOT:
-                return await self._reboot(limit_s=return_timeout_s)
+                return await self._reboot(timeout_s=return_timeout_s)
             case Action.MOVE:
                 return await self._move()
             case Action.PROBE:
                 rebooted = Action.REBOOT in self._step.actions
                 reboot_id = self._digest if rebooted else ""
-                return await self._probe(reboot_id=reboot_id, limit_s=return_timeout_s)
+                return await self._probe(reboot_id=reboot_id, timeout_s=return_timeout_s)
             case Action.RETURN:
                 return await self._return(maintained=Action.REBOOT in self._step.actions)
 
@@ -163,15 +163,15 @@
         if await self._has_rebooted():
             return StepOutcome.DONE
         await self._control.checkpoint_jobs(self._instance())
-        waited_since_s = _now_s()
-        told = False
+        started_at_s = _loop_time_s()
+        is_reported = False
         while not await self._is_empty():
-            waited_s = _now_s() - waited_since_s
-            if waited_s >= self._policy.drain_timeout_s and not told:
-                told = True
+            waited_s = _loop_time_s() - started_at_s
+            if waited_s >= self._policy.drain_timeout_s and not is_reported:
+                is_reported = True
                 self._record(EventKind.PLAN_PAUSED, f"not empty after {waited_s:.0f} s")
                 if Action.RETURN in self._step.actions:
-                    return await self._give_back()
+                    return await self._return_undrained()
             await asyncio.sleep(self._policy.poll_s)
         return StepOutcome.DONE
 
@@ -182,7 +182,7 @@
         # A target that was reported as failed and does not answer has nothing left to cut off.
         return not self._instance().healthy and in_flight.failure().kind is ErrorKind.UNREACHABLE
 
-    async def _give_back(self) -> StepOutcome:
+    async def _return_undrained(self) -> StepOutcome:
         """Return a target that never emptied: its work goes on, its permit is free again.
 
         One that does not answer may be cut off from this process alone, hence is given back too.
@@ -197,8 +197,8 @@
             else StepOutcome.NEVER_ANSWERED
         )
 
-    async def _reboot(self, *, limit_s: float) -> StepOutcome:
-        until_s = _now_s() + limit_s
+    async def _reboot(self, *, timeout_s: float) -> StepOutcome:
+        deadline_s = _loop_time_s() + timeout_s
         while not await self._has_rebooted():
             self._writer.check_held()
             result = await self._control.reboot(
@@ -208,11 +208,11 @@
                 return StepOutcome.DONE
             if result.failure().kind is ErrorKind.CONFLICT:
                 # An entry instance that is cut off sent it work after it was seen empty.
-                end = await self._drain()
-                if end is not StepOutcome.DONE:
-                    return end
-            elif _now_s() >= until_s:
-                return await self._stays_cordoned(StepOutcome.NEVER_CAME_BACK)
+                outcome = await self._drain()
+                if outcome is not StepOutcome.DONE:
+                    return outcome
+            elif _loop_time_s() >= deadline_s:
+                return await self._leave_cordoned(StepOutcome.NEVER_CAME_BACK)
             await asyncio.sleep(self._policy.poll_s)
         return StepOutcome.DONE
 
@@ -228,20 +228,20 @@
         )
         return StepOutcome.DONE if isinstance(result, Success) else StepOutcome.REFUSED
 
-    async def _probe(self, *, reboot_id: str, limit_s: float) -> StepOutcome:
-        until_s = _now_s() + limit_s
+    async def _probe(self, *, reboot_id: str, timeout_s: float) -> StepOutcome:
+        deadline_s = _loop_time_s() + timeout_s
         while True:
             report = await self._control.probe(self._instance())
             if self._is_back(report, reboot_id=reboot_id):
                 break
-            if _now_s() >= until_s:
-                return await self._stays_cordoned(StepOutcome.NEVER_CAME_BACK)
+            if _loop_time_s() >= deadline_s:
+                return await self._leave_cordoned(StepOutcome.NEVER_CAME_BACK)
             await asyncio.sleep(self._policy.poll_s)
-        known = self._instance().incarnation
-        if known and report.unwrap().incarnation != known:
+        planned_incarnation = self._instance().incarnation
+        if planned_incarnation and report.unwrap().incarnation != planned_incarnation:
             # The failure: the platform replaced the machine under the same name while it was out;
             # its size and contents are not the ones planned with, so it takes no work unseen.
-            return await self._stays_cordoned(StepOutcome.REPLACED)
+            return await self._leave_cordoned(StepOutcome.REPLACED)
         return StepOutcome.DONE
 
     def _is_back(self, report: Result[ProbeReport, Failure], *, reboot_id: str) -> bool:
@@ -250,10 +250,10 @@
             return False
         return not reboot_id or report.unwrap().reboot_id == reboot_id
 
-    async def _stays_cordoned(self, end: StepOutcome) -> StepOutcome:
+    async def _leave_cordoned(self, outcome: StepOutcome) -> StepOutcome:
         if self._instance().healthy:
             await self._writer.report_failed(self._name)
-        return end
+        return outcome
 
     async def _return(self, *, maintained: bool) -> StepOutcome:
         maintained_at_s = self._wall_clock_s() if maintained else 0.0
@@ -272,5 +272,5 @@
         self._timeline.record(kind, subject=subject, detail=detail)
 
 
-def _now_s() -> float:
+def _loop_time_s() -> float:
     return asyncio.get_running_loop().time()
--- a/src/shallotworks/plans/_intents.py
+++ b/src/shallotworks/plans/_intents.py
@@ -28,7 +28,7 @@
 ]
 
 SECONDS_PER_WEEK = 7 * 24 * 3600
-NAMES_SHOWN = 4
+MAX_NAMES_SHOWN = 4
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -144,7 +144,7 @@
 def describe_intent(intent: Intent) -> str:
     """Return an intent in one line for people."""
     if isinstance(intent, Move):
-        what = _names(intent.names) if intent.names else f"{intent.count} instances"
+        what = _format_names(intent.names) if intent.names else f"{intent.count} instances"
         return f"move {what} from pool {intent.from_pool} to pool {intent.to_pool}"
     return f"{intent.kind} {_describe_selection(intent.selection)}"
 
@@ -152,7 +152,7 @@
 def _describe_selection(selection: Selection) -> str:
     match selection:
         case Named():
-            return _names(selection.names)
+            return _format_names(selection.names)
         case InRack():
             return f"rack {selection.rack} in {selection.data_centre}"
         case InPool():
@@ -160,16 +160,16 @@
         case InDataCentre():
             return f"data centre {selection.data_centre}"
         case NotMaintainedSince():
-            return f"everything not maintained since {_date(selection.before_s)}"
+            return f"everything not maintained since {_format_date(selection.before_s)}"
 
 
-def _date(unix_s: float) -> str:
+def _format_date(unix_s: float) -> str:
     return datetime.fromtimestamp(unix_s, tz=UTC).strftime("%Y-%m-%d")
 
 
-def _names(names: tuple[str, ...]) -> str:
-    shown = ", ".join(names[:NAMES_SHOWN])
-    more = len(names) - NAMES_SHOWN
+def _format_names(names: tuple[str, ...]) -> str:
+    shown = ", ".join(names[:MAX_NAMES_SHOWN])
+    more = len(names) - MAX_NAMES_SHOWN
     return f"{shown} and {more} more" if more > 0 else shown
 
 
--- a/src/shallotworks/plans/_measures.py
+++ b/src/shallotworks/plans/_measures.py
@@ -125,20 +125,23 @@
             out.clear()
         for entry in wave:
             out[(entry.data_centre, entry.rack)] += entry.slots if entry.available else 0
-        for centre in {entry.data_centre for entry in wave}:
-            left = _left(centre, racks[centre], out=out, number=number)
-            known = worst.get(centre)
-            if known is None or left.slots_left_if_rack_fails < known.slots_left_if_rack_fails:
-                worst[centre] = left
-    return tuple(worst[centre] for centre in sorted(worst))
-
-
-def _left(
-    centre: str, racks: dict[RackKey, int], *, out: Counter[RackKey], number: int
+        for data_centre in {entry.data_centre for entry in wave}:
+            left = _remaining_capacity(data_centre, racks[data_centre], out=out, number=number)
+            worst_so_far = worst.get(data_centre)
+            if (
+                worst_so_far is None
+                or left.slots_left_if_rack_fails < worst_so_far.slots_left_if_rack_fails
+            ):
+                worst[data_centre] = left
+    return tuple(worst[data_centre] for data_centre in sorted(worst))
+
+
+def _remaining_capacity(
+    data_centre: str, racks: dict[RackKey, int], *, out: Counter[RackKey], number: int
 ) -> DataCentreCapacity:
     remaining = [slots - out[key] for key, slots in racks.items()]
     return DataCentreCapacity(
-        data_centre=centre,
+        data_centre=data_centre,
         slots=sum(racks.values()),
         slots_left=sum(remaining),
         slots_left_if_rack_fails=sum(remaining) - max(remaining),
@@ -155,40 +158,44 @@
     taken to spread evenly over what is available in their pool.
     """
     relocated = 0.0
-    for pool, parts in _waves_by_pool(waves).items():
+    for pool, wave_names in _waves_by_pool(waves).items():
         load = {
             entry.name: model.jobs_per_instance
             for entry in supply.pools[pool].members
             if entry.available
         }
-        gone: set[str] = set()
-        for names in parts:
+        unavailable: set[str] = set()
+        for names in wave_names:
             if not stays_out:
-                gone = set()
-            gone |= names & load.keys()
+                unavailable = set()
+            unavailable |= names & load.keys()
             displaced = sum(load[name] for name in names & load.keys())
             relocated += displaced
-            _spread(displaced, load=load, emptied=names & load.keys(), gone=gone)
+            _redistribute(
+                displaced, load=load, emptied=names & load.keys(), unavailable=unavailable
+            )
     return relocated
 
 
-def _spread(displaced: float, *, load: dict[str, float], emptied: set[str], gone: set[str]) -> None:
+def _redistribute(
+    displaced: float, *, load: dict[str, float], emptied: set[str], unavailable: set[str]
+) -> None:
     for name in emptied:
         load[name] = 0.0
-    takers = [name for name in load if name not in gone]
-    for name in takers:
-        load[name] += displaced / len(takers)
+    receivers = [name for name in load if name not in unavailable]
+    for name in receivers:
+        load[name] += displaced / len(receivers)
 
 
 def _waves_by_pool(waves: Waves) -> dict[str, list[set[str]]]:
-    parts: dict[str, list[set[str]]] = {}
+    wave_names: dict[str, list[set[str]]] = {}
     for wave in waves:
         by_pool: dict[str, set[str]] = {}
         for entry in wave:
             by_pool.setdefault(entry.pool, set()).add(entry.name)
         for pool, names in by_pool.items():
-            parts.setdefault(pool, []).append(names)
-    return parts
+            wave_names.setdefault(pool, []).append(names)
+    return wave_names
 
 
 def _relative(value: float, best: float) -> float:
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -15,16 +15,16 @@
 from shallotworks.timeline import EventKind, Subject, Timeline
 
 from ._instance_run import ConductorPolicy, InstanceRun, StepOutcome
-from ._progress import is_done
+from ._progress import is_step_done
 from ._protocols import Acknowledgements, TargetControl
 from ._records import Action, Plan, Step, Wave
-from ._tasks import run_all, stop_all
+from ._tasks import cancel_all, run_all
 from ._writer import PlanWriter
 
 __all__ = ["PlanRun", "ConductorDependencies"]
 
-LOOK_AGAIN_S = 5.0
-NAMES_SHOWN = 5
+LEASE_CHECK_INTERVAL_S = 5.0
+MAX_NAMES_SHOWN = 5
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -59,7 +59,15 @@
         dependencies: What to work with.
     """
 
-    __slots__ = ("_dependencies", "_ends", "_inherited", "_paused", "_plan", "_steps", "_writer")
+    __slots__ = (
+        "_dependencies",
+        "_inherited_failures",
+        "_outcomes",
+        "_paused",
+        "_plan",
+        "_steps",
+        "_writer",
+    )
 
     def __init__(
         self, *, plan: Plan, writer: PlanWriter, dependencies: ConductorDependencies
@@ -70,8 +78,8 @@
         }
         self._writer = writer
         self._dependencies = dependencies
-        self._ends: dict[str, StepOutcome] = {}
-        self._inherited: set[str] = set()
+        self._outcomes: dict[str, StepOutcome] = {}
+        self._inherited_failures: set[str] = set()
         self._paused = False
 
     async def run(self) -> None:
@@ -81,9 +89,9 @@
             ShallotworksError: ``LEASE_LOST``; another conductor goes on.
         """
         await self._writer.advance(0)
-        self._inherit_failed()
+        self._inherit_failures()
         try:
-            await self._unless_cancelled(self._waves())
+            await self._run_unless_cancelled(self._run_waves())
         except ShallotworksError as error:
             if error.failure.kind is not ErrorKind.CANCELLED:
                 raise
@@ -91,43 +99,43 @@
         finally:
             await self._writer.close()
 
-    def _inherit_failed(self) -> None:
+    def _inherit_failures(self) -> None:
         """Take over what an earlier conductor gave up, so that waves do not wait for it again."""
         state = self._dependencies.view.state()
         for name, step in self._steps.items():
-            failed = self._holds(name) and not state.instances[name].healthy
+            failed = self._is_held(name) and not state.instances[name].healthy
             if failed and Action.RETURN in step.actions:
-                self._ends[name] = StepOutcome.NEVER_CAME_BACK
-                self._inherited.add(name)
+                self._outcomes[name] = StepOutcome.NEVER_CAME_BACK
+                self._inherited_failures.add(name)
 
-    async def _waves(self) -> None:
+    async def _run_waves(self) -> None:
         for number, wave in enumerate(self._plan.waves, start=1):
-            await self._stand_still_while_failing()
-            await self._until_window(wave)
+            await self._pause_while_failing()
+            await self._wait_for_window(wave)
             await self._run_wave(wave)
             steps_done = sum(len(done.steps) for done in self._plan.waves[:number])
             if steps_done > self._record().steps_done:
                 await self._writer.advance(steps_done)
-        await self._try_leftovers()
+        await self._retry_failed()
         await self._finish()
 
-    async def _unless_cancelled(self, work: Coroutine[None, None, None]) -> None:
+    async def _run_unless_cancelled(self, work: Coroutine[None, None, None]) -> None:
         """Run work, and stop it with ``CANCELLED`` or ``LEASE_LOST`` as soon as either is so."""
-        guard = asyncio.ensure_future(self._guard())
+        stop_watch = asyncio.ensure_future(self._watch_for_stop())
         task = asyncio.ensure_future(work)
         try:
-            await asyncio.wait((task, guard), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((task, stop_watch), return_when=asyncio.FIRST_COMPLETED)
             if not task.done():
-                guard.result()
+                stop_watch.result()
             await task
         finally:
-            await stop_all((task, guard))
+            await cancel_all((task, stop_watch))
 
-    async def _guard(self) -> None:
+    async def _watch_for_stop(self) -> None:
         """Raise once the plan is cancelled or the lease is lost; return once the plan has ended."""
         while self._record().state is PlanState.RUNNING:
             self._writer.check_held()
-            await self._next_state()
+            await self._wait_for_next_state()
         if self._record().state is PlanState.CANCELLING:
             raise ShallotworksError(
                 Failure(kind=ErrorKind.CANCELLED, reason="the plan is cancelled")
@@ -139,7 +147,7 @@
             name: step
             for step in wave.steps
             for name in step.instances
-            if name not in self._ends and not self._is_through(step, name)
+            if name not in self._outcomes and not self._is_complete(step, name)
         }
         running: list[asyncio.Task[None]] = []
         try:
@@ -150,14 +158,14 @@
                     running.append(asyncio.ensure_future(self._run_steps(steps)))
                 else:
                     self._pause("no availability budget left")
-                    await self._next_state()
+                    await self._wait_for_next_state()
                 for task in running:
                     if task.done():
                         task.result()
             self._resume()
             await asyncio.gather(*running)
         finally:
-            await stop_all(running)
+            await cancel_all(running)
 
     async def _cordon(self, waiting: dict[str, Step]) -> tuple[str, ...]:
         """Take permits for what the budgets have room for; returns who may go on."""
@@ -165,82 +173,84 @@
         ready = tuple(name for name, step in waiting.items() if self._needs_no_permit(step, name))
         if ready:
             return ready
-        fitting = _fitting(state, waiting)
-        if not fitting:
+        permitted = _within_budgets(state, waiting)
+        if not permitted:
             return ()
-        result = await self._writer.cordon(fitting)
+        result = await self._writer.cordon(permitted)
         if isinstance(result, Success):
-            return fitting
+            return permitted
         self._dependencies.metrics.count(f"plans.cordons_refused.{result.failure().kind.value}")
-        await self._next_state()
+        await self._wait_for_next_state()
         return ()
 
     def _needs_no_permit(self, step: Step, name: str) -> bool:
-        return Action.CORDON not in step.actions or self._holds(name)
+        return Action.CORDON not in step.actions or self._is_held(name)
 
     async def _run_steps(self, steps: dict[str, Step]) -> None:
         """Run one instance's step each, once the cordons are seen."""
-        await self._until_seen(self._dependencies.view.state().revision)
-        limit_s = self._dependencies.policy.return_timeout_s
-        await run_all(self._run_instance(steps[name], name, limit_s) for name in steps)
+        await self._wait_until_acknowledged(self._dependencies.view.state().revision)
+        timeout_s = self._dependencies.policy.return_timeout_s
+        await run_all(self._run_instance(steps[name], name, timeout_s) for name in steps)
 
     async def _run_instance(self, step: Step, name: str, return_timeout_s: float) -> None:
-        self._ends[name] = await self._instance_run(step, name).run(
+        self._outcomes[name] = await self._instance_run(step, name).run(
             return_timeout_s=return_timeout_s
         )
 
-    async def _until_seen(self, revision: int) -> None:
+    async def _wait_until_acknowledged(self, revision: int) -> None:
         """Wait until the entry instances have seen a revision, or the bound for one cut off."""
         policy = self._dependencies.policy
-        until_s = _now_s() + policy.acknowledgement_timeout_s
+        deadline_s = _loop_time_s() + policy.acknowledgement_timeout_s
         while (
             self._dependencies.acknowledgements.lowest_acknowledged_revision() < revision
-            and _now_s() < until_s
+            and _loop_time_s() < deadline_s
         ):
             await asyncio.sleep(min(policy.poll_s, policy.acknowledgement_timeout_s))
 
-    async def _stand_still_while_failing(self) -> None:
+    async def _pause_while_failing(self) -> None:
         """Start no further wave while too many instances have not come back."""
-        while len(self._failed()) >= self._dependencies.policy.max_failed_instances:
-            self._pause(f"{len(self._failed())} instances did not come back")
-            await self._next_state()
-            await self._try_leftovers()
+        while len(self._failed_instances()) >= self._dependencies.policy.max_failed_instances:
+            self._pause(f"{len(self._failed_instances())} instances did not come back")
+            await self._wait_for_next_state()
+            await self._retry_failed()
         self._resume()
 
-    async def _until_window(self, wave: Wave) -> None:
+    async def _wait_for_window(self, wave: Wave) -> None:
         """Wait until the rest of the maintenance window is long enough for a wave."""
         window = self._dependencies.policy.window
         if window is None or not wave.spends:
             return
         while window.left_s(self._dependencies.wall_clock_s()) < wave.duration_s:
             self._pause("outside the maintenance window")
-            await self._next_state()
+            await self._wait_for_next_state()
         self._resume()
 
-    async def _try_leftovers(self) -> None:
+    async def _retry_failed(self) -> None:
         """Give instances that did not come back in time another chance."""
         policy = self._dependencies.policy
         steps = self._steps
-        works = []
-        for name in self._failed():
-            limit_s = (
+        runs = []
+        for name in self._failed_instances():
+            timeout_s = (
                 policy.return_timeout_s
-                if name in self._inherited
+                if name in self._inherited_failures
                 else policy.final_return_timeout_s
             )
-            self._inherited.discard(name)
-            works.append(self._run_instance(steps[name], name, limit_s))
-        await run_all(works)
+            self._inherited_failures.discard(name)
+            runs.append(self._run_instance(steps[name], name, timeout_s))
+        await run_all(runs)
 
     async def _finish(self) -> None:
         steps = self._steps
-        undone = {name: self._end_of(name) for name in steps if not self._is_done(name)}
+        undone = {name: self._outcome_of(name) for name in steps if not self._is_done(name)}
         state = PlanState.FAILED if undone else PlanState.DONE
         outcome = f"{len(steps) - len(undone)} of {len(steps)} instances done"
         if undone:
-            told = [f"{name} {end.value}" for name, end in sorted(undone.items())]
-            outcome += ": " + "; ".join(told[:NAMES_SHOWN])
-        await self._end(state, outcome)
+            failures = [
+                f"{name} {step_outcome.value}" for name, step_outcome in sorted(undone.items())
+            ]
+            outcome += ": " + "; ".join(failures[:MAX_NAMES_SHOWN])
+        await self._write_end(state, outcome)
 
     async def _roll_back(self) -> None:
         """Return what the plan cordoned, to the pool it came from, and end the plan.
@@ -248,23 +258,23 @@
         A target that is on its way through a reboot is waited for; one that does not come back
         stays cordoned.
         """
-        limit_s = self._dependencies.policy.return_timeout_s
-        held = [name for name in self._steps if self._holds(name)]
-        await run_all(self._roll_back_instance(name, limit_s) for name in held)
-        left = sorted(name for name in self._steps if self._holds(name))
+        timeout_s = self._dependencies.policy.return_timeout_s
+        held = [name for name in self._steps if self._is_held(name)]
+        await run_all(self._roll_back_instance(name, timeout_s) for name in held)
+        left = sorted(name for name in self._steps if self._is_held(name))
         outcome = f"{len(held) - len(left)} of {len(held)} cordons rolled back"
         if left:
-            outcome += f"; still cordoned: {', '.join(left[:NAMES_SHOWN])}"
-        await self._end(PlanState.CANCELLED, outcome)
+            outcome += f"; still cordoned: {', '.join(left[:MAX_NAMES_SHOWN])}"
+        await self._write_end(PlanState.CANCELLED, outcome)
 
-    async def _roll_back_instance(self, name: str, limit_s: float) -> None:
+    async def _roll_back_instance(self, name: str, timeout_s: float) -> None:
         step = self._steps[name]
         if step.to_pool:
             await self._writer.move(name, from_pool=step.to_pool, to_pool=step.pool)
         run = self._instance_run(step, name)
-        await run.probe_and_return(return_timeout_s=limit_s)
+        await run.probe_and_return(return_timeout_s=timeout_s)
 
-    async def _end(self, state: PlanState, outcome: str) -> None:
+    async def _write_end(self, state: PlanState, outcome: str) -> None:
         result = await self._writer.finish(
             state, outcome=outcome, at_s=self._dependencies.wall_clock_s()
         )
@@ -276,36 +286,39 @@
                 Failure(kind=ErrorKind.CANCELLED, reason="cancelled at its last step")
             )
 
-    async def _next_state(self) -> None:
+    async def _wait_for_next_state(self) -> None:
         """Wait for the next revision, and look at the lease now and then."""
         revision = self._dependencies.view.state().revision
         try:
-            async with asyncio.timeout(LOOK_AGAIN_S):
+            async with asyncio.timeout(LEASE_CHECK_INTERVAL_S):
                 await self._dependencies.view.wait_for(revision + 1)
         except TimeoutError:
             return
 
-    def _is_through(self, step: Step, name: str) -> bool:
+    def _is_complete(self, step: Step, name: str) -> bool:
         """Whether nothing is left to do; a drain always asks its target again."""
         if Action.RETURN not in step.actions:
             return name not in self._dependencies.view.state().instances
-        return is_done(step, name, self._record(), self._dependencies.view.state())
+        return is_step_done(step, name, self._record(), self._dependencies.view.state())
 
     def _is_done(self, name: str) -> bool:
-        return is_done(self._steps[name], name, self._record(), self._dependencies.view.state())
+        return is_step_done(
+            self._steps[name], name, self._record(), self._dependencies.view.state()
+        )
 
-    def _end_of(self, name: str) -> StepOutcome:
-        return self._ends.get(name, StepOutcome.NEVER_CAME_BACK)
+    def _outcome_of(self, name: str) -> StepOutcome:
+        return self._outcomes.get(name, StepOutcome.NEVER_CAME_BACK)
 
-    def _failed(self) -> list[str]:
+    def _failed_instances(self) -> list[str]:
         """Instances that the plan holds and that were reported as failed after their turn."""
         return [
             name
-            for name, end in self._ends.items()
-            if end in (StepOutcome.NEVER_CAME_BACK, StepOutcome.REPLACED) and self._holds(name)
+            for name, step_outcome in self._outcomes.items()
+            if step_outcome in (StepOutcome.NEVER_CAME_BACK, StepOutcome.REPLACED)
+            and self._is_held(name)
         ]
 
-    def _holds(self, name: str) -> bool:
+    def _is_held(self, name: str) -> bool:
         entry = self._dependencies.view.state().instances.get(name)
         return (
             entry is not None
@@ -346,19 +359,19 @@
         self._dependencies.timeline.record(kind, subject=subject, detail=detail)
 
 
-def _fitting(state: FleetState, names: dict[str, Step]) -> tuple[str, ...]:
+def _within_budgets(state: FleetState, names: dict[str, Step]) -> tuple[str, ...]:
     """Return those instances whose cordon the budgets have room for."""
     unavailable = state.unavailable_by_pool()
     room = {pool: budget - unavailable[pool] for pool, budget in state.budgets_by_pool().items()}
-    fitting = []
+    permitted = []
     for name in names:
         entry = state.instances[name]
         if entry.available and room[entry.pool] < 1:
             continue
         room[entry.pool] -= entry.available
-        fitting.append(name)
-    return tuple(fitting)
+        permitted.append(name)
+    return tuple(permitted)
 
 
-def _now_s() -> float:
+def _loop_time_s() -> float:
     return asyncio.get_running_loop().time()
--- a/src/shallotworks/plans/_planner.py
+++ b/src/shallotworks/plans/_planner.py
@@ -23,22 +23,22 @@
     Step,
     Strategy,
     Wave,
-    seal,
+    with_digest,
 )
 from ._strategies import Limits, Waves, fill_waves, limits_of, widths_for
 from ._supply import PoolSupply, Supply, index_supply
-from ._targets import Targets, actions_of, resolve
+from ._targets import Targets, actions_of, resolve_targets
 
 __all__ = ["Planner"]
 
-NAMES_SHOWN = 4
+MAX_NAMES_SHOWN = 4
 ROUNDING_DIGITS = 3
-NOTICEABLE = 1.05
+NOTICEABLE_RATIO = 1.05
 """From this part on a larger figure is told as a reason."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Way:
+class _Candidate:
     """One way to fill the waves, measured."""
 
     strategy: Strategy
@@ -75,8 +75,8 @@
             ``BUDGET_SPENT`` where present failures alone stand in the way.
         """
         supply = index_supply(state)
-        targets = resolve(state, intent)
-        feasible = targets.bind(lambda found: _check(found, intent, supply=supply))
+        targets = resolve_targets(state, intent)
+        feasible = targets.bind(lambda found: _check_budgets(found, intent, supply=supply))
         return feasible.bind(
             lambda found: self._choose(state, intent, found, supply=supply, author=author)
         )
@@ -91,21 +91,21 @@
             intent: An intent that `plan` refused as ``UNSATISFIABLE`` or ``BUDGET_SPENT``.
             author: Who wants it.
         """
-        part = self._satisfiable_part(state, intent)
+        part = self._reduce_intent(state, intent)
         if part is None:
             return None
         return self.plan(state, part, author=author).value_or(None)
 
-    def _satisfiable_part(self, state: FleetState, intent: Intent) -> Intent | None:
+    def _reduce_intent(self, state: FleetState, intent: Intent) -> Intent | None:
         if isinstance(intent, Move):
             return _smaller_move(state, intent)
         if isinstance(intent, Return):
             return None
-        targets = resolve(state, intent).value_or(None)
+        targets = resolve_targets(state, intent).value_or(None)
         if targets is None:
             return None
         supply = index_supply(state)
-        kept = _fitting(targets.instances, intent, supply=supply)
+        kept = _within_budgets(targets.instances, intent, supply=supply)
         if isinstance(intent, Maintain):
             kept = self._within_window(kept, supply=supply)
         if not kept:
@@ -121,7 +121,7 @@
             return kept
         actions = (Action.CORDON, Action.DRAIN, Action.REBOOT, Action.PROBE, Action.RETURN)
         fitting = int(self._weights.window_s // self._model.duration_s(actions))
-        limits = limits_of(kept, supply=supply, comes_back=True)
+        limits = limits_of(kept, supply=supply, are_returned=True)
         waves = fill_waves(Strategy.BUDGET_BOUND, kept, limits=limits, width=len(kept))
         return [entry for wave in waves[:fitting] for entry in wave]
 
@@ -129,12 +129,12 @@
         self, state: FleetState, intent: Intent, targets: Targets, *, supply: Supply, author: str
     ) -> Result[Plan, Failure]:
         actions = actions_of(intent)
-        ways = self._ways(targets, actions, supply=supply)
-        best = _best_of(ways)
-        ranked = sorted(ways, key=lambda way: self._rank(way, best))
+        candidates = self._measure_candidates(targets, actions, supply=supply)
+        best = _lowest_measures(candidates)
+        ranked = sorted(candidates, key=lambda candidate: self._rank(candidate, best))
         chosen = ranked[0]
         if not self._fits(chosen):
-            return _refuse(ErrorKind.UNSATISFIABLE, self._too_long(chosen))
+            return _refuse(ErrorKind.UNSATISFIABLE, self._too_long_message(chosen))
         waves = self._waves(chosen.waves, intent, supply=supply)
         plan = Plan(
             digest="",
@@ -149,74 +149,82 @@
                 else ()
             ),
             measures=chosen.measures,
-            alternatives=self._weighed(ranked, best),
+            alternatives=self._compare_alternatives(ranked, best),
             skipped=targets.skipped,
             notes=_notes(state, targets, supply=supply, actions=actions),
         )
-        return Success(seal(plan))
+        return Success(with_digest(plan))
 
-    def _ways(self, targets: Targets, actions: tuple[Action, ...], *, supply: Supply) -> list[_Way]:
-        limits = limits_of(targets.instances, supply=supply, comes_back=Action.RETURN in actions)
+    def _measure_candidates(
+        self, targets: Targets, actions: tuple[Action, ...], *, supply: Supply
+    ) -> list[_Candidate]:
+        limits = limits_of(targets.instances, supply=supply, are_returned=Action.RETURN in actions)
         if Action.CORDON not in actions:
             limits = Limits(
                 permits=dict.fromkeys(limits.permits, len(targets.instances)), present={}
             )
         count = len(targets.instances)
-        candidates = [
+        options = [
             (Strategy.ONE_AT_A_TIME, 1),
             (Strategy.RACK_BY_RACK, count),
             (Strategy.BUDGET_BOUND, count),
             *((Strategy.PACKED, width) for width in widths_for(count)),
         ]
-        ways = []
-        for strategy, width in candidates:
+        candidates = []
+        for strategy, width in options:
             waves = fill_waves(strategy, targets.instances, limits=limits, width=width)
             measures = measure(waves, actions=actions, supply=supply, model=self._model)
             widest = max((len(wave) for wave in waves), default=0)
-            ways.append(_Way(strategy=strategy, width=widest, waves=waves, measures=measures))
-        return ways
+            candidates.append(
+                _Candidate(strategy=strategy, width=widest, waves=waves, measures=measures)
+            )
+        return candidates
 
-    def _rank(self, way: _Way, best: Measures) -> tuple[bool, float, int]:
-        cost = weighted_cost(way.measures, best=best, weights=self._weights)
-        return (not self._fits(way), cost, _PREFERENCE[way.strategy])
+    def _rank(self, candidate: _Candidate, best: Measures) -> tuple[bool, float, int]:
+        cost = weighted_cost(candidate.measures, best=best, weights=self._weights)
+        return (not self._fits(candidate), cost, _TIE_BREAK_RANK[candidate.strategy])
 
-    def _fits(self, way: _Way) -> bool:
-        return not self._weights.window_s or way.measures.roll_out_s <= self._weights.window_s
+    def _fits(self, candidate: _Candidate) -> bool:
+        return not self._weights.window_s or candidate.measures.roll_out_s <= self._weights.window_s
 
-    def _too_long(self, way: _Way) -> str:
+    def _too_long_message(self, candidate: _Candidate) -> str:
         return (
-            f"the shortest way takes {way.measures.roll_out_s:.0f} s,"
+            f"the shortest way takes {candidate.measures.roll_out_s:.0f} s,"
             f" the window is {self._weights.window_s:.0f} s"
         )
 
-    def _weighed(self, ranked: list[_Way], best: Measures) -> tuple[Alternative, ...]:
+    def _compare_alternatives(
+        self, ranked: list[_Candidate], best: Measures
+    ) -> tuple[Alternative, ...]:
         """Tell each strategy once, with its best width, the chosen one first."""
-        told: dict[Strategy, Alternative] = {}
+        compared: dict[Strategy, Alternative] = {}
         chosen = ranked[0]
-        for way in ranked:
-            if way.strategy in told:
+        for candidate in ranked:
+            if candidate.strategy in compared:
                 continue
-            cost = weighted_cost(way.measures, best=best, weights=self._weights)
-            told[way.strategy] = Alternative(
-                strategy=way.strategy,
-                width=way.width,
-                measures=way.measures,
+            cost = weighted_cost(candidate.measures, best=best, weights=self._weights)
+            compared[candidate.strategy] = Alternative(
+                strategy=candidate.strategy,
+                width=candidate.width,
+                measures=candidate.measures,
                 cost=round(cost, ROUNDING_DIGITS),
-                verdict="chosen" if way is chosen else self._why_lost(way, chosen),
+                verdict=(
+                    "chosen" if candidate is chosen else self._rejection_reason(candidate, chosen)
+                ),
             )
-        return tuple(told.values())
+        return tuple(compared.values())
 
-    def _why_lost(self, way: _Way, chosen: _Way) -> str:
-        if not self._fits(way):
+    def _rejection_reason(self, candidate: _Candidate, chosen: _Candidate) -> str:
+        if not self._fits(candidate):
             return "does not fit into the window"
         reasons = [
-            f"{word} {_times(theirs, ours)}"
-            for word, theirs, ours in (
-                ("buffer", way.measures.buffer_slots, chosen.measures.buffer_slots),
-                ("roll-out", way.measures.roll_out_s, chosen.measures.roll_out_s),
-                ("moves", way.measures.moves, chosen.measures.moves),
+            f"{label} {_format_ratio(other, chosen_value)}"
+            for label, other, chosen_value in (
+                ("buffer", candidate.measures.buffer_slots, chosen.measures.buffer_slots),
+                ("roll-out", candidate.measures.roll_out_s, chosen.measures.roll_out_s),
+                ("moves", candidate.measures.moves, chosen.measures.moves),
             )
-            if theirs > ours * NOTICEABLE
+            if other > chosen_value * NOTICEABLE_RATIO
         ]
         return ", ".join(reasons) or "no better"
 
@@ -228,7 +236,7 @@
         out: dict[str, int] = {name: pool.unavailable for name, pool in supply.pools.items()}
         built = []
         for number, wave in enumerate(waves):
-            spends = _spends(wave, out=out, supply=supply) if Action.CORDON in actions else ()
+            spends = _budget_uses(wave, out=out, supply=supply) if Action.CORDON in actions else ()
             if stays_out:
                 for entry in wave:
                     out[entry.pool] += entry.available
@@ -243,7 +251,7 @@
         return tuple(built)
 
 
-_PREFERENCE = {
+_TIE_BREAK_RANK = {
     Strategy.PACKED: 0,
     Strategy.BUDGET_BOUND: 1,
     Strategy.RACK_BY_RACK: 2,
@@ -252,7 +260,7 @@
 """Which of two ways of equal cost is taken: packing keeps more in each data centre."""
 
 
-def _check(targets: Targets, intent: Intent, *, supply: Supply) -> Result[Targets, Failure]:
+def _check_budgets(targets: Targets, intent: Intent, *, supply: Supply) -> Result[Targets, Failure]:
     if isinstance(intent, Return):
         return Success(targets)
     counts: dict[str, int] = {}
@@ -260,13 +268,13 @@
         if entry.available:
             counts[entry.pool] = counts.get(entry.pool, 0) + 1
     for name in sorted(counts):
-        failure = _check_pool(supply.pools[name], counts[name], intent)
+        failure = _check_pool_budget(supply.pools[name], counts[name], intent)
         if failure is not None:
             return Err(failure)
     return Success(targets)
 
 
-def _check_pool(pool: PoolSupply, wanted: int, intent: Intent) -> Failure | None:
+def _check_pool_budget(pool: PoolSupply, wanted: int, intent: Intent) -> Failure | None:
     """Return why a pool can't spare what an intent takes, if it can't."""
     if pool.budget < 1:
         return Failure(
@@ -293,7 +301,9 @@
     )
 
 
-def _fitting(targets: Iterable[Instance], intent: Intent, *, supply: Supply) -> list[Instance]:
+def _within_budgets(
+    targets: Iterable[Instance], intent: Intent, *, supply: Supply
+) -> list[Instance]:
     """Return the targets that the budgets let an intent have, the most urgent first."""
     used: dict[str, int] = {}
     kept = []
@@ -322,12 +332,12 @@
     )
 
 
-def _best_of(ways: list[_Way]) -> Measures:
+def _lowest_measures(candidates: list[_Candidate]) -> Measures:
     return Measures(
-        buffer_slots=min(way.measures.buffer_slots for way in ways),
-        roll_out_s=min(way.measures.roll_out_s for way in ways),
-        moves=min(way.measures.moves for way in ways),
-        waves=min(way.measures.waves for way in ways),
+        buffer_slots=min(candidate.measures.buffer_slots for candidate in candidates),
+        roll_out_s=min(candidate.measures.roll_out_s for candidate in candidates),
+        moves=min(candidate.measures.moves for candidate in candidates),
+        waves=min(candidate.measures.waves for candidate in candidates),
     )
 
 
@@ -341,19 +351,21 @@
     )
 
 
-def _spends(wave: list[Instance], *, out: dict[str, int], supply: Supply) -> tuple[BudgetUse, ...]:
-    taken: dict[str, int] = {}
+def _budget_uses(
+    wave: list[Instance], *, out: dict[str, int], supply: Supply
+) -> tuple[BudgetUse, ...]:
+    taken_by_pool: dict[str, int] = {}
     for entry in wave:
         if entry.available:
-            taken[entry.pool] = taken.get(entry.pool, 0) + 1
+            taken_by_pool[entry.pool] = taken_by_pool.get(entry.pool, 0) + 1
     return tuple(
         BudgetUse(
             service=service.name,
-            instances=taken[name],
+            instances=taken_by_pool[name],
             unavailable=out[name],
             budget=service.max_unavailable,
         )
-        for name in sorted(taken)
+        for name in sorted(taken_by_pool)
         for service in supply.pools[name].services
     )
 
@@ -366,13 +378,14 @@
 
 def _held_notes(state: FleetState, targets: Targets) -> tuple[str, ...]:
     names = tuple(entry.name for entry in targets.instances)
-    holder = state.open_plan_holding(names)
-    if holder is None:
+    holding_plan = state.open_plan_holding(names)
+    if holding_plan is None:
         return ()
-    held = len(set(names) & set(holder.instances))
+    held = len(set(names) & set(holding_plan.instances))
     return (
-        f"{held} of the instances are held by plan {holder.digest[:SHORT_DIGEST_LENGTH]}"
-        f" ({holder.intent}) of {holder.confirmed_by}; confirming is refused until it ends",
+        f"{held} of the instances are held by plan {holding_plan.digest[:SHORT_DIGEST_LENGTH]}"
+        f" ({holding_plan.intent}) of {holding_plan.confirmed_by};"
+        " confirming is refused until it ends",
     )
 
 
@@ -388,8 +401,8 @@
     )
 
 
-def _times(theirs: float, ours: float) -> str:
-    return f"{theirs / ours:.1f} times" if ours else f"{theirs:g} instead of 0"
+def _format_ratio(other: float, chosen_value: float) -> str:
+    return f"{other / chosen_value:.1f} times" if chosen_value else f"{other:g} instead of 0"
 
 
 def _refuse(kind: ErrorKind, reason: str) -> Result[Plan, Failure]:
--- a/src/shallotworks/plans/_progress.py
+++ b/src/shallotworks/plans/_progress.py
@@ -8,7 +8,7 @@
 
 from ._records import Action, Plan, Step, Wave
 
-__all__ = ["Progress", "is_done", "progress_of"]
+__all__ = ["Progress", "is_step_done", "progress_of"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -33,10 +33,12 @@
 def progress_of(plan: Plan, record: PlanRecord, state: FleetState) -> Progress:
     """Return how far a confirmed plan has come at a state."""
     open_waves = [
-        number for number, wave in enumerate(plan.waves, 1) if not _through(wave, record, state)
+        number
+        for number, wave in enumerate(plan.waves, 1)
+        if not _is_wave_done(wave, record, state)
     ]
     done = sum(
-        is_done(step, name, record, state)
+        is_step_done(step, name, record, state)
         for wave in plan.waves
         for step in wave.steps
         for name in step.instances
@@ -51,7 +53,7 @@
     )
 
 
-def is_done(step: Step, name: str, record: PlanRecord, state: FleetState) -> bool:
+def is_step_done(step: Step, name: str, record: PlanRecord, state: FleetState) -> bool:
     """Return whether a state shows that an instance is through with its step.
 
     Only the plan's conductor may change an instance that an open plan holds, so the state tells;
@@ -69,5 +71,7 @@
     return not step.to_pool or entry.pool == step.to_pool
 
 
-def _through(wave: Wave, record: PlanRecord, state: FleetState) -> bool:
-    return all(is_done(step, name, record, state) for step in wave.steps for name in step.instances)
+def _is_wave_done(wave: Wave, record: PlanRecord, state: FleetState) -> bool:
+    return all(
+        is_step_done(step, name, record, state) for step in wave.steps for name in step.instances
+    )
--- a/src/shallotworks/plans/_records.py
+++ b/src/shallotworks/plans/_records.py
@@ -22,7 +22,7 @@
     "Step",
     "Strategy",
     "Wave",
-    "seal",
+    "with_digest",
 ]
 
 SHORT_DIGEST_LENGTH = 12
@@ -226,7 +226,7 @@
         return _PLAN.validate_json(data)
 
 
-def seal(plan: Plan) -> Plan:
+def with_digest(plan: Plan) -> Plan:
     """Return the plan with the digest of its content filled in.
 
     The fields are written in their declared order, hence equal plans have equal JSON.
--- a/src/shallotworks/plans/_registry.py
+++ b/src/shallotworks/plans/_registry.py
@@ -24,16 +24,16 @@
 from ._protocols import OffLoopRunner
 from ._records import SHORT_DIGEST_LENGTH, Plan
 from ._render import render_duration
-from ._targets import resolve
+from ._targets import resolve_targets
 
 __all__ = ["PLANS_PREFIX", "ListedPlan", "PlanRegistry", "plan_key"]
 
 PLANS_PREFIX = "plans/"
-SHORTEST_PREFIX = 4
-LIST_PAGE = 100
-KEPT_REVISIONS = 20_000
+MIN_DIGEST_PREFIX_LENGTH = 4
+LIST_PAGE_SIZE = 100
+PROPOSAL_RETENTION_REVISIONS = 20_000
 """Revisions for which an unconfirmed proposal is kept, three days at the size aimed for."""
-_REFUSED = (ErrorKind.UNSATISFIABLE, ErrorKind.BUDGET_SPENT)
+_REDUCIBLE_KINDS = (ErrorKind.UNSATISFIABLE, ErrorKind.BUDGET_SPENT)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -109,12 +109,12 @@
         state = self._view.state()
         planned = await self._run_off_loop(lambda: self._planner.plan(state, intent, author=author))
         if isinstance(planned, Success):
-            return await self._keep(planned.unwrap())
+            return await self._store_plan(planned.unwrap())
         failure = planned.failure()
         self._metrics.count(f"plans.refused.{failure.kind.value}")
-        if failure.kind not in _REFUSED:
+        if failure.kind not in _REDUCIBLE_KINDS:
             return planned
-        return Err(await self._with_nearest(state, intent, failure, author=author))
+        return Err(await self._add_nearest_plan(state, intent, failure, author=author))
 
     async def confirm(self, digest: str, *, operator: str) -> Result[PlanRecord, Failure]:
         """Confirm exactly the plan of this digest; the conductor acts from then on.
@@ -138,22 +138,22 @@
         state = self._view.state()
         known = state.plans.get(plan.digest)
         if known is not None:
-            return _confirmed_before(known, operator)
+            return _confirm_again(known, operator)
         # Half of the time for which proposals are kept: none is deleted while it is confirmed.
-        too_old = plan.base_revision < state.revision - KEPT_REVISIONS // 2
-        if too_old or not _means_the_same(plan, state):
-            return await self._stale(plan, operator=operator)
+        too_old = plan.base_revision < state.revision - PROPOSAL_RETENTION_REVISIONS // 2
+        if too_old or not _selects_same_instances(plan, state):
+            return await self._refuse_stale(plan, operator=operator)
         result = await self._log.propose(self._confirmation(plan, operator), author=operator)
         if isinstance(result, Success):
             state = await self._view.wait_for(result.unwrap().revision)
-            self._note(EventKind.PLAN_CONFIRMED, plan.digest, f"by {operator}")
+            self._record_event(EventKind.PLAN_CONFIRMED, plan.digest, f"by {operator}")
             return Success(state.plans[plan.digest])
         failure = result.failure()
         if failure.kind is ErrorKind.STALE_PLAN:
-            return await self._stale(plan, operator=operator)
+            return await self._refuse_stale(plan, operator=operator)
         self._metrics.count(f"plans.confirms_refused.{failure.kind.value}")
         if failure.kind is ErrorKind.CONFLICT:
-            return Err(await self._tell_end(plan, failure))
+            return Err(await self._add_expected_end(plan, failure))
         return Err(failure)
 
     async def cancel(self, digest: str, *, operator: str) -> Result[PlanRecord, Failure]:
@@ -173,12 +173,12 @@
         if not isinstance(result, Success):
             return Err(result.failure())
         state = await self._view.wait_for(result.unwrap().revision)
-        self._note(EventKind.OPERATOR, record.digest, f"cancelled by {operator}")
+        self._record_event(EventKind.OPERATOR, record.digest, f"cancelled by {operator}")
         return Success(state.plans[record.digest])
 
     async def show(self, digest: str) -> Result[Plan, Failure]:
         """Return a plan by its digest or the unambiguous beginning of it."""
-        if len(digest) < SHORTEST_PREFIX or "/" in digest:
+        if len(digest) < MIN_DIGEST_PREFIX_LENGTH or "/" in digest:
             return Err(Failure(kind=ErrorKind.INVALID_REQUEST, reason=f"no digest: {digest}"))
         listed = await self._store.list(plan_key(digest), limit=2)
         if not isinstance(listed, Success):
@@ -197,11 +197,11 @@
         plans: list[Plan] = []
         after_key = ""
         while True:
-            page = await self._store.list(PLANS_PREFIX, after_key=after_key, limit=LIST_PAGE)
+            page = await self._store.list(PLANS_PREFIX, after_key=after_key, limit=LIST_PAGE_SIZE)
             if not isinstance(page, Success):
                 return Err(page.failure())
             plans.extend(Plan.decode(item.value) for item in page.unwrap())
-            if len(page.unwrap()) < LIST_PAGE:
+            if len(page.unwrap()) < LIST_PAGE_SIZE:
                 break
             after_key = page.unwrap()[-1].key
         records = self._view.state().plans
@@ -216,7 +216,9 @@
         two = await self.show(second)
         return one.bind(lambda before: two.map(lambda after: diff_plans(before, after)))
 
-    async def prune(self, *, kept_revisions: int = KEPT_REVISIONS) -> Result[int, Failure]:
+    async def prune(
+        self, *, kept_revisions: int = PROPOSAL_RETENTION_REVISIONS
+    ) -> Result[int, Failure]:
         """Delete proposals that were never confirmed and are old; returns how many."""
         listed = await self.list()
         if not isinstance(listed, Success):
@@ -234,20 +236,20 @@
             return False
         return isinstance(await self._store.delete(found.key, version=found.version), Success)
 
-    async def _tell_end(self, plan: Plan, failure: Failure) -> Failure:
+    async def _add_expected_end(self, plan: Plan, failure: Failure) -> Failure:
         """Add to a conflict when the plan in the way is expected to end."""
         state = self._view.state()
-        holder = state.open_plan_holding(plan.instances)
-        if holder is None:
+        holding_plan = state.open_plan_holding(plan.instances)
+        if holding_plan is None:
             return failure
-        shown = await self.show(holder.digest)
+        shown = await self.show(holding_plan.digest)
         if not isinstance(shown, Success):
             return failure
-        left_s = progress_of(shown.unwrap(), holder, state).left_s
-        told = f"expected to end in {render_duration(left_s)}"
-        return replace(failure, reason=f"{failure.reason}, {told}")
+        left_s = progress_of(shown.unwrap(), holding_plan, state).left_s
+        hint = f"expected to end in {render_duration(left_s)}"
+        return replace(failure, reason=f"{failure.reason}, {hint}")
 
-    async def _keep(self, plan: Plan) -> Result[Plan, Failure]:
+    async def _store_plan(self, plan: Plan) -> Result[Plan, Failure]:
         """Store a plan; the digest is the key, so storing it twice stores the same."""
         created = await self._store.create(plan_key(plan.digest), plan.encode())
         if not isinstance(created, Success):
@@ -257,10 +259,10 @@
                 return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason))
             if failure.kind is not ErrorKind.CONFLICT:
                 return Err(failure)
-        self._note(EventKind.PLAN_PROPOSED, plan.digest, describe_intent(plan.intent))
+        self._record_event(EventKind.PLAN_PROPOSED, plan.digest, describe_intent(plan.intent))
         return Success(plan)
 
-    async def _with_nearest(
+    async def _add_nearest_plan(
         self, state: FleetState, intent: Intent, failure: Failure, *, author: str
     ) -> Failure:
         nearest = await self._run_off_loop(
@@ -268,13 +270,13 @@
         )
         if nearest is None:
             return failure
-        kept = await self._keep(nearest)
+        kept = await self._store_plan(nearest)
         if not isinstance(kept, Success):
             return failure
-        told = f"nearest: plan {nearest.short_digest}, {describe_intent(nearest.intent)}"
-        return replace(failure, reason=f"{failure.reason}; {told}")
+        hint = f"nearest: plan {nearest.short_digest}, {describe_intent(nearest.intent)}"
+        return replace(failure, reason=f"{failure.reason}; {hint}")
 
-    async def _stale(self, plan: Plan, *, operator: str) -> Result[PlanRecord, Failure]:
+    async def _refuse_stale(self, plan: Plan, *, operator: str) -> Result[PlanRecord, Failure]:
         self._metrics.count(f"plans.confirms_refused.{ErrorKind.STALE_PLAN.value}")
         fresh = await self.propose(plan.intent, author=operator)
         reason = f"what plan {plan.short_digest} rests on has changed"
@@ -298,9 +300,9 @@
     def _find_record(self, digest: str) -> PlanRecord | None:
         records = self._view.state().plans
         found = [record for key, record in records.items() if key.startswith(digest)]
-        return found[0] if len(found) == 1 and len(digest) >= SHORTEST_PREFIX else None
+        return found[0] if len(found) == 1 and len(digest) >= MIN_DIGEST_PREFIX_LENGTH else None
 
-    def _note(self, kind: EventKind, digest: str, detail: str) -> None:
+    def _record_event(self, kind: EventKind, digest: str, detail: str) -> None:
         self._metrics.count(f"plans.{kind.value}")
         self._timeline.record(kind, subject=Subject(plan=digest), detail=detail)
 
@@ -310,15 +312,15 @@
     return f"{PLANS_PREFIX}{digest}"
 
 
-def _means_the_same(plan: Plan, state: FleetState) -> bool:
+def _selects_same_instances(plan: Plan, state: FleetState) -> bool:
     """Whether the intent still means the instances that the plan was computed for."""
-    targets = resolve(state, plan.intent).value_or(None)
+    targets = resolve_targets(state, plan.intent).value_or(None)
     if targets is None:
         return False
     return tuple(sorted(entry.name for entry in targets.instances)) == plan.instances
 
 
-def _confirmed_before(record: PlanRecord, operator: str) -> Result[PlanRecord, Failure]:
+def _confirm_again(record: PlanRecord, operator: str) -> Result[PlanRecord, Failure]:
     if record.state is PlanState.RUNNING and record.confirmed_by == operator:
         return Success(record)
     short = record.digest[:SHORT_DIGEST_LENGTH]
--- a/src/shallotworks/plans/_render.py
+++ b/src/shallotworks/plans/_render.py
@@ -12,8 +12,8 @@
 __all__ = ["render_diff", "render_duration", "render_plan", "render_progress"]
 
 BAR_COLUMNS = 24
-NAMES_SHOWN = 3
-ROWS_SHOWN = 24
+MAX_NAMES_SHOWN = 3
+MAX_ROWS_SHOWN = 24
 SECONDS_PER_MINUTE = 60
 SECONDS_PER_HOUR = 3600
 
@@ -23,13 +23,16 @@
     lines = [
         f"plan {plan.short_digest}: {describe_intent(plan.intent)}",
         f"  proposed by {plan.author} at revision {plan.base_revision};"
-        f" {_count(len(plan.instances), 'instance')} in {_count(len(plan.waves), 'wave')}",
-        f"  {_measures(plan.measures)}",
-        *_section("notes", plan.notes),
-        *_section("waves over time, with the budgets they use", _waves(plan)),
-        *_section("left in each data centre at its worst moment", _capacity(plan.capacity)),
-        *_section("ways weighed", _alternatives(plan.alternatives)),
-        *_section("left alone", [f"{s.instance} {s.reason}" for s in plan.skipped]),
+        f" {_format_count(len(plan.instances), 'instance')} in"
+        f" {_format_count(len(plan.waves), 'wave')}",
+        f"  {_format_measures(plan.measures)}",
+        *_format_section("notes", plan.notes),
+        *_format_section("waves over time, with the budgets they use", _format_waves(plan)),
+        *_format_section(
+            "left in each data centre at its worst moment", _format_capacity(plan.capacity)
+        ),
+        *_format_section("ways weighed", _format_alternatives(plan.alternatives)),
+        *_format_section("left alone", [f"{s.instance} {s.reason}" for s in plan.skipped]),
     ]
     return "\n".join(lines) + "\n"
 
@@ -49,11 +52,11 @@
     """Return what differs between two plans as text."""
     lines = [
         f"from plan {diff.first} to plan {diff.second}",
-        f"  - {_measures(diff.first_measures)}",
-        f"  + {_measures(diff.second_measures)}",
-        *_section("no longer touched", diff.removed),
-        *_section("newly touched", diff.added),
-        *_section("in another wave", diff.moved),
+        f"  - {_format_measures(diff.first_measures)}",
+        f"  + {_format_measures(diff.second_measures)}",
+        *_format_section("no longer touched", diff.removed),
+        *_format_section("newly touched", diff.added),
+        *_format_section("in another wave", diff.moved),
     ]
     return "\n".join(lines) + "\n"
 
@@ -70,7 +73,7 @@
     return f"{seconds} s"
 
 
-def _measures(measures: Measures) -> str:
+def _format_measures(measures: Measures) -> str:
     return (
         f"buffer cost {measures.buffer_slots} slots,"
         f" roll-out time {render_duration(measures.roll_out_s)},"
@@ -78,52 +81,52 @@
     )
 
 
-def _section(title: str, rows: Iterable[str]) -> list[str]:
+def _format_section(title: str, rows: Iterable[str]) -> list[str]:
     shown = list(rows)
     if not shown:
         return []
-    more = len(shown) - ROWS_SHOWN
+    more = len(shown) - MAX_ROWS_SHOWN
     if more > 0:
         shown = [*shown[:-more], f"... and {more} more"]
     return ["", f"{title}:", *(f"  {row}" for row in shown)]
 
 
-def _waves(plan: Plan) -> list[str]:
+def _format_waves(plan: Plan) -> list[str]:
     """One row per wave, its bar placed where the wave lies in the plan's time."""
     total_s = plan.measures.roll_out_s
     return [
-        f"{number:>4} {_bar(wave, total_s)} {render_duration(wave.starts_s):>11}"
-        f"  {_names(wave.instances)}{_spends(wave.spends)}"
+        f"{number:>4} {_format_bar(wave, total_s)} {render_duration(wave.starts_s):>11}"
+        f"  {_format_names(wave.instances)}{_format_budget_uses(wave.spends)}"
         for number, wave in enumerate(plan.waves, 1)
     ]
 
 
-def _bar(wave: Wave, total_s: float) -> str:
+def _format_bar(wave: Wave, total_s: float) -> str:
     scale = BAR_COLUMNS / total_s if total_s else 0.0
     start = min(BAR_COLUMNS - 1, int(wave.starts_s * scale))
     end = min(BAR_COLUMNS, max(start + 1, int((wave.starts_s + wave.duration_s) * scale)))
     return "|" + " " * start + "#" * (end - start) + " " * (BAR_COLUMNS - end) + "|"
 
 
-def _names(names: tuple[str, ...]) -> str:
-    shown = ", ".join(names[:NAMES_SHOWN])
-    more = len(names) - NAMES_SHOWN
+def _format_names(names: tuple[str, ...]) -> str:
+    shown = ", ".join(names[:MAX_NAMES_SHOWN])
+    more = len(names) - MAX_NAMES_SHOWN
     return f"{shown} and {more} more" if more > 0 else shown
 
 
-def _spends(spends: tuple[BudgetUse, ...]) -> str:
+def _format_budget_uses(spends: tuple[BudgetUse, ...]) -> str:
     if not spends:
         return ""
     parts = [
         f"{use.service} {use.unavailable + use.instances}/{use.budget}"
-        for use in spends[:NAMES_SHOWN]
+        for use in spends[:MAX_NAMES_SHOWN]
     ]
-    more = len(spends) - NAMES_SHOWN
+    more = len(spends) - MAX_NAMES_SHOWN
     text = ", ".join(parts) + (f" and {more} more" if more > 0 else "")
     return f"  [{text}]"
 
 
-def _capacity(capacity: tuple[DataCentreCapacity, ...]) -> list[str]:
+def _format_capacity(capacity: tuple[DataCentreCapacity, ...]) -> list[str]:
     width = max((len(row.data_centre) for row in capacity), default=0)
     return [
         f"{row.data_centre:<{width}}  {row.slots_left} of {row.slots} slots in wave {row.wave},"
@@ -132,7 +135,7 @@
     ]
 
 
-def _alternatives(alternatives: tuple[Alternative, ...]) -> list[str]:
+def _format_alternatives(alternatives: tuple[Alternative, ...]) -> list[str]:
     if not alternatives:
         return []
     width = max(len(row.strategy.value) for row in alternatives)
@@ -146,5 +149,5 @@
     return [head, *rows]
 
 
-def _count(number: int, noun: str) -> str:
+def _format_count(number: int, noun: str) -> str:
     return f"{number} {noun}" if number == 1 else f"{number} {noun}s"
--- a/src/shallotworks/plans/_strategies.py
+++ b/src/shallotworks/plans/_strategies.py
@@ -61,7 +61,7 @@
             return _packed(ordered, limits, width=width)
 
 
-def limits_of(targets: Iterable[Instance], *, supply: Supply, comes_back: bool) -> Limits:
+def limits_of(targets: Iterable[Instance], *, supply: Supply, are_returned: bool) -> Limits:
     """Return the limits of one wave over some targets.
 
     Failed targets take no permit; a pool whose budget is spent by failures now still gets one
@@ -70,11 +70,11 @@
     Args:
         targets: The targets.
         supply: What each pool can spare.
-        comes_back: Whether a wave's instances are back when the next one starts.
+        are_returned: Whether a wave's instances are back when the next one starts.
     """
     pools = {entry.pool for entry in targets}
     present: Counter[tuple[str, str]] = Counter()
-    if comes_back:
+    if are_returned:
         members = (entry for pool in pools for entry in supply.pools[pool].members)
         present.update((e.pool, e.data_centre) for e in members if e.available)
     return Limits(
@@ -135,29 +135,31 @@
     wave: list[Instance] = []
     racks: set[RackKey] = set()
     used: dict[str, Counter[str]] = {pool: Counter() for pool in waiting}
-    due = _due(waiting, limits, width=width)
+    required = _required_per_pool(waiting, limits, width=width)
 
-    def urgency(pool: str) -> tuple[bool, int, float, str]:
+    def sort_key_of(pool: str) -> tuple[bool, int, float, str]:
         """Order pools: those that would need a wave more, least used, most still to do."""
         taken = used[pool].total()
-        to_do = len(waiting[pool]) / limits.permits[pool]
-        return (taken >= due[pool], taken, -to_do, pool)
+        remaining = len(waiting[pool]) / limits.permits[pool]
+        return (taken >= required[pool], taken, -remaining, pool)
 
-    heap = [urgency(pool) for pool in waiting]
+    heap = [sort_key_of(pool) for pool in waiting]
     heapq.heapify(heap)
     while heap and len(wave) < width:
         pool = heapq.heappop(heap)[-1]
-        entry = _take_one(waiting[pool], limits, used=used[pool], racks=racks)
+        entry = _take_instance(waiting[pool], limits, used=used[pool], racks=racks)
         if entry is None:
             continue
         wave.append(entry)
         racks.add(_rack(entry))
         if waiting[pool]:
-            heapq.heappush(heap, urgency(pool))
+            heapq.heappush(heap, sort_key_of(pool))
     return wave
 
 
-def _due(waiting: Mapping[str, list[Instance]], limits: Limits, *, width: int) -> dict[str, int]:
+def _required_per_pool(
+    waiting: Mapping[str, list[Instance]], limits: Limits, *, width: int
+) -> dict[str, int]:
     """Return how many of each pool this wave has to take for the fewest waves in all."""
     total = sum(len(entries) for entries in waiting.values())
     needed = max(-(-len(waiting[pool]) // limits.permits[pool]) for pool in waiting)
@@ -167,7 +169,7 @@
     }
 
 
-def _take_one(
+def _take_instance(
     entries: list[Instance], limits: Limits, *, used: Counter[str], racks: set[RackKey]
 ) -> Instance | None:
     """Take a failed one first, then from the data centre with most to do, then from few racks.
@@ -178,15 +180,22 @@
     fitting = [entry for entry in entries if _has_room(entry, used, limits)]
     if not fitting:
         return None
-    to_do = Counter(entry.data_centre for entry in entries)
-    fullness = Counter(_rack(entry) for entry in entries)
+    remaining = Counter(entry.data_centre for entry in entries)
+    rack_sizes = Counter(_rack(entry) for entry in entries)
 
-    def order(entry: Instance) -> tuple[bool, int, bool, int, RackKey, str]:
+    def sort_key(entry: Instance) -> tuple[bool, int, bool, int, RackKey, str]:
         rack = _rack(entry)
-        centre = -to_do[entry.data_centre]
-        return (entry.available, centre, rack not in racks, -fullness[rack], rack, entry.name)
-
-    taken = min(fitting, key=order)
+        most_remaining = -remaining[entry.data_centre]
+        return (
+            entry.available,
+            most_remaining,
+            rack not in racks,
+            -rack_sizes[rack],
+            rack,
+            entry.name,
+        )
+
+    taken = min(fitting, key=sort_key)
     if taken.available:
         used[taken.data_centre] += 1
     entries.remove(taken)
@@ -197,8 +206,8 @@
     if not entry.available:
         return True
     present = limits.present.get((entry.pool, entry.data_centre), 0)
-    keeps_one = present <= 1 or used[entry.data_centre] + 1 < present
-    return keeps_one and used.total() < limits.permits[entry.pool]
+    leaves_one = present <= 1 or used[entry.data_centre] + 1 < present
+    return leaves_one and used.total() < limits.permits[entry.pool]
 
 
 def _rack(entry: Instance) -> RackKey:
--- a/src/shallotworks/plans/_supply.py
+++ b/src/shallotworks/plans/_supply.py
@@ -65,12 +65,12 @@
     for service in state.services.values():
         services.setdefault(service.pool, []).append(service)
     return Supply(
-        pools={name: _pool(name, members[name], services.get(name, [])) for name in members},
+        pools={name: _pool_supply(name, members[name], services.get(name, [])) for name in members},
         rack_slots=_rack_slots(state.instances.values()),
     )
 
 
-def _pool(name: str, members: list[Instance], services: list[Service]) -> PoolSupply:
+def _pool_supply(name: str, members: list[Instance], services: list[Service]) -> PoolSupply:
     return PoolSupply(
         name=name,
         services=tuple(services),
--- a/src/shallotworks/plans/_targets.py
+++ b/src/shallotworks/plans/_targets.py
@@ -25,7 +25,7 @@
 )
 from ._records import Action, Skipped
 
-__all__ = ["Targets", "actions_of", "resolve"]
+__all__ = ["Targets", "actions_of", "resolve_targets"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -41,7 +41,7 @@
     skipped: tuple[Skipped, ...]
 
 
-def resolve(state: FleetState, intent: Intent) -> Result[Targets, Failure]:
+def resolve_targets(state: FleetState, intent: Intent) -> Result[Targets, Failure]:
     """Return what an intent means at a state.
 
     Args:
@@ -54,8 +54,8 @@
     """
     if isinstance(intent, Move):
         return _resolve_move(state, intent)
-    wanted = Condition.CORDONED if isinstance(intent, Return) else Condition.ACTIVE
-    return _select(state, intent.selection).map(lambda found: _split(found, wanted))
+    required = Condition.CORDONED if isinstance(intent, Return) else Condition.ACTIVE
+    return _select(state, intent.selection).map(lambda found: _split_by_condition(found, required))
 
 
 def actions_of(intent: Intent) -> tuple[Action, ...]:
@@ -72,14 +72,14 @@
 
 
 def _select(state: FleetState, selection: Selection) -> Result[list[Instance], Failure]:
-    every = state.instances.values()
+    entries = state.instances.values()
     match selection:
         case Named():
-            return _named(state, selection.names)
+            return _select_named(state, selection.names)
         case InRack():
             found = [
                 entry
-                for entry in every
+                for entry in entries
                 if (entry.data_centre, entry.rack) == (selection.data_centre, selection.rack)
             ]
             missing = f"no rack {selection.rack} in data centre {selection.data_centre}"
@@ -91,34 +91,34 @@
         case InDataCentre():
             if selection.data_centre not in state.data_centres:
                 return _not_found(f"no data centre {selection.data_centre}")
-            return Success([e for e in every if e.data_centre == selection.data_centre])
+            return Success([e for e in entries if e.data_centre == selection.data_centre])
         case NotMaintainedSince():
-            return Success([e for e in every if e.maintained_at_s < selection.before_s])
+            return Success([e for e in entries if e.maintained_at_s < selection.before_s])
 
 
-def _named(state: FleetState, names: tuple[str, ...]) -> Result[list[Instance], Failure]:
+def _select_named(state: FleetState, names: tuple[str, ...]) -> Result[list[Instance], Failure]:
     unknown = [name for name in names if name not in state.instances]
     if unknown:
         return _not_found(f"no instance {unknown[0]}")
     return Success([state.instances[name] for name in sorted(set(names))])
 
 
-def _split(found: list[Instance], wanted: Condition) -> Targets:
+def _split_by_condition(found: list[Instance], required: Condition) -> Targets:
     """Leave alone what is in the other condition already.
 
     A cordon that an operator set on purpose outlives a maintenance: the plan would end it.
     """
     return Targets(
-        instances=_in_order([entry for entry in found if entry.condition is wanted]),
+        instances=_by_maintenance_age([entry for entry in found if entry.condition is required]),
         skipped=tuple(
             Skipped(instance=entry.name, reason=f"is {entry.condition.value} already")
             for entry in sorted(found, key=lambda entry: entry.name)
-            if entry.condition is not wanted
+            if entry.condition is not required
         ),
     )
 
 
-def _in_order(found: list[Instance]) -> tuple[Instance, ...]:
+def _by_maintenance_age(found: list[Instance]) -> tuple[Instance, ...]:
     return tuple(sorted(found, key=lambda entry: (entry.maintained_at_s, entry.name)))
 
 
@@ -129,7 +129,9 @@
     if intent.from_pool == intent.to_pool:
         return _refuse(ErrorKind.INVALID_REQUEST, "a move needs two different pools")
     if intent.names:
-        return _named(state, intent.names).bind(lambda found: _named_move(found, intent))
+        return _select_named(state, intent.names).bind(
+            lambda found: _resolve_named_move(found, intent)
+        )
     candidates = [
         entry
         for entry in state.instances_of(intent.from_pool)
@@ -143,20 +145,22 @@
             f"pool {intent.from_pool} has {len(candidates)} instances that can be moved,"
             f" not {intent.count}",
         )
-    return Success(Targets(instances=_spread(candidates, intent.count), skipped=()))
+    return Success(
+        Targets(instances=_take_from_fullest_racks(candidates, intent.count), skipped=())
+    )
 
 
-def _named_move(found: list[Instance], intent: Move) -> Result[Targets, Failure]:
-    stray = [entry for entry in found if entry.pool != intent.from_pool]
-    if stray:
+def _resolve_named_move(found: list[Instance], intent: Move) -> Result[Targets, Failure]:
+    misplaced = [entry for entry in found if entry.pool != intent.from_pool]
+    if misplaced:
         return _refuse(
             ErrorKind.CONFLICT,
-            f"{stray[0].name} is in pool {stray[0].pool}, not {intent.from_pool}",
+            f"{misplaced[0].name} is in pool {misplaced[0].pool}, not {intent.from_pool}",
         )
-    return Success(_split(found, Condition.ACTIVE))
+    return Success(_split_by_condition(found, Condition.ACTIVE))
 
 
-def _spread(candidates: list[Instance], count: int) -> tuple[Instance, ...]:
+def _take_from_fullest_racks(candidates: list[Instance], count: int) -> tuple[Instance, ...]:
     """Take from the racks that hold most of the pool, so that what stays is spread."""
     by_rack: dict[tuple[str, str], list[Instance]] = {}
     for entry in sorted(candidates, key=lambda entry: entry.name):
--- a/src/shallotworks/plans/_writer.py
+++ b/src/shallotworks/plans/_writer.py
@@ -27,10 +27,10 @@
 
 __all__ = ["PlanWriter"]
 
-RETRY_PAUSE_S = 1.0
-BATCH_S = 0.3
+WRITE_RETRY_PAUSE_S = 1.0
+BATCH_WINDOW_S = 0.3
 """Time for which a return waits for others to share its write."""
-_TRY_AGAIN = (ErrorKind.STORE_UNAVAILABLE, ErrorKind.OUTCOME_UNKNOWN, ErrorKind.STORE_REGRESSED)
+_RETRIED_KINDS = (ErrorKind.STORE_UNAVAILABLE, ErrorKind.OUTCOME_UNKNOWN, ErrorKind.STORE_REGRESSED)
 
 
 _BatchKey = tuple[bool, bool]
@@ -139,7 +139,7 @@
                 await asyncio.wait((batch.task,))
 
     async def _write_batch(self, key: _BatchKey, batch: _Batch) -> Result[FleetState, Failure]:
-        await asyncio.sleep(BATCH_S)
+        await asyncio.sleep(BATCH_WINDOW_S)
         self._batches.pop(key, None)
         return await self._activate_all(
             tuple(batch.names), maintained_at_s=batch.maintained_at_s, probed=key[1]
@@ -216,7 +216,7 @@
             failure = result.failure()
             if failure.kind is ErrorKind.LEASE_LOST:
                 raise ShallotworksError(failure)
-            if failure.kind not in _TRY_AGAIN:
+            if failure.kind not in _RETRIED_KINDS:
                 return Err(failure)
             self._metrics.count(f"plans.writes_repeated.{failure.kind.value}")
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(WRITE_RETRY_PAUSE_S)
