--- a/src/shallotworks/fleet/__init__.py
+++ b/src/shallotworks/fleet/__init__.py
@@ -1,8 +1,8 @@
-"""The fleet as configured: records, changes to them, and the state that changes lead to.
+"""Configuration of the fleet: its records, the changes to them and the resulting state.
 
-Pure data: nothing here waits, sends or stores. Every process that applies the same changes in the
-same order holds the same `FleetState`; `apply` is the only way from one state to the next, and it
-refuses a change that breaks a rule, so that a rule checked here holds in every process.
+The package is pure data and does no I/O. Processes that apply the same changes in the same order
+compute the same `FleetState`. `apply` is the only transition from one state to the next and refuses
+a change that breaks a rule, so a rule that it checks holds in every process.
 """
 
 from ._apply import apply
--- a/src/shallotworks/fleet/_apply.py
+++ b/src/shallotworks/fleet/_apply.py
@@ -1,4 +1,4 @@
-"""How one change leads from one state of the fleet to the next, and when it is refused."""
+"""Transition function of the fleet state: applies one change or refuses it."""
 
 from __future__ import annotations
 
@@ -45,15 +45,16 @@
 
 
 def apply(state: FleetState, change: Change) -> Result[FleetState, Failure]:
-    """Return the state after one change, one revision on.
+    """Return the state after one change, whose revision is one higher.
 
     Args:
-        state: The state that the change is to follow.
+        state: The state to apply the change to.
         change: The change.
 
     Returns:
-        The next state, or why the change is refused: ``NOT_FOUND``, ``CONFLICT``,
-        ``BUDGET_SPENT``, ``INVALID_REQUEST`` or ``LEASE_LOST`` (a fencing token too old).
+        The next state, or the failure with which the change is refused: ``NOT_FOUND``,
+        ``CONFLICT``, ``BUDGET_SPENT``, ``INVALID_REQUEST``, ``STALE_PLAN`` or ``LEASE_LOST`` (the
+        fencing token is outdated).
     """
     handler = _HANDLERS[type(change)]
     return handler(state, change).map(lambda after: replace(after, revision=state.revision + 1))
@@ -95,7 +96,10 @@
     if service.pool not in state.pools:
         return _refuse(ErrorKind.NOT_FOUND, f"no pool {service.pool}")
     if not 0 <= service.share <= 1 or service.max_unavailable < 0:
-        return _refuse(ErrorKind.INVALID_REQUEST, "a share is 0 to 1, a budget is not negative")
+        return _refuse(
+            ErrorKind.INVALID_REQUEST,
+            "a share must be from 0 to 1 and a budget must not be negative",
+        )
     others = (entry for entry in state.services_of(service.pool) if entry.name != service.name)
     if sum(entry.share for entry in others) + service.share > 1 + SHARE_TOLERANCE:
         return _refuse(
@@ -112,7 +116,7 @@
 
 def _put_team(state: FleetState, change: PutTeam) -> _ApplyResult:
     if change.team.quota_slots < 0:
-        return _refuse(ErrorKind.INVALID_REQUEST, "a quota is not negative")
+        return _refuse(ErrorKind.INVALID_REQUEST, "a quota must not be negative")
     return Success(replace(state, teams=_put_entry(state.teams, change.team.name, change.team)))
 
 
@@ -129,7 +133,7 @@
     if entry.data_centre not in state.data_centres:
         return _refuse(ErrorKind.NOT_FOUND, f"no data centre {entry.data_centre}")
     if entry.slots < 1:
-        return _refuse(ErrorKind.INVALID_REQUEST, "an instance has at least one slot")
+        return _refuse(ErrorKind.INVALID_REQUEST, "an instance must have at least one slot")
     present = state.instances.get(entry.name)
     if present is not None:
         entry = replace(
@@ -205,10 +209,10 @@
 def _check_budgets(
     *, before: FleetState, after: FleetState, changed: list[Instance]
 ) -> _ApplyResult:
-    """Refuse a cordon that overspends a budget.
+    """Refuse a cordon that exceeds an availability budget.
 
-    Every process applies this at the one revision the cordon would become, so two plans, or two
-    data centres that were cut off from each other, can't both take the last permit.
+    Every process runs this check at the revision that the cordon would get. Two plans, or two data
+    centres with a network partition between them, therefore can't both take the last permit.
     """
     unavailable = after.unavailable_by_pool()
     unavailable_before = before.unavailable_by_pool()
@@ -279,8 +283,8 @@
     if change.state is PlanState.RUNNING:
         return _refuse(ErrorKind.INVALID_REQUEST, "an open plan can't be set back to running")
     if plan.state is PlanState.CANCELLING and change.state is PlanState.DONE:
-        # The failure: an operator's cancel and the conductor's last step cross; accepting "done"
-        # would drop a cancel that was accepted. Refused, the conductor rolls back instead.
+        # An operator's cancel can be accepted while the conductor finishes the last step. Accepting
+        # "done" would lose that cancel; after this refusal the conductor rolls back instead.
         return _refuse(ErrorKind.CONFLICT, f"plan {_short_digest(plan.digest)} is being cancelled")
     if change.state is PlanState.CANCELLING:
         return Success(_set_plan_state(state, plan, change))
@@ -305,11 +309,13 @@
 def _check_fencing_token(
     state: FleetState, digest: str, token: int, names: tuple[str, ...]
 ) -> _ApplyResult:
-    """Check that a writer may still act for a plan on these instances, and keep its token.
+    """Check that a writer may change these instances, and store its fencing token in the plan.
 
-    The failure: a conductor is paused past its lease, another takes over, the first wakes and
-    writes. Its token is lower than the one this state has seen, so its write is refused in every
-    process alike, whenever it arrives.
+    A change without a plan is refused where an open plan holds one of the instances. A change for a
+    plan is refused where the plan is not open, does not hold all of the instances, or has recorded
+    a higher token. The token guards against a conductor that is paused beyond the expiry of its
+    lease and writes after another conductor took over: every process refuses that write, whenever
+    it arrives.
     """
     if not digest:
         holding_plan = state.open_plan_holding(names)
@@ -326,7 +332,7 @@
     if token < plan.fencing_token:
         return _refuse(
             ErrorKind.LEASE_LOST,
-            f"token {token} of plan {_short_digest(digest)} is older than the one in force",
+            f"token {token} of plan {_short_digest(digest)} is lower than the current one",
         )
     plan = replace(plan, fencing_token=token)
     return Success(replace(state, plans=_put_entry(state.plans, digest, plan)))
--- a/src/shallotworks/fleet/_changes.py
+++ b/src/shallotworks/fleet/_changes.py
@@ -1,4 +1,4 @@
-"""Changes to the fleet: what one entry of the configuration log may hold."""
+"""Changes to the fleet, one of which is stored in each entry of the configuration log."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RemovePool:
-    """Remove a pool that holds no instance and serves no service."""
+    """Remove a pool that has no instances and no services."""
 
     name: str
     kind: Literal["remove-pool"] = "remove-pool"
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutService:
-    """Add or replace a service; the shares of one pool's services add up to 1 at the most."""
+    """Add or replace a service; the shares of a pool's services must not exceed 1 in total."""
 
     service: Service
     kind: Literal["put-service"] = "put-service"
@@ -95,11 +95,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutInstance:
-    """Add an instance, or replace its hardware facts.
+    """Add an instance, or replace the hardware description of an existing one.
 
-    The pool, condition, health and holder of an instance that exists stay as they are: those
-    change by `MoveInstance`, `SetCondition` and `SetHealth` only, so that replacing an instance
-    under its old name can't undo a cordon or a move.
+    An existing instance keeps its pool, condition, health, holding plan and time of last
+    maintenance. Those change by `MoveInstance`, `SetCondition` and `SetHealth` only, so that a
+    repeated put can't undo a cordon or a move.
     """
 
     instance: Instance
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RemoveInstance:
-    """Remove an instance that no open plan holds."""
+    """Remove an instance; refused while an open plan holds it."""
 
     name: str
     kind: Literal["remove-instance"] = "remove-instance"
@@ -120,10 +120,10 @@
 
     Args:
         name: The instance.
-        from_pool: The pool it is in; refused if it is in another by now.
-        to_pool: Where it goes.
-        plan: Digest of the plan that moves it.
-        fencing_token: Token of the conductor that writes this.
+        from_pool: The current pool; the change is refused if the instance is in another one.
+        to_pool: The new pool.
+        plan: Digest of the plan that moves it; empty for a change without a plan.
+        fencing_token: Fencing token of the conductor that writes the change; 0 without a plan.
     """
 
     name: str
@@ -136,16 +136,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SetCondition:
-    """Cordon instances or make them active again; a cordon is the disruption permit.
+    """Cordon instances or make them active again; a cordon takes a disruption permit.
 
-    Refused with ``BUDGET_SPENT`` where it would take a service below its availability budget.
+    A cordon is refused with ``BUDGET_SPENT`` if it would exceed the availability budget of a
+    service.
 
     Args:
         names: The instances.
-        condition: What is wanted of them.
-        plan: Digest of the plan that acts; empty for an operator's own.
-        fencing_token: Token of the conductor that writes this; 0 for an operator's own.
-        maintained_at_s: Unix time of the end of their maintenance, where this ends one; else 0.
+        condition: The desired condition.
+        plan: Digest of the plan that makes the change; empty for an operator's own change.
+        fencing_token: Fencing token of the conductor that writes the change; 0 for an operator's
+            own change.
+        maintained_at_s: Unix time at which their maintenance ended, if this change ends one; 0
+            otherwise.
     """
 
     names: tuple[str, ...]
@@ -158,7 +161,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SetHealth:
-    """Report instances as failed or working; never refused for a budget, it is a fact."""
+    """Record instances as failed or working.
+
+    The change records an observation, so it is never refused for a budget.
+    """
 
     names: tuple[str, ...]
     healthy: bool
@@ -167,17 +173,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfirmPlan:
-    """Confirm the plan of this digest; refused where an open plan holds one of its instances.
+    """Confirm a plan; refused if an open plan holds one of its instances.
 
     Args:
         digest: Digest of the plan.
         intent: The operator's intent, in one line.
-        confirmed_by: The operator.
-        confirmed_at_s: Unix time.
+        confirmed_by: The operator who confirms it.
+        confirmed_at_s: Unix time of the confirmation.
         base_revision: The revision that the plan was computed from.
-        instances: Names of all instances it will cordon or move.
-        basis: Digest of the facts it rests on, see `precondition_digest`; refused with
-            ``STALE_PLAN`` where they are others by now. Empty for no check.
+        instances: Names of all instances that the plan will cordon or move.
+        basis: Digest of the plan's preconditions, see `precondition_digest`. The change is refused
+            with ``STALE_PLAN`` if the current state gives another digest. Empty for no check.
     """
 
     digest: str
@@ -192,12 +198,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdvancePlan:
-    """Record a conductor's progress; the first one of a new conductor raises the token.
+    """Record the progress of a plan; a new conductor's first record raises the fencing token.
 
     Args:
         digest: Digest of the plan.
-        fencing_token: Token of the conductor.
-        steps_done: Steps finished so far; never falls.
+        fencing_token: Fencing token of the conductor.
+        steps_done: Number of finished steps; a lower number than the recorded one is ignored.
     """
 
     digest: str
@@ -208,14 +214,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FinishPlan:
-    """Change an open plan's state: cancel it, or end it.
+    """Cancel or end an open plan.
 
     Args:
         digest: Digest of the plan.
         state: The new state.
-        outcome: One sentence on why.
-        at_s: Unix time.
-        fencing_token: Token of the conductor; 0 for an operator's cancel.
+        outcome: The reason or result, in one sentence.
+        at_s: Unix time of the change.
+        fencing_token: Fencing token of the conductor; 0 for an operator's cancel.
     """
 
     digest: str
--- a/src/shallotworks/fleet/_preconditions.py
+++ b/src/shallotworks/fleet/_preconditions.py
@@ -1,4 +1,4 @@
-"""The facts that a plan rests on, as one digest."""
+"""Digest of the preconditions of a plan."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def precondition_digest(state: FleetState, instances: Iterable[str]) -> str:
-    """Return a digest of the facts that a plan over these instances rests on.
+    """Return a digest of the preconditions of a plan over these instances.
 
-    It covers the instances themselves, and of each pool that they are in: its budget, its members
-    and which of those are unavailable. A change to anything else leaves it as it is.
+    The digest covers every pool that one of the instances is in: the budgets of its services, its
+    members, and which of those are unavailable. Other changes to the fleet do not alter it.
 
     Args:
         state: The state.
-        instances: Names of the plan's instances; names that do not exist count as gone.
+        instances: Names of the plan's instances; a name without an instance is hashed as missing.
     """
     names = frozenset(instances)
     pools = {state.instances[name].pool for name in names if name in state.instances}
--- a/src/shallotworks/fleet/_records.py
+++ b/src/shallotworks/fleet/_records.py
@@ -1,4 +1,4 @@
-"""Records of the fleet, as operators configure them."""
+"""Records of the fleet: its configuration and its confirmed plans."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 @unique
 class Condition(Enum):
-    """What an operator or a plan wants of an instance."""
+    """Condition of an instance that an operator or a plan has set."""
 
     ACTIVE = "active"
-    """Takes new work."""
+    """The instance takes new work."""
     CORDONED = "cordoned"
-    """Takes no new work; what is in flight finishes. Counts as unavailable."""
+    """The instance takes no new work, finishes what is in flight and counts as unavailable."""
 
 
 @unique
 class PlanState(Enum):
-    """Where a confirmed plan stands."""
+    """State of a confirmed plan."""
 
     RUNNING = "running"
     CANCELLING = "cancelling"
@@ -39,17 +39,17 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the plan may still act."""
+        """Whether a conductor may still act on the plan."""
         return self in (PlanState.RUNNING, PlanState.CANCELLING)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DataCentre:
-    """One data centre; its instances fail together when its power or links do.
+    """A data centre, the failure domain of its instances for power and network failures.
 
     Args:
         name: Unique name.
-        region: The region it lies in.
+        region: The region that it belongs to.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Pool:
-    """A group of instances that serves some services.
+    """A group of instances that serve the same services.
 
     Args:
         name: Unique name.
@@ -69,24 +69,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Instance:
-    """One worker machine, in exactly one pool.
+    """A worker machine, in exactly one pool.
 
     Args:
         name: Unique name.
-        data_centre: Where it stands.
+        data_centre: The data centre that it is in.
         rack: Failure domain within the data centre.
-        pool: The one pool it belongs to.
-        address: ``ip:port`` at which its target answers.
-        slots: Requests it runs at once.
-        processors: Cores.
-        memory_bytes: Memory.
-        accelerators: Accelerator cards.
-        condition: What is wanted of it; changed by `SetCondition` only.
+        pool: The pool that it belongs to.
+        address: ``ip:port`` of its target.
+        slots: Number of requests that it runs concurrently.
+        processors: Number of cores.
+        memory_bytes: Size of its memory, in bytes.
+        accelerators: Number of accelerator cards.
+        condition: The desired condition; changed by `SetCondition` only.
         healthy: Whether it was last reported as working; changed by `SetHealth` only.
-        held_by: Digest of the plan that cordoned it; empty for an operator's own cordon or none.
+        held_by: Digest of the plan that cordoned it; empty without a cordon or for an operator's
+            own cordon.
         maintained_at_s: Unix time at which its last maintenance ended; 0 for never.
-        incarnation: Which machine stands behind the name, as the platform's list says; empty where
-            it is not known, and then not checked.
+        incarnation: Identifies the machine that has this name, as given by the platform's instance
+            list. Empty if unknown; it is not checked then.
     """
 
     name: str
@@ -106,21 +107,21 @@
 
     @property
     def available(self) -> bool:
-        """Whether it counts as serving, for availability budgets."""
+        """Whether it counts as available for availability budgets."""
         return self.condition is Condition.ACTIVE and self.healthy
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """A service that callers ask for by name.
+    """A service that callers address by name.
 
     Args:
         name: Unique name.
         pool: The pool whose instances serve it.
-        share: Part of the pool's slots that it may always use, 0 to 1.
-        max_unavailable: Availability budget: instances of the pool that may be unavailable at
-            once, for whatever cause.
-        connections_per_instance: Connections kept to each instance at the most.
+        share: Fraction of the pool's slots that is reserved for it, 0 to 1.
+        max_unavailable: Availability budget: number of instances of the pool that may be
+            unavailable at the same time, for any reason.
+        connections_per_instance: Maximum number of connections to each instance.
     """
 
     name: str
@@ -132,11 +133,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Team:
-    """A team of callers with a quota.
+    """A team of callers that share a quota.
 
     Args:
         name: Unique name.
-        quota_slots: Slots that its requests and jobs may hold at once, over the whole fleet.
+        quota_slots: Number of slots that its requests and jobs may occupy at the same time, over
+            the whole fleet.
     """
 
     name: str
@@ -145,21 +147,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlanRecord:
-    """A confirmed plan, as far as all processes must agree on it.
+    """The replicated part of a confirmed plan, on which all processes agree.
 
     Args:
-        digest: Digest of the plan's content, which is also its key in the platform's service.
+        digest: Digest of the plan's content, and its key in the platform's store.
         intent: The operator's intent, in one line.
         confirmed_by: The operator who confirmed it.
         confirmed_at_s: Unix time of the confirmation.
         base_revision: The revision that the plan was computed from.
-        instances: Names of all instances that the plan will cordon or move; emptied when it ends,
-            so that the plans kept do not make a snapshot grow with the fleet.
-        state: Where it stands.
-        fencing_token: Highest token of a conductor seen; changes with a lower one are refused.
-        steps_done: Steps finished so far.
+        instances: Names of all instances that the plan will cordon or move. Cleared when the plan
+            ends, so that the retained plans do not make a snapshot grow with the fleet.
+        state: The plan's state.
+        fencing_token: Highest fencing token of a conductor so far; a change with a lower one is
+            refused.
+        steps_done: Number of finished steps.
         ended_at_s: Unix time of its end; 0 while it is open.
-        outcome: One sentence on how it ended.
+        outcome: How it ended, in one sentence.
     """
 
     digest: str
--- a/src/shallotworks/fleet/_state.py
+++ b/src/shallotworks/fleet/_state.py
@@ -1,4 +1,4 @@
-"""The fleet's state at one revision."""
+"""State of the fleet at one revision."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetState:
-    """All records at one revision; never changed in place.
+    """All records of the fleet at one revision; immutable.
 
     Args:
-        revision: Number of changes that led here.
+        revision: Number of changes applied so far.
         data_centres: By name.
         pools: By name.
         services: By name.
         teams: By name.
         instances: By name.
-        plans: Confirmed plans by digest: all open ones, and the last ones that ended.
+        plans: Confirmed plans by digest: all open ones and the most recently ended ones.
     """
 
     revision: int = 0
@@ -42,14 +42,14 @@
         return (entry for entry in self.services.values() if entry.pool == pool)
 
     def unavailable_in(self, pool: str) -> int:
-        """Return how many instances of a pool are cordoned or failed."""
+        """Return the number of instances of a pool that are cordoned or failed."""
         return sum(1 for entry in self.instances_of(pool) if not entry.available)
 
     def budget_of(self, pool: str) -> int:
-        """Return how many instances of a pool may be unavailable at once.
+        """Return the number of instances of a pool that may be unavailable at the same time.
 
-        The least of its services' budgets; with no service there is nothing to protect and every
-        instance may be.
+        This is the smallest budget of the pool's services. In a pool without services every
+        instance may be unavailable.
         """
         budgets = [entry.max_unavailable for entry in self.services_of(pool)]
         if budgets:
@@ -57,11 +57,11 @@
         return sum(1 for _ in self.instances_of(pool))
 
     def unavailable_by_pool(self) -> Counter[str]:
-        """Return `unavailable_in` of every pool at once, in one pass over the instances."""
+        """Return `unavailable_in` of every pool, computed in one pass over the instances."""
         return Counter(entry.pool for entry in self.instances.values() if not entry.available)
 
     def budgets_by_pool(self) -> dict[str, int]:
-        """Return `budget_of` of every pool at once, in one pass."""
+        """Return `budget_of` of every pool, computed in one pass over services and instances."""
         budgets: dict[str, int] = {}
         for service in self.services.values():
             least = budgets.get(service.pool, service.max_unavailable)
@@ -70,7 +70,7 @@
         return {name: budgets.get(name, sizes[name]) for name in self.pools}
 
     def open_plan_holding(self, names: tuple[str, ...]) -> PlanRecord | None:
-        """Return an open plan that holds one of these instances, if there is one."""
+        """Return an open plan that holds any of these instances, or ``None``."""
         wanted = frozenset(names)
         for plan in self.plans.values():
             if plan.state.is_open and not wanted.isdisjoint(plan.instances):
--- a/src/shallotworks/plans/__init__.py
+++ b/src/shallotworks/plans/__init__.py
@@ -1,8 +1,8 @@
-"""Intents, plans, proposals and the conductor that carries confirmed plans out.
+"""Intents, plans, the plan registry and the conductor that executes confirmed plans.
 
-An operator's `Intent` becomes a `Plan` by the `Planner`, is kept by `PlanRegistry` and, once it is
-confirmed, carried out by a `Conductor`. Nothing here acts on a plan that is not confirmed, changes
-the fleet other than through the configuration log, or reboots a target with work in flight.
+The `Planner` computes a `Plan` from an operator's `Intent`, the `PlanRegistry` stores it, and a
+`Conductor` executes it after it is confirmed. A conductor acts on confirmed plans only, changes the
+fleet only through the configuration log, and never reboots a target with work in flight.
 """
 
 from ._conductor import Conductor
--- a/src/shallotworks/plans/_conductor.py
+++ b/src/shallotworks/plans/_conductor.py
@@ -1,4 +1,4 @@
-"""The conductor: one task for each open plan, which acts while it holds the plan's lease."""
+"""The conductor: runs one task per open plan, which acts while it holds the plan's lease."""
 
 from __future__ import annotations
 
@@ -27,14 +27,17 @@
 
 
 class Conductor:
-    """Carries out confirmed plans; every entry instance runs one, and one of them acts.
+    """Executes confirmed plans.
+
+    Every entry instance runs a conductor. For each plan, only the conductor that holds the plan's
+    lease acts.
 
     Args:
-        name: Name of this process, for the history.
+        name: Name of this process, used as the author of its changes.
         plan_leases: Returns the lease of a plan by its digest.
-        log: Where changes are proposed.
-        store: Where plans are stored.
-        dependencies: What to work with.
+        log: Log to which changes are proposed.
+        store: Store from which plans are read.
+        dependencies: Collaborators of the conductor.
     """
 
     __slots__ = ("_dependencies", "_log", "_name", "_plan_leases", "_store", "_tasks")
@@ -56,7 +59,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Conduct every open plan until cancelled."""
+        """Conduct every open plan until this task is cancelled."""
         try:
             while True:
                 revision = self._dependencies.view.state().revision
@@ -74,7 +77,7 @@
                 self._tasks[digest] = asyncio.ensure_future(self._conduct_until_ended(digest))
 
     async def _conduct_until_ended(self, digest: str) -> None:
-        """Conduct one plan until it has ended, here or elsewhere."""
+        """Conduct one plan until it has ended, whichever conductor ends it."""
         ended = asyncio.ensure_future(self._wait_until_ended(digest))
         try:
             while not ended.done():
@@ -83,15 +86,15 @@
             await cancel_all((ended,))
 
     async def _run_attempt(self, ended: asyncio.Task[None], digest: str) -> None:
-        """Take one turn, cut short when the plan has ended elsewhere."""
+        """Run one attempt; cancel it if another conductor ends the plan meanwhile."""
         attempt = asyncio.ensure_future(self._hold_lease_and_run(digest))
         try:
             await asyncio.wait((attempt, ended), return_when=asyncio.FIRST_COMPLETED)
         finally:
             await cancel_all((attempt,))
         if not attempt.cancelled() and attempt.exception() is not None:
-            # One plan's fault must not end the others; it shows in this counter, and the plan is
-            # taken up again from the state.
+            # An error in one plan must not stop the others. It is counted, and the next attempt
+            # resumes the plan from the state.
             self._dependencies.metrics.count("plans.conductor_faults")
             logging.error("plan %s: conductor failed: %r", digest, attempt.exception())
         if not ended.done():
@@ -107,7 +110,7 @@
             await view.wait_for(state.revision + 1)
 
     async def _hold_lease_and_run(self, digest: str) -> None:
-        """Wait for the lease, then conduct until the plan ends or the lease is lost."""
+        """Acquire the lease, then run the plan until it ends or the lease is lost."""
         lease = self._plan_leases(digest)
         try:
             token = await lease.acquire()
@@ -135,7 +138,7 @@
         return PlanRun(plan=plan, writer=writer, dependencies=self._dependencies)
 
     async def _load(self, digest: str) -> Plan:
-        """Read the plan, waiting out a store that is down."""
+        """Read the plan; retry while the store fails or the plan is missing or unreadable."""
         while True:
             result = await self._store.get(plan_key(digest))
             entry = result.unwrap() if isinstance(result, Success) else None
--- a/src/shallotworks/plans/_diff.py
+++ b/src/shallotworks/plans/_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two plans."""
+"""Differences between two plans."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlanDiff:
-    """How a second plan differs from a first.
+    """Differences between a first and a second plan.
 
     Args:
-        first: Short digest of the first.
-        second: Short digest of the second.
-        removed: Instances that only the first touches.
-        added: Instances that only the second touches.
-        moved: Instances that both touch, in waves of different number.
-        first_measures: The first's measures.
-        second_measures: The second's measures.
+        first: Short digest of the first plan.
+        second: Short digest of the second plan.
+        removed: Instances that only the first plan touches.
+        added: Instances that only the second plan touches.
+        moved: Instances that both plans touch, in waves with different numbers.
+        first_measures: Measures of the first plan.
+        second_measures: Measures of the second plan.
     """
 
     first: str
@@ -33,7 +33,7 @@
 
 
 def diff_plans(first: Plan, second: Plan) -> PlanDiff:
-    """Return how the second plan differs from the first."""
+    """Return the differences between two plans."""
     before = _wave_numbers(first)
     after = _wave_numbers(second)
     both = sorted(before.keys() & after.keys())
--- a/src/shallotworks/plans/_instance_run.py
+++ b/src/shallotworks/plans/_instance_run.py
@@ -1,4 +1,4 @@
-"""One instance's way through its step: seen, drained, rebooted or moved, probed, returned."""
+"""Execution of a step on one cordoned instance: drain, reboot or move, probe and return."""
 
 from __future__ import annotations
 
@@ -25,18 +25,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConductorPolicy:
-    """When the conductor goes on, waits or gives up.
+    """Timeouts and limits of a conductor.
 
     Args:
-        acknowledgement_timeout_s: Longest wait for entry instances to see a cordon; one that is cut
-            off can't be asked, and its requests are waited for at the target.
-        drain_timeout_s: Longest wait for a target to empty; after it the instance is given back.
-        return_timeout_s: Longest wait for a rebooted target; after it the instance stays cordoned.
-        final_return_timeout_s: Wait for those at the end of the plan.
-        max_failed_instances: Instances that did not come back at which the plan stands still.
+        acknowledgement_timeout_s: Maximum wait for entry instances to acknowledge a cordon. An
+            entry instance that is partitioned off can't be asked; its requests are waited for at
+            the target.
+        drain_timeout_s: Maximum wait for a target to empty. After it an instance whose step ends
+            with a return is returned without a reboot or a move.
+        return_timeout_s: Maximum wait for a rebooted target. After it the instance stays cordoned.
+        final_return_timeout_s: Maximum wait for an instance that did not come back when it is
+            tried again.
+        max_failed_instances: Number of instances that did not come back at which the plan pauses.
         settle_s: Time that a returned instance gets to take up its load before the next wave.
-        poll_s: Pause between two questions to a target.
-        window: Daily time outside of which no wave starts that cordons; ``None`` for any time.
+        poll_s: Interval between two polls of a target.
+        window: Daily maintenance window, outside of which no wave that cordons is started;
+            ``None`` for no restriction.
     """
 
     acknowledgement_timeout_s: float = 3.0
@@ -51,7 +55,7 @@
 
 @unique
 class StepOutcome(Enum):
-    """How one instance's step ended."""
+    """Result of a step on one instance."""
 
     DONE = "done"
     NEVER_EMPTIED = "never emptied, given back"
@@ -62,21 +66,21 @@
 
 
 class InstanceRun:
-    """Carries out the actions of a step on one cordoned instance.
+    """Executes the actions of a step on one cordoned instance.
 
-    Each action first looks whether it is done, so that another conductor can start over at any
-    point.
+    The actions are idempotent, so that another conductor can repeat the step from its beginning
+    after a takeover at any point.
 
     Args:
         digest: Digest of the plan, which is also the id of its reboots.
         step: The step.
-        name: The instance.
-        view: The state.
-        control: The target.
-        writer: The plan's writer.
-        policy: When to give up.
+        name: Name of the instance.
+        view: View of the fleet state.
+        control: Control of the targets.
+        writer: Writer of the plan's changes.
+        policy: Timeouts and limits.
         wall_clock_s: Returns the Unix time.
-        timeline: Where events go.
+        timeline: Timeline to which events are recorded.
         metrics: Counters.
     """
 
@@ -119,13 +123,14 @@
         self._metrics = metrics
 
     async def run(self, *, return_timeout_s: float) -> StepOutcome:
-        """Carry out every action after the cordon.
+        """Execute every action after the cordon, up to the first that does not succeed.
 
         Args:
-            return_timeout_s: Longest wait for the target to answer its probe.
+            return_timeout_s: Maximum wait for the target to accept a reboot, and for it to answer
+                its probe.
 
         Raises:
-            ShallotworksError: ``LEASE_LOST``; nothing was done after it.
+            ShallotworksError: ``LEASE_LOST``; no action was executed after the loss was detected.
         """
         outcome = StepOutcome.DONE
         for action in self._step.actions:
@@ -137,7 +142,7 @@
         return outcome
 
     async def probe_and_return(self, *, return_timeout_s: float) -> StepOutcome:
-        """Return the instance as it is, for a plan that is rolled back."""
+        """Probe and return the instance for a plan that is rolled back, without a reboot."""
         outcome = await self._probe(reboot_id="", timeout_s=return_timeout_s)
         return await self._return(maintained=False) if outcome is StepOutcome.DONE else outcome
 
@@ -159,7 +164,7 @@
                 return await self._return(maintained=Action.REBOOT in self._step.actions)
 
     async def _drain(self) -> StepOutcome:
-        """Wait until nothing is in flight; a target is never rebooted before."""
+        """Wait until nothing is in flight; a target is rebooted only after that."""
         if await self._has_rebooted():
             return StepOutcome.DONE
         await self._control.checkpoint_jobs(self._instance())
@@ -179,13 +184,14 @@
         in_flight = await self._control.in_flight(self._instance())
         if isinstance(in_flight, Success):
             return bool(in_flight.unwrap() == 0)
-        # A target that was reported as failed and does not answer has nothing left to cut off.
+        # A target that was reported as failed and is unreachable has no work left to interrupt.
         return not self._instance().healthy and in_flight.failure().kind is ErrorKind.UNREACHABLE
 
     async def _return_undrained(self) -> StepOutcome:
-        """Return a target that never emptied: its work goes on, its permit is free again.
+        """Return an instance that did not drain in time, so that it keeps its work.
 
-        One that does not answer may be cut off from this process alone, hence is given back too.
+        This frees its disruption permit. A target that does not answer is returned too, because it
+        may be unreachable from this process only.
         """
         in_flight = await self._control.in_flight(self._instance())
         result = await self._writer.activate(self._name, probed=False)
@@ -207,7 +213,7 @@
             if isinstance(result, Success):
                 return StepOutcome.DONE
             if result.failure().kind is ErrorKind.CONFLICT:
-                # An entry instance that is cut off sent it work after it was seen empty.
+                # A partitioned entry instance sent work to the target after the drain had ended.
                 outcome = await self._drain()
                 if outcome is not StepOutcome.DONE:
                     return outcome
@@ -239,13 +245,14 @@
             await asyncio.sleep(self._policy.poll_s)
         planned_incarnation = self._instance().incarnation
         if planned_incarnation and report.unwrap().incarnation != planned_incarnation:
-            # The failure: the platform replaced the machine under the same name while it was out;
-            # its size and contents are not the ones planned with, so it takes no work unseen.
+            # The platform replaced the machine under the same name during the maintenance. The size
+            # and contents of the new one differ from the plan's, so it must not take work
+            # unchecked.
             return await self._leave_cordoned(StepOutcome.REPLACED)
         return StepOutcome.DONE
 
     def _is_back(self, report: Result[ProbeReport, Failure], *, reboot_id: str) -> bool:
-        """Tell an answer after the reboot from one that was given before it."""
+        """Whether the target answered, and for a reboot id whether it did so after that reboot."""
         if not isinstance(report, Success):
             return False
         return not reboot_id or report.unwrap().reboot_id == reboot_id
--- a/src/shallotworks/plans/_intents.py
+++ b/src/shallotworks/plans/_intents.py
@@ -1,4 +1,4 @@
-"""Intents: what an operator wants to be true of the fleet, as typed values with JSON."""
+"""Intents: what an operator wants done to the fleet, as typed values that encode to JSON."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Named:
-    """Instances by name."""
+    """Selects instances by name."""
 
     names: tuple[str, ...]
     kind: Literal["named"] = "named"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InRack:
-    """The instances of one rack of a data centre."""
+    """Selects the instances of one rack of a data centre."""
 
     data_centre: str
     rack: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InPool:
-    """The instances of one pool."""
+    """Selects the instances of one pool."""
 
     pool: str
     kind: Literal["pool"] = "pool"
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InDataCentre:
-    """The instances of one data centre."""
+    """Selects the instances of one data centre."""
 
     data_centre: str
     kind: Literal["data-centre"] = "data-centre"
@@ -66,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotMaintainedSince:
-    """The instances whose last maintenance ended before a moment.
+    """Selects the instances whose last maintenance ended before a given time.
 
     Args:
-        before_s: Unix time; a moment and not an age, so that planning needs no clock.
+        before_s: Unix time. It is absolute and not an age, so that planning needs no clock.
     """
 
     before_s: float
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Drain:
-    """Cordon instances, wait until nothing is in flight there, and leave them cordoned."""
+    """Cordon instances, wait until they have no work in flight, and leave them cordoned."""
 
     selection: Selection
     kind: Literal["drain"] = "drain"
@@ -110,10 +110,10 @@
     """Move instances from one pool to another.
 
     Args:
-        from_pool: The pool they are in.
-        to_pool: The pool they go to.
-        count: How many; 0 where they are named.
-        names: Which ones; empty for any ``count`` of them.
+        from_pool: The pool that they are in.
+        to_pool: The pool that they are moved to.
+        count: Number of instances to move; ignored if ``names`` are given.
+        names: Names of the instances to move; empty to let the planner choose ``count`` of them.
     """
 
     from_pool: str
@@ -127,7 +127,7 @@
 
 
 def not_maintained_for(weeks: float, *, now_s: float) -> NotMaintainedSince:
-    """Select what has not been maintained for some weeks, counted back from a Unix time."""
+    """Select the instances without maintenance in the given number of weeks before ``now_s``."""
     return NotMaintainedSince(before_s=now_s - weeks * SECONDS_PER_WEEK)
 
 
@@ -137,12 +137,12 @@
 
 
 def decode_intent(data: bytes) -> Intent:
-    """Read an intent; raises ``pydantic.ValidationError`` where it is not one."""
+    """Decode an intent; raises ``pydantic.ValidationError`` if the data is invalid."""
     return _INTENT.validate_json(data)
 
 
 def describe_intent(intent: Intent) -> str:
-    """Return an intent in one line for people."""
+    """Return a one-line description of an intent for people."""
     if isinstance(intent, Move):
         what = _format_names(intent.names) if intent.names else f"{intent.count} instances"
         return f"move {what} from pool {intent.from_pool} to pool {intent.to_pool}"
--- a/src/shallotworks/plans/_measures.py
+++ b/src/shallotworks/plans/_measures.py
@@ -1,4 +1,4 @@
-"""What a way of filling waves costs: buffer, roll-out time, moves, and what is left meanwhile."""
+"""Measures of candidate waves: buffer, roll-out time, moves and remaining capacity."""
 
 from __future__ import annotations
 
@@ -15,16 +15,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DisruptionModel:
-    """What a step is expected to take; the conductor waits for the facts, whatever they are.
+    """Expected durations of the actions of a step.
+
+    They are used for planning only; the conductor waits for the actual events.
 
     Args:
-        seen_s: Until every entry instance has seen a cordon.
-        drain_s: Until nothing is in flight.
-        reboot_s: Until a rebooted instance answers.
-        move_s: To put an instance into another pool.
-        probe_s: To probe an instance.
-        return_s: Until a returned instance carries its full load again.
-        jobs_per_instance: Long-running jobs on an instance, each relocated when it is drained.
+        seen_s: Time until every entry instance has acknowledged a cordon.
+        drain_s: Time until nothing is in flight.
+        reboot_s: Time until a rebooted instance answers.
+        move_s: Time to move an instance to another pool.
+        probe_s: Time to probe an instance.
+        return_s: Time until a returned instance carries its full load again.
+        jobs_per_instance: Expected number of long-running jobs on an instance, each of which is
+            relocated when the instance is drained.
     """
 
     seen_s: float = 3.0
@@ -36,7 +39,7 @@
     jobs_per_instance: float = 2.0
 
     def duration_s(self, actions: Iterable[Action]) -> float:
-        """Return how long one step is expected to take."""
+        """Return the expected duration of a step with these actions, in seconds."""
         durations_s = {
             Action.CORDON: self.seen_s,
             Action.DRAIN: self.drain_s,
@@ -50,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlannerWeights:
-    """What a user weighs most, from the settings.
+    """Weights of the three measures in the cost of a plan, from the settings.
 
     Args:
         buffer: Weight of the buffer cost.
         roll_out: Weight of the roll-out time.
         moves: Weight of the moves.
-        window_s: Time within which a plan has to be through; 0 for no limit.
+        window_s: Maximum roll-out time of a plan; 0 for no limit.
     """
 
     buffer: float = 1.0
@@ -68,13 +71,13 @@
 def measure(
     waves: Waves, *, actions: tuple[Action, ...], supply: Supply, model: DisruptionModel
 ) -> Measures:
-    """Return the three measures of some waves.
+    """Return the measures of a list of waves.
 
     Args:
         waves: The waves.
-        actions: What is done to each instance.
-        supply: The pools as they are before.
-        model: What a step is expected to take.
+        actions: The actions on each instance.
+        supply: The pools before the plan starts.
+        model: Expected durations of the actions.
     """
     wave_slots = [sum(entry.slots for entry in wave if entry.available) for wave in waves]
     stays_out = Action.CORDON in actions and Action.RETURN not in actions
@@ -97,7 +100,7 @@
 
 
 def weighted_cost(measures: Measures, *, best: Measures, weights: PlannerWeights) -> float:
-    """Return the weighted sum, each measure relative to the best that any way reaches."""
+    """Return the weighted sum of the measures, each relative to the best of all candidates."""
     return (
         weights.buffer * _relative(measures.buffer_slots, best.buffer_slots)
         + weights.roll_out * _relative(measures.roll_out_s, best.roll_out_s)
@@ -108,12 +111,15 @@
 def capacity_left(
     waves: Waves, *, supply: Supply, stays_out: bool
 ) -> tuple[DataCentreCapacity, ...]:
-    """Return what is left of each data centre that the waves touch, at its worst moment.
+    """Return the lowest remaining capacity of each data centre that the waves touch.
+
+    The lowest point is the wave during which the failure of one more rack would leave the fewest
+    slots.
 
     Args:
         waves: The waves.
-        supply: The fleet as it is before.
-        stays_out: Whether instances stay out after their wave.
+        supply: The fleet before the plan starts.
+        stays_out: Whether instances stay cordoned after their wave.
     """
     racks: dict[str, dict[RackKey, int]] = {}
     for key, slots in supply.rack_slots.items():
@@ -154,8 +160,8 @@
 ) -> float:
     """Return the expected number of relocations of long-running jobs.
 
-    A job that is moved may land on an instance whose turn is yet to come and move again; jobs are
-    taken to spread evenly over what is available in their pool.
+    A job may be relocated to an instance of a later wave and then be relocated again. Relocated
+    jobs are assumed to spread evenly over the instances of their pool that are not out of service.
     """
     relocated = 0.0
     for pool, wave_names in _waves_by_pool(waves).items():
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -1,4 +1,4 @@
-"""One conductor's run of one plan, from where the state says it stands to its end."""
+"""Execution of one plan by one conductor, resumed from the progress in the fleet state."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConductorDependencies:
-    """What a conductor works with.
+    """Collaborators of a conductor.
 
     Args:
-        view: The state.
-        control: The targets.
-        acknowledgements: What entry instances have seen.
-        policy: When to go on, wait or give up.
+        view: View of the fleet state.
+        control: Control of the targets.
+        acknowledgements: Revisions that the entry instances have acknowledged.
+        policy: Timeouts and limits.
         wall_clock_s: Returns the Unix time.
-        timeline: Where events go.
+        timeline: Timeline to which events are recorded.
         metrics: Counters.
     """
 
@@ -51,12 +51,12 @@
 
 
 class PlanRun:
-    """Carries out a plan wave by wave, or rolls it back once it is cancelled.
+    """Executes a plan wave by wave, or rolls it back after it is cancelled.
 
     Args:
         plan: The plan.
-        writer: Its writer, under this conductor's token.
-        dependencies: What to work with.
+        writer: Writer of the plan's changes, with this conductor's fencing token.
+        dependencies: Collaborators of the conductor.
     """
 
     __slots__ = (
@@ -83,10 +83,10 @@
         self._paused = False
 
     async def run(self) -> None:
-        """Run until the plan has ended.
+        """Execute the plan until it has ended.
 
         Raises:
-            ShallotworksError: ``LEASE_LOST``; another conductor goes on.
+            ShallotworksError: ``LEASE_LOST``; another conductor continues the plan.
         """
         await self._writer.advance(0)
         self._inherit_failures()
@@ -100,7 +100,7 @@
             await self._writer.close()
 
     def _inherit_failures(self) -> None:
-        """Take over what an earlier conductor gave up, so that waves do not wait for it again."""
+        """Adopt the failures that an earlier conductor recorded, so that no wave waits for them."""
         state = self._dependencies.view.state()
         for name, step in self._steps.items():
             failed = self._is_held(name) and not state.instances[name].healthy
@@ -120,19 +120,19 @@
         await self._finish()
 
     async def _run_unless_cancelled(self, work: Coroutine[None, None, None]) -> None:
-        """Run work, and stop it with ``CANCELLED`` or ``LEASE_LOST`` as soon as either is so."""
-        stop_watch = asyncio.ensure_future(self._watch_for_stop())
+        """Run work, and stop it when `_watch_for_stop` raises ``CANCELLED`` or ``LEASE_LOST``."""
+        stop_watcher = asyncio.ensure_future(self._watch_for_stop())
         task = asyncio.ensure_future(work)
         try:
-            await asyncio.wait((task, stop_watch), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((task, stop_watcher), return_when=asyncio.FIRST_COMPLETED)
             if not task.done():
-                stop_watch.result()
+                stop_watcher.result()
             await task
         finally:
-            await cancel_all((task, stop_watch))
+            await cancel_all((task, stop_watcher))
 
     async def _watch_for_stop(self) -> None:
-        """Raise once the plan is cancelled or the lease is lost; return once the plan has ended."""
+        """Raise when the plan is cancelled or the lease is lost; return when the plan has ended."""
         while self._record().state is PlanState.RUNNING:
             self._writer.check_held()
             await self._wait_for_next_state()
@@ -142,7 +142,7 @@
             )
 
     async def _run_wave(self, wave: Wave) -> None:
-        """Run the steps of a wave side by side, each as soon as its budget has room."""
+        """Run the steps of a wave concurrently, each instance as soon as its budget permits."""
         waiting = {
             name: step
             for step in wave.steps
@@ -168,7 +168,7 @@
             await cancel_all(running)
 
     async def _cordon(self, waiting: dict[str, Step]) -> tuple[str, ...]:
-        """Take permits for what the budgets have room for; returns who may go on."""
+        """Cordon as many instances as the budgets permit; return those whose step may start."""
         state = self._dependencies.view.state()
         ready = tuple(name for name, step in waiting.items() if self._needs_no_permit(step, name))
         if ready:
@@ -187,7 +187,7 @@
         return Action.CORDON not in step.actions or self._is_held(name)
 
     async def _run_steps(self, steps: dict[str, Step]) -> None:
-        """Run one instance's step each, once the cordons are seen."""
+        """Run the step of each instance after the entry instances have seen the cordons."""
         await self._wait_until_acknowledged(self._dependencies.view.state().revision)
         timeout_s = self._dependencies.policy.return_timeout_s
         await run_all(self._run_instance(steps[name], name, timeout_s) for name in steps)
@@ -198,7 +198,10 @@
         )
 
     async def _wait_until_acknowledged(self, revision: int) -> None:
-        """Wait until the entry instances have seen a revision, or the bound for one cut off."""
+        """Wait until all entry instances acknowledged a revision, at most for the policy's timeout.
+
+        The timeout covers an entry instance that is partitioned off.
+        """
         policy = self._dependencies.policy
         deadline_s = _loop_time_s() + policy.acknowledgement_timeout_s
         while (
@@ -208,7 +211,7 @@
             await asyncio.sleep(min(policy.poll_s, policy.acknowledgement_timeout_s))
 
     async def _pause_while_failing(self) -> None:
-        """Start no further wave while too many instances have not come back."""
+        """Pause before the next wave while too many instances have not come back."""
         while len(self._failed_instances()) >= self._dependencies.policy.max_failed_instances:
             self._pause(f"{len(self._failed_instances())} instances did not come back")
             await self._wait_for_next_state()
@@ -216,7 +219,7 @@
         self._resume()
 
     async def _wait_for_window(self, wave: Wave) -> None:
-        """Wait until the rest of the maintenance window is long enough for a wave."""
+        """Wait until the remaining maintenance window is long enough for a wave that cordons."""
         window = self._dependencies.policy.window
         if window is None or not wave.spends:
             return
@@ -226,7 +229,10 @@
         self._resume()
 
     async def _retry_failed(self) -> None:
-        """Give instances that did not come back in time another chance."""
+        """Run the steps of instances that did not come back in time again.
+
+        An instance that failed under an earlier conductor gets the full timeout once.
+        """
         policy = self._dependencies.policy
         steps = self._steps
         runs = []
@@ -253,10 +259,9 @@
         await self._write_end(state, outcome)
 
     async def _roll_back(self) -> None:
-        """Return what the plan cordoned, to the pool it came from, and end the plan.
+        """Return the instances that the plan cordoned, in their original pools, and end the plan.
 
-        A target that is on its way through a reboot is waited for; one that does not come back
-        stays cordoned.
+        A target that is rebooting is waited for; one that does not come back stays cordoned.
         """
         timeout_s = self._dependencies.policy.return_timeout_s
         held = [name for name in self._steps if self._is_held(name)]
@@ -283,11 +288,13 @@
             return
         if self._record().state is PlanState.CANCELLING:
             raise ShallotworksError(
-                Failure(kind=ErrorKind.CANCELLED, reason="cancelled at its last step")
+                Failure(
+                    kind=ErrorKind.CANCELLED, reason="the plan was cancelled during its last step"
+                )
             )
 
     async def _wait_for_next_state(self) -> None:
-        """Wait for the next revision, and look at the lease now and then."""
+        """Wait for the next revision, but return regularly so that the lease is checked."""
         revision = self._dependencies.view.state().revision
         try:
             async with asyncio.timeout(LEASE_CHECK_INTERVAL_S):
@@ -296,7 +303,7 @@
             return
 
     def _is_complete(self, step: Step, name: str) -> bool:
-        """Whether nothing is left to do; a drain always asks its target again."""
+        """Whether the step needs no run; a drain is always run, because only its target knows."""
         if Action.RETURN not in step.actions:
             return name not in self._dependencies.view.state().instances
         return is_step_done(step, name, self._record(), self._dependencies.view.state())
@@ -310,7 +317,7 @@
         return self._outcomes.get(name, StepOutcome.NEVER_CAME_BACK)
 
     def _failed_instances(self) -> list[str]:
-        """Instances that the plan holds and that were reported as failed after their turn."""
+        """Return the instances that did not come back or were replaced and that the plan holds."""
         return [
             name
             for name, step_outcome in self._outcomes.items()
@@ -360,7 +367,7 @@
 
 
 def _within_budgets(state: FleetState, names: dict[str, Step]) -> tuple[str, ...]:
-    """Return those instances whose cordon the budgets have room for."""
+    """Return the instances that may be cordoned together within the availability budgets."""
     unavailable = state.unavailable_by_pool()
     room = {pool: budget - unavailable[pool] for pool, budget in state.budgets_by_pool().items()}
     permitted = []
--- a/src/shallotworks/plans/_planner.py
+++ b/src/shallotworks/plans/_planner.py
@@ -1,4 +1,4 @@
-"""The planner: from a state and an intent to the plan that costs least, or why there is none."""
+"""The planner: computes the plan of least cost for an intent, or the reason why none exists."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 MAX_NAMES_SHOWN = 4
 ROUNDING_DIGITS = 3
 NOTICEABLE_RATIO = 1.05
-"""From this part on a larger figure is told as a reason."""
+"""A measure above this multiple of the chosen one is given as a reason."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Candidate:
-    """One way to fill the waves, measured."""
+    """Waves filled by one strategy, with their measures."""
 
     strategy: Strategy
     width: int
@@ -48,11 +48,11 @@
 
 
 class Planner:
-    """Computes plans; a pure function of what it is given, safe on any thread.
+    """Computes plans as a pure function of its arguments; safe to use from any thread.
 
     Args:
-        weights: What the user weighs most.
-        model: What a step is expected to take.
+        weights: Weights of the measures.
+        model: Expected durations of the actions.
     """
 
     __slots__ = ("_model", "_weights")
@@ -62,17 +62,17 @@
         self._model = model
 
     def plan(self, state: FleetState, intent: Intent, *, author: str) -> Result[Plan, Failure]:
-        """Return the plan that carries out an intent at the least weighted cost.
+        """Return the plan that fulfils an intent at the lowest weighted cost.
 
         Args:
             state: The state to start from.
-            intent: What the operator wants.
-            author: Who wants it.
+            intent: The operator's intent.
+            author: The operator.
 
         Returns:
-            The plan; ``NOT_FOUND``, ``INVALID_REQUEST`` or ``CONFLICT`` where the intent does not
-            fit the fleet; ``UNSATISFIABLE`` where no plan can ever carry it out;
-            ``BUDGET_SPENT`` where present failures alone stand in the way.
+            The plan; ``NOT_FOUND``, ``INVALID_REQUEST`` or ``CONFLICT`` if the intent does not
+            match the fleet; ``UNSATISFIABLE`` if no plan can ever fulfil it; ``BUDGET_SPENT`` if a
+            drain fits its budget but too many instances are unavailable now.
         """
         supply = index_supply(state)
         targets = resolve_targets(state, intent)
@@ -84,12 +84,12 @@
     def plan_satisfiable_part(
         self, state: FleetState, intent: Intent, *, author: str
     ) -> Plan | None:
-        """Return the plan for the largest part of an intent that can be satisfied, if any.
+        """Return a plan for the part of an intent that can be satisfied, or ``None``.
 
         Args:
             state: The state to start from.
             intent: An intent that `plan` refused as ``UNSATISFIABLE`` or ``BUDGET_SPENT``.
-            author: Who wants it.
+            author: The operator.
         """
         part = self._reduce_intent(state, intent)
         if part is None:
@@ -116,7 +116,7 @@
         return Maintain(selection=Named(names=names))
 
     def _within_window(self, kept: list[Instance], *, supply: Supply) -> list[Instance]:
-        """Keep as many waves as fit into the window, longest without maintenance first."""
+        """Keep the instances of the waves that fit into the window, oldest maintenance first."""
         if not self._weights.window_s or not kept:
             return kept
         actions = (Action.CORDON, Action.DRAIN, Action.REBOOT, Action.PROBE, Action.RETURN)
@@ -196,7 +196,7 @@
     def _compare_alternatives(
         self, ranked: list[_Candidate], best: Measures
     ) -> tuple[Alternative, ...]:
-        """Tell each strategy once, with its best width, the chosen one first."""
+        """Return one alternative per strategy, with its best width, the chosen one first."""
         compared: dict[Strategy, Alternative] = {}
         chosen = ranked[0]
         for candidate in ranked:
@@ -257,7 +257,7 @@
     Strategy.RACK_BY_RACK: 2,
     Strategy.ONE_AT_A_TIME: 3,
 }
-"""Which of two ways of equal cost is taken: packing keeps more in each data centre."""
+"""Rank that decides between equal costs: packing leaves more capacity in each data centre."""
 
 
 def _check_budgets(targets: Targets, intent: Intent, *, supply: Supply) -> Result[Targets, Failure]:
@@ -275,7 +275,7 @@
 
 
 def _check_pool_budget(pool: PoolSupply, wanted: int, intent: Intent) -> Failure | None:
-    """Return why a pool can't spare what an intent takes, if it can't."""
+    """Return the reason why a pool can't release the wanted instances, or ``None`` if it can."""
     if pool.budget < 1:
         return Failure(
             kind=ErrorKind.UNSATISFIABLE,
@@ -304,7 +304,7 @@
 def _within_budgets(
     targets: Iterable[Instance], intent: Intent, *, supply: Supply
 ) -> list[Instance]:
-    """Return the targets that the budgets let an intent have, the most urgent first."""
+    """Return the targets that the budgets permit for an intent, in the given order."""
     used: dict[str, int] = {}
     kept = []
     for entry in targets:
--- a/src/shallotworks/plans/_progress.py
+++ b/src/shallotworks/plans/_progress.py
@@ -1,4 +1,4 @@
-"""How far a plan has come, read from the state alone."""
+"""Progress of a plan, derived from the fleet state alone."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Progress:
-    """How far a confirmed plan has come.
+    """Progress of a confirmed plan.
 
     Args:
-        instances_done: Instances through with their step.
-        instances: All of its instances.
-        wave: Number of the first wave that is not through, from 1; 0 when all are.
-        waves: All of its waves.
-        left_s: Expected time left.
+        instances_done: Number of instances whose step is done.
+        instances: Number of all instances of the plan.
+        wave: Number of the first wave that is not done, from 1; 0 if all are done.
+        waves: Number of all waves.
+        left_s: Expected remaining time.
     """
 
     instances_done: int
@@ -31,7 +31,7 @@
 
 
 def progress_of(plan: Plan, record: PlanRecord, state: FleetState) -> Progress:
-    """Return how far a confirmed plan has come at a state."""
+    """Return the progress of a confirmed plan in a state."""
     open_waves = [
         number
         for number, wave in enumerate(plan.waves, 1)
@@ -54,10 +54,11 @@
 
 
 def is_step_done(step: Step, name: str, record: PlanRecord, state: FleetState) -> bool:
-    """Return whether a state shows that an instance is through with its step.
+    """Return whether the step of an instance is done according to a state.
 
-    Only the plan's conductor may change an instance that an open plan holds, so the state tells;
-    but for a drain, whose last part, nothing in flight, only the target knows.
+    Only the plan's conductor may change an instance that an open plan holds, so the state is
+    conclusive. A drain is the exception: it counts as done once the instance is cordoned, and only
+    the target knows whether work is still in flight.
     """
     entry = state.instances.get(name)
     if entry is None:
--- a/src/shallotworks/plans/_protocols.py
+++ b/src/shallotworks/plans/_protocols.py
@@ -1,4 +1,4 @@
-"""What the conductor needs of its surroundings."""
+"""Interfaces that the conductor and the plan registry depend on."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProbeReport:
-    """What a target that works says of itself.
+    """Answer of a working target to a probe.
 
     Args:
-        incarnation: Which machine it is; the same after a reboot, another after a replacement.
-        reboot_id: Id of the reboot that it last came back from; empty for none.
+        incarnation: Identity of the machine; unchanged by a reboot, changed by a replacement.
+        reboot_id: Id of its last completed reboot; empty for none.
     """
 
     incarnation: str
@@ -30,53 +30,54 @@
 
 
 class PlanLease(Protocol):
-    """The right to conduct one plan, held by one process at a time."""
+    """Lease on a plan: the exclusive right of one process to conduct it."""
 
     async def acquire(self) -> int:
-        """Wait until it is held; returns its fencing token, which grows with every holder."""
+        """Wait until the lease is held; return its fencing token, which grows with every holder."""
         ...
 
     def is_held(self) -> bool:
-        """Return whether it is held by the local clock, which may be too late to know."""
+        """Return whether the lease is held by the local clock, which may notice its expiry late."""
         ...
 
     async def release(self) -> None:
-        """Give it up, where it is held."""
+        """Release the lease if it is held."""
         ...
 
 
 class Acknowledgements(Protocol):
-    """How far the entry instances have come with the configuration."""
+    """Configuration revisions that the entry instances have acknowledged."""
 
     def lowest_acknowledged_revision(self) -> int:
-        """Return the newest revision that all entry instances within reach hold."""
+        """Return the newest revision that all reachable entry instances hold."""
         ...
 
 
 class TargetControl(Protocol):
-    """What a worker instance is asked and told; ``UNREACHABLE`` where it does not answer."""
+    """Control of worker instances; a call fails with ``UNREACHABLE`` if there is no answer."""
 
     async def in_flight(self, instance: Instance) -> Result[int, Failure]:
-        """Return the requests and jobs that it runs."""
+        """Return the number of requests and jobs that the instance runs."""
         ...
 
     async def checkpoint_jobs(self, instance: Instance) -> Result[int, Failure]:
-        """Have its long-running jobs checkpointed and stopped; returns how many."""
+        """Checkpoint and stop its long-running jobs; return their number."""
         ...
 
     async def reboot(
         self, instance: Instance, *, reboot_id: str, fencing_token: int
     ) -> Result[None, Failure]:
-        """Reboot it once for a reboot id; from then on `probe` fails until it is back.
+        """Reboot the instance once per reboot id; `probe` fails until it has come back.
 
         Returns:
-            Nothing, also where it has rebooted for this id before; ``CONFLICT`` where work is in
-            flight, which the target checks as it stops taking work, so that none is cut off.
+            Nothing, also if the instance has already rebooted for this id; ``CONFLICT`` if work is
+            in flight. The target checks this when it stops accepting work, so that no work is
+            interrupted.
         """
         ...
 
     async def probe(self, instance: Instance) -> Result[ProbeReport, Failure]:
-        """Have it prove that it works."""
+        """Check that the instance works and return its report."""
         ...
 
 
@@ -84,5 +85,5 @@
     """Runs work off the event loop, as ``asyncio.to_thread`` does."""
 
     def __call__(self, work: Callable[[], _Value], /) -> Awaitable[_Value]:
-        """Return what the work returns."""
+        """Run the work and return its result."""
         ...
--- a/src/shallotworks/plans/_records.py
+++ b/src/shallotworks/plans/_records.py
@@ -1,4 +1,4 @@
-"""A plan and its parts, as stored under its digest and as shown to operators."""
+"""Plans and their parts, as stored and as shown to operators."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @unique
 class Action(Enum):
-    """One thing done to the instances of a step, in the order listed in the step."""
+    """An action on each instance of a step; the step lists its actions in order."""
 
     CORDON = "cordon"
     DRAIN = "drain"
@@ -42,7 +42,7 @@
 
 @unique
 class Strategy(Enum):
-    """How instances are put into waves."""
+    """How instances are distributed over waves."""
 
     ONE_AT_A_TIME = "one-at-a-time"
     RACK_BY_RACK = "rack-by-rack"
@@ -52,13 +52,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """What is done to some instances of one pool within one wave.
+    """Actions on some instances of one pool within one wave.
 
     Args:
-        pool: The pool they are in at the start.
-        instances: Their names.
-        actions: What is done to each of them, in this order.
-        to_pool: Where they go, if they are moved; else empty.
+        pool: The pool of the instances before the step.
+        instances: Names of the instances.
+        actions: The actions on each instance, in this order.
+        to_pool: The pool that they are moved to; empty if they are not moved.
     """
 
     pool: str
@@ -69,13 +69,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BudgetUse:
-    """What one wave takes of one service's availability budget.
+    """The part of a service's availability budget that one wave uses.
 
     Args:
-        service: The service.
-        instances: Instances that the wave makes unavailable to it.
-        unavailable: Instances unavailable to it before the wave.
-        budget: Instances that may be unavailable at once.
+        service: Name of the service.
+        instances: Number of instances that the wave makes unavailable.
+        unavailable: Number of instances that are unavailable before the wave.
+        budget: Number of instances that may be unavailable at the same time.
     """
 
     service: str
@@ -86,13 +86,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Wave:
-    """Steps that run side by side; the next wave starts when all of them have ended.
+    """Steps that run concurrently; the next wave starts when all of them have ended.
 
     Args:
-        starts_s: Expected start, counted from the start of the plan.
-        duration_s: Expected duration.
+        starts_s: Expected start in seconds after the start of the plan.
+        duration_s: Expected duration in seconds.
         steps: The steps.
-        spends: What it takes of which budget.
+        spends: The availability budgets that the wave uses.
     """
 
     starts_s: float
@@ -102,20 +102,21 @@
 
     @property
     def instances(self) -> tuple[str, ...]:
-        """Names of all instances of the wave."""
+        """Names of the instances of the wave."""
         return tuple(name for step in self.steps for name in step.instances)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DataCentreCapacity:
-    """What is left of a data centre at the plan's worst moment for it.
+    """Remaining capacity of a data centre in the wave that leaves it the least.
 
     Args:
-        data_centre: The data centre.
-        slots: Slots of all its instances that are available before the plan.
-        slots_left: Slots left at the worst moment.
-        slots_left_if_rack_fails: Slots left if its fullest remaining rack fails at that moment.
-        wave: Number of the wave with the worst moment, from 1; 0 if none touches it.
+        data_centre: Name of the data centre.
+        slots: Number of slots of its available instances before the plan.
+        slots_left: Number of slots left during that wave.
+        slots_left_if_rack_fails: Number of slots left if the rack with most remaining slots fails
+            during that wave.
+        wave: Number of that wave, from 1; 0 if no wave touches the data centre.
     """
 
     data_centre: str
@@ -127,14 +128,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Measures:
-    """The three measures of a plan, and what they come from.
+    """The three measures of a plan, and its number of waves.
 
     Source: the brief, "What we measure".
 
     Args:
-        buffer_slots: Buffer cost: most slots that the plan holds out of service at one moment.
-        roll_out_s: Roll-out time.
-        moves: Instances moved plus the jobs expected to be relocated.
+        buffer_slots: Buffer cost: maximum number of slots that the plan keeps out of service at the
+            same time.
+        roll_out_s: Roll-out time in seconds.
+        moves: Number of moved instances plus the expected number of relocated jobs.
         waves: Number of waves.
     """
 
@@ -146,14 +148,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Alternative:
-    """A way to carry out the intent that was weighed.
+    """A candidate for the plan that was compared with the others.
 
     Args:
-        strategy: How it fills its waves.
-        width: Most instances in one wave.
-        measures: Its figures.
-        cost: Its weighted sum, each measure relative to the best of all ways; least wins.
-        verdict: Why it was chosen or lost.
+        strategy: The strategy that filled its waves.
+        width: Number of instances in its largest wave.
+        measures: Its measures.
+        cost: Weighted sum of the measures, each relative to the best of all candidates; the lowest
+            cost is chosen.
+        verdict: Why it was chosen or rejected.
     """
 
     strategy: Strategy
@@ -165,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Skipped:
-    """An instance that was asked for and that the plan leaves alone."""
+    """An instance that the intent selects and the plan leaves unchanged."""
 
     instance: str
     reason: str
@@ -173,20 +176,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """How an intent will be carried out; nothing acts on it before it is confirmed.
+    """How an intent will be carried out; it takes effect only after it is confirmed.
 
     Args:
-        digest: SHA-256 over the rest of the plan as canonical JSON; its key in the store.
-        intent: What the operator wants.
-        author: Who asked for it.
-        base_revision: The revision it was computed from.
-        basis: Digest of the facts of that revision that it rests on.
+        digest: SHA-256 over the other fields as canonical JSON; its key in the store.
+        intent: The operator's intent.
+        author: The operator who proposed it.
+        base_revision: The revision that it was computed from.
+        basis: Digest of its preconditions at that revision.
         waves: The waves, in order.
-        capacity: What is left of each data centre that it touches, at its worst moment.
-        measures: Its three measures.
-        alternatives: The ways weighed, the chosen one first.
-        skipped: Instances left alone, and why.
-        notes: What an operator should know before confirming, one sentence each.
+        capacity: Lowest remaining capacity of each data centre that the plan touches.
+        measures: Its measures.
+        alternatives: The candidates that were compared, the chosen one first.
+        skipped: Selected instances that the plan leaves unchanged, with the reason.
+        notes: Notes for the operator before confirming, one sentence each.
     """
 
     digest: str
@@ -203,7 +206,7 @@
 
     @property
     def short_digest(self) -> str:
-        """The digest's first part, for people."""
+        """The first characters of the digest, for display."""
         return self.digest[:SHORT_DIGEST_LENGTH]
 
     @property
@@ -222,14 +225,14 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Plan:
-        """Read a plan; raises ``pydantic.ValidationError`` where it is not one."""
+        """Decode a plan; raises ``pydantic.ValidationError`` if the data is invalid."""
         return _PLAN.validate_json(data)
 
 
 def with_digest(plan: Plan) -> Plan:
-    """Return the plan with the digest of its content filled in.
+    """Return the plan with its digest computed from the other fields.
 
-    The fields are written in their declared order, hence equal plans have equal JSON.
+    Fields are encoded in their declared order, so equal plans have equal JSON.
     """
     content = replace(plan, digest="").encode()
     return replace(plan, digest=hashlib.sha256(content).hexdigest())
--- a/src/shallotworks/plans/_registry.py
+++ b/src/shallotworks/plans/_registry.py
@@ -1,4 +1,4 @@
-"""Registry of plans: computed and stored, confirmed by exactly their digest, or cancelled."""
+"""Registry of plans: computes and stores proposals, confirms plans by digest, cancels them."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 MIN_DIGEST_PREFIX_LENGTH = 4
 LIST_PAGE_SIZE = 100
 PROPOSAL_RETENTION_REVISIONS = 20_000
-"""Revisions for which an unconfirmed proposal is kept, three days at the size aimed for."""
+"""Retention of an unconfirmed proposal, in revisions: three days at the target fleet size."""
 _REDUCIBLE_KINDS = (ErrorKind.UNSATISFIABLE, ErrorKind.BUDGET_SPENT)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListedPlan:
-    """One line of the list of plans.
+    """An entry of the list of plans.
 
     Args:
         plan: The plan.
-        record: What was confirmed; ``None`` for a proposal.
+        record: Record of the confirmed plan; ``None`` for a proposal.
     """
 
     plan: Plan
@@ -50,15 +50,15 @@
 
 
 class PlanRegistry:
-    """Where operators propose, confirm and cancel; proposing never acts.
+    """Proposes, confirms and cancels plans for operators; a proposal changes nothing in the fleet.
 
     Args:
-        view: The state.
-        log: Where a confirmation is proposed.
-        store: Where plans are stored.
+        view: View of the fleet state.
+        log: Log to which confirmations and cancellations are proposed.
+        store: Store of the plans.
         planner: The planner.
         wall_clock_s: Returns the Unix time.
-        timeline: Where events go.
+        timeline: Timeline to which events are recorded.
         metrics: Counters.
         run_off_loop: Runs the planner, which may take seconds, off the event loop.
     """
@@ -96,15 +96,16 @@
         self._run_off_loop = run_off_loop
 
     async def propose(self, intent: Intent, *, author: str) -> Result[Plan, Failure]:
-        """Compute a plan from the newest state held and store it under its digest.
+        """Compute a plan from the newest local state and store it under its digest.
 
         Args:
-            intent: What the operator wants.
+            intent: The operator's intent.
             author: The operator.
 
         Returns:
-            The plan; or as `Planner.plan` refuses, with the digest of the nearest plan that could
-            be; or ``STORE_UNAVAILABLE``.
+            The plan; or the failure of `Planner.plan`, whose reason for ``UNSATISFIABLE`` and
+            ``BUDGET_SPENT`` names a stored plan for a satisfiable part of the intent, if there is
+            one; or ``STORE_UNAVAILABLE``.
         """
         state = self._view.state()
         planned = await self._run_off_loop(lambda: self._planner.plan(state, intent, author=author))
@@ -117,19 +118,19 @@
         return Err(await self._add_nearest_plan(state, intent, failure, author=author))
 
     async def confirm(self, digest: str, *, operator: str) -> Result[PlanRecord, Failure]:
-        """Confirm exactly the plan of this digest; the conductor acts from then on.
+        """Confirm the plan with this digest; a conductor then starts to execute it.
 
-        Confirming again what one has confirmed, after a lost answer, does no harm.
+        While the plan runs, the same operator may repeat the call, such as after a lost answer.
 
         Args:
-            digest: The digest, or its unambiguous beginning.
-            operator: Who confirms.
+            digest: The digest or an unambiguous prefix of it.
+            operator: The operator who confirms.
 
         Returns:
-            The confirmed plan's record; ``STALE_PLAN`` with the digest of a fresh proposal where
-            what it rests on has changed; ``CONFLICT`` with the plan, its operator and its time
-            where another plan holds one of its instances; ``OUTCOME_UNKNOWN`` where it may yet
-            come into force.
+            The record of the confirmed plan; ``STALE_PLAN`` with the digest of a new proposal if
+            the preconditions of the plan have changed; ``CONFLICT`` with the other plan, its
+            operator and its time if another open plan holds one of the instances;
+            ``OUTCOME_UNKNOWN`` if the confirmation may still take effect.
         """
         found = await self.show(digest)
         if not isinstance(found, Success):
@@ -139,7 +140,7 @@
         known = state.plans.get(plan.digest)
         if known is not None:
             return _confirm_again(known, operator)
-        # Half of the time for which proposals are kept: none is deleted while it is confirmed.
+        # Half of the retention of proposals, so that `prune` deletes none while it is confirmed.
         too_old = plan.base_revision < state.revision - PROPOSAL_RETENTION_REVISIONS // 2
         if too_old or not _selects_same_instances(plan, state):
             return await self._refuse_stale(plan, operator=operator)
@@ -157,7 +158,7 @@
         return Err(failure)
 
     async def cancel(self, digest: str, *, operator: str) -> Result[PlanRecord, Failure]:
-        """Cancel an open plan; its conductor then rolls back what is half done."""
+        """Cancel an open plan; its conductor then rolls back the cordons that the plan holds."""
         record = self._find_record(digest)
         if record is None:
             return _refuse(ErrorKind.NOT_FOUND, f"no confirmed plan {digest}")
@@ -177,7 +178,7 @@
         return Success(state.plans[record.digest])
 
     async def show(self, digest: str) -> Result[Plan, Failure]:
-        """Return a plan by its digest or the unambiguous beginning of it."""
+        """Return a plan by its digest or by an unambiguous prefix of it."""
         if len(digest) < MIN_DIGEST_PREFIX_LENGTH or "/" in digest:
             return Err(Failure(kind=ErrorKind.INVALID_REQUEST, reason=f"no digest: {digest}"))
         listed = await self._store.list(plan_key(digest), limit=2)
@@ -193,7 +194,7 @@
             return Err(Failure(kind=ErrorKind.INTERNAL, reason=f"plan {digest} can't be read"))
 
     async def list(self) -> Result[tuple[ListedPlan, ...], Failure]:
-        """Return all stored plans, proposals and confirmed ones, by base revision."""
+        """Return all stored plans, proposals and confirmed ones, ordered by base revision."""
         plans: list[Plan] = []
         after_key = ""
         while True:
@@ -211,7 +212,7 @@
         )
 
     async def diff(self, first: str, second: str) -> Result[PlanDiff, Failure]:
-        """Return how a second plan differs from a first, each by its digest."""
+        """Return the differences between two plans, each given by its digest."""
         one = await self.show(first)
         two = await self.show(second)
         return one.bind(lambda before: two.map(lambda after: diff_plans(before, after)))
@@ -219,7 +220,7 @@
     async def prune(
         self, *, kept_revisions: int = PROPOSAL_RETENTION_REVISIONS
     ) -> Result[int, Failure]:
-        """Delete proposals that were never confirmed and are old; returns how many."""
+        """Delete unconfirmed proposals older than ``kept_revisions``; return their number."""
         listed = await self.list()
         if not isinstance(listed, Success):
             return Err(listed.failure())
@@ -237,7 +238,7 @@
         return isinstance(await self._store.delete(found.key, version=found.version), Success)
 
     async def _add_expected_end(self, plan: Plan, failure: Failure) -> Failure:
-        """Add to a conflict when the plan in the way is expected to end."""
+        """Add to a conflict's reason the time after which the holding plan is expected to end."""
         state = self._view.state()
         holding_plan = state.open_plan_holding(plan.instances)
         if holding_plan is None:
@@ -250,12 +251,12 @@
         return replace(failure, reason=f"{failure.reason}, {hint}")
 
     async def _store_plan(self, plan: Plan) -> Result[Plan, Failure]:
-        """Store a plan; the digest is the key, so storing it twice stores the same."""
+        """Store a plan under its digest, so that storing it twice has the same result."""
         created = await self._store.create(plan_key(plan.digest), plan.encode())
         if not isinstance(created, Success):
             failure = created.failure()
             if failure.kind is ErrorKind.OUTCOME_UNKNOWN:
-                reason = "the plan may not be stored; repeat"
+                reason = "the plan may not have been stored; repeat the request"
                 return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason))
             if failure.kind is not ErrorKind.CONFLICT:
                 return Err(failure)
@@ -313,7 +314,7 @@
 
 
 def _selects_same_instances(plan: Plan, state: FleetState) -> bool:
-    """Whether the intent still means the instances that the plan was computed for."""
+    """Whether the intent still selects the instances that the plan was computed for."""
     targets = resolve_targets(state, plan.intent).value_or(None)
     if targets is None:
         return False
--- a/src/shallotworks/plans/_render.py
+++ b/src/shallotworks/plans/_render.py
@@ -1,4 +1,4 @@
-"""Plans as plain text for a terminal."""
+"""Renders plans as plain text for a terminal."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def render_plan(plan: Plan) -> str:
-    """Return a plan as text: its waves, what they spend and leave, and the ways weighed."""
+    """Return a plan as text: its waves, budgets, remaining capacity and alternatives."""
     lines = [
         f"plan {plan.short_digest}: {describe_intent(plan.intent)}",
         f"  proposed by {plan.author} at revision {plan.base_revision};"
@@ -38,7 +38,7 @@
 
 
 def render_progress(plan: Plan, progress: Progress) -> str:
-    """Return how far a plan has come, in one line."""
+    """Return the progress of a plan in one line of text."""
     if not progress.wave:
         return f"plan {plan.short_digest}: all {progress.instances} instances done\n"
     return (
@@ -49,7 +49,7 @@
 
 
 def render_diff(diff: PlanDiff) -> str:
-    """Return what differs between two plans as text."""
+    """Return the differences between two plans as text."""
     lines = [
         f"from plan {diff.first} to plan {diff.second}",
         f"  - {_format_measures(diff.first_measures)}",
@@ -62,7 +62,7 @@
 
 
 def render_duration(duration_s: float) -> str:
-    """Return a duration in the two largest units that it fills."""
+    """Return a duration as text in its two largest units."""
     whole_s = round(duration_s)
     hours, rest_s = divmod(whole_s, SECONDS_PER_HOUR)
     minutes, seconds = divmod(rest_s, SECONDS_PER_MINUTE)
@@ -92,7 +92,7 @@
 
 
 def _format_waves(plan: Plan) -> list[str]:
-    """One row per wave, its bar placed where the wave lies in the plan's time."""
+    """Return one row per wave, with a bar that shows its place on the plan's time axis."""
     total_s = plan.measures.roll_out_s
     return [
         f"{number:>4} {_format_bar(wave, total_s)} {render_duration(wave.starts_s):>11}"
--- a/src/shallotworks/plans/_strategies.py
+++ b/src/shallotworks/plans/_strategies.py
@@ -1,9 +1,9 @@
-"""Ways to put instances into waves, each within every availability budget.
+"""Strategies that distribute instances over waves within every availability budget.
 
-Two instances conflict when one wave can't hold both: they share a pool whose budget is used up, or
-they are the last of their pool in a data centre. Conflicts between pools do not exist, so the
-graph falls apart into one part per pool and is packed by taking the pool that needs most further
-waves first, which for unit steps gives the fewest waves of a given width.
+Two instances conflict if they can't be in the same wave: their pool's budget has no room for both,
+or they are the last of their pool in a data centre. Instances of different pools never conflict, so
+the conflict graph has a separate component for each pool. It is packed by taking first from the
+pool that needs most further waves, which for unit steps gives the fewest waves of a given width.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limits:
-    """What one wave may take.
+    """Limits on the instances of one wave.
 
     Args:
-        permits: Available instances of each pool.
-        present: Available instances by pool and data centre, of which one has to stay where there
-            are several: a data centre that is cut off serves with what it has. Empty for no such
-            rule.
+        permits: Number of available instances of each pool that a wave may take.
+        present: Number of available instances by pool and data centre. If there are several, one
+            has to stay, because a data centre that is partitioned off serves with its own instances
+            only. Empty to turn this rule off.
     """
 
     permits: Mapping[str, int]
@@ -41,13 +41,13 @@
 def fill_waves(
     strategy: Strategy, targets: Iterable[Instance], *, limits: Limits, width: int
 ) -> Waves:
-    """Put every target into one wave.
+    """Put every target into exactly one wave.
 
     Args:
-        strategy: The way.
-        targets: What to place, most urgent first.
-        limits: What one wave may take.
-        width: Most instances in one wave, for `Strategy.PACKED`.
+        strategy: The strategy.
+        targets: The instances to place, most urgent first.
+        limits: Limits on one wave.
+        width: Maximum number of instances in one wave; used by `Strategy.PACKED` only.
     """
     ordered = list(targets)
     match strategy:
@@ -62,15 +62,15 @@
 
 
 def limits_of(targets: Iterable[Instance], *, supply: Supply, are_returned: bool) -> Limits:
-    """Return the limits of one wave over some targets.
+    """Return the limits of a wave over some targets.
 
-    Failed targets take no permit; a pool whose budget is spent by failures now still gets one
-    permit, for which its wave will wait.
+    Failed targets take no permit. A pool whose budget is spent still gets one permit; the wave that
+    uses it waits until the budget has room.
 
     Args:
         targets: The targets.
-        supply: What each pool can spare.
-        are_returned: Whether a wave's instances are back when the next one starts.
+        supply: Supply of each pool.
+        are_returned: Whether the instances of a wave are returned before the next wave starts.
     """
     pools = {entry.pool for entry in targets}
     present: Counter[tuple[str, str]] = Counter()
@@ -83,7 +83,7 @@
 
 
 def widths_for(count: int) -> tuple[int, ...]:
-    """Return the wave widths to weigh: 2, 3, 4, 6, 8, 12 and so on, and the whole."""
+    """Return the wave widths to compare: 2, 3, 4, 6, 8, 12 and so on, and all at once."""
     widths = {max(1, count)}
     width = 2
     while width < count:
@@ -93,7 +93,7 @@
 
 
 def _first_fit(targets: Iterable[Instance], permits: Mapping[str, int]) -> Waves:
-    """Put each target into the first wave that its pool's permits leave room in."""
+    """Put each target into the first wave in which its pool has a permit left."""
     waves: Waves = []
     placed: Counter[str] = Counter()
     for entry in targets:
@@ -116,10 +116,11 @@
 
 
 def _packed(targets: Iterable[Instance], limits: Limits, *, width: int) -> Waves:
-    """Pack waves of a width, taking from the pool that needs most further waves, one by one.
+    """Pack waves of at most ``width`` instances, one instance at a time.
 
-    One by one, so that a wave takes one instance from each of many pools before it takes a second
-    from any: what it leaves of each budget is there for a failure during the wave.
+    Pools that would otherwise need a further wave come first. After them a wave takes one instance
+    from each pool before it takes a second from any, so that it leaves as much as possible of every
+    budget for a failure during the wave.
     """
     waiting: dict[str, list[Instance]] = {}
     for entry in targets:
@@ -138,7 +139,7 @@
     required = _required_per_pool(waiting, limits, width=width)
 
     def sort_key_of(pool: str) -> tuple[bool, int, float, str]:
-        """Order pools: those that would need a wave more, least used, most still to do."""
+        """Order pools by: needs a further wave otherwise, fewest taken, most remaining waves."""
         taken = used[pool].total()
         remaining = len(waiting[pool]) / limits.permits[pool]
         return (taken >= required[pool], taken, -remaining, pool)
@@ -160,7 +161,10 @@
 def _required_per_pool(
     waiting: Mapping[str, list[Instance]], limits: Limits, *, width: int
 ) -> dict[str, int]:
-    """Return how many of each pool this wave has to take for the fewest waves in all."""
+    """Return the number of instances of each pool that this wave must take.
+
+    A wave that takes fewer would raise the total number of waves above the minimum.
+    """
     total = sum(len(entries) for entries in waiting.values())
     needed = max(-(-len(waiting[pool]) // limits.permits[pool]) for pool in waiting)
     waves = max(needed, -(-total // width))
@@ -172,10 +176,12 @@
 def _take_instance(
     entries: list[Instance], limits: Limits, *, used: Counter[str], racks: set[RackKey]
 ) -> Instance | None:
-    """Take a failed one first, then from the data centre with most to do, then from few racks.
+    """Remove and return the next instance of a pool for a wave, or ``None`` if none fits.
 
-    The data centre, since the one that must stay there would else cost a wave at the end; the
-    racks, since one that fails meanwhile then takes instances that are out anyway.
+    Failed instances come first. Next come the data centres with most remaining instances, because
+    the one instance that must stay in each would otherwise cost an extra wave at the end. Next come
+    the racks that the wave already touches: a rack that fails then hits instances that are out of
+    service anyway.
     """
     fitting = [entry for entry in entries if _has_room(entry, used, limits)]
     if not fitting:
--- a/src/shallotworks/plans/_supply.py
+++ b/src/shallotworks/plans/_supply.py
@@ -1,4 +1,4 @@
-"""What each pool can spare at one state, indexed once so that planning stays linear."""
+"""Supply of each pool in one state, indexed once so that planning takes linear time."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 __all__ = ["PoolSupply", "RackKey", "Supply", "index_supply"]
 
 RackKey = tuple[str, str]
-"""Data centre and rack: a rack's name is unique within its data centre only."""
+"""Data centre and rack, because a rack's name is unique within its data centre only."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PoolSupply:
-    """One pool as planning sees it.
+    """Supply of one pool.
 
     Args:
-        name: The pool.
-        services: The services that it serves.
-        members: Its instances.
-        budget: Instances that may be unavailable at once.
-        unavailable: Instances that are unavailable now.
+        name: Name of the pool.
+        services: The services of the pool.
+        members: The instances of the pool.
+        budget: Number of instances that may be unavailable at the same time.
+        unavailable: Number of instances that are unavailable now.
     """
 
     name: str
@@ -33,23 +33,23 @@
 
     @property
     def free(self) -> int:
-        """Instances that may become unavailable now; not negative."""
+        """Number of instances that may become unavailable now; never negative."""
         return max(0, self.budget - self.unavailable)
 
     @property
     def tightest(self) -> str:
-        """Name of the service that sets the budget; empty without services."""
+        """Name of the service with the smallest budget; empty without services."""
         least = min(self.services, key=lambda e: (e.max_unavailable, e.name), default=None)
         return least.name if least else ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Supply:
-    """All pools, and available slots by rack.
+    """Supply of all pools, and available slots of all racks.
 
     Args:
-        pools: By name.
-        rack_slots: Available slots of each rack.
+        pools: Supply of each pool, by name.
+        rack_slots: Number of available slots of each rack.
     """
 
     pools: dict[str, PoolSupply]
@@ -57,7 +57,7 @@
 
 
 def index_supply(state: FleetState) -> Supply:
-    """Return the supply at a state."""
+    """Return the supply in a state."""
     members: dict[str, list[Instance]] = {name: [] for name in state.pools}
     services: dict[str, list[Service]] = {name: [] for name in state.pools}
     for entry in state.instances.values():
--- a/src/shallotworks/plans/_targets.py
+++ b/src/shallotworks/plans/_targets.py
@@ -1,4 +1,4 @@
-"""Which instances an intent means at one state, and which of them are left alone."""
+"""Resolves an intent into the instances to act on and the instances to skip."""
 
 from __future__ import annotations
 
@@ -30,11 +30,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Targets:
-    """The instances that a plan is to touch.
+    """The instances that an intent selects.
 
     Args:
-        instances: Those to act on, the one that waited longest for maintenance first.
-        skipped: Those that were asked for and are left alone.
+        instances: Instances to act on. A selection is ordered by the time of the last maintenance,
+            the oldest first; a move by count is ordered by rack.
+        skipped: Selected instances that are left unchanged.
     """
 
     instances: tuple[Instance, ...]
@@ -42,15 +43,16 @@
 
 
 def resolve_targets(state: FleetState, intent: Intent) -> Result[Targets, Failure]:
-    """Return what an intent means at a state.
+    """Return the instances that an intent selects in a state.
 
     Args:
         state: The state.
         intent: The intent.
 
     Returns:
-        The targets; ``NOT_FOUND`` where it names something unknown; ``UNSATISFIABLE`` where a move
-        asks for more instances than there are.
+        The targets; ``NOT_FOUND`` if the intent names something unknown; ``INVALID_REQUEST`` if a
+        move has one pool only or neither names nor a count; ``CONFLICT`` if a move names an
+        instance of another pool; ``UNSATISFIABLE`` if a move needs more instances than exist.
     """
     if isinstance(intent, Move):
         return _resolve_move(state, intent)
@@ -59,7 +61,7 @@
 
 
 def actions_of(intent: Intent) -> tuple[Action, ...]:
-    """Return what is done to each instance, in order."""
+    """Return the actions on each instance for an intent, in order."""
     match intent:
         case Drain():
             return (Action.CORDON, Action.DRAIN)
@@ -104,9 +106,10 @@
 
 
 def _split_by_condition(found: list[Instance], required: Condition) -> Targets:
-    """Leave alone what is in the other condition already.
+    """Skip the instances whose condition already differs from the required one.
 
-    A cordon that an operator set on purpose outlives a maintenance: the plan would end it.
+    An instance that an operator has cordoned is therefore not maintained: the return at the end
+    of the plan would remove that cordon.
     """
     return Targets(
         instances=_by_maintenance_age([entry for entry in found if entry.condition is required]),
@@ -161,7 +164,7 @@
 
 
 def _take_from_fullest_racks(candidates: list[Instance], count: int) -> tuple[Instance, ...]:
-    """Take from the racks that hold most of the pool, so that what stays is spread."""
+    """Take instances from the racks with most of them, so that the rest stays spread."""
     by_rack: dict[tuple[str, str], list[Instance]] = {}
     for entry in sorted(candidates, key=lambda entry: entry.name):
         by_rack.setdefault((entry.data_centre, entry.rack), []).append(entry)
--- a/src/shallotworks/plans/_tasks.py
+++ b/src/shallotworks/plans/_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run side by side and never outlive whoever started them."""
+"""Concurrent tasks that never outlive their caller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def run_all(coroutines: Iterable[Coroutine[None, None, None]]) -> None:
-    """Run works side by side; the first failure stops the others and is raised."""
+    """Run coroutines concurrently; the first failure cancels the others and is raised."""
     tasks = [asyncio.ensure_future(work) for work in coroutines]
     try:
         await asyncio.gather(*tasks)
@@ -18,7 +18,7 @@
 
 
 async def cancel_all(tasks: Iterable[asyncio.Task[None]]) -> None:
-    """Cancel tasks and wait until they have let go; what they raise is dropped."""
+    """Cancel tasks and wait until they have ended; their exceptions are discarded."""
     stopped = tuple(tasks)
     for task in stopped:
         task.cancel()
--- a/src/shallotworks/plans/_window.py
+++ b/src/shallotworks/plans/_window.py
@@ -1,4 +1,4 @@
-"""The daily time in which maintenance may disrupt, such as from closing to opening."""
+"""The daily maintenance window, during which instances may be cordoned."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MaintenanceWindow:
-    """A daily window, which may reach over midnight.
+    """A daily maintenance window, which may span midnight.
 
     Args:
         opens_s: Start, in seconds after midnight UTC.
@@ -23,10 +23,10 @@
 
     @property
     def length_s(self) -> float:
-        """How long it is open each day."""
+        """Length of the window, in seconds."""
         return (self.closes_s - self.opens_s) % SECONDS_PER_DAY
 
     def left_s(self, unix_s: float) -> float:
-        """Return how long it stays open at a Unix time; 0 while it is closed."""
+        """Return the remaining seconds of the window at a Unix time; 0 outside of the window."""
         since_opening_s = (unix_s - self.opens_s) % SECONDS_PER_DAY
         return max(0.0, self.length_s - since_opening_s)
--- a/src/shallotworks/plans/_writer.py
+++ b/src/shallotworks/plans/_writer.py
@@ -1,4 +1,4 @@
-"""The changes that a conductor writes for its plan, each under its fencing token."""
+"""Writes a conductor's changes to the log, each with its fencing token."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 WRITE_RETRY_PAUSE_S = 1.0
 BATCH_WINDOW_S = 0.3
-"""Time for which a return waits for others to share its write."""
+"""Time for which a return waits for other returns to share its write."""
 _RETRIED_KINDS = (ErrorKind.STORE_UNAVAILABLE, ErrorKind.OUTCOME_UNKNOWN, ErrorKind.STORE_REGRESSED)
 
 
 _BatchKey = tuple[bool, bool]
-"""Whether its instances were maintained, and whether they were probed."""
+"""Whether the instances were maintained, and whether they were probed."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _Batch:
-    """Returns that go into one write."""
+    """Returns of instances that share one write."""
 
     names: list[str]
     maintained_at_s: float
@@ -47,18 +47,18 @@
 
 
 class PlanWriter:
-    """Writes one plan's changes while its lease is held; nothing is written after.
+    """Writes the changes of one plan while its lease is held, and none after that.
 
-    Every change is idempotent: one whose answer was lost is written again, and leads to the same
-    state if it had taken effect.
+    Every change is idempotent: if its answer is lost it is written again, which leads to the same
+    state if the first write took effect.
 
     Args:
         digest: Digest of the plan.
         token: Fencing token of the lease.
-        lease: The lease.
-        log: Where changes are proposed.
-        view: The state.
-        author: Name of this process, for the history.
+        lease: The plan's lease.
+        log: Log to which changes are proposed.
+        view: View of the fleet state.
+        author: Name of this process, used as the author of the changes.
         metrics: Counters.
     """
 
@@ -86,23 +86,26 @@
 
     @property
     def token(self) -> int:
-        """The fencing token."""
+        """Fencing token of the lease."""
         return self._token
 
     def check_held(self) -> None:
-        """Raise ``LEASE_LOST`` where the lease is not held any more.
+        """Raise ``LEASE_LOST`` if the lease is not held any more.
 
-        The failure: this process was paused past its lease, another conducts the plan by now; it
-        shows as two conductors acting. Asked before each act outside the log; acts inside the log
-        are refused by their token as well.
+        If this process was paused beyond the expiry of its lease, another process may conduct the
+        plan by now, and both would act. The lease is checked before each write and each reboot. A
+        write to the log with an outdated fencing token is refused there as well.
         """
         if not self._lease.is_held():
             raise ShallotworksError(
-                Failure(kind=ErrorKind.LEASE_LOST, reason=f"the duty of plan {self._digest} lapsed")
+                Failure(
+                    kind=ErrorKind.LEASE_LOST,
+                    reason=f"the lease of plan {self._digest} has expired",
+                )
             )
 
     async def cordon(self, names: tuple[str, ...]) -> Result[FleetState, Failure]:
-        """Cordon instances; ``BUDGET_SPENT`` where a budget has no room for them."""
+        """Cordon instances; fails with ``BUDGET_SPENT`` if a budget does not permit it."""
         return await self.write(
             SetCondition(
                 names=names,
@@ -115,10 +118,10 @@
     async def activate(
         self, name: str, *, maintained_at_s: float = 0.0, probed: bool = True
     ) -> Result[FleetState, Failure]:
-        """Return an instance; one that was probed counts as working again.
+        """Return an instance to service; a probed instance is also recorded as working.
 
-        Returns that come close to each other share one write, since each counts against the
-        platform's rates.
+        Returns within `BATCH_WINDOW_S` share one write, because each write counts against the
+        platform's rate limits.
         """
         key = (maintained_at_s > 0, probed)
         batch = self._batches.get(key)
@@ -132,7 +135,7 @@
         return await asyncio.shield(batch.task)
 
     async def close(self) -> None:
-        """Drop returns that are not written yet; the next conductor derives them again."""
+        """Cancel pending returns; the next conductor derives them from the state again."""
         for batch in tuple(self._batches.values()):
             if batch.task is not None:
                 batch.task.cancel()
@@ -162,7 +165,7 @@
         )
 
     async def move(self, name: str, *, from_pool: str, to_pool: str) -> Result[FleetState, Failure]:
-        """Move a cordoned instance; nothing is written where it is there already."""
+        """Move a cordoned instance; nothing is written if it is in the new pool already."""
         if self._view.state().instances[name].pool == to_pool:
             return Success(self._view.state())
         return await self.write(
@@ -176,11 +179,11 @@
         )
 
     async def report_failed(self, name: str) -> Result[FleetState, Failure]:
-        """Report an instance that did not come back."""
+        """Record an instance that did not come back as failed."""
         return await self.write(SetHealth(names=(name,), healthy=False))
 
     async def advance(self, steps_done: int) -> Result[FleetState, Failure]:
-        """Record progress; the first one makes this token the one in force."""
+        """Record progress; the first record makes this fencing token the current one."""
         return await self.write(
             AdvancePlan(digest=self._digest, fencing_token=self._token, steps_done=steps_done)
         )
@@ -200,13 +203,13 @@
         )
 
     async def write(self, change: Change) -> Result[FleetState, Failure]:
-        """Write one change, waiting out a store that is down.
+        """Write one change; retry while the store fails or the outcome is unknown.
 
         Returns:
-            The state in which it is in force, or why it is refused.
+            A state that includes the change, or the failure with which it is refused.
 
         Raises:
-            ShallotworksError: ``LEASE_LOST``, by the local clock or by the log.
+            ShallotworksError: ``LEASE_LOST``, detected by the local clock or by the log.
         """
         while True:
             self.check_held()
