--- a/tests/plan_fakes.py
+++ b/tests/plan_fakes.py
@@ -39,10 +39,10 @@
 from shallotworks.timeline import Timeline
 
 _Value = TypeVar("_Value")
-START_S = 1_800_000_000.0
+WALL_CLOCK_START_S = 1_800_000_000.0
 
 
-async def in_place(work: Callable[[], _Value]) -> _Value:
+async def run_inline(work: Callable[[], _Value]) -> _Value:
     """Run planning on the event loop, whose clock stands still meanwhile."""
     return work()
 
@@ -100,12 +100,12 @@
         self._rebooted: dict[str, str] = {}
         self._back_at_s: dict[str, float] = {}
 
-    def _answers(self, name: str) -> bool:
+    def _is_reachable(self, name: str) -> bool:
         now_s = asyncio.get_running_loop().time()
         return name not in self.dead and now_s >= self._back_at_s.get(name, 0.0)
 
     async def in_flight(self, instance: Instance) -> Result[int, Failure]:
-        if not self._answers(instance.name):
+        if not self._is_reachable(instance.name):
             return _unreachable(instance.name)
         return Success(self.work.get(instance.name, 0))
 
@@ -127,7 +127,7 @@
         return Success(None)
 
     async def probe(self, instance: Instance) -> Result[ProbeReport, Failure]:
-        if not self._answers(instance.name):
+        if not self._is_reachable(instance.name):
             return _unreachable(instance.name)
         return Success(
             ProbeReport(
@@ -144,7 +144,7 @@
         self.ttl_s = ttl_s
         self.token = 0
         self.holder: FakePlanLease | None = None
-        self.lapses_at_s = 0.0
+        self.expires_at_s = 0.0
 
 
 class FakePlanLease:
@@ -154,34 +154,34 @@
         self._lease = lease
         self.owner = owner
         self.paused = False
-        self.believes = False
+        self.assumes_held = False
         """Whether it thinks that it holds the lease, as one that was paused does."""
 
     async def acquire(self) -> int:
-        while self._lease.holder is not None and not self._lapsed():
+        while self._lease.holder is not None and not self._is_expired():
             await asyncio.sleep(1.0)
         self._lease.holder = self
         self._lease.token += 1
-        self.believes = True
+        self.assumes_held = True
         return self._lease.token
 
     def is_held(self) -> bool:
-        return self.believes or self._lease.holder is self
+        return self.assumes_held or self._lease.holder is self
 
     async def release(self) -> None:
-        self.believes = False
+        self.assumes_held = False
         if self._lease.holder is self and not self.paused:
             self._lease.holder = None
 
     def pause(self) -> None:
         """Stop renewing, as a process that is paused or dies does."""
         self.paused = True
-        self._lease.lapses_at_s = asyncio.get_running_loop().time() + self._lease.ttl_s
+        self._lease.expires_at_s = asyncio.get_running_loop().time() + self._lease.ttl_s
 
-    def _lapsed(self) -> bool:
+    def _is_expired(self) -> bool:
         holder = self._lease.holder
         now_s = asyncio.get_running_loop().time()
-        return holder is not None and holder.paused and now_s >= self._lease.lapses_at_s
+        return holder is not None and holder.paused and now_s >= self._lease.expires_at_s
 
 
 class ConductorHarness:
@@ -211,11 +211,11 @@
             wall_clock_s=self.wall_clock_s,
             timeline=self.timeline,
             metrics=self.metrics,
-            run_off_loop=in_place,
+            run_off_loop=run_inline,
         )
 
     def wall_clock_s(self) -> float:
-        return START_S + asyncio.get_running_loop().time()
+        return WALL_CLOCK_START_S + asyncio.get_running_loop().time()
 
     def lowest_acknowledged_revision(self) -> int:
         return self.config.state().revision
@@ -270,8 +270,8 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def until_ended(self, digest: str, *, limit_s: float = 36_000.0) -> FleetState:
-        async with asyncio.timeout(limit_s):
+    async def until_ended(self, digest: str, *, timeout_s: float = 36_000.0) -> FleetState:
+        async with asyncio.timeout(timeout_s):
             while self.config.state().plans[digest].state.is_open:
                 await self.config.wait_for(self.config.state().revision + 1)
         return self.config.state()
@@ -309,7 +309,7 @@
 ) -> FleetState:
     """Return a fleet whose pools are spread over the data centres, four instances to a rack."""
     instances: dict[str, Instance] = {}
-    in_centre = dict.fromkeys(centres, 0)
+    placed_by_centre = dict.fromkeys(centres, 0)
     number = 0
     for pool, size in pools.items():
         for index in range(size):
@@ -318,12 +318,12 @@
             instances[name] = Instance(
                 name=name,
                 data_centre=centre,
-                rack=f"r{in_centre[centre] // per_rack}",
+                rack=f"r{placed_by_centre[centre] // per_rack}",
                 pool=pool,
                 address=f"127.0.0.1:{20_000 + number}",
                 slots=8,
             )
-            in_centre[centre] += 1
+            placed_by_centre[centre] += 1
             number += 1
     return FleetState(
         revision=100,
--- a/tests/test_conductor.py
+++ b/tests/test_conductor.py
@@ -35,7 +35,7 @@
 
         run(scenario)
 
-    def test_a_pool_is_maintained_and_comes_back(self) -> None:
+    def test_a_maintained_pool_is_returned(self) -> None:
         """Every instance is rebooted once, returned, and its maintenance is on record."""
 
         async def scenario() -> None:
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -25,9 +25,9 @@
 ARCHIVE_NAMES = [f"archive-{number}" for number in range(8)]
 
 
-class DyingConductorTests(unittest.TestCase):
+class ConductorTakeoverTests(unittest.TestCase):
     @parameterized.expand([(f"{at_s}s", at_s) for at_s in (0.1, 1.0, 3.2, 4.0, 15.0, 24.0, 70.0)])
-    def test_another_conductor_goes_on(self, _name: str, at_s: float) -> None:
+    def test_another_conductor_continues_the_plan(self, _name: str, at_s: float) -> None:
         """Story: the entry instance that conducts a wave is replaced at any moment.
 
         Operators would see the wave stand still or its instances rebooted twice. Another instance
@@ -52,7 +52,7 @@
 
         run(scenario)
 
-    def test_a_paused_conductor_does_not_act_when_it_wakes(self) -> None:
+    def test_a_conductor_paused_past_its_lease_is_fenced(self) -> None:
         """Story: a conductor is stopped for minutes by its machine, clock and all.
 
         Its lease lapses and another takes over. The first wakes, still believes in its lease and
@@ -69,10 +69,10 @@
             await asyncio.sleep(harness.lease.ttl_s)
             harness.start_conductor()
             await asyncio.sleep(3)
-            since = len(harness.config.history)
+            history_length = len(harness.config.history)
             state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
-            authors = {author for _, author in harness.config.history[since:]}
+            authors = {author for _, author in harness.config.history[history_length:]}
             self.assertEqual(authors, {"entry-1"})
             self.assertEqual(sorted(harness.targets.reboots), ARCHIVE_NAMES)
             self.assertGreater(harness.metrics.counters()["plans.duties_lost"], 0)
@@ -108,7 +108,7 @@
 
         run(scenario)
 
-    def test_lost_answers_do_no_harm(self) -> None:
+    def test_a_write_with_a_lost_answer_is_repeated(self) -> None:
         """Story: the store takes each write and loses its answer.
 
         The conductor can't know whether its cordon took effect. It writes the same again, which
@@ -161,7 +161,7 @@
 
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
-            harness.config.checks.append(lambda before, change, after: self._within(after))
+            harness.config.checks.append(lambda before, change, after: self._check_budget(after))
             harness.start_conductor()
             halves = [Named(names=tuple(ARCHIVE_NAMES[start::2])) for start in (0, 1)]
             digests = [
@@ -175,12 +175,12 @@
 
         run(scenario)
 
-    def _within(self, state: FleetState) -> None:
+    def _check_budget(self, state: FleetState) -> None:
         self.assertLessEqual(state.unavailable_in("archive"), state.budget_of("archive"))
 
 
 class TargetFaultTests(unittest.TestCase):
-    def test_a_target_that_never_empties_is_given_back(self) -> None:
+    def test_a_target_that_never_empties_is_returned(self) -> None:
         """Story: one target holds a request that never ends.
 
         Rebooting it would cut the request off, waiting for ever would hold up the night. After
@@ -215,14 +215,14 @@
             refused = []
             real_reboot = harness.targets.reboot
 
-            async def late_work(instance, *, reboot_id, fencing_token):  # type: ignore
+            async def reboot_after_late_work(instance, *, reboot_id, fencing_token):  # type: ignore
                 if not refused:
                     refused.append(instance.name)
                     harness.targets.work[instance.name] = 1
                     asyncio.get_running_loop().call_later(9, harness.targets.work.clear)
                 return await real_reboot(instance, reboot_id=reboot_id, fencing_token=fencing_token)
 
-            harness.targets.reboot = late_work  # type: ignore[method-assign]
+            harness.targets.reboot = reboot_after_late_work  # type: ignore[method-assign]
             digest = await confirmed(harness, ARCHIVE)
             state = await harness.until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
@@ -232,7 +232,9 @@
         run(scenario)
 
     @parameterized.expand([("dead", "did not come back"), ("replaced", "another machine")])
-    def test_a_target_that_does_not_come_back_stays_cordoned(self, fault: str, told: str) -> None:
+    def test_a_target_that_does_not_come_back_stays_cordoned(
+        self, fault: str, message: str
+    ) -> None:
         """Story: a target goes down for its reboot and never answers, or another machine does.
 
         Returned blindly it would fail requests or take work it is not sized for. It stays
@@ -253,7 +255,7 @@
             state = await harness.until_ended(digest)
             record = state.plans[digest]
             self.assertIs(record.state, PlanState.FAILED)
-            self.assertIn(told, record.outcome)
+            self.assertIn(message, record.outcome)
             self.assertIn("7 of 8 instances done", record.outcome)
             self.assertIs(state.instances["archive-0"].condition, Condition.CORDONED)
             self.assertFalse(state.instances["archive-0"].healthy)
@@ -261,7 +263,7 @@
 
         run(scenario)
 
-    def test_the_plan_stands_still_when_too_many_do_not_come_back(self) -> None:
+    def test_the_plan_pauses_when_too_many_do_not_come_back(self) -> None:
         """Story: a bad image keeps every rebooted target from coming back.
 
         Going on would take one instance after the other. After two the plan stands still without
@@ -310,7 +312,7 @@
 
         run(scenario)
 
-    def test_a_cancelled_move_goes_back_to_its_pool(self) -> None:
+    def test_a_cancelled_move_is_reverted(self) -> None:
         """Story: a move is cancelled when an instance sits in the new pool, still cordoned.
 
         Left there, it would belong to a pool that nobody decided on. It goes back and is returned.
@@ -363,25 +365,25 @@
             harness = ConductorHarness(tijera(), policy=ConductorPolicy(window=window))
             harness.start_conductor()
             digest = await confirmed(harness, Drain(selection=Named(names=("booking-0",))))
-            cordon = harness.config.checks
-            at: list[float] = []
-            cordon.append(
+            change_checks = harness.config.checks
+            cordoned_left_s: list[float] = []
+            change_checks.append(
                 lambda before, change, after: (
-                    at.append(window.left_s(harness.wall_clock_s()))
+                    cordoned_left_s.append(window.left_s(harness.wall_clock_s()))
                     if isinstance(change, SetCondition)
                     else None
                 )
             )
-            await harness.until_ended(digest, limit_s=86_400)
-            self.assertEqual(len(at), 1)
-            self.assertGreater(at[0], 0)
+            await harness.until_ended(digest, timeout_s=86_400)
+            self.assertEqual(len(cordoned_left_s), 1)
+            self.assertGreater(cordoned_left_s[0], 0)
             await harness.stop()
 
         run(scenario)
 
 
 class OperatorTests(unittest.TestCase):
-    def test_the_second_of_two_operators_is_told_who_was_first(self) -> None:
+    def test_a_conflicting_confirmation_names_the_earlier_plan(self) -> None:
         """Story: two operators take the same rack, one to drain it, one to reboot it.
 
         Both hold proposals; the first confirmed wins. The other is told which plan, by whom,
@@ -394,18 +396,20 @@
             drain = (
                 await harness.plan_registry.propose(Drain(selection=rack), author="kari")
             ).unwrap()
-            boot = (
+            maintain = (
                 await harness.plan_registry.propose(Maintain(selection=rack), author="ola")
             ).unwrap()
             (await harness.plan_registry.confirm(drain.digest, operator="kari")).unwrap()
-            refused = (await harness.plan_registry.confirm(boot.digest, operator="ola")).failure()
+            refused = (
+                await harness.plan_registry.confirm(maintain.digest, operator="ola")
+            ).failure()
             self.assertIs(refused.kind, ErrorKind.CONFLICT)
             for part in (drain.short_digest, "confirmed by kari at 2027-01-15", "to end in 1 min"):
                 self.assertIn(part, refused.reason)
 
         run(scenario)
 
-    def test_a_plan_whose_ground_has_shifted_is_refused_with_a_fresh_one(self) -> None:
+    def test_a_stale_plan_is_refused_with_a_fresh_proposal(self) -> None:
         """Story: between proposal and confirmation a budget of the pool is cut.
 
         Waves of two would now break the promise. The confirmation is refused and names a fresh
@@ -429,7 +433,7 @@
 
         run(scenario)
 
-    def test_an_unrelated_change_leaves_a_proposal_fresh(self) -> None:
+    def test_an_unrelated_change_keeps_a_proposal_valid(self) -> None:
         """A change outside of the plan's pools does not stand in the way of its confirmation."""
 
         async def scenario() -> None:
--- a/tests/test_fleet_plans.py
+++ b/tests/test_fleet_plans.py
@@ -38,7 +38,7 @@
 )
 
 
-def after(state: FleetState, *changes: Change) -> FleetState:
+def apply_all(state: FleetState, *changes: Change) -> FleetState:
     for change in changes:
         state = apply(state, change).unwrap()
     return state
@@ -83,11 +83,11 @@
         self, _name: str, before: list[Change], change: Change, kind: str
     ) -> None:
         """Each rule is checked where the change becomes a revision, so it holds everywhere."""
-        state = after(fjellsending(), *before)
+        state = apply_all(fjellsending(), *before)
         self.assertIs(apply(state, change).failure().kind, ErrorKind[kind])
 
 
-class DescribedAgainTests(unittest.TestCase):
+class RepeatedPutTests(unittest.TestCase):
     @parameterized.expand(
         [
             ("pool", {"pool": "coverage"}),
@@ -97,7 +97,7 @@
             ("maintenance", {"maintained_at_s": 0.0}),
         ]
     )
-    def test_what_only_its_own_change_may_change(
+    def test_a_repeated_put_keeps_what_other_changes_set(
         self, _name: str, claimed: dict[str, object]
     ) -> None:
         """An instance that is described again keeps its pool, its condition and its plan.
@@ -107,19 +107,21 @@
         take work in the middle of its reboot.
         """
         down = SetHealth(names=("archive-0",), healthy=False)
-        back = SetCondition(names=("archive-0",), condition=Condition.ACTIVE, maintained_at_s=9.0)
-        state = after(fjellsending(), back, CONFIRM, cordon("archive-0", plan="p1"), down)
+        activate = SetCondition(
+            names=("archive-0",), condition=Condition.ACTIVE, maintained_at_s=9.0
+        )
+        state = apply_all(fjellsending(), activate, CONFIRM, cordon("archive-0", plan="p1"), down)
         known = state.instances["archive-0"]
-        again = replace(known, slots=known.slots + 1, **claimed)
-        self.assertNotEqual(replace(again, slots=known.slots), known)
-        put = after(state, PutInstance(instance=again)).instances["archive-0"]
-        self.assertEqual(put, replace(known, slots=known.slots + 1))
+        repeated = replace(known, slots=known.slots + 1, **claimed)
+        self.assertNotEqual(replace(repeated, slots=known.slots), known)
+        after_put = apply_all(state, PutInstance(instance=repeated)).instances["archive-0"]
+        self.assertEqual(after_put, replace(known, slots=known.slots + 1))
 
 
 class PlanRecordTests(unittest.TestCase):
     def test_an_ended_plan_keeps_no_list_of_instances(self) -> None:
         """Two hundred ended plans over a large fleet would else outgrow one stored value."""
-        state = after(fjellsending(), CONFIRM, finish(PlanState.DONE))
+        state = apply_all(fjellsending(), CONFIRM, finish(PlanState.DONE))
         self.assertEqual(state.plans["p1"].instances, ())
         self.assertIsInstance(apply(state, replace(CONFIRM, digest="p2")), Success)
 
@@ -130,12 +132,12 @@
             ("health elsewhere", SetHealth(names=("coverage-5",), healthy=False), False),
         ]
     )
-    def test_the_basis_covers_what_a_plan_rests_on(
+    def test_the_basis_covers_the_preconditions_of_a_plan(
         self, _name: str, change: Change, differs: bool
     ) -> None:
         """A change within the plan's pools makes another basis, any other change does not."""
         state = fjellsending()
-        changed = precondition_digest(after(state, change), NAMES) != precondition_digest(
+        changed = precondition_digest(apply_all(state, change), NAMES) != precondition_digest(
             state, NAMES
         )
         self.assertEqual(changed, differs)
@@ -145,6 +147,6 @@
         state = fjellsending()
         cut = replace(state.services["archive"], max_unavailable=1)
         self.assertNotEqual(
-            precondition_digest(after(state, PutService(service=cut)), NAMES),
+            precondition_digest(apply_all(state, PutService(service=cut)), NAMES),
             precondition_digest(state, NAMES),
         )
--- a/tests/test_plan_sessions.py
+++ b/tests/test_plan_sessions.py
@@ -21,7 +21,7 @@
 from tests.golden_files import assert_golden
 from tests.plan_fakes import ConductorHarness, fjellsending, run, tijera
 
-EVERYTHING = Maintain(selection=NotMaintainedSince(before_s=1_797_000_000.0))
+MAINTAIN_ALL = Maintain(selection=NotMaintainedSince(before_s=1_797_000_000.0))
 
 
 class Session:
@@ -39,8 +39,8 @@
 
     async def confirm(self, digest: str, operator: str) -> None:
         result = await self.harness.plan_registry.confirm(digest, operator=operator)
-        told = f"confirmed: {result.unwrap().intent}" if isinstance(result, Success) else ""
-        self.write(f"{operator}: plan confirm {digest[:12]}", f"{told or result.failure()}\n")
+        message = f"confirmed: {result.unwrap().intent}" if isinstance(result, Success) else ""
+        self.write(f"{operator}: plan confirm {digest[:12]}", f"{message or result.failure()}\n")
 
     async def cancel(self, digest: str, operator: str) -> None:
         record = (await self.harness.plan_registry.cancel(digest, operator=operator)).unwrap()
@@ -74,7 +74,7 @@
             harness = ConductorHarness(fjellsending(), weights=weights, reboot_s=120.0)
             harness.start_conductor()
             session = Session(harness)
-            digest = await session.propose(EVERYTHING, "kari")
+            digest = await session.propose(MAINTAIN_ALL, "kari")
             drain = Drain(selection=InRack(data_centre="bergen", rack="r0"))
             rack = await session.propose(drain, "ola")
             await session.confirm(digest, "kari")
@@ -95,7 +95,7 @@
             harness = ConductorHarness(tijera(), weights=weights, reboot_s=120.0)
             harness.start_conductor()
             session = Session(harness)
-            first = await session.propose(EVERYTHING, "lupe")
+            first = await session.propose(MAINTAIN_ALL, "lupe")
             failed = SetHealth(names=("booking-3",), healthy=False)
             await harness.config.propose(failed, author="peer")
             await session.confirm(first, "lupe")
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -31,60 +31,62 @@
 )
 from tests.plan_fakes import fjellsending, fleet, tijera
 
-EVERYTHING = Maintain(selection=NotMaintainedSince(before_s=1.0))
-THRIFTY = PlannerWeights(buffer=0.7, roll_out=0.2, moves=0.1)
-HURRIED = PlannerWeights(buffer=0.1, roll_out=0.8, moves=0.1, window_s=8 * 3600)
-PLANNER = Planner(weights=THRIFTY, model=DisruptionModel())
+MAINTAIN_ALL = Maintain(selection=NotMaintainedSince(before_s=1.0))
+LOW_BUFFER_WEIGHTS = PlannerWeights(buffer=0.7, roll_out=0.2, moves=0.1)
+SHORT_WINDOW_WEIGHTS = PlannerWeights(buffer=0.1, roll_out=0.8, moves=0.1, window_s=8 * 3600)
+PLANNER = Planner(weights=LOW_BUFFER_WEIGHTS, model=DisruptionModel())
 
 
-def with_instances(state: FleetState, names: tuple[str, ...], **fields: object) -> FleetState:
+def replace_instances(state: FleetState, names: tuple[str, ...], **fields: object) -> FleetState:
     changed = {name: replace(state.instances[name], **fields) for name in names}  # type: ignore
     return replace(state, instances={**state.instances, **changed})
 
 
-def planned(state: FleetState, intent: Intent, planner: Planner = PLANNER) -> Plan:
+def make_plan(state: FleetState, intent: Intent, planner: Planner = PLANNER) -> Plan:
     return planner.plan(state, intent, author="kari").unwrap()
 
 
 class ChoiceTests(unittest.TestCase):
     def test_weights_decide_between_buffer_and_time(self) -> None:
         """A thin budget gives narrow waves, a short night gives wide ones."""
-        thrifty = planned(fjellsending(), EVERYTHING)
-        hurried = planned(tijera(), EVERYTHING, Planner(weights=HURRIED, model=DisruptionModel()))
-        self.assertLessEqual(thrifty.measures.buffer_slots, 16)
-        self.assertLess(hurried.measures.roll_out_s, 1800)
-        for plan in (thrifty, hurried):
-            told = Counter(entry.strategy for entry in plan.alternatives)
-            self.assertEqual(told, Counter(Strategy))
+        low_buffer = make_plan(fjellsending(), MAINTAIN_ALL)
+        short_window = make_plan(
+            tijera(), MAINTAIN_ALL, Planner(weights=SHORT_WINDOW_WEIGHTS, model=DisruptionModel())
+        )
+        self.assertLessEqual(low_buffer.measures.buffer_slots, 16)
+        self.assertLess(short_window.measures.roll_out_s, 1800)
+        for plan in (low_buffer, short_window):
+            expected = Counter(entry.strategy for entry in plan.alternatives)
+            self.assertEqual(expected, Counter(Strategy))
             self.assertEqual(plan.alternatives[0].verdict, "chosen")
 
     def test_equal_input_gives_an_equal_plan(self) -> None:
         """The digest depends on the content alone, and survives encoding."""
-        plan = planned(fjellsending(), EVERYTHING)
-        self.assertEqual(planned(fjellsending(), EVERYTHING).digest, plan.digest)
+        plan = make_plan(fjellsending(), MAINTAIN_ALL)
+        self.assertEqual(make_plan(fjellsending(), MAINTAIN_ALL).digest, plan.digest)
         self.assertEqual(Plan.decode(plan.encode()), plan)
 
-    def test_a_plan_tells_what_is_left_when_one_more_rack_fails(self) -> None:
+    def test_a_plan_gives_the_capacity_left_if_one_more_rack_fails(self) -> None:
         """Bergen's 80 slots less a rack of 32 leave 48, of which its next full rack holds 32."""
-        plan = planned(fjellsending(), Drain(selection=InRack(data_centre="bergen", rack="r0")))
+        plan = make_plan(fjellsending(), Drain(selection=InRack(data_centre="bergen", rack="r0")))
         (left,) = plan.capacity
         self.assertEqual((left.slots, left.slots_left), (80, 48))
         self.assertEqual(left.slots_left_if_rack_fails, 16)
 
-    def test_failed_targets_cost_no_permit(self) -> None:
+    def test_failed_targets_take_no_permit(self) -> None:
         """Two failed instances of a pool and its budget of two go into the first wave together."""
-        state = with_instances(fjellsending(), ("archive-0", "archive-1"), healthy=False)
-        plan = planned(state, Maintain(selection=InPool(pool="archive")))
+        state = replace_instances(fjellsending(), ("archive-0", "archive-1"), healthy=False)
+        plan = make_plan(state, Maintain(selection=InPool(pool="archive")))
         self.assertIn("archive-0", plan.waves[0].instances)
         self.assertIn("waves wait until that is less", plan.notes[0])
 
-    def test_an_operators_own_cordon_is_left_alone(self) -> None:
+    def test_an_operators_own_cordon_is_kept(self) -> None:
         """What is cordoned already is not maintained, since the plan would end the cordon."""
-        state = with_instances(fjellsending(), ("archive-0",), condition=Condition.CORDONED)
-        plan = planned(state, Maintain(selection=InPool(pool="archive")))
+        state = replace_instances(fjellsending(), ("archive-0",), condition=Condition.CORDONED)
+        plan = make_plan(state, Maintain(selection=InPool(pool="archive")))
         self.assertEqual([entry.instance for entry in plan.skipped], ["archive-0"])
         self.assertNotIn("archive-0", plan.instances)
-        back = planned(state, Return(selection=InPool(pool="archive")))
+        back = make_plan(state, Return(selection=InPool(pool="archive")))
         self.assertEqual(back.instances, ("archive-0",))
 
 
@@ -97,14 +99,14 @@
             ("many", Move(from_pool="archive", to_pool="coverage", count=9), "has 8", "move 7"),
         ]
     )
-    def test_what_can_never_be_is_said_with_the_nearest_plan(
-        self, _name: str, intent: Intent, told: str, nearest: str
+    def test_an_unsatisfiable_intent_is_refused_with_the_nearest_plan(
+        self, _name: str, intent: Intent, expected: str, nearest: str
     ) -> None:
         """The reason names the service or pool in the way, and a smaller plan is offered."""
         state = fjellsending(budget=1)
         failure = PLANNER.plan(state, intent, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.UNSATISFIABLE)
-        self.assertIn(told, failure.reason)
+        self.assertIn(expected, failure.reason)
         plan = PLANNER.plan_satisfiable_part(state, intent, author="kari")
         assert plan is not None
         self.assertEqual(f"{plan.intent.kind} {len(plan.instances)}", nearest)
@@ -126,27 +128,27 @@
             ),
         ]
     )
-    def test_what_does_not_fit_the_fleet_is_refused(
+    def test_an_invalid_intent_is_refused(
         self, _name: str, intent: Intent, kind: ErrorKind
     ) -> None:
         """Unknown names and moves from the wrong pool are told as such."""
         self.assertEqual(decode_intent(encode_intent(intent)), intent)
         self.assertIs(PLANNER.plan(fjellsending(), intent, author="kari").failure().kind, kind)
 
-    def test_a_drain_that_failures_stand_in_the_way_of_may_come_back(self) -> None:
+    def test_a_drain_blocked_by_failures_is_refused_as_budget_spent(self) -> None:
         """Where the budget would do but for failed instances, the answer is to come back later."""
-        state = with_instances(fjellsending(), ("archive-0",), healthy=False)
+        state = replace_instances(fjellsending(), ("archive-0",), healthy=False)
         intent = Drain(selection=Named(names=("archive-1", "archive-2")))
         failure = PLANNER.plan(state, intent, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.BUDGET_SPENT)
 
-    def test_a_window_too_short_offers_what_fits(self) -> None:
+    def test_a_short_window_offers_the_waves_that_fit(self) -> None:
         """Half of the waves fit into half of the time; the oldest maintenance goes first."""
-        weights = replace(HURRIED, window_s=700.0)
+        weights = replace(SHORT_WINDOW_WEIGHTS, window_s=700.0)
         planner = Planner(weights=weights, model=DisruptionModel())
-        failure = planner.plan(tijera(), EVERYTHING, author="kari").failure()
+        failure = planner.plan(tijera(), MAINTAIN_ALL, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.UNSATISFIABLE)
-        nearest = planner.plan_satisfiable_part(tijera(), EVERYTHING, author="kari")
+        nearest = planner.plan_satisfiable_part(tijera(), MAINTAIN_ALL, author="kari")
         assert nearest is not None
         self.assertEqual(len(nearest.instances), 10)
         self.assertLessEqual(nearest.measures.roll_out_s, 700.0)
@@ -154,7 +156,7 @@
     def test_a_service_without_budget_is_never_disturbed(self) -> None:
         """A budget of none is said at once; there is no wave that could wait for it."""
         state = fleet(centres=("bergen",), pools={"spare-parts": 4}, budget=0)
-        failure = PLANNER.plan(state, EVERYTHING, author="kari").failure()
+        failure = PLANNER.plan(state, MAINTAIN_ALL, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.UNSATISFIABLE)
         self.assertIn("spare-parts allows no instance", failure.reason)
 
@@ -166,16 +168,16 @@
         buffer=st.floats(0, 1),
         failed=st.sets(st.integers(0, 5)),
     )
-    def test_every_wave_keeps_every_budget(
+    def test_every_wave_respects_every_budget(
         self, sizes: list[int], budget: int, buffer: float, failed: set[int]
     ) -> None:
         """Whatever the weights, each instance is in one wave and no wave overspends a budget."""
         pools = {f"p{number}": size for number, size in enumerate(sizes)}
         state = fleet(centres=("x", "y"), pools=pools, budget=budget)
         out = tuple(f"p{number}-0" for number in failed if f"p{number}" in pools)
-        state = with_instances(state, out, healthy=False)
+        state = replace_instances(state, out, healthy=False)
         weights = PlannerWeights(buffer=buffer, roll_out=1 - buffer, moves=0.1)
-        plan = planned(state, EVERYTHING, Planner(weights=weights, model=DisruptionModel()))
+        plan = make_plan(state, MAINTAIN_ALL, Planner(weights=weights, model=DisruptionModel()))
         names = [name for wave in plan.waves for name in wave.instances]
         self.assertEqual(sorted(names), sorted(state.instances))
         for wave in plan.waves:
--- a/tests/test_plans_machine.py
+++ b/tests/test_plans_machine.py
@@ -55,8 +55,8 @@
     ),
 )
 OPERATORS = st.sampled_from(("kari", "ola"))
-LIMIT_S = 600.0
-LAPSE_S = 5.5
+PLAN_TIMEOUT_S = 600.0
+LEASE_TAKEOVER_S = 5.5
 """Time in which a paused conductor's lease lapses and is taken by another."""
 POLICY = ConductorPolicy(
     drain_timeout_s=30.0,
@@ -102,16 +102,16 @@
         if isinstance(result, Success):
             self.proposed.append(result.unwrap().digest)
 
-    @rule(pick=st.integers(0, 9), operator=OPERATORS)
-    def confirm(self, pick: int, operator: str) -> None:
+    @rule(index=st.integers(0, 9), operator=OPERATORS)
+    def confirm(self, index: int, operator: str) -> None:
         if self.proposed:
-            digest = self.proposed[-1 - pick % len(self.proposed)]
+            digest = self.proposed[-1 - index % len(self.proposed)]
             self.wait(self.harness.plan_registry.confirm(digest, operator=operator))
 
-    @rule(pick=st.integers(0, 9), operator=OPERATORS)
-    def cancel(self, pick: int, operator: str) -> None:
+    @rule(index=st.integers(0, 9), operator=OPERATORS)
+    def cancel(self, index: int, operator: str) -> None:
         if self.proposed:
-            digest = self.proposed[-1 - pick % len(self.proposed)]
+            digest = self.proposed[-1 - index % len(self.proposed)]
             self.wait(self.harness.plan_registry.cancel(digest, operator=operator))
 
     @rule(intent=INTENTS, operator=OPERATORS)
@@ -119,17 +119,17 @@
         self.propose(intent, operator)
         self.confirm(0, operator)
 
-    @rule(what=st.sampled_from(("start", "kill", "pause")), pick=st.integers(0, 2))
-    def change_conductors(self, what: str, pick: int) -> None:
+    @rule(action=st.sampled_from(("start", "kill", "pause")), index=st.integers(0, 2))
+    def change_conductors(self, action: str, index: int) -> None:
         alive = [task for task in self.harness.tasks if not task.done()]
-        if what == "start" and len(alive) < 3:
+        if action == "start" and len(alive) < 3:
             self.start_conductor()
-        elif what == "kill" and len(alive) > 1:
-            self.wait(self.harness.kill(alive[pick % len(alive)]))
-        elif what == "pause":
-            self.loop.call_soon(self.harness.pause, alive[pick % len(alive)])
+        elif action == "kill" and len(alive) > 1:
+            self.wait(self.harness.kill(alive[index % len(alive)]))
+        elif action == "pause":
+            self.loop.call_soon(self.harness.pause, alive[index % len(alive)])
             self.start_conductor()
-            self.wait(asyncio.sleep(LAPSE_S))
+            self.wait(asyncio.sleep(LEASE_TAKEOVER_S))
 
     def start_conductor(self) -> None:
         self.loop.call_soon(self.harness.start_conductor)
@@ -137,20 +137,20 @@
 
     @rule(
         name=st.sampled_from(NAMES),
-        what=st.sampled_from(("failed", "works", "dead", "alive", "busy", "idle")),
+        action=st.sampled_from(("failed", "works", "dead", "alive", "busy", "idle")),
     )
-    def change_instance(self, name: str, what: str) -> None:
+    def change_instance(self, name: str, action: str) -> None:
         targets = self.harness.targets
-        match what:
+        match action:
             case "failed" | "works":
-                change = SetHealth(names=(name,), healthy=what == "works")
+                change = SetHealth(names=(name,), healthy=action == "works")
                 self.wait(self.harness.config.propose(change, author="peer"))
             case "dead":
                 targets.dead.add(name)
             case "alive":
                 targets.dead.discard(name)
             case "busy" | "idle":
-                targets.work[name] = int(what == "busy")
+                targets.work[name] = int(action == "busy")
 
     @rule(down=st.sampled_from((False, False, True)), lost=st.integers(0, 3))
     def change_store(self, down: bool, lost: int) -> None:
@@ -159,15 +159,15 @@
         self.harness.store.set_faults(StoreFaults(down=down))
 
     @rule(duration_s=st.sampled_from((0.5, 3.0, 12.0, 90.0)))
-    def let_time_pass(self, duration_s: float) -> None:
+    def advance_time(self, duration_s: float) -> None:
         self.wait(asyncio.sleep(duration_s))
 
     @rule(duration_s=st.sampled_from((5.0, 20.0, 60.0)))
-    def let_a_wave_pass(self, duration_s: float) -> None:
+    def advance_wave(self, duration_s: float) -> None:
         self.wait(asyncio.sleep(duration_s))
 
     @invariant()
-    def every_rule_held(self) -> None:
+    def check_fleet_invariants(self) -> None:
         assert not self.violations, self.violations
         state = self.state()
         assert sorted(state.instances) == sorted(NAMES)
@@ -179,27 +179,27 @@
     def teardown(self) -> None:
         """Once every fault is mended, each confirmed plan comes to its end."""
         try:
-            self.mend()
+            self.clear_faults()
             for digest in sorted(self.confirmed):
-                self.come_to_an_end(digest)
+                self.wait_until_ended(digest)
                 self.check_end(digest)
-                self.return_what_ended_plans_left()
-            self.every_rule_held()
+                self.return_leftover_cordons()
+            self.check_fleet_invariants()
         finally:
             self.wait(self.harness.stop())
             self.loop.close()
 
-    def mend(self) -> None:
+    def clear_faults(self) -> None:
         self.change_store(down=False, lost=0)
         self.harness.targets.dead.clear()
         self.harness.targets.work.clear()
         failed = tuple(name for name in NAMES if not self.state().instances[name].healthy)
         change = SetHealth(names=failed, healthy=True)
         self.wait(self.harness.config.propose(change, author="peer"))
-        self.return_what_ended_plans_left()
+        self.return_leftover_cordons()
         self.start_conductor()
 
-    def return_what_ended_plans_left(self) -> None:
+    def return_leftover_cordons(self) -> None:
         """Free the budgets that ended drains hold, else a wave rightly waits for them for ever."""
         state = self.state()
         left = tuple(
@@ -208,19 +208,19 @@
             if entry.condition is Condition.CORDONED and not state.open_plan_holding((name,))
         )
         change = SetCondition(names=left, condition=Condition.ACTIVE)
-        self.wait(self.harness.config.propose(change, author="mend"))
+        self.wait(self.harness.config.propose(change, author="clear-faults"))
 
-    def come_to_an_end(self, digest: str) -> None:
+    def wait_until_ended(self, digest: str) -> None:
         """Wait for a plan; two drains may hold each other up, then one of them is cancelled."""
         try:
-            self.wait(self.harness.until_ended(digest, limit_s=LIMIT_S))
+            self.wait(self.harness.until_ended(digest, timeout_s=PLAN_TIMEOUT_S))
         except TimeoutError:
             state = self.state()
             pools = {state.instances[name].pool for name in state.plans[digest].instances}
             full = [p for p in pools if state.unavailable_in(p) >= state.budget_of(p)]
             assert full, f"plan {digest} stands still with budget left"
             self.wait(self.harness.plan_registry.cancel(digest, operator="kari"))
-            self.wait(self.harness.until_ended(digest, limit_s=LIMIT_S))
+            self.wait(self.harness.until_ended(digest, timeout_s=PLAN_TIMEOUT_S))
 
     def check_end(self, digest: str) -> None:
         state = self.state()
@@ -238,7 +238,7 @@
                 digest = change.digest if isinstance(change, AdvancePlan) else change.plan
                 if not digest:
                     author = self.harness.config.history[-1][1]
-                    self.expect(author == "mend", f"acts without a plan: {change}")
+                    self.expect(author == "clear-faults", f"acts without a plan: {change}")
                     return
                 self.expect(digest in self.confirmed, f"acts unconfirmed: {change}")
                 self.expect(
@@ -277,9 +277,9 @@
 
         targets.reboot = checked  # type: ignore[method-assign]
 
-    def expect(self, holds: bool, told: str) -> None:
-        if not holds:
-            self.violations.append(told)
+    def expect(self, passed: bool, message: str) -> None:
+        if not passed:
+            self.violations.append(message)
 
 
 PlansTests = PlansMachine.TestCase
