--- a/tests/plan_fakes.py
+++ b/tests/plan_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes for the tests of plans: a configuration log in memory, targets, a duty."""
+"""Fakes for the tests of plans: a configuration log in memory, targets and a plan lease."""
 
 from __future__ import annotations
 
@@ -43,12 +43,12 @@
 
 
 async def run_inline(work: Callable[[], _Value]) -> _Value:
-    """Run planning on the event loop, whose clock stands still meanwhile."""
+    """Run work on the event loop, whose simulated clock does not advance meanwhile."""
     return work()
 
 
 class FakeConfig:
-    """`ConfigLog` and `ConfigView` in one, over `fleet.apply`, with faults."""
+    """`ConfigLog` and `ConfigView` in memory, based on `fleet.apply`, with injected faults."""
 
     def __init__(self, state: FleetState) -> None:
         self._state = state
@@ -89,7 +89,7 @@
 
 
 class FakeTargets:
-    """`TargetControl` over targets that hold a number of requests and reboot in a fixed time."""
+    """`TargetControl` of targets with a given number of requests and a fixed reboot time."""
 
     def __init__(self, *, reboot_s: float = 20.0) -> None:
         self.reboot_s = reboot_s
@@ -138,7 +138,7 @@
 
 
 class FakeLease:
-    """One lease that duties of several conductors compete for."""
+    """A lease that the plan leases of several conductors compete for."""
 
     def __init__(self, *, ttl_s: float = 4.0) -> None:
         self.ttl_s = ttl_s
@@ -148,14 +148,14 @@
 
 
 class FakePlanLease:
-    """`PlanLease` on a `FakeLease`, renewed for ever unless its process is paused or dead."""
+    """`PlanLease` on a `FakeLease`, renewed until its process is paused or killed."""
 
     def __init__(self, lease: FakeLease, owner: str) -> None:
         self._lease = lease
         self.owner = owner
         self.paused = False
         self.assumes_held = False
-        """Whether it thinks that it holds the lease, as one that was paused does."""
+        """Whether the process assumes that it holds the lease, even if it expired in a pause."""
 
     async def acquire(self) -> int:
         while self._lease.holder is not None and not self._is_expired():
@@ -174,7 +174,7 @@
             self._lease.holder = None
 
     def pause(self) -> None:
-        """Stop renewing, as a process that is paused or dies does."""
+        """Stop renewing, as a paused or killed process does."""
         self.paused = True
         self._lease.expires_at_s = asyncio.get_running_loop().time() + self._lease.ttl_s
 
@@ -185,7 +185,7 @@
 
 
 class ConductorHarness:
-    """A fleet, its log, its targets and as many conductors as a test starts."""
+    """A fleet with its log, its targets and the conductors that a test starts."""
 
     def __init__(
         self,
@@ -221,7 +221,7 @@
         return self.config.state().revision
 
     def start_conductor(self) -> asyncio.Task[None]:
-        """Start one more conductor, as one more entry instance would."""
+        """Start another conductor, as on another entry instance."""
         name = f"entry-{len(self.tasks)}"
         conductor = Conductor(
             name=name,
@@ -243,24 +243,24 @@
         return task
 
     def plan_lease_of(self, digest: str, name: str) -> PlanLease:
-        """Return one process's duty of a plan."""
+        """Return the lease of a plan for one process."""
         return FakePlanLease(self.leases.setdefault(digest, FakeLease()), name)
 
     @property
     def lease(self) -> FakeLease:
-        """The lease of the one plan that is open."""
+        """The lease of the only plan."""
         (lease,) = self.leases.values()
         return lease
 
     def pause(self, task: asyncio.Task[None]) -> None:
-        """Let a conductor's leases lapse while it goes on believing in them."""
+        """Let a conductor's leases expire while it still assumes that it holds them."""
         name = f"entry-{self.tasks.index(task)}"
         for lease in self.leases.values():
             if lease.holder is not None and lease.holder.owner == name:
                 lease.holder.pause()
 
     async def kill(self, task: asyncio.Task[None]) -> None:
-        """End a conductor as a crash does: its leases are not given back."""
+        """Stop a conductor like a crash, without releasing its leases."""
         self.pause(task)
         task.cancel()
         await asyncio.wait((task,))
@@ -277,14 +277,14 @@
         return self.config.state()
 
     def change_instance(self, name: str, **fields: object) -> None:
-        """Put a fact into the state directly, for the start of a test."""
+        """Change fields of an instance directly in the state, without a change in the log."""
         state = self.config.state()
         entry = replace(state.instances[name], **fields)  # type: ignore[arg-type]
         self.config._state = replace(state, instances={**state.instances, name: entry})
 
 
 def run(scenario: Callable[[], Awaitable[None]]) -> None:
-    """Run one scenario on a loop whose clock jumps to the next timer."""
+    """Run a scenario on an event loop whose simulated clock jumps to the next timer."""
     loop = looptime.new_event_loop()
     try:
         loop.run_until_complete(scenario())
@@ -293,7 +293,7 @@
 
 
 async def confirmed(harness: ConductorHarness, intent: Intent, operator: str = "kari") -> str:
-    """Propose and confirm one intent; returns the plan's digest."""
+    """Propose and confirm an intent; return the digest of the plan."""
     plan = (await harness.plan_registry.propose(intent, author=operator)).unwrap()
     (await harness.plan_registry.confirm(plan.digest, operator=operator)).unwrap()
     return plan.digest
@@ -307,7 +307,7 @@
     region: str = "vest",
     per_rack: int = 4,
 ) -> FleetState:
-    """Return a fleet whose pools are spread over the data centres, four instances to a rack."""
+    """Return a fleet whose pools are spread over the data centres, in racks of ``per_rack``."""
     instances: dict[str, Instance] = {}
     placed_by_centre = dict.fromkeys(centres, 0)
     number = 0
@@ -337,7 +337,7 @@
 
 
 def fjellsending(*, budget: int = 2) -> FleetState:
-    """Return Fjellsending's fleet of today: four data centres, five pools of eight."""
+    """Return the fleet of Fjellsending: four data centres, five pools of eight instances."""
     services = ("fault-trace", "antenna-sweep", "spare-parts", "archive", "coverage")
     return fleet(
         centres=("bergen", "forde", "odda", "voss"), pools=dict.fromkeys(services, 8), budget=budget
@@ -345,7 +345,7 @@
 
 
 def tijera() -> FleetState:
-    """Return Tijera de Plata's fleet of today: three data centres, five pools of six."""
+    """Return the fleet of Tijera de Plata: three data centres, five pools of six instances."""
     services = ("booking", "walk-in", "day-sheet", "commissions", "supplies")
     return fleet(
         centres=("leon", "puebla", "queretaro"),
--- a/tests/test_conductor.py
+++ b/tests/test_conductor.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.plans`: confirmed plans are carried out, whatever fails meanwhile."""
+"""Tests of `shallotworks.plans`: execution of confirmed plans, and pruning of proposals."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 
 class EndToEndTests(unittest.TestCase):
     def test_a_rack_is_drained_after_confirmation_only(self) -> None:
-        """Nothing changes on a proposal; confirmed, the rack ends up cordoned and empty."""
+        """A proposal changes nothing; once it is confirmed, the rack is cordoned and drained."""
 
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
@@ -36,7 +36,7 @@
         run(scenario)
 
     def test_a_maintained_pool_is_returned(self) -> None:
-        """Every instance is rebooted once, returned, and its maintenance is on record."""
+        """Every instance is rebooted once and returned, and its time of maintenance is recorded."""
 
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
@@ -53,7 +53,7 @@
         run(scenario)
 
     def test_a_drained_instance_is_returned_and_works_again(self) -> None:
-        """A return probes, ends the cordon, and takes back the report that it had failed."""
+        """A return probes the instance, removes its cordon and records it as healthy again."""
 
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
@@ -71,7 +71,7 @@
 
 class ProposalTests(unittest.TestCase):
     def test_only_old_proposals_are_pruned(self) -> None:
-        """A proposal that nobody confirmed goes after a while; a confirmed plan stays readable."""
+        """Pruning deletes an old unconfirmed proposal and keeps a confirmed plan."""
 
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.plans`: what a confirmed plan does while things fail."""
+"""Tests of `shallotworks.plans`: execution of confirmed plans while components fail."""
 
 import asyncio
 import unittest
@@ -28,11 +28,9 @@
 class ConductorTakeoverTests(unittest.TestCase):
     @parameterized.expand([(f"{at_s}s", at_s) for at_s in (0.1, 1.0, 3.2, 4.0, 15.0, 24.0, 70.0)])
     def test_another_conductor_continues_the_plan(self, _name: str, at_s: float) -> None:
-        """Story: the entry instance that conducts a wave is replaced at any moment.
+        """When the conducting process dies at any point, another takes the lease within 10 s.
 
-        Operators would see the wave stand still or its instances rebooted twice. Another instance
-        takes the duty when the lease has lapsed, reads from the state what is done, and goes on
-        within 10 s; each target reboots once.
+        It resumes from the state: the wave must not stop, and no target reboots twice.
         """
 
         async def scenario() -> None:
@@ -53,11 +51,9 @@
         run(scenario)
 
     def test_a_conductor_paused_past_its_lease_is_fenced(self) -> None:
-        """Story: a conductor is stopped for minutes by its machine, clock and all.
+        """A conductor that is paused past its lease writes again after another took over.
 
-        Its lease lapses and another takes over. The first wakes, still believes in its lease and
-        writes; operators would see two conductors pulling at one plan. Its lower token is refused
-        by the log, so nothing of it takes effect.
+        Its outdated fencing token is refused by the log, so only the new conductor acts.
         """
 
         async def scenario() -> None:
@@ -84,10 +80,9 @@
 
 class StoreFaultTests(unittest.TestCase):
     def test_nothing_is_cordoned_while_the_store_is_down(self) -> None:
-        """Story: the platform's store goes down in the middle of a wave, for ten minutes.
+        """While the store is down for ten minutes, no further instance is cordoned.
 
-        No permit can be taken, so no further instance leaves; what is out finishes its reboot and
-        waits to be returned. When the store is back the plan goes on to its end.
+        Cordoned instances finish their reboot; when the store is back, the plan completes.
         """
 
         async def scenario() -> None:
@@ -109,10 +104,9 @@
         run(scenario)
 
     def test_a_write_with_a_lost_answer_is_repeated(self) -> None:
-        """Story: the store takes each write and loses its answer.
+        """The store applies writes whose answers are lost, so their outcome is unknown.
 
-        The conductor can't know whether its cordon took effect. It writes the same again, which
-        leads to the same state, and no target is rebooted twice.
+        The conductor repeats each idempotent write, and no target is rebooted twice.
         """
 
         async def scenario() -> None:
@@ -130,10 +124,9 @@
 
 class BudgetTests(unittest.TestCase):
     def test_unplanned_failures_spend_the_budget_first(self) -> None:
-        """Story: two instances of the pool fail while its maintenance is about to start.
+        """Two instances of the pool fail before its maintenance and use up the budget of two.
 
-        A wave that went on would leave the service short of three or four instances where it
-        allows two. The wave waits, and goes on when one of them works again.
+        A wave that started anyway would make three or four unavailable; it waits for a recovery.
         """
 
         async def scenario() -> None:
@@ -153,10 +146,9 @@
         run(scenario)
 
     def test_two_plans_never_overspend_together(self) -> None:
-        """Story: two operators maintain different halves of one pool at the same time.
+        """Two plans over halves of one pool run together; each alone fits the budget.
 
-        Each plan alone fits the budget. Both take their permits from the one log, so together
-        they never have more instances out than the service allows.
+        Both take their permits from the same log, so together they never exceed it.
         """
 
         async def scenario() -> None:
@@ -181,10 +173,9 @@
 
 class TargetFaultTests(unittest.TestCase):
     def test_a_target_that_never_empties_is_returned(self) -> None:
-        """Story: one target holds a request that never ends.
+        """A request that never ends must neither be interrupted nor block the maintenance.
 
-        Rebooting it would cut the request off, waiting for ever would hold up the night. After
-        the limit it is returned unrebooted, the others go on, and the outcome names it.
+        After the drain timeout its target is returned without a reboot, and the outcome names it.
         """
 
         async def scenario() -> None:
@@ -203,10 +194,9 @@
         run(scenario)
 
     def test_work_that_arrives_after_the_drain_is_not_cut_off(self) -> None:
-        """Story: an entry instance cut off from the platform still sends to a cordoned target.
+        """A partitioned entry instance sends a request to a target that has just been drained.
 
-        The target was seen empty, then takes one more request; a reboot would cut it off. The
-        target refuses to reboot with work in flight, and the drain starts over.
+        The target refuses to reboot with work in flight, and the drain starts over.
         """
 
         async def scenario() -> None:
@@ -235,10 +225,9 @@
     def test_a_target_that_does_not_come_back_stays_cordoned(
         self, fault: str, message: str
     ) -> None:
-        """Story: a target goes down for its reboot and never answers, or another machine does.
+        """After the reboot a target never answers, or another machine answers under its name.
 
-        Returned blindly it would fail requests or take work it is not sized for. It stays
-        cordoned and counts against the budget; the plan goes on with the rest and names it.
+        Returned, it would fail requests or get work of the wrong size; so it stays cordoned.
         """
 
         async def scenario() -> None:
@@ -264,10 +253,9 @@
         run(scenario)
 
     def test_the_plan_pauses_when_too_many_do_not_come_back(self) -> None:
-        """Story: a bad image keeps every rebooted target from coming back.
+        """A faulty image keeps rebooted targets from coming back; going on would lose them all.
 
-        Going on would take one instance after the other. After two the plan stands still without
-        touching another, and goes on by itself when they answer again.
+        The plan pauses after two failed instances, and resumes when they answer again.
         """
 
         async def scenario() -> None:
@@ -291,10 +279,9 @@
 class CancelTests(unittest.TestCase):
     @parameterized.expand([("at once", 0.0), ("draining", 4.0), ("rebooting", 15.0)])
     def test_a_cancelled_maintenance_is_rolled_back(self, _name: str, at_s: float) -> None:
-        """Story: the operator cancels in the middle of a wave.
+        """An operator cancels during a wave, and no further instance may be rebooted.
 
-        Whatever is out comes back, after its reboot where one is under way; no cordon is left
-        behind and no further instance is touched.
+        Every cordoned instance is returned, after its reboot if that has begun.
         """
 
         async def scenario() -> None:
@@ -313,9 +300,9 @@
         run(scenario)
 
     def test_a_cancelled_move_is_reverted(self) -> None:
-        """Story: a move is cancelled when an instance sits in the new pool, still cordoned.
+        """A move is cancelled while an instance is in the new pool and still cordoned.
 
-        Left there, it would belong to a pool that nobody decided on. It goes back and is returned.
+        It must not remain in that pool: it is moved back and returned.
         """
 
         async def scenario() -> None:
@@ -338,7 +325,7 @@
 
 class MoveAndWindowTests(unittest.TestCase):
     def test_moved_instances_end_active_in_the_new_pool(self) -> None:
-        """Three instances change pools, never more than the budget at once, and take up work."""
+        """Three moved instances are in the new pool and available when the plan is done."""
 
         async def scenario() -> None:
             harness = ConductorHarness(tijera())
@@ -354,10 +341,9 @@
         run(scenario)
 
     def test_no_wave_starts_that_does_not_fit_into_the_window(self) -> None:
-        """Story: a plan is confirmed at noon, salons are open until 20:00.
+        """A plan is confirmed while the salons are open, until 20:00.
 
-        A wave at noon would take chairs from clients. The plan waits for closing time and is
-        through before opening.
+        A wave then would take capacity from clients; the plan waits for the maintenance window.
         """
 
         async def scenario() -> None:
@@ -384,10 +370,9 @@
 
 class OperatorTests(unittest.TestCase):
     def test_a_conflicting_confirmation_names_the_earlier_plan(self) -> None:
-        """Story: two operators take the same rack, one to drain it, one to reboot it.
+        """Two operators propose a drain and a maintenance of one rack; the first confirmed wins.
 
-        Both hold proposals; the first confirmed wins. The other is told which plan, by whom,
-        since when and how long it will take, instead of fighting over the rack.
+        The refusal names the earlier plan, its operator, its time and its expected duration.
         """
 
         async def scenario() -> None:
@@ -410,10 +395,9 @@
         run(scenario)
 
     def test_a_stale_plan_is_refused_with_a_fresh_proposal(self) -> None:
-        """Story: between proposal and confirmation a budget of the pool is cut.
+        """The pool's budget is cut after the proposal, so its waves of two would now exceed it.
 
-        Waves of two would now break the promise. The confirmation is refused and names a fresh
-        proposal; a change to another pool would not have mattered.
+        The confirmation is refused and names a fresh proposal, which can be confirmed.
         """
 
         async def scenario() -> None:
@@ -434,7 +418,7 @@
         run(scenario)
 
     def test_an_unrelated_change_keeps_a_proposal_valid(self) -> None:
-        """A change outside of the plan's pools does not stand in the way of its confirmation."""
+        """A change outside of the plan's pools doesn't block its confirmation, nor a second one."""
 
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
--- a/tests/test_fleet_plans.py
+++ b/tests/test_fleet_plans.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.fleet`: what the log itself refuses around plans."""
+"""Tests of `shallotworks.fleet`: changes around plans that the log refuses."""
 
 import unittest
 from dataclasses import replace
@@ -82,7 +82,7 @@
     def test_the_log_refuses(
         self, _name: str, before: list[Change], change: Change, kind: str
     ) -> None:
-        """Each rule is checked where the change becomes a revision, so it holds everywhere."""
+        """Every rule is checked when a change is applied, so it holds in every process."""
         state = apply_all(fjellsending(), *before)
         self.assertIs(apply(state, change).failure().kind, ErrorKind[kind])
 
@@ -100,11 +100,9 @@
     def test_a_repeated_put_keeps_what_other_changes_set(
         self, _name: str, claimed: dict[str, object]
     ) -> None:
-        """An instance that is described again keeps its pool, its condition and its plan.
+        """A script puts outdated descriptions of instances, one of which is under maintenance.
 
-        Story: a script puts all instances as they were described at noon. One has been moved by a
-        plan since, and is out for maintenance. It would be in two operators' pools at once, or
-        take work in the middle of its reboot.
+        The put must not revert its pool or cordon: it would take work during its reboot.
         """
         down = SetHealth(names=("archive-0",), healthy=False)
         activate = SetCondition(
@@ -120,7 +118,7 @@
 
 class PlanRecordTests(unittest.TestCase):
     def test_an_ended_plan_keeps_no_list_of_instances(self) -> None:
-        """Two hundred ended plans over a large fleet would else outgrow one stored value."""
+        """The lists of instances of 200 ended plans would exceed the size of one stored value."""
         state = apply_all(fjellsending(), CONFIRM, finish(PlanState.DONE))
         self.assertEqual(state.plans["p1"].instances, ())
         self.assertIsInstance(apply(state, replace(CONFIRM, digest="p2")), Success)
@@ -135,7 +133,7 @@
     def test_the_basis_covers_the_preconditions_of_a_plan(
         self, _name: str, change: Change, differs: bool
     ) -> None:
-        """A change within the plan's pools makes another basis, any other change does not."""
+        """A change within the plan's pools changes the basis, other changes do not."""
         state = fjellsending()
         changed = precondition_digest(apply_all(state, change), NAMES) != precondition_digest(
             state, NAMES
@@ -143,7 +141,7 @@
         self.assertEqual(changed, differs)
 
     def test_a_budget_is_part_of_the_basis(self) -> None:
-        """A service's budget may be cut between proposal and confirmation."""
+        """The basis changes if a service's budget is cut between proposal and confirmation."""
         state = fjellsending()
         cut = replace(state.services["archive"], max_unavailable=1)
         self.assertNotEqual(
--- a/tests/test_plan_sessions.py
+++ b/tests/test_plan_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole operator sessions, for both users."""
+"""Golden files of complete operator sessions for two example fleets."""
 
 import asyncio
 import unittest
@@ -25,7 +25,7 @@
 
 
 class Session:
-    """Runs operators' commands on a world and keeps what they would read."""
+    """Runs operators' commands against a harness and collects their output."""
 
     def __init__(self, harness: ConductorHarness) -> None:
         self.harness = harness
@@ -67,7 +67,7 @@
 
 class GoldenSessionTests(unittest.TestCase):
     def test_a_maintenance_night_at_fjellsending(self) -> None:
-        """Narrow waves for a thin budget; a rack asked for too late; one target stays away."""
+        """Narrow waves for a small buffer, a refused confirmation and a target that stays down."""
 
         async def scenario() -> None:
             weights = PlannerWeights(buffer=0.7, roll_out=0.2, moves=0.1)
@@ -88,7 +88,7 @@
         run(scenario)
 
     def test_an_evening_at_tijera_de_plata(self) -> None:
-        """Wide waves between closing and opening; a stale plan, its successor, and a cancel."""
+        """Wide waves in a short window, a stale plan, its fresh proposal, and a cancelled plan."""
 
         async def scenario() -> None:
             weights = PlannerWeights(buffer=0.1, roll_out=0.8, moves=0.1, window_s=8 * 3600)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.plans`: what the planner chooses, and what it refuses."""
+"""Tests of `shallotworks.plans`: choices and refusals of the planner."""
 
 import unittest
 from collections import Counter
@@ -48,7 +48,7 @@
 
 class ChoiceTests(unittest.TestCase):
     def test_weights_decide_between_buffer_and_time(self) -> None:
-        """A thin budget gives narrow waves, a short night gives wide ones."""
+        """A high weight on the buffer gives narrow waves, one on the roll-out time wide ones."""
         low_buffer = make_plan(fjellsending(), MAINTAIN_ALL)
         short_window = make_plan(
             tijera(), MAINTAIN_ALL, Planner(weights=SHORT_WINDOW_WEIGHTS, model=DisruptionModel())
@@ -61,7 +61,7 @@
             self.assertEqual(plan.alternatives[0].verdict, "chosen")
 
     def test_equal_input_gives_an_equal_plan(self) -> None:
-        """The digest depends on the content alone, and survives encoding."""
+        """Equal input gives an equal digest, and a plan is unchanged by encoding and decoding."""
         plan = make_plan(fjellsending(), MAINTAIN_ALL)
         self.assertEqual(make_plan(fjellsending(), MAINTAIN_ALL).digest, plan.digest)
         self.assertEqual(Plan.decode(plan.encode()), plan)
@@ -74,14 +74,14 @@
         self.assertEqual(left.slots_left_if_rack_fails, 16)
 
     def test_failed_targets_take_no_permit(self) -> None:
-        """Two failed instances of a pool and its budget of two go into the first wave together."""
+        """A failed instance is in the first wave, although failures have spent the budget."""
         state = replace_instances(fjellsending(), ("archive-0", "archive-1"), healthy=False)
         plan = make_plan(state, Maintain(selection=InPool(pool="archive")))
         self.assertIn("archive-0", plan.waves[0].instances)
         self.assertIn("waves wait until that is less", plan.notes[0])
 
     def test_an_operators_own_cordon_is_kept(self) -> None:
-        """What is cordoned already is not maintained, since the plan would end the cordon."""
+        """A cordoned instance is not maintained, since the return would remove its cordon."""
         state = replace_instances(fjellsending(), ("archive-0",), condition=Condition.CORDONED)
         plan = make_plan(state, Maintain(selection=InPool(pool="archive")))
         self.assertEqual([entry.instance for entry in plan.skipped], ["archive-0"])
@@ -102,7 +102,7 @@
     def test_an_unsatisfiable_intent_is_refused_with_the_nearest_plan(
         self, _name: str, intent: Intent, expected: str, nearest: str
     ) -> None:
-        """The reason names the service or pool in the way, and a smaller plan is offered."""
+        """The refusal names the limiting service or pool, and a smaller plan is available."""
         state = fjellsending(budget=1)
         failure = PLANNER.plan(state, intent, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.UNSATISFIABLE)
@@ -131,19 +131,19 @@
     def test_an_invalid_intent_is_refused(
         self, _name: str, intent: Intent, kind: ErrorKind
     ) -> None:
-        """Unknown names and moves from the wrong pool are told as such."""
+        """An unknown name, a move from a wrong pool and a move within a pool are refused."""
         self.assertEqual(decode_intent(encode_intent(intent)), intent)
         self.assertIs(PLANNER.plan(fjellsending(), intent, author="kari").failure().kind, kind)
 
     def test_a_drain_blocked_by_failures_is_refused_as_budget_spent(self) -> None:
-        """Where the budget would do but for failed instances, the answer is to come back later."""
+        """A drain within its budget that failed instances block is refused as ``BUDGET_SPENT``."""
         state = replace_instances(fjellsending(), ("archive-0",), healthy=False)
         intent = Drain(selection=Named(names=("archive-1", "archive-2")))
         failure = PLANNER.plan(state, intent, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.BUDGET_SPENT)
 
     def test_a_short_window_offers_the_waves_that_fit(self) -> None:
-        """Half of the waves fit into half of the time; the oldest maintenance goes first."""
+        """A window that is too short for all waves gets a plan for the part that fits."""
         weights = replace(SHORT_WINDOW_WEIGHTS, window_s=700.0)
         planner = Planner(weights=weights, model=DisruptionModel())
         failure = planner.plan(tijera(), MAINTAIN_ALL, author="kari").failure()
@@ -154,7 +154,7 @@
         self.assertLessEqual(nearest.measures.roll_out_s, 700.0)
 
     def test_a_service_without_budget_is_never_disturbed(self) -> None:
-        """A budget of none is said at once; there is no wave that could wait for it."""
+        """A budget of 0 is unsatisfiable: a wave that waited for a permit would wait forever."""
         state = fleet(centres=("bergen",), pools={"spare-parts": 4}, budget=0)
         failure = PLANNER.plan(state, MAINTAIN_ALL, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.UNSATISFIABLE)
@@ -171,7 +171,7 @@
     def test_every_wave_respects_every_budget(
         self, sizes: list[int], budget: int, buffer: float, failed: set[int]
     ) -> None:
-        """Whatever the weights, each instance is in one wave and no wave overspends a budget."""
+        """With any weights, each instance is in one wave and no wave exceeds a budget."""
         pools = {f"p{number}": size for number, size in enumerate(sizes)}
         state = fleet(centres=("x", "y"), pools=pools, budget=budget)
         out = tuple(f"p{number}-0" for number in failed if f"p{number}" in pools)
--- a/tests/test_plans_machine.py
+++ b/tests/test_plans_machine.py
@@ -1,4 +1,4 @@
-"""Random histories of operators, conductors, failures and store faults over the plans."""
+"""Random histories of operators, conductors, instance failures and store faults on plans."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -57,7 +57,7 @@
 OPERATORS = st.sampled_from(("kari", "ola"))
 PLAN_TIMEOUT_S = 600.0
 LEASE_TAKEOVER_S = 5.5
-"""Time in which a paused conductor's lease lapses and is taken by another."""
+"""Time within which a paused conductor's lease expires and another conductor acquires it."""
 POLICY = ConductorPolicy(
     drain_timeout_s=30.0,
     return_timeout_s=30.0,
@@ -68,7 +68,7 @@
 
 
 class PlansMachine(RuleBasedStateMachine):
-    """Two operators, up to three conductors and everything that fails, in any order."""
+    """Two operators, several conductors and injected faults, in random order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -173,11 +173,11 @@
         assert sorted(state.instances) == sorted(NAMES)
         assert sum(len(list(state.instances_of(pool))) for pool in POOLS) == len(NAMES)
         for digest, ended in self.ended.items():
-            assert state.plans[digest].state is ended, "a plan that ended came back"
-        assert self.confirmed <= state.plans.keys(), "a confirmed plan is gone"
+            assert state.plans[digest].state is ended, "an ended plan changed its state"
+        assert self.confirmed <= state.plans.keys(), "a confirmed plan is missing"
 
     def teardown(self) -> None:
-        """Once every fault is mended, each confirmed plan comes to its end."""
+        """After every fault is cleared, each confirmed plan ends."""
         try:
             self.clear_faults()
             for digest in sorted(self.confirmed):
@@ -200,7 +200,7 @@
         self.start_conductor()
 
     def return_leftover_cordons(self) -> None:
-        """Free the budgets that ended drains hold, else a wave rightly waits for them for ever."""
+        """Return cordons of ended drains, which otherwise block the budget of other plans."""
         state = self.state()
         left = tuple(
             name
@@ -211,14 +211,14 @@
         self.wait(self.harness.config.propose(change, author="clear-faults"))
 
     def wait_until_ended(self, digest: str) -> None:
-        """Wait for a plan; two drains may hold each other up, then one of them is cancelled."""
+        """Wait for a plan to end; cancel it if it is blocked, as drains can block each other."""
         try:
             self.wait(self.harness.until_ended(digest, timeout_s=PLAN_TIMEOUT_S))
         except TimeoutError:
             state = self.state()
             pools = {state.instances[name].pool for name in state.plans[digest].instances}
             full = [p for p in pools if state.unavailable_in(p) >= state.budget_of(p)]
-            assert full, f"plan {digest} stands still with budget left"
+            assert full, f"plan {digest} makes no progress although budget is left"
             self.wait(self.harness.plan_registry.cancel(digest, operator="kari"))
             self.wait(self.harness.until_ended(digest, timeout_s=PLAN_TIMEOUT_S))
 
@@ -230,7 +230,7 @@
             assert all(name in outcome for name in left), (left, outcome)
 
     def check_change(self, before: FleetState, change: Change, after: FleetState) -> None:
-        """Check one accepted change; a violation is told by the next invariant."""
+        """Check one accepted change; the next check of the invariants reports a violation."""
         match change:
             case ConfirmPlan():
                 self.confirmed.add(change.digest)
@@ -260,7 +260,7 @@
             self.expect(grew, f"maintenance forgotten: {name}")
 
     def watch_reboots(self) -> None:
-        """Check each reboot: confirmed, cordoned by that plan, and with nothing in flight."""
+        """Check that each reboot is confirmed, cordoned by its plan and without work in flight."""
         targets = self.harness.targets
         real_reboot = targets.reboot
 
