--- a/src/shallotworks/plans/_planner.py
+++ b/src/shallotworks/plans/_planner.py
@@ -25,7 +25,7 @@
     Wave,
     with_digest,
 )
-from ._strategies import Limits, Waves, fill_waves, limits_of, widths_for
+from ._strategies import WaveLimits, Waves, fill_waves, limits_of, widths_for
 from ._supply import PoolSupply, Supply, index_supply
 from ._targets import Targets, actions_of, resolve_targets
 
@@ -160,7 +160,7 @@
     ) -> list[_Candidate]:
         limits = limits_of(targets.instances, supply=supply, are_returned=Action.RETURN in actions)
         if Action.CORDON not in actions:
-            limits = Limits(
+            limits = WaveLimits(
                 permits=dict.fromkeys(limits.permits, len(targets.instances)), present={}
             )
         count = len(targets.instances)
--- a/src/shallotworks/plans/_strategies.py
+++ b/src/shallotworks/plans/_strategies.py
@@ -18,13 +18,13 @@
 from ._records import Strategy
 from ._supply import RackKey, Supply
 
-__all__ = ["Limits", "Waves", "fill_waves", "limits_of", "widths_for"]
+__all__ = ["WaveLimits", "Waves", "fill_waves", "limits_of", "widths_for"]
 
 Waves = list[list[Instance]]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Limits:
+class WaveLimits:
     """Limits on the instances of one wave.
 
     Args:
@@ -39,7 +39,7 @@
 
 
 def fill_waves(
-    strategy: Strategy, targets: Iterable[Instance], *, limits: Limits, width: int
+    strategy: Strategy, targets: Iterable[Instance], *, limits: WaveLimits, width: int
 ) -> Waves:
     """Put every target into exactly one wave.
 
@@ -61,7 +61,7 @@
             return _packed(ordered, limits, width=width)
 
 
-def limits_of(targets: Iterable[Instance], *, supply: Supply, are_returned: bool) -> Limits:
+def limits_of(targets: Iterable[Instance], *, supply: Supply, are_returned: bool) -> WaveLimits:
     """Return the limits of a wave over some targets.
 
     Failed targets take no permit. A pool whose budget is spent still gets one permit; the wave that
@@ -77,7 +77,7 @@
     if are_returned:
         members = (entry for pool in pools for entry in supply.pools[pool].members)
         present.update((e.pool, e.data_centre) for e in members if e.available)
-    return Limits(
+    return WaveLimits(
         permits={pool: max(1, supply.pools[pool].free) for pool in pools}, present=present
     )
 
@@ -115,7 +115,7 @@
     return [wave for key in sorted(racks) for wave in _first_fit(racks[key], permits)]
 
 
-def _packed(targets: Iterable[Instance], limits: Limits, *, width: int) -> Waves:
+def _packed(targets: Iterable[Instance], limits: WaveLimits, *, width: int) -> Waves:
     """Pack waves of at most ``width`` instances, one instance at a time.
 
     Pools that would otherwise need a further wave come first. After them a wave takes one instance
@@ -132,7 +132,9 @@
     return waves
 
 
-def _next_wave(waiting: dict[str, list[Instance]], limits: Limits, *, width: int) -> list[Instance]:
+def _next_wave(
+    waiting: dict[str, list[Instance]], limits: WaveLimits, *, width: int
+) -> list[Instance]:
     wave: list[Instance] = []
     racks: set[RackKey] = set()
     used: dict[str, Counter[str]] = {pool: Counter() for pool in waiting}
@@ -159,7 +161,7 @@
 
 
 def _required_per_pool(
-    waiting: Mapping[str, list[Instance]], limits: Limits, *, width: int
+    waiting: Mapping[str, list[Instance]], limits: WaveLimits, *, width: int
 ) -> dict[str, int]:
     """Return the number of instances of each pool that this wave must take.
 
@@ -174,7 +176,7 @@
 
 
 def _take_instance(
-    entries: list[Instance], limits: Limits, *, used: Counter[str], racks: set[RackKey]
+    entries: list[Instance], limits: WaveLimits, *, used: Counter[str], racks: set[RackKey]
 ) -> Instance | None:
     """Remove and return the next instance of a pool for a wave, or ``None`` if none fits.
 
@@ -191,10 +193,10 @@
 
     def sort_key(entry: Instance) -> tuple[bool, int, bool, int, RackKey, str]:
         rack = _rack(entry)
-        most_remaining = -remaining[entry.data_centre]
+        centre_rank = -remaining[entry.data_centre]
         return (
             entry.available,
-            most_remaining,
+            centre_rank,
             rack not in racks,
             -rack_sizes[rack],
             rack,
@@ -208,7 +210,7 @@
     return taken
 
 
-def _has_room(entry: Instance, used: Counter[str], limits: Limits) -> bool:
+def _has_room(entry: Instance, used: Counter[str], limits: WaveLimits) -> bool:
     if not entry.available:
         return True
     present = limits.present.get((entry.pool, entry.data_centre), 0)
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -51,7 +51,7 @@
         run(scenario)
 
     def test_a_conductor_paused_past_its_lease_is_fenced(self) -> None:
-        """A conductor that is paused past its lease writes again after another took over.
+        """A conductor paused past its lease, clock included, writes again after another took over.
 
         Its outdated fencing token is refused by the log, so only the new conductor acts.
         """
@@ -80,7 +80,7 @@
 
 class StoreFaultTests(unittest.TestCase):
     def test_nothing_is_cordoned_while_the_store_is_down(self) -> None:
-        """While the store is down for ten minutes, no further instance is cordoned.
+        """The store is down for ten minutes, so no permit can be taken for a further cordon.
 
         Cordoned instances finish their reboot; when the store is back, the plan completes.
         """
@@ -227,7 +227,7 @@
     ) -> None:
         """After the reboot a target never answers, or another machine answers under its name.
 
-        Returned, it would fail requests or get work of the wrong size; so it stays cordoned.
+        It stays cordoned, as it would fail requests or get work of the wrong size; others go on.
         """
 
         async def scenario() -> None:
--- a/tests/test_fleet_plans.py
+++ b/tests/test_fleet_plans.py
@@ -100,9 +100,9 @@
     def test_a_repeated_put_keeps_what_other_changes_set(
         self, _name: str, claimed: dict[str, object]
     ) -> None:
-        """A script puts outdated descriptions of instances, one of which is under maintenance.
+        """A script puts an outdated description of an instance that a plan moved and maintains.
 
-        The put must not revert its pool or cordon: it would take work during its reboot.
+        Reverted, it would be in two operators' pools at once or take work during its reboot.
         """
         down = SetHealth(names=("archive-0",), healthy=False)
         activate = SetCondition(
