--- a/src/shallotworks/fleet/_apply.py
+++ b/src/shallotworks/fleet/_apply.py
@@ -98,7 +98,7 @@
     if not 0 <= service.share <= 1 or service.max_unavailable < 0:
         return _refuse(
             ErrorKind.INVALID_REQUEST,
-            "a share must be from 0 to 1 and a budget must not be negative",
+            "a share is 0 to 1, a budget is not negative",
         )
     others = (entry for entry in state.services_of(service.pool) if entry.name != service.name)
     if sum(entry.share for entry in others) + service.share > 1 + SHARE_TOLERANCE:
@@ -116,7 +116,7 @@
 
 def _put_team(state: FleetState, change: PutTeam) -> _ApplyResult:
     if change.team.quota_slots < 0:
-        return _refuse(ErrorKind.INVALID_REQUEST, "a quota must not be negative")
+        return _refuse(ErrorKind.INVALID_REQUEST, "a quota is not negative")
     return Success(replace(state, teams=_put_entry(state.teams, change.team.name, change.team)))
 
 
@@ -133,7 +133,7 @@
     if entry.data_centre not in state.data_centres:
         return _refuse(ErrorKind.NOT_FOUND, f"no data centre {entry.data_centre}")
     if entry.slots < 1:
-        return _refuse(ErrorKind.INVALID_REQUEST, "an instance must have at least one slot")
+        return _refuse(ErrorKind.INVALID_REQUEST, "an instance has at least one slot")
     present = state.instances.get(entry.name)
     if present is not None:
         entry = replace(
@@ -332,7 +332,7 @@
     if token < plan.fencing_token:
         return _refuse(
             ErrorKind.LEASE_LOST,
-            f"token {token} of plan {_short_digest(digest)} is lower than the current one",
+            f"token {token} of plan {_short_digest(digest)} is older than the one in force",
         )
     plan = replace(plan, fencing_token=token)
     return Success(replace(state, plans=_put_entry(state.plans, digest, plan)))
--- a/src/shallotworks/jobs/_spec.py
+++ b/src/shallotworks/jobs/_spec.py
@@ -167,26 +167,26 @@
     if len(job.spec.encode()) > MAX_SPEC_BYTES:
         yield f"the spec is longer than {MAX_SPEC_BYTES} bytes"
     if not job.steps:
-        yield "the job has no step"
+        yield "a job needs a step"
     if sum(step.count for step in job.steps) > MAX_TASKS:
-        yield f"the job has more than {MAX_TASKS} tasks"
+        yield f"a job has at most {MAX_TASKS} tasks"
     for number, step in enumerate(job.steps):
         yield from (f"step {number}: {problem}" for problem in _step_problems(number, step))
     repeats = job.repeats
     if repeats is not None and not (
         0 < repeats.count <= MAX_OCCURRENCES and repeats.interval_s >= 0 and repeats.first_s >= 0
     ):
-        yield "the count, interval or start of its repetition is out of range"
+        yield "its repetition is out of range"
 
 
 def _step_problems(number: int, step: Step) -> Iterator[str]:
     if step.count < 1:
-        yield "it has no task"
+        yield "it needs a task"
     if any(earlier >= number or earlier < 0 for earlier in step.after):
-        yield "it may depend only on earlier steps"
+        yield "it may only come after earlier steps"
     if not 0 <= step.cpu_millicores <= MAX_CPU_MILLICORES:
-        yield "its processor request is out of range"
+        yield "its processor need is out of range"
     if not 0 <= step.memory_mb <= MAX_MEMORY_MB:
-        yield "its memory request is out of range"
+        yield "its memory need is out of range"
     if min(step.gpus, step.estimated_s, step.most_per_worker, step.target_s, step.may_miss) < 0:
-        yield "its accelerators, duration, tasks per worker, target or budget is negative"
+        yield "a figure is negative"
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -288,9 +288,7 @@
             return
         if self._record().state is PlanState.CANCELLING:
             raise ShallotworksError(
-                Failure(
-                    kind=ErrorKind.CANCELLED, reason="the plan was cancelled during its last step"
-                )
+                Failure(kind=ErrorKind.CANCELLED, reason="cancelled at its last step")
             )
 
     async def _wait_for_next_state(self) -> None:
--- a/src/shallotworks/plans/_registry.py
+++ b/src/shallotworks/plans/_registry.py
@@ -256,7 +256,7 @@
         if not isinstance(created, Success):
             failure = created.failure()
             if failure.kind is ErrorKind.OUTCOME_UNKNOWN:
-                reason = "the plan may not have been stored; repeat the request"
+                reason = "the plan may not be stored; repeat"
                 return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason))
             if failure.kind is not ErrorKind.CONFLICT:
                 return Err(failure)
--- a/src/shallotworks/plans/_writer.py
+++ b/src/shallotworks/plans/_writer.py
@@ -100,7 +100,7 @@
             raise ShallotworksError(
                 Failure(
                     kind=ErrorKind.LEASE_LOST,
-                    reason=f"the lease of plan {self._digest} has expired",
+                    reason=f"the duty of plan {self._digest} lapsed",
                 )
             )
 
--- a/src/shallotworks/workers/_http_control.py
+++ b/src/shallotworks/workers/_http_control.py
@@ -154,7 +154,7 @@
             return _fail(ErrorKind.UNREACHABLE, f"{instance.name}: {type(error).__name__}")
         if answer.status == HTTP_CONFLICT:
             return _fail(
-                ErrorKind.CONFLICT, f"{instance.name} refused {method} {CONTROL_PREFIX}{path}"
+                ErrorKind.CONFLICT, f"{instance.name} refuses {method} {CONTROL_PREFIX}{path}"
             )
         if answer.status >= FIRST_HTTP_ERROR_STATUS:
             return _fail(ErrorKind.TARGET_FAILED, f"{instance.name}: HTTP {answer.status}")
@@ -165,9 +165,7 @@
     try:
         return Success(adapter.validate_json(data))
     except ValidationError:
-        return _fail(
-            ErrorKind.TARGET_FAILED, f"{instance.name}: the response is not the expected JSON"
-        )
+        return _fail(ErrorKind.TARGET_FAILED, f"{instance.name}: not the expected JSON")
 
 
 def _fail(kind: ErrorKind, reason: str) -> Result[Any, Failure]:
