--- a/src/shallotworks/node/_backend.py
+++ b/src/shallotworks/node/_backend.py
@@ -23,7 +23,7 @@
 
 __all__ = ["NodeBackend", "BackendDependencies"]
 
-_STATES = {
+_PEER_STATES = {
     MemberState.ALIVE: PeerState.UP,
     MemberState.SUSPECT: PeerState.SUSPECT,
     MemberState.GONE: PeerState.DOWN,
@@ -77,7 +77,7 @@
         own = dependencies.settings.instance
         revisions = dependencies.peers.linked_revisions()
         age_s = dependencies.config.age_s()
-        fault = dependencies.config.fault()
+        config_fault = dependencies.config.fault()
         return StatusView(
             process=own.name,
             version=__version__,
@@ -88,7 +88,7 @@
             revision=dependencies.config.revision(),
             config_age_s=age_s if math.isfinite(age_s) else None,
             store_up=dependencies.is_store_up(),
-            store_fault=fault.reason if fault is not None else "",
+            store_fault=config_fault.reason if config_fault is not None else "",
             requests_queued=dependencies.dispatcher.waiting,
             requests_in_flight=dependencies.dispatcher.in_flight,
             duties=dependencies.duties(),
@@ -162,7 +162,7 @@
         name=record.name,
         address=record.address,
         data_centre=record.data_centre,
-        state=_STATES[member.state],
+        state=_PEER_STATES[member.state],
         revision=revisions.get(record.name, 0),
         silent_s=member.silent_for_s,
     )
--- a/src/shallotworks/node/_instance_list_watcher.py
+++ b/src/shallotworks/node/_instance_list_watcher.py
@@ -15,9 +15,9 @@
 
 __all__ = ["InstanceListWatcher"]
 
-POLL_S = 1.0
+LIST_READ_INTERVAL_S = 1.0
 """Pause between two reads of the list where one process reads it."""
-IDLE_S = 0.5
+NOT_READING_POLL_S = 0.5
 """Pause before a process that does not read asks again whether it should."""
 
 
@@ -37,9 +37,9 @@
         view: The configuration in force.
         log: Where changes go.
         dispatcher: Told which instances are away, before the change is in force.
-        reads: Whether this process reads the list.
-        readers: How many processes of the data centre read it now; each reads that much less often,
-            so that an outage of the store does not multiply the calls to the list.
+        should_read: Whether this process reads the list.
+        reader_count: How many processes of the data centre read it now; each reads that much
+            less often, so that an outage of the store does not multiply the calls to the list.
         metrics: Counters.
         author: Name of this process, for the history.
     """
@@ -48,12 +48,12 @@
         "_author",
         "_data_centre",
         "_dispatcher",
+        "_ever_listed",
         "_instances",
         "_log",
         "_metrics",
-        "_readers",
-        "_reads",
-        "_seen",
+        "_reader_count",
+        "_should_read",
         "_view",
     )
 
@@ -65,8 +65,8 @@
         view: ConfigView,
         log: ConfigLog,
         dispatcher: PoolDispatcher,
-        reads: Callable[[], bool],
-        readers: Callable[[], int],
+        should_read: Callable[[], bool],
+        reader_count: Callable[[], int],
         metrics: Metrics,
         author: str,
     ) -> None:
@@ -75,52 +75,53 @@
         self._view = view
         self._log = log
         self._dispatcher = dispatcher
-        self._reads = reads
-        self._readers = readers
+        self._should_read = should_read
+        self._reader_count = reader_count
         self._metrics = metrics
         self._author = author
-        self._seen: frozenset[str] = frozenset()
+        self._ever_listed: frozenset[str] = frozenset()
 
     async def run(self) -> None:
         """Read and act until cancelled."""
         while True:
-            if not self._reads():
-                await asyncio.sleep(IDLE_S)
+            if not self._should_read():
+                await asyncio.sleep(NOT_READING_POLL_S)
                 continue
             listed = await self._instances.read()
             if isinstance(listed, Success):
-                await self._act_on(listed.unwrap())
+                await self._apply_list(listed.unwrap())
             else:
                 self._metrics.count("instance-list.unread")
-            await asyncio.sleep(POLL_S * max(1, self._readers()))
+            await asyncio.sleep(LIST_READ_INTERVAL_S * max(1, self._reader_count()))
 
-    async def _act_on(self, listed: tuple[ListedInstance, ...]) -> None:
+    async def _apply_list(self, listed: tuple[ListedInstance, ...]) -> None:
         present = frozenset(entry.name for entry in listed)
         leaving = frozenset(entry.name for entry in listed if entry.leaving)
         # Gone is only what was there before: the list lags, and a new instance is not in it yet.
-        away = leaving | (self._seen - present)
-        self._seen |= present
-        self._dispatcher.set_leaving(away)
-        own = [
+        unavailable = leaving | (self._ever_listed - present)
+        self._ever_listed |= present
+        self._dispatcher.set_leaving(unavailable)
+        own_instances = [
             entry
             for entry in self._view.state().instances.values()
             if entry.data_centre == self._data_centre
         ]
         await self._set_health(
-            (entry.name for entry in own if entry.healthy and entry.name in away), healthy=False
+            (entry.name for entry in own_instances if entry.healthy and entry.name in unavailable),
+            healthy=False,
         )
-        back = present - leaving
+        returned = present - leaving
         await self._set_health(
-            (entry.name for entry in own if not entry.healthy and entry.name in back),
+            (entry.name for entry in own_instances if not entry.healthy and entry.name in returned),
             healthy=True,
         )
 
     async def _set_health(self, names: Iterable[str], *, healthy: bool) -> None:
-        changed = tuple(names)
-        if not changed:
+        changed_names = tuple(names)
+        if not changed_names:
             return
-        outcome = await self._log.propose(
-            SetHealth(names=changed, healthy=healthy), author=self._author
+        proposed = await self._log.propose(
+            SetHealth(names=changed_names, healthy=healthy), author=self._author
         )
-        told = "told" if isinstance(outcome, Success) else "not-told"
-        self._metrics.count(f"instance-list.{told}")
+        result_label = "told" if isinstance(proposed, Success) else "not-told"
+        self._metrics.count(f"instance-list.{result_label}")
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -43,16 +43,16 @@
 
 __all__ = ["Node"]
 
-LOAD_RETRY_S = 0.5
+CONFIG_LOAD_RETRY_S = 0.5
 """Pause between two tries to get a first configuration."""
-PEERS_FIRST_S = 1.0
+PEER_CONFIG_WAIT_S = 1.0
 """Time that peers have at a start to hand over what they hold, before the store is read."""
-STALE_CONFIG_S = 15.0
+STALE_CONFIG_AGE_S = 15.0
 """Age of the configuration from which this process reads the list of instances for itself."""
 IN_FLIGHT_POLL_S = 0.05
-RECORDS_S = 3.0
+FLUSH_RECORDS_TIMEOUT_S = 3.0
 """Time that a stop spends on records of answers which a slow store has not taken yet."""
-PRUNE_EVERY_S = 6 * 3_600.0
+PRUNE_PROPOSALS_EVERY_S = 6 * 3_600.0
 STOP_NOTICE_S = 1.0
 """Time in which a stopping instance still answers: 503, not run, and closes the connection."""
 
@@ -78,7 +78,7 @@
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._stopping = False
-        self._duties: set[str] = set()
+        self._held_leases: set[str] = set()
         self._build_platform()
         self._build_peers()
         self._process = _process_name(self.peers.own_record)
@@ -111,16 +111,16 @@
         self._spawn(self.config.run_watch(should_watch=self.peers.should_watch))
         self._spawn(self._idempotency_guard.run())
         self._spawn(self._conductor.run())
-        self._spawn(self._leaving.run())
+        self._spawn(self._instance_list_watcher.run())
         self._spawn(self._prune_proposals())
         await asyncio.to_thread(self._callers.start)
-        self._record(EventKind.STARTED, f"callers at port {self.callers_port}")
+        self._record_event(EventKind.STARTED, f"callers at port {self.callers_port}")
         logging.info("%s serves callers at port %d", self._process, self.callers_port)
 
     async def stop(self) -> None:
         """Stop gracefully: no new work, what is in flight is answered, leases are given back."""
         self._stopping = True
-        self._record(EventKind.STOPPING, "")
+        self._record_event(EventKind.STOPPING, "")
         self.relay.refuse_new()
         self._dispatcher.stop_admitting()
         self._dispatcher.refuse_waiting()
@@ -129,7 +129,7 @@
         await asyncio.sleep(STOP_NOTICE_S)
         await self._wait_until_idle()
         await asyncio.to_thread(self._callers.stop)
-        await self.relay.flush_records(timeout_s=RECORDS_S)
+        await self.relay.flush_records(timeout_s=FLUSH_RECORDS_TIMEOUT_S)
         await asyncio.to_thread(self._operators.stop)
         for task in self._tasks:
             task.cancel()
@@ -165,7 +165,7 @@
             wall_clock_s=time.time,
             rng=random.Random(secrets.randbits(128)),
         )
-        self.config.subscribe(self._note_condition)
+        self.config.subscribe(self._record_condition_change)
 
     def _build_peers(self) -> None:
         own, peers = self._settings.instance, self._settings.peers
@@ -223,25 +223,26 @@
             timeline=self.timeline,
             long_running_limit=_limits.long_running_limit(self._settings),
         )
-        reading = _limits.request_limits(self._settings)
+        caller_limits = _limits.request_limits(self._settings)
         callers = self._settings.callers
         self._callers = Listener(
             host=callers.host,
             port=callers.port,
-            application=CallersApplication(loop=self._loop, relay=self.relay, limits=reading),
+            application=CallersApplication(loop=self._loop, relay=self.relay, limits=caller_limits),
             threads=callers.threads,
             body_limit_bytes=2 * callers.body_limit_bytes,
             receive_timeout_s=callers.header_timeout_s,
             stop_timeout_s=self._settings.log.stop_timeout_s,
         )
-        self._leaving = InstanceListWatcher(
+        self._instance_list_watcher = InstanceListWatcher(
             data_centre=self._settings.instance.data_centre,
             instances=self._instances,
             view=self.config,
             log=self.config,
             dispatcher=self._dispatcher,
-            readers=lambda: 1 if self.peers.should_watch() else len(self.peers.live_entries()),
-            reads=lambda: self.peers.should_watch() or self.config.age_s() > STALE_CONFIG_S,
+            reader_count=lambda: 1 if self.peers.should_watch() else len(self.peers.live_entries()),
+            should_read=lambda: self.peers.should_watch()
+            or self.config.age_s() > STALE_CONFIG_AGE_S,
             metrics=self.metrics,
             author=self._process,
         )
@@ -262,7 +263,7 @@
         )
         self._conductor = Conductor(
             name=self._process,
-            plan_leases=self._duty,
+            plan_leases=self._make_plan_lease,
             log=self.config,
             store=self._store,
             dependencies=ConductorDependencies(
@@ -286,7 +287,7 @@
             metrics=self.metrics,
             is_store_up=lambda: self._store.is_up,
             is_stopping=lambda: self._stopping,
-            duties=lambda: tuple(sorted(self._duties)),
+            duties=lambda: tuple(sorted(self._held_leases)),
             started_at_s=self._loop.time(),
         )
         self._operators = OperatorsServer(
@@ -307,12 +308,12 @@
     async def _load_configuration(self) -> None:
         """Take the configuration from peers or from the store, whichever has it."""
         if self._settings.peers.seeds:
-            await asyncio.sleep(PEERS_FIRST_S)
+            await asyncio.sleep(PEER_CONFIG_WAIT_S)
         while True:
             loaded = await self.config.load()
             if isinstance(loaded, Success) or self.config.revision() > 0:
                 return
-            await asyncio.sleep(LOAD_RETRY_S)
+            await asyncio.sleep(CONFIG_LOAD_RETRY_S)
 
     async def _wait_until_idle(self) -> None:
         ends_at_s = self._loop.time() + self._settings.log.stop_timeout_s
@@ -322,11 +323,11 @@
     async def _prune_proposals(self) -> None:
         """Delete old proposals now and then; one of the few that watch is enough."""
         while True:
-            await asyncio.sleep(PRUNE_EVERY_S * self._rng.uniform(0.5, 1.0))
+            await asyncio.sleep(PRUNE_PROPOSALS_EVERY_S * self._rng.uniform(0.5, 1.0))
             if self.peers.should_watch():
                 await self._plan_registry.prune()
 
-    def _duty(self, digest: str) -> StorePlanLease:
+    def _make_plan_lease(self, digest: str) -> StorePlanLease:
         candidate = LeaseCandidate(
             store=self._store,
             duty=f"plan/{digest}",
@@ -340,7 +341,7 @@
             candidate=candidate,
             is_eligible=self.peers.should_watch,
             pause_factor=lambda: self._pause_factor(digest),
-            held=self._duties,
+            held=self._held_leases,
         )
 
     def _entry_rank(self) -> int:
@@ -349,7 +350,7 @@
         own = self._settings.instance.name
         return names.index(own) if own in names else 0
 
-    def _note_condition(self, entry: Entry) -> None:
+    def _record_condition_change(self, entry: Entry) -> None:
         """Record from when on this process gives instances no new work, or gives it again."""
         change = entry.change
         if not isinstance(change, SetCondition):
@@ -367,9 +368,9 @@
         With 22 data centres whose watchers all stood alike, each open plan would cost the store 14
         reads a second; ranked they cost as much as about eight candidates.
         """
-        places = self.config.state().data_centres
+        data_centres = self.config.state().data_centres
         own = self._settings.instance.data_centre
-        return 1.0 + rank_among(places, own, duty=f"plan/{digest}")
+        return 1.0 + rank_among(data_centres, own, duty=f"plan/{digest}")
 
     def _is_live(self, process: str) -> bool:
         """Say whether a process is known to run; one that is not known may still run."""
@@ -379,10 +380,10 @@
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        task.add_done_callback(_report_end)
+        task.add_done_callback(_log_failure)
         self._tasks.append(task)
 
-    def _record(self, kind: EventKind, detail: str) -> None:
+    def _record_event(self, kind: EventKind, detail: str) -> None:
         self.timeline.record(kind, subject=Subject(), detail=detail)
 
 
@@ -397,6 +398,6 @@
     return ShallotworksError(failure)
 
 
-def _report_end(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
         logging.error("a part of the instance has ended: %r", task.exception())
--- a/src/shallotworks/node/_plan_lease.py
+++ b/src/shallotworks/node/_plan_lease.py
@@ -21,7 +21,7 @@
         held: Names of the duties held by this process, for operators.
     """
 
-    __slots__ = ("_candidate", "_held", "_is_eligible", "_pause_factor", "_standing")
+    __slots__ = ("_candidacy", "_candidate", "_held", "_is_eligible", "_pause_factor")
 
     def __init__(
         self,
@@ -35,15 +35,15 @@
         self._candidate = candidate
         self._is_eligible = is_eligible
         self._held = held
-        self._standing: asyncio.Task[None] | None = None
+        self._candidacy: asyncio.Task[None] | None = None
 
     async def acquire(self) -> int:
         """Wait until it is held; returns its fencing token."""
-        if self._standing is None:
+        if self._candidacy is None:
             work = self._candidate.run(
                 is_eligible=self._is_eligible, pause_factor=self._pause_factor
             )
-            self._standing = asyncio.create_task(work)
+            self._candidacy = asyncio.create_task(work)
         lease_record = await self._candidate.wait_until_held()
         self._held.add(self._candidate.duty)
         return lease_record.fencing_token
@@ -55,9 +55,9 @@
     async def release(self) -> None:
         """Give it up, where it is held."""
         self._held.discard(self._candidate.duty)
-        if self._standing is None:
+        if self._candidacy is None:
             return
-        self._standing.cancel()
+        self._candidacy.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await self._standing
-        self._standing = None
+            await self._candidacy
+        self._candidacy = None
--- a/src/shallotworks/node/_serve.py
+++ b/src/shallotworks/node/_serve.py
@@ -35,18 +35,18 @@
 
 
 async def _run(settings: Settings) -> None:
-    stop = asyncio.Event()
+    stop_event = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_event.set)
     node = Node(settings=settings)
-    starting = asyncio.create_task(node.start())
-    stopped = asyncio.create_task(stop.wait())
+    start_task = asyncio.create_task(node.start())
+    stop_requested = asyncio.create_task(stop_event.wait())
     try:
-        await asyncio.wait((starting, stopped), return_when=asyncio.FIRST_COMPLETED)
-        if starting.done():
-            starting.result()
-            await stopped
+        await asyncio.wait((start_task, stop_requested), return_when=asyncio.FIRST_COMPLETED)
+        if start_task.done():
+            start_task.result()
+            await stop_requested
     finally:
-        starting.cancel()
+        start_task.cancel()
         await node.stop()
--- a/src/shallotworks/peers/__init__.py
+++ b/src/shallotworks/peers/__init__.py
@@ -7,9 +7,9 @@
 store, linking data centres) may be held twice for a while, which costs only messages.
 """
 
-from ._duties import rank_among
 from ._members import Member, MemberState
 from ._network import PeerNetwork
+from ._rendezvous import rank_among
 from ._settings import PeerSettings, PeerTiming
 from ._status import PeerStatus
 from ._transport import Listener, TcpTransport, Transport
--- a/src/shallotworks/peers/_dialler.py
+++ b/src/shallotworks/peers/_dialler.py
@@ -16,22 +16,22 @@
 
 __all__ = ["Dialler"]
 
-EXPLORED_AT_ONCE = 4
+MAX_CONCURRENT_EXPLORATIONS = 4
 EXPLORE_BACKOFF_CAP_S = 8.0
-YIELD_S = 0.3
+LARGER_NAME_DIAL_DELAY_S = 0.3
 """Head start of the member whose name sorts first, so that two seldom dial each other at once."""
-LASTING_LINK_S = 5.0
+BACKOFF_RESET_AFTER_S = 5.0
 """A connection that lasted this long resets the backoff."""
-MOST_DOUBLINGS = 8
-GUIDE_WAIT_S = 1.0
-GUIDE_WAIT_CAP_S = 60.0
+MAX_BACKOFF_DOUBLINGS = 8
+RELAY_QUERY_BASE_WAIT_S = 1.0
+RELAY_QUERY_WAIT_CAP_S = 60.0
 """Waits between two questions to a data centre for its relays; the first doubles up to the cap."""
 
 
 @dataclass(slots=True, kw_only=True)
-class _Guide:
-    ask_at_s: float = 0.0
-    wait_s: float = GUIDE_WAIT_S
+class _RelayQuery:
+    due_at_s: float = 0.0
+    wait_s: float = RELAY_QUERY_BASE_WAIT_S
 
 
 class Dialler:
@@ -54,9 +54,9 @@
         "_explored_until_s",
         "_exploring",
         "_failures",
-        "_guides",
         "_links",
         "_random",
+        "_relay_queries",
         "_seeds",
         "_table",
         "_tasks",
@@ -84,16 +84,16 @@
         self._exploring: dict[str, asyncio.Task[None]] = {}
         self._explored_until_s: dict[str, float] = {}
         self._failures: dict[str, int] = {}
-        self._guides: dict[str, _Guide] = {}
+        self._relay_queries: dict[str, _RelayQuery] = {}
         self._explore_at_s = float("-inf")
 
     def set_candidates(self, addresses: tuple[str, ...]) -> None:
         """Replace the addresses from the platform's list of instances."""
         self._candidates = addresses
         known = {*addresses, *self._seeds}
-        for kept in (self._explored_until_s, self._failures):
-            for address in set(kept) - known:
-                del kept[address]
+        for by_address in (self._explored_until_s, self._failures):
+            for address in set(by_address) - known:
+                del by_address[address]
 
     def is_wanted(self, record: MemberRecord) -> bool:
         """Say whether a connection to a peer is of use.
@@ -105,21 +105,21 @@
             return True
         return own.relay_slot != NO_RELAY_SLOT and own.relay_slot == record.relay_slot
 
-    def has_tried_all(self) -> bool:
+    def has_dialled_all_unknown(self) -> bool:
         """Say whether each address to explore has been dialled at least once."""
         return all(address in self._explored_until_s for address in self._unknown_addresses())
 
-    def step(self) -> None:
+    def reconcile(self) -> None:
         """Start and end tasks so that they match what is known now."""
-        wanted = {record.name for record in self._table.records() if self._lacks_link(record)}
+        wanted = {record.name for record in self._table.records() if self._needs_link(record)}
         for name in [name for name in self._tasks if name not in wanted]:
             if self._links.get(name) is None:
                 self._tasks.pop(name).cancel()
         for name in wanted - set(self._tasks):
-            task = asyncio.create_task(self._keep_dialling(name))
+            task = asyncio.create_task(self._redial_until_linked(name))
             self._tasks[name] = task
             task.add_done_callback(partial(self._end_task, name))
-        self._ask_guides()
+        self._query_relays()
         self._explore()
 
     async def stop(self) -> None:
@@ -129,39 +129,39 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _lacks_link(self, record: MemberRecord) -> bool:
+    def _needs_link(self, record: MemberRecord) -> bool:
         if not self.is_wanted(record) or self._links.get(record.name) is not None:
             return False
-        near = record.data_centre == self._table.own.data_centre
-        return near or record.data_centre not in self._linked_data_centres()
+        same_data_centre = record.data_centre == self._table.own.data_centre
+        return same_data_centre or record.data_centre not in self._linked_data_centres()
 
     def _linked_data_centres(self) -> set[str]:
         """Return the data centres whose relay of this process's slot it is connected to."""
         slot = self._table.own.relay_slot
         return {link.peer.data_centre for link in self._links if link.peer.relay_slot == slot}
 
-    async def _keep_dialling(self, name: str) -> None:
+    async def _redial_until_linked(self, name: str) -> None:
         failures = 0
         if name < self._table.own.name:
-            await asyncio.sleep(YIELD_S)
+            await asyncio.sleep(LARGER_NAME_DIAL_DELAY_S)
         while True:
             record = self._table.get(name)
-            if record is None or not self._lacks_link(record):
+            if record is None or not self._needs_link(record):
                 return
             started_s = _now_s()
             serving = await self._dial(record.address)
             if serving is not None:
                 await serving
-            failures = 0 if _now_s() - started_s >= LASTING_LINK_S else failures + 1
+            failures = 0 if _now_s() - started_s >= BACKOFF_RESET_AFTER_S else failures + 1
             wait_s = self._backoff_s(failures, cap_s=self._timing.backoff_cap_s)
             await asyncio.sleep(wait_s)
 
     def _backoff_s(self, failures: int, *, cap_s: float) -> float:
         """Return a wait with full jitter, so that those who lost a peer together spread out."""
-        doubled_s = self._timing.backoff_base_s * 2.0 ** min(failures, MOST_DOUBLINGS)
+        doubled_s = self._timing.backoff_base_s * 2.0 ** min(failures, MAX_BACKOFF_DOUBLINGS)
         return self._random.uniform(0.0, min(doubled_s, cap_s))
 
-    def _ask_guides(self) -> None:
+    def _query_relays(self) -> None:
         """Ask any member of a data centre that is not linked who its relays are.
 
         The failure: the relays known there were replaced while it was cut off, or none was chosen
@@ -171,15 +171,15 @@
         own = self._table.own
         if own.relay_slot == NO_RELAY_SLOT:
             return
-        lacking = {record.data_centre for record in self._table.records()}
-        lacking -= {own.data_centre, *self._linked_data_centres()}
-        for data_centre in set(self._guides) - lacking:
-            del self._guides[data_centre]
-        for data_centre in sorted(lacking):
-            guide = self._guides.setdefault(data_centre, _Guide())
-            if guide.ask_at_s <= _now_s():
-                guide.ask_at_s = _now_s() + self._random.uniform(0.5, 1.0) * guide.wait_s
-                guide.wait_s = min(2 * guide.wait_s, GUIDE_WAIT_CAP_S)
+        unlinked = {record.data_centre for record in self._table.records()}
+        unlinked -= {own.data_centre, *self._linked_data_centres()}
+        for data_centre in set(self._relay_queries) - unlinked:
+            del self._relay_queries[data_centre]
+        for data_centre in sorted(unlinked):
+            query = self._relay_queries.setdefault(data_centre, _RelayQuery())
+            if query.due_at_s <= _now_s():
+                query.due_at_s = _now_s() + self._random.uniform(0.5, 1.0) * query.wait_s
+                query.wait_s = min(2 * query.wait_s, RELAY_QUERY_WAIT_CAP_S)
                 self._explore_member(data_centre)
 
     def _explore_member(self, data_centre: str) -> None:
@@ -212,9 +212,13 @@
         finds a part of the data centre that has never heard of this one.
         """
         now_s = _now_s()
-        alone = not any(link.near for link in self._links)
-        room = EXPLORED_AT_ONCE - len(self._exploring) if alone else 1 - len(self._exploring)
-        if room <= 0 or (not alone and now_s < self._explore_at_s):
+        isolated = not any(link.same_data_centre for link in self._links)
+        free_slots = (
+            MAX_CONCURRENT_EXPLORATIONS - len(self._exploring)
+            if isolated
+            else 1 - len(self._exploring)
+        )
+        if free_slots <= 0 or (not isolated and now_s < self._explore_at_s):
             return
         due = [
             address
@@ -222,7 +226,7 @@
             if self._explored_until_s.get(address, now_s) <= now_s
             and address not in self._exploring
         ]
-        for address in self._random.sample(due, min(room, len(due))):
+        for address in self._random.sample(due, min(free_slots, len(due))):
             self._explore_at_s = now_s + self._timing.explore_interval_s
             self._start_exploring(address)
 
--- a/src/shallotworks/peers/_link.py
+++ b/src/shallotworks/peers/_link.py
@@ -28,11 +28,11 @@
 __all__ = ["UNKNOWN_REVISION", "Link", "LinkEnd", "LinkOwner"]
 
 UNKNOWN_REVISION = -1
-LEAST_PHASE = 0.5
+MIN_FIRST_INTERVAL_PART = 0.5
 """The first interval is shortened at random to this part at the least, so that heartbeats to
 different peers don't leave in one burst."""
-FINISH_WITHIN_S = 0.5
-SLACK_S = 0.001
+GOODBYE_TIMEOUT_S = 0.5
+TIMER_SLACK_S = 0.001
 """What is due this soon is done now: a timer may wake its task a moment before the time it was set
 for, and waiting for the rest again would spin until the clock has moved."""
 
@@ -58,7 +58,7 @@
         """Return the heartbeat to send now."""
         ...
 
-    def has_news_for(self, link: Link) -> bool:
+    def has_newer_revision_for(self, link: Link) -> bool:
         """Return whether this process holds a newer revision than that peer is known to hold."""
         ...
 
@@ -86,28 +86,28 @@
         "_deadline_s",
         "_dropped",
         "_interval_s",
-        "_next_beat_s",
+        "_next_heartbeat_s",
         "_owner",
-        "_patience",
         "_queue",
         "_queued_bytes",
         "_random",
+        "_read_timeout",
         "_reply_due",
         "_session",
         "_silent_after_s",
         "_stream",
         "_timing",
         "_wake",
-        "ask_after_s",
+        "change_cursor",
         "dialled",
         "end",
         "load_cursor",
-        "near",
+        "no_requests_before_s",
         "opened_at_s",
         "peer",
-        "pushed",
+        "pushed_revision",
         "revision",
-        "told",
+        "same_data_centre",
     )
 
     def __init__(
@@ -116,7 +116,7 @@
         session: Session,
         stream: ByteStream,
         dialled: bool,
-        near: bool,
+        same_data_centre: bool,
         timing: PeerTiming,
         owner: LinkOwner,
         random: Random,
@@ -126,26 +126,26 @@
         self._timing = timing
         self._owner = owner
         self._random = random
-        self._interval_s = timing.mesh_interval_s if near else timing.relay_interval_s
+        self._interval_s = timing.mesh_interval_s if same_data_centre else timing.relay_interval_s
         self._silent_after_s = self._interval_s * timing.silent_intervals
         self._queue: deque[bytes] = deque()
         self._queued_bytes = 0
         self._bulk: Iterator[bytes] | None = None
         self._dropped = 0
         self._wake = asyncio.Event()
-        self._patience: asyncio.Timeout | None = None
+        self._read_timeout: asyncio.Timeout | None = None
         self._reply_due = False
         self._announce_at_s = float("inf")
         self.opened_at_s = _now_s()
-        self._next_beat_s = self.opened_at_s
+        self._next_heartbeat_s = self.opened_at_s
         self._deadline_s = self.opened_at_s + self._silent_after_s
         self.dialled = dialled
-        self.near = near
+        self.same_data_centre = same_data_centre
         self.peer: MemberRecord = session.member
         self.revision = UNKNOWN_REVISION
-        self.pushed = UNKNOWN_REVISION
-        self.ask_after_s = self.opened_at_s
-        self.told = 0
+        self.pushed_revision = UNKNOWN_REVISION
+        self.no_requests_before_s = self.opened_at_s
+        self.change_cursor = 0
         self.load_cursor = 0
         self.end: LinkEnd | None = None
 
@@ -218,12 +218,12 @@
             return
         self._reply_due = True
         self._deadline_s = min(self._deadline_s, _now_s() + self._timing.reply_timeout_s)
-        if self._patience is not None and not self._patience.expired():
-            self._patience.reschedule(self._deadline_s)
+        if self._read_timeout is not None and not self._read_timeout.expired():
+            self._read_timeout.reschedule(self._deadline_s)
 
-    def beat_soon(self) -> None:
+    def send_heartbeat_now(self) -> None:
         """Send a heartbeat now."""
-        self._next_beat_s = _now_s()
+        self._next_heartbeat_s = _now_s()
         self._wake.set()
 
     def announce_soon(self, *, delay_s: float) -> None:
@@ -238,11 +238,11 @@
         self.end = self.end or end
         self._stream.close()
 
-    async def finish(self, *, leaving: bool) -> None:
+    async def close_gracefully(self, *, leaving: bool) -> None:
         """Say goodbye and close the connection."""
         self.end = self.end or LinkEnd.DISMISSED
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(FINISH_WITHIN_S):
+            async with asyncio.timeout(GOODBYE_TIMEOUT_S):
                 if leaving:
                     await self._session.writer.write(self._owner.heartbeat_for(self))
                 await self._session.writer.write(Goodbye(leaving=leaving))
@@ -260,9 +260,9 @@
 
     async def _read_messages(self) -> LinkEnd:
         while True:
-            async with asyncio.timeout_at(self._deadline_s) as self._patience:
+            async with asyncio.timeout_at(self._deadline_s) as self._read_timeout:
                 message = await self._session.reader.read()
-            self._patience = None
+            self._read_timeout = None
             self._reply_due = False
             self._deadline_s = _now_s() + self._silent_after_s
             if isinstance(message, Goodbye):
@@ -291,15 +291,15 @@
             self._stream.close()
 
     async def _write_next(self) -> None:
-        now_s = _now_s() + SLACK_S
+        now_s = _now_s() + TIMER_SLACK_S
         if now_s >= self._announce_at_s:
             self._announce_at_s = float("inf")
-            if self._owner.has_news_for(self):
-                self._next_beat_s = now_s
-        if now_s >= self._next_beat_s:
-            first = self.told == 0
-            part = self._random.uniform(LEAST_PHASE, 1.0) if first else 1.0
-            self._next_beat_s = now_s + self._interval_s * part
+            if self._owner.has_newer_revision_for(self):
+                self._next_heartbeat_s = now_s
+        if now_s >= self._next_heartbeat_s:
+            first = self.change_cursor == 0
+            interval_part = self._random.uniform(MIN_FIRST_INTERVAL_PART, 1.0) if first else 1.0
+            self._next_heartbeat_s = now_s + self._interval_s * interval_part
             await self._write_one(encode(self._owner.heartbeat_for(self)))
         elif self._queue:
             data = self._queue.popleft()
@@ -308,7 +308,7 @@
         elif self._bulk is not None:
             await self._write_bulk(self._bulk)
         else:
-            await self._wait_until(min(self._next_beat_s, self._announce_at_s))
+            await self._wait_until(min(self._next_heartbeat_s, self._announce_at_s))
 
     async def _write_bulk(self, messages: Iterator[bytes]) -> None:
         data = next(messages, None)
--- a/src/shallotworks/peers/_links.py
+++ b/src/shallotworks/peers/_links.py
@@ -8,7 +8,7 @@
 
 __all__ = ["Links"]
 
-CROSSED_WITHIN_S = 1.0
+SIMULTANEOUS_OPEN_WINDOW_S = 1.0
 """Two connections opened within this time have crossed; a later one replaces the earlier."""
 
 
@@ -37,29 +37,29 @@
         """Return the connection to a peer."""
         return self._by_name.get(name)
 
-    def take(self, link: Link) -> bool:
+    def add(self, link: Link) -> bool:
         """Keep a new connection in place of an older one to the same peer; says whether it is kept.
 
         The failure: two processes dial each other at once, each keeps its own connection and
         closes the other's, and none is left. Both keep the one whose dialler's name sorts first.
         Any later connection wins: its peer would not dial if it still had the earlier one.
         """
-        present = self._by_name.get(link.peer.name)
-        if present is not None:
-            if self._have_crossed(present, link) and not self._is_preferred(link):
+        existing = self._by_name.get(link.peer.name)
+        if existing is not None:
+            if self._opened_simultaneously(existing, link) and not self._is_preferred(link):
                 return False
-            present.close(LinkEnd.DISMISSED)
+            existing.close(LinkEnd.DISMISSED)
         self._by_name[link.peer.name] = link
         return True
 
-    def drop(self, link: Link) -> None:
+    def remove(self, link: Link) -> None:
         """Use a connection no more."""
         if self._by_name.get(link.peer.name) is link:
             del self._by_name[link.peer.name]
 
     def retire(self, link: Link) -> None:
         """Forget a connection that has ended, but for what it has carried."""
-        self.drop(link)
+        self.remove(link)
         self._ended_sent_bytes += link.sent_bytes
         self._ended_received_bytes += link.received_bytes
 
@@ -71,10 +71,15 @@
         """Return the bytes received on all connections so far."""
         return self._ended_received_bytes + sum(link.received_bytes for link in self)
 
-    def _have_crossed(self, present: Link, link: Link) -> bool:
-        same = present.peer.incarnation == link.peer.incarnation
-        soon = link.opened_at_s - present.opened_at_s < CROSSED_WITHIN_S
-        return same and soon and present.end is None and present.dialled != link.dialled
+    def _opened_simultaneously(self, existing: Link, link: Link) -> bool:
+        same_incarnation = existing.peer.incarnation == link.peer.incarnation
+        within_window = link.opened_at_s - existing.opened_at_s < SIMULTANEOUS_OPEN_WINDOW_S
+        return (
+            same_incarnation
+            and within_window
+            and existing.end is None
+            and existing.dialled != link.dialled
+        )
 
     def _is_preferred(self, link: Link) -> bool:
         return link.dialled == (self._own_name < link.peer.name)
--- a/src/shallotworks/peers/_loads.py
+++ b/src/shallotworks/peers/_loads.py
@@ -10,8 +10,8 @@
 
 __all__ = ["Loads"]
 
-LOADS_PER_HEARTBEAT = 4
-LOADS_KEPT = 1_000
+MAX_LOADS_PER_HEARTBEAT = 4
+MAX_LOADS_PER_PEER = 1_000
 """Loads kept of one peer, so that no peer can fill the memory."""
 
 
@@ -31,20 +31,20 @@
     def next_for(self, link: Link) -> tuple[ServiceLoad, ...]:
         """Return a bounded number of this process's loads, the next ones each time."""
         loads = self._own()
-        if len(loads) <= LOADS_PER_HEARTBEAT:
+        if len(loads) <= MAX_LOADS_PER_HEARTBEAT:
             return loads
         start = link.load_cursor % len(loads)
-        link.load_cursor = start + LOADS_PER_HEARTBEAT
-        return (loads + loads)[start : start + LOADS_PER_HEARTBEAT]
+        link.load_cursor = start + MAX_LOADS_PER_HEARTBEAT
+        return (loads + loads)[start : start + MAX_LOADS_PER_HEARTBEAT]
 
-    def keep(self, link: Link, loads: tuple[ServiceLoad, ...]) -> None:
+    def record_loads(self, link: Link, loads: tuple[ServiceLoad, ...]) -> None:
         """Keep what a peer has said."""
-        kept = self._by_peer.setdefault(link.peer.name, {})
+        by_service = self._by_peer.setdefault(link.peer.name, {})
         for load in loads:
-            if load.service in kept or len(kept) < LOADS_KEPT:
-                kept[load.service] = load
+            if load.service in by_service or len(by_service) < MAX_LOADS_PER_PEER:
+                by_service[load.service] = load
 
-    def forget(self, name: str) -> None:
+    def discard_peer(self, name: str) -> None:
         """Drop what a peer has said."""
         self._by_peer.pop(name, None)
 
--- a/src/shallotworks/peers/_members.py
+++ b/src/shallotworks/peers/_members.py
@@ -16,15 +16,15 @@
 
 from ._settings import PeerTiming
 
-__all__ = ["Member", "MemberState", "MemberTable", "News", "mark"]
+__all__ = ["Member", "MemberState", "MemberTable", "MemberUpdates", "incarnation_checksum"]
 
-MEMBERS_LIMIT = 4_000
+MAX_MEMBERS = 4_000
 """Records kept; the target is 220 entry instances, and a peer's list must not fill the memory."""
-NEWS_LIMIT = 200
+MAX_RECORDS_PER_HEARTBEAT = 200
 """Records in one heartbeat."""
-FAR_RECORDS_KEPT = 3
+RETAINED_REMOTE_RELAYS_PER_SLOT = 3
 """Silent relays kept of each slot of another data centre."""
-HEARD_INTERVALS = 2
+VOUCH_INTERVALS = 2
 """Heartbeat intervals for which one message lets its reader vouch for the sender."""
 
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class News:
+class MemberUpdates:
     """Records to pass on to one peer.
 
     Args:
@@ -64,14 +64,14 @@
     """
 
     records: tuple[MemberRecord, ...]
-    told: int
+    change_cursor: int
 
 
 @dataclass(slots=True, kw_only=True)
-class _Known:
+class _TrackedMember:
     record: MemberRecord
-    heard_at_s: float
-    evidence_at_s: float
+    last_message_s: float
+    last_evidence_s: float
     state: MemberState
     changed: int
 
@@ -85,7 +85,15 @@
         on_change: Called with a member whose state has changed.
     """
 
-    __slots__ = ("_changes", "_departed", "_known", "_on_change", "_own", "_own_changed", "_timing")
+    __slots__ = (
+        "_changes",
+        "_departed",
+        "_on_change",
+        "_own",
+        "_own_changed",
+        "_timing",
+        "_tracked",
+    )
 
     def __init__(
         self,
@@ -97,7 +105,7 @@
         self._own = own
         self._timing = timing
         self._on_change = on_change
-        self._known: dict[str, _Known] = {}
+        self._tracked: dict[str, _TrackedMember] = {}
         self._departed: dict[str, MemberRecord] = {}
         self._changes = 1
         self._own_changed = 1
@@ -122,60 +130,60 @@
 
     def get(self, name: str) -> MemberRecord | None:
         """Return a member's record."""
-        known = self._known.get(name)
-        return None if known is None else known.record
+        tracked = self._tracked.get(name)
+        return None if tracked is None else tracked.record
 
     def state_of(self, name: str) -> MemberState:
         """Return what this process believes of a member."""
-        known = self._known.get(name)
-        return MemberState.GONE if known is None else known.state
+        tracked = self._tracked.get(name)
+        return MemberState.GONE if tracked is None else tracked.state
 
     def records(self) -> Iterator[MemberRecord]:
         """Return the records of all other members, whatever their state."""
-        return (known.record for known in self._known.values())
+        return (tracked.record for tracked in self._tracked.values())
 
-    def alive_near(self) -> tuple[str, ...]:
+    def alive_in_data_centre(self) -> tuple[str, ...]:
         """Return the names believed alive in this data centre, this process included."""
-        return (self._own.name, *self._near(MemberState.ALIVE))
+        return (self._own.name, *self._names_in_data_centre(MemberState.ALIVE))
 
-    def live_near(self, *, now_s: float) -> tuple[Member, ...]:
+    def live_in_data_centre(self, *, now_s: float) -> tuple[Member, ...]:
         """Return the live entry instances of this data centre, this process first."""
         own = Member(record=self._own, state=MemberState.ALIVE, silent_for_s=0.0)
-        names = self._near(MemberState.ALIVE, MemberState.SUSPECT)
-        return (own, *(self._view(self._known[name], now_s) for name in names))
+        names = self._names_in_data_centre(MemberState.ALIVE, MemberState.SUSPECT)
+        return (own, *(self._view(self._tracked[name], now_s) for name in names))
 
     def members(self, *, now_s: float) -> tuple[Member, ...]:
         """Return all other members."""
-        return tuple(self._view(known, now_s) for known in self._known.values())
+        return tuple(self._view(tracked, now_s) for tracked in self._tracked.values())
 
-    def learn(self, record: MemberRecord, *, now_s: float) -> bool:
+    def merge_record(self, record: MemberRecord, *, now_s: float) -> bool:
         """Take a record from hearsay; says whether it was news.
 
         A record alone is no sign of life: its member stays suspect until it is heard or vouched
         for, so that a list passed on late can't bring back one that has died.
         """
-        if record.name == self._own.name or not self._is_news(record):
+        if record.name == self._own.name or not self._is_newer(record):
             return False
         if record.left:
-            self._depart(record)
+            self._remove_departed(record)
             return True
-        known = self._known.get(record.name)
-        if known is not None and known.record.incarnation == record.incarnation:
-            known.record = record
-            known.changed = self._next_change()
+        tracked = self._tracked.get(record.name)
+        if tracked is not None and tracked.record.incarnation == record.incarnation:
+            tracked.record = record
+            tracked.changed = self._next_change()
             return True
-        if known is None and len(self._known) >= MEMBERS_LIMIT:
+        if tracked is None and len(self._tracked) >= MAX_MEMBERS:
             return False
-        self._known[record.name] = _Known(
+        self._tracked[record.name] = _TrackedMember(
             record=record,
-            heard_at_s=float("-inf"),
-            evidence_at_s=now_s - self._timing.suspect_after_s,
+            last_message_s=float("-inf"),
+            last_evidence_s=now_s - self._timing.suspect_after_s,
             state=MemberState.SUSPECT,
             changed=self._next_change(),
         )
         return True
 
-    def greet(self, record: MemberRecord, *, now_s: float) -> bool:
+    def admit(self, record: MemberRecord, *, now_s: float) -> bool:
         """Take a record from the member itself, just proved; says whether it may be linked.
 
         The failure: an instance is replaced under its name and the old process, cut off or paused,
@@ -183,80 +191,93 @@
         one is silent the caller is the only one there is, its clock may just run behind, and it is
         taken.
         """
-        known = self._known.get(record.name)
+        tracked = self._tracked.get(record.name)
         if record.name == self._own.name:
             return False
-        if known is not None and known.record.incarnation > record.incarnation:
-            if known.state is MemberState.ALIVE:
+        if tracked is not None and tracked.record.incarnation > record.incarnation:
+            if tracked.state is MemberState.ALIVE:
                 return False
-            del self._known[record.name]
+            del self._tracked[record.name]
         self._departed.pop(record.name, None)
-        self.learn(record, now_s=now_s)
-        self.hear(record.name, now_s=now_s)
+        self.merge_record(record, now_s=now_s)
+        self.note_message(record.name, now_s=now_s)
         return True
 
-    def hear(self, name: str, *, now_s: float) -> None:
+    def note_message(self, name: str, *, now_s: float) -> None:
         """Note a message of a member's own."""
-        known = self._known.get(name)
-        if known is None:
+        tracked = self._tracked.get(name)
+        if tracked is None:
             return
-        known.heard_at_s = now_s
-        known.evidence_at_s = now_s
-        self._move(known, MemberState.ALIVE)
+        tracked.last_message_s = now_s
+        tracked.last_evidence_s = now_s
+        self._set_state(tracked, MemberState.ALIVE)
 
-    def heard_near(self, *, now_s: float) -> tuple[int, ...]:
+    def heard_in_data_centre(self, *, now_s: float) -> tuple[int, ...]:
         """Return the marks of the members of this data centre that this process hears itself."""
-        since_s = now_s - HEARD_INTERVALS * self._timing.mesh_interval_s
+        since_s = now_s - VOUCH_INTERVALS * self._timing.mesh_interval_s
         return tuple(
-            mark(known.record)
-            for known in self._known.values()
-            if known.heard_at_s >= since_s and self._is_near(known.record)
+            incarnation_checksum(tracked.record)
+            for tracked in self._tracked.values()
+            if tracked.last_message_s >= since_s and self._is_same_data_centre(tracked.record)
         )
 
-    def vouch(self, marks: Iterable[int], *, now_s: float) -> None:
+    def apply_vouches(self, checksums: Iterable[int], *, now_s: float) -> None:
         """Take a peer's word for the members that it hears itself.
 
         Worth less than hearing: the member may have died just after the peer heard it, and the
         time to suspicion counts from then.
         """
-        lag_s = HEARD_INTERVALS * self._timing.mesh_interval_s
-        evidence_at_s = now_s - max(0.0, self._timing.suspect_after_s - lag_s)
-        vouched = frozenset(marks)
-        for known in self._known.values():
-            if known.evidence_at_s < evidence_at_s and mark(known.record) in vouched:
-                known.evidence_at_s = evidence_at_s
-                self._move(known, MemberState.ALIVE)
-
-    def sweep(self, *, now_s: float) -> None:
+        lag_s = VOUCH_INTERVALS * self._timing.mesh_interval_s
+        last_evidence_s = now_s - max(0.0, self._timing.suspect_after_s - lag_s)
+        vouched_checksums = frozenset(checksums)
+        for tracked in self._tracked.values():
+            if (
+                tracked.last_evidence_s < last_evidence_s
+                and incarnation_checksum(tracked.record) in vouched_checksums
+            ):
+                tracked.last_evidence_s = last_evidence_s
+                self._set_state(tracked, MemberState.ALIVE)
+
+    def update_states(self, *, now_s: float) -> None:
         """Suspect, remove and forget members by the time since their last sign of life."""
-        for known in list(self._known.values()):
-            silent_for_s = now_s - known.evidence_at_s
-            if silent_for_s >= self._timing.forget_after_s and self._is_forgettable(known.record):
-                del self._known[known.record.name]
+        for tracked in list(self._tracked.values()):
+            silent_for_s = now_s - tracked.last_evidence_s
+            if silent_for_s >= self._timing.forget_after_s and self._is_forgettable(tracked.record):
+                del self._tracked[tracked.record.name]
             elif silent_for_s >= self._timing.remove_after_s:
-                self._move(known, MemberState.GONE)
+                self._set_state(tracked, MemberState.GONE)
             elif silent_for_s >= self._timing.suspect_after_s:
-                self._move(known, MemberState.SUSPECT)
+                self._set_state(tracked, MemberState.SUSPECT)
 
-    def news_for(self, peer: MemberRecord, *, since: int) -> News:
+    def updates_for(self, peer: MemberRecord, *, since: int) -> MemberUpdates:
         """Return the records changed since then that concern a peer.
 
         Its own data centre's members and the relays of all others; a record that has been a
         relay's stays of concern, so that a peer elsewhere hears that it is one no more.
         """
-        same = peer.data_centre == self._own.data_centre
-        news = [
-            (known.changed, known.record)
-            for known in self._known.values()
-            if known.changed > since
-            and known.record.name != peer.name
-            and (_has_been_relay(known.record) or (same and self._is_near(known.record)))
+        is_local_peer = peer.data_centre == self._own.data_centre
+        updates = [
+            (tracked.changed, tracked.record)
+            for tracked in self._tracked.values()
+            if tracked.changed > since
+            and tracked.record.name != peer.name
+            and (
+                _has_been_relay(tracked.record)
+                or (is_local_peer and self._is_same_data_centre(tracked.record))
+            )
         ]
         if self._own_changed > since:
-            news.append((self._own_changed, self._own))
-        news.sort(key=lambda entry: entry[0])
-        told = self._changes if len(news) <= NEWS_LIMIT else news[NEWS_LIMIT - 1][0]
-        return News(records=tuple(record for _, record in news[:NEWS_LIMIT]), told=told)
+            updates.append((self._own_changed, self._own))
+        updates.sort(key=lambda entry: entry[0])
+        change_cursor = (
+            self._changes
+            if len(updates) <= MAX_RECORDS_PER_HEARTBEAT
+            else updates[MAX_RECORDS_PER_HEARTBEAT - 1][0]
+        )
+        return MemberUpdates(
+            records=tuple(record for _, record in updates[:MAX_RECORDS_PER_HEARTBEAT]),
+            change_cursor=change_cursor,
+        )
 
     def _is_forgettable(self, record: MemberRecord) -> bool:
         """Say whether a silent member's record is of no more use.
@@ -264,59 +285,61 @@
         A data centre that has been cut off for long must be found again at once, hence the last
         relays known of another data centre are kept, however long they are silent.
         """
-        if self._is_near(record) or record.relay_slot == NO_RELAY_SLOT:
+        if self._is_same_data_centre(record) or record.relay_slot == NO_RELAY_SLOT:
             return True
         same_slot = [
-            known
-            for known in self._known.values()
-            if known.record.data_centre == record.data_centre
-            and known.record.relay_slot == record.relay_slot
+            tracked
+            for tracked in self._tracked.values()
+            if tracked.record.data_centre == record.data_centre
+            and tracked.record.relay_slot == record.relay_slot
+        ]
+        same_slot.sort(key=lambda tracked: tracked.changed, reverse=True)
+        return record.name not in [
+            tracked.record.name for tracked in same_slot[:RETAINED_REMOTE_RELAYS_PER_SLOT]
         ]
-        same_slot.sort(key=lambda known: known.changed, reverse=True)
-        return record.name not in [known.record.name for known in same_slot[:FAR_RECORDS_KEPT]]
 
-    def _near(self, *states: MemberState) -> list[str]:
+    def _names_in_data_centre(self, *states: MemberState) -> list[str]:
         return [
             name
-            for name, known in self._known.items()
-            if known.state in states and self._is_near(known.record)
+            for name, tracked in self._tracked.items()
+            if tracked.state in states and self._is_same_data_centre(tracked.record)
         ]
 
-    def _is_near(self, record: MemberRecord) -> bool:
+    def _is_same_data_centre(self, record: MemberRecord) -> bool:
         return record.data_centre == self._own.data_centre
 
-    def _is_news(self, record: MemberRecord) -> bool:
+    def _is_newer(self, record: MemberRecord) -> bool:
         departed = self._departed.get(record.name)
         if departed is not None and not record.supersedes(departed):
             return False
-        known = self._known.get(record.name)
-        return known is None or record.supersedes(known.record)
+        tracked = self._tracked.get(record.name)
+        return tracked is None or record.supersedes(tracked.record)
 
-    def _depart(self, record: MemberRecord) -> None:
+    def _remove_departed(self, record: MemberRecord) -> None:
         """Remove a member that said goodbye, and keep its last record against late hearsay."""
-        if len(self._departed) >= MEMBERS_LIMIT:
+        if len(self._departed) >= MAX_MEMBERS:
             del self._departed[next(iter(self._departed))]
         self._departed[record.name] = record
-        known = self._known.pop(record.name, None)
-        if known is not None:
+        tracked = self._tracked.pop(record.name, None)
+        if tracked is not None:
             self._on_change(record, MemberState.GONE)
 
-    def _move(self, known: _Known, state: MemberState) -> None:
-        if known.state is state:
+    def _set_state(self, tracked: _TrackedMember, state: MemberState) -> None:
+        if tracked.state is state:
             return
-        known.state = state
-        self._on_change(known.record, state)
+        tracked.state = state
+        self._on_change(tracked.record, state)
 
     def _next_change(self) -> int:
         self._changes += 1
         return self._changes
 
-    def _view(self, known: _Known, now_s: float) -> Member:
-        silent_for_s = max(0.0, now_s - known.evidence_at_s)
-        return Member(record=known.record, state=known.state, silent_for_s=silent_for_s)
+    def _view(self, tracked: _TrackedMember, now_s: float) -> Member:
+        silent_for_s = max(0.0, now_s - tracked.last_evidence_s)
+        return Member(record=tracked.record, state=tracked.state, silent_for_s=silent_for_s)
 
 
-def mark(record: MemberRecord) -> int:
+def incarnation_checksum(record: MemberRecord) -> int:
     """Return the short mark of one incarnation of a member, as heartbeats carry it.
 
     Two of a data centre's members share one once in 4 billion; one could then hide the other's
--- a/src/shallotworks/peers/_network.py
+++ b/src/shallotworks/peers/_network.py
@@ -28,21 +28,21 @@
 
 from ._dialler import Dialler
 from ._distribution import Distribution
-from ._duties import relays_among, watchers_among
 from ._link import Link, LinkEnd
 from ._links import Links
 from ._loads import Loads
 from ._members import Member, MemberState, MemberTable
+from ._rendezvous import relays_among, watchers_among
 from ._settings import PeerSettings
 from ._status import PeerStatus
 from ._transport import Listener, TcpTransport, Transport
 
 __all__ = ["PeerNetwork"]
 
-UNWANTED_FOR_S = 2.0
+UNWANTED_LINK_GRACE_S = 2.0
 """Time that a connection of no use stays open, in which both ends exchange records."""
 MS_PER_S = 1000
-EVENTS = {
+STATE_EVENTS = {
     MemberState.ALIVE: EventKind.PEER_UP,
     MemberState.SUSPECT: EventKind.PEER_SUSPECT,
     MemberState.GONE: EventKind.PEER_DOWN,
@@ -64,7 +64,7 @@
     """
 
     __slots__ = (
-        "_accepted",
+        "_accepted_count",
         "_counted_received_bytes",
         "_counted_sent_bytes",
         "_dialler",
@@ -75,11 +75,11 @@
         "_metrics",
         "_random",
         "_replica",
-        "_serving",
+        "_serving_tasks",
         "_settings",
         "_started_s",
         "_table",
-        "_ticking",
+        "_tick_task",
         "_timeline",
         "_transport",
     )
@@ -125,10 +125,10 @@
             random=random,
         )
         self._listener: Listener | None = None
-        self._ticking: asyncio.Task[None] | None = None
-        self._serving: set[asyncio.Task[None]] = set()
+        self._tick_task: asyncio.Task[None] | None = None
+        self._serving_tasks: set[asyncio.Task[None]] = set()
         self._started_s = 0.0
-        self._accepted = 0
+        self._accepted_count = 0
         self._counted_sent_bytes = 0
         self._counted_received_bytes = 0
 
@@ -137,21 +137,21 @@
         self._started_s = _now_s()
         self._distribution.start()
         self._listener = await self._transport.listen(self._settings.address, self._accept)
-        self._ticking = asyncio.create_task(self._tick())
+        self._tick_task = asyncio.create_task(self._tick())
 
     async def stop(self) -> None:
         """Say goodbye to all peers, who then count this process no more, and close."""
-        if self._ticking is not None:
-            self._ticking.cancel()
-            await asyncio.gather(self._ticking, return_exceptions=True)
+        if self._tick_task is not None:
+            self._tick_task.cancel()
+            await asyncio.gather(self._tick_task, return_exceptions=True)
         if self._listener is not None:
             await self._listener.close()
         self._table.change_own(relay_slot=NO_RELAY_SLOT, left=True)
-        await asyncio.gather(*(link.finish(leaving=True) for link in self._links))
+        await asyncio.gather(*(link.close_gracefully(leaving=True) for link in self._links))
         await self._dialler.stop()
-        for task in tuple(self._serving):
+        for task in tuple(self._serving_tasks):
             task.cancel()
-        await asyncio.gather(*self._serving, return_exceptions=True)
+        await asyncio.gather(*self._serving_tasks, return_exceptions=True)
 
     def set_candidates(self, addresses: tuple[str, ...]) -> None:
         """Take the addresses of entry instances from the platform's list, which lags."""
@@ -159,7 +159,7 @@
 
     def live_entries(self) -> tuple[Member, ...]:
         """Return the live entry instances of this data centre, this process first."""
-        return self._table.live_near(now_s=_now_s())
+        return self._table.live_in_data_centre(now_s=_now_s())
 
     @property
     def own_record(self) -> MemberRecord:
@@ -176,7 +176,9 @@
         Right after its start it does not, unless there is nobody to ask: all instances of a data
         centre that start together would all watch. If its peers stay silent it watches itself.
         """
-        return self._is_settled() and self._own_name in watchers_among(self._table.alive_near())
+        return self._is_settled() and self._own_name in watchers_among(
+            self._table.alive_in_data_centre()
+        )
 
     def peer_loads(self) -> dict[str, tuple[ServiceLoad, ...]]:
         """Return how busy each live member of this data centre has said it is, by its name."""
@@ -198,7 +200,7 @@
             data_centres_linked=tuple(sorted(linked - {own.data_centre})),
             data_centres_known=tuple(sorted(known - {own.data_centre})),
             revision=self._replica.revision(),
-            newest_revision=self._distribution.newest(),
+            newest_revision=self._distribution.newest_revision(),
             config_age_s=self._replica.age_s(),
             sent_bytes=self._links.sent_bytes(),
             received_bytes=self._links.received_bytes(),
@@ -206,24 +208,24 @@
 
     def heartbeat_for(self, link: Link) -> Heartbeat:
         """Return the heartbeat to send on a connection now."""
-        news = self._table.news_for(link.peer, since=link.told)
-        link.told = news.told
+        updates = self._table.updates_for(link.peer, since=link.change_cursor)
+        link.change_cursor = updates.change_cursor
         return Heartbeat(
             revision=self._replica.revision(),
-            newest_revision=self._distribution.newest(),
-            newest_age_ms=self._distribution.age_ms(),
-            heard=self._table.heard_near(now_s=_now_s()) if link.near else (),
-            records=news.records,
-            loads=self._loads.next_for(link) if link.near else (),
+            newest_revision=self._distribution.newest_revision(),
+            newest_age_ms=self._distribution.confirmed_age_ms(),
+            heard=self._table.heard_in_data_centre(now_s=_now_s()) if link.same_data_centre else (),
+            records=updates.records,
+            loads=self._loads.next_for(link) if link.same_data_centre else (),
         )
 
-    def has_news_for(self, link: Link) -> bool:
+    def has_newer_revision_for(self, link: Link) -> bool:
         """Return whether this process holds a newer revision than a peer is known to hold."""
         return link.revision < self._replica.revision()
 
     def on_message(self, link: Link, message: Message) -> None:
         """Take one message; raises ``ShallotworksError`` where it does not belong here."""
-        self._table.hear(link.peer.name, now_s=_now_s())
+        self._table.note_message(link.peer.name, now_s=_now_s())
         match message:
             case Heartbeat():
                 self._on_heartbeat(link, message)
@@ -246,19 +248,19 @@
     def _on_heartbeat(self, link: Link, message: Heartbeat) -> None:
         now_s = _now_s()
         for record in message.records:
-            self._table.learn(record, now_s=now_s)
+            self._table.merge_record(record, now_s=now_s)
         link.peer = self._table.get(link.peer.name) or link.peer
-        if link.near:
-            self._table.vouch(message.heard, now_s=now_s)
-            self._loads.keep(link, message.loads)
+        if link.same_data_centre:
+            self._table.apply_vouches(message.heard, now_s=now_s)
+            self._loads.record_loads(link, message.loads)
         self._distribution.on_heartbeat(link, message)
 
     async def _tick(self) -> None:
         while True:
-            self._table.sweep(now_s=_now_s())
-            self._take_duties()
-            self._dismiss_unwanted()
-            self._dialler.step()
+            self._table.update_states(now_s=_now_s())
+            self._update_relay_slot()
+            self._close_unwanted_links()
+            self._dialler.reconcile()
             self._count_bytes()
             await asyncio.sleep(self._settings.timing.tick_s)
 
@@ -271,46 +273,46 @@
     def _is_settled(self) -> bool:
         if _now_s() - self._started_s >= self._settings.timing.settle_s:
             return True
-        return not self._links and self._dialler.has_tried_all()
+        return not self._links and self._dialler.has_dialled_all_unknown()
 
-    def _take_duties(self) -> None:
+    def _update_relay_slot(self) -> None:
         if not self._is_settled():
             return
-        relays = relays_among(self._table.alive_near())
+        relays = relays_among(self._table.alive_in_data_centre())
         slot = relays.index(self._own_name) if self._own_name in relays else NO_RELAY_SLOT
         self._table.change_own(relay_slot=slot)
 
-    def _dismiss_unwanted(self) -> None:
-        before_s = _now_s() - UNWANTED_FOR_S
+    def _close_unwanted_links(self) -> None:
+        before_s = _now_s() - UNWANTED_LINK_GRACE_S
         for link in self._links:
             if link.opened_at_s < before_s and not self._dialler.is_wanted(link.peer):
-                self._links.drop(link)
-                self._spawn(link.finish(leaving=False))
+                self._links.remove(link)
+                self._spawn(link.close_gracefully(leaving=False))
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.create_task(work)
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
+        self._serving_tasks.add(task)
+        task.add_done_callback(self._serving_tasks.discard)
         return task
 
     async def _accept(self, stream: ByteStream) -> None:
         """Serve one connection that a peer has opened, in its own task."""
         task = asyncio.current_task()
         if task is not None:
-            self._serving.add(task)
-            task.add_done_callback(self._serving.discard)
+            self._serving_tasks.add(task)
+            task.add_done_callback(self._serving_tasks.discard)
         # Strangers that connect and say nothing must not use up the process's descriptors.
-        if self._accepted >= self._settings.timing.connections:
+        if self._accepted_count >= self._settings.timing.connections:
             self._metrics.count("peers.links.over-limit")
             stream.close()
             return
-        self._accepted += 1
+        self._accepted_count += 1
         try:
-            session = await self._greet(stream, dialled=False)
+            session = await self._perform_handshake(stream, dialled=False)
             if session is not None:
                 await self._serve(session, stream, dialled=False)
         finally:
-            self._accepted -= 1
+            self._accepted_count -= 1
             stream.close()
 
     async def _dial(self, address: str) -> asyncio.Task[None] | None:
@@ -323,17 +325,17 @@
             return None
         session = None
         try:
-            session = await self._greet(stream, dialled=True)
+            session = await self._perform_handshake(stream, dialled=True)
         finally:
             if session is None:
                 stream.close()
         return self._spawn(self._serve(session, stream, dialled=True)) if session else None
 
-    async def _greet(self, stream: ByteStream, *, dialled: bool) -> Session | None:
-        greet = dial if dialled else accept
+    async def _perform_handshake(self, stream: ByteStream, *, dialled: bool) -> Session | None:
+        handshake = dial if dialled else accept
         try:
             async with asyncio.timeout(self._settings.timing.connect_timeout_s):
-                return await greet(
+                return await handshake(
                     stream=stream,
                     member=self._table.own,
                     keys=self._settings.keys,
@@ -352,38 +354,38 @@
             stream.close()
 
     async def _serve_link(self, session: Session, stream: ByteStream, *, dialled: bool) -> None:
-        if not self._table.greet(session.member, now_s=_now_s()):
+        if not self._table.admit(session.member, now_s=_now_s()):
             self._metrics.count("peers.links.unwelcome")
             return
         link = Link(
             session=session,
             stream=stream,
             dialled=dialled,
-            near=session.member.data_centre == self._settings.data_centre,
+            same_data_centre=session.member.data_centre == self._settings.data_centre,
             timing=self._settings.timing,
             owner=self,
             random=self._random,
         )
-        if not self._links.take(link):
+        if not self._links.add(link):
             self._metrics.count("peers.links.crossed")
             return
         self._metrics.count("peers.links.opened")
         try:
-            self._after(await link.run())
+            self._count_end(await link.run())
         finally:
             self._links.retire(link)
-            self._distribution.forget(link)
+            self._distribution.discard_link(link)
 
-    def _after(self, end: LinkEnd) -> None:
+    def _count_end(self, end: LinkEnd) -> None:
         self._metrics.count(f"peers.links.ended.{end.value}")
 
     def _on_change(self, record: MemberRecord, state: MemberState) -> None:
         self._metrics.count(f"peers.members.{state.value}")
         self._timeline.record(
-            EVENTS[state], subject=Subject(instance=record.name), detail=record.data_centre
+            STATE_EVENTS[state], subject=Subject(instance=record.name), detail=record.data_centre
         )
         if state is MemberState.GONE:
-            self._loads.forget(record.name)
+            self._loads.discard_peer(record.name)
 
 
 def _own_record(settings: PeerSettings, wall_clock_s: Callable[[], float]) -> MemberRecord:
--- a/src/shallotworks/peers/_duties.py
+++ b/src/shallotworks/peers/_rendezvous.py
@@ -5,11 +5,17 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-__all__ = ["RELAYS", "WATCHERS", "rank_among", "relays_among", "watchers_among"]
-
-RELAYS = 2
+__all__ = [
+    "RELAYS_PER_DATA_CENTRE",
+    "WATCHERS_PER_DATA_CENTRE",
+    "rank_among",
+    "relays_among",
+    "watchers_among",
+]
+
+RELAYS_PER_DATA_CENTRE = 2
 """Relays of a data centre; each links with the one of its own slot in every other."""
-WATCHERS = 2
+WATCHERS_PER_DATA_CENTRE = 2
 """Instances of a data centre that watch the platform's store."""
 SCORE_BYTES = 8
 
@@ -20,11 +26,11 @@
     Each slot is drawn by a hash of its own, so that losing the holder of one slot seldom moves the
     holder of the other, whose links would all be made anew.
     """
-    left = set(names)
+    remaining = set(names)
     chosen = []
-    for slot in range(min(RELAYS, len(left))):
-        winner = max(left, key=lambda name: (_score(f"relay {slot}", name), name))
-        left.remove(winner)
+    for slot in range(min(RELAYS_PER_DATA_CENTRE, len(remaining))):
+        winner = max(remaining, key=lambda name: (_score(f"relay {slot}", name), name))
+        remaining.remove(winner)
         chosen.append(winner)
     return tuple(chosen)
 
@@ -32,7 +38,7 @@
 def watchers_among(names: Iterable[str]) -> tuple[str, ...]:
     """Return those that watch the platform's store."""
     ranked = sorted(names, key=lambda name: (_score("watch", name), name), reverse=True)
-    return tuple(ranked[:WATCHERS])
+    return tuple(ranked[:WATCHERS_PER_DATA_CENTRE])
 
 
 def rank_among(names: Iterable[str], own: str, *, duty: str) -> int:
--- a/src/shallotworks/protocol/__init__.py
+++ b/src/shallotworks/protocol/__init__.py
@@ -7,7 +7,7 @@
 
 from ._codec import decode, encode
 from ._frames import (
-    GREETING_LIMIT_BYTES,
+    HANDSHAKE_LIMIT_BYTES,
     MESSAGE_LIMIT_BYTES,
     ByteStream,
     FrameReader,
@@ -31,7 +31,7 @@
 )
 
 __all__ = [
-    "GREETING_LIMIT_BYTES",
+    "HANDSHAKE_LIMIT_BYTES",
     "MESSAGE_LIMIT_BYTES",
     "NO_RELAY_SLOT",
     "SUPPORTED_VERSIONS",
--- a/src/shallotworks/protocol/_codec.py
+++ b/src/shallotworks/protocol/_codec.py
@@ -29,9 +29,9 @@
 __all__ = ["decode", "encode"]
 
 WORD_BYTES = 8
-EXPANSION_LIMIT = 4
+MAX_UNPACKED_WORDS_PER_WORD = 4
 """Words that a packed frame may unpack to and be read as, per word of the bound on the frame."""
-NESTING_LIMIT = 8
+MAX_NESTING_DEPTH = 8
 
 _SCHEMA: Any = capnp.load(
     str(resources.files("shallotworks.protocol").joinpath("peers.capnp")), imports=[]
@@ -59,10 +59,10 @@
     Returns:
         The message, or ``PROTOCOL`` where the bytes are not one that this release knows.
     """
-    limit_words = EXPANSION_LIMIT * limit_bytes // WORD_BYTES
+    limit_words = MAX_UNPACKED_WORDS_PER_WORD * limit_bytes // WORD_BYTES
     try:
         frame = _SCHEMA.Frame.from_bytes_packed(
-            data, traversal_limit_in_words=limit_words, nesting_limit=NESTING_LIMIT
+            data, traversal_limit_in_words=limit_words, nesting_limit=MAX_NESTING_DEPTH
         )
         return Success(_READERS[str(frame.which())](frame))
     except (capnp.KjException, KeyError, ValueError) as error:
--- a/src/shallotworks/protocol/_frames.py
+++ b/src/shallotworks/protocol/_frames.py
@@ -11,7 +11,7 @@
 from ._messages import Message
 
 __all__ = [
-    "GREETING_LIMIT_BYTES",
+    "HANDSHAKE_LIMIT_BYTES",
     "MESSAGE_LIMIT_BYTES",
     "ByteStream",
     "FrameReader",
@@ -21,7 +21,7 @@
 LENGTH_BYTES = 4
 TAG_BYTES = 8
 SEQUENCE_BYTES = 8
-GREETING_LIMIT_BYTES = 1024
+HANDSHAKE_LIMIT_BYTES = 1024
 """Largest frame taken from one who has not yet proved that it belongs."""
 MESSAGE_LIMIT_BYTES = 1_280 * 1024
 """Largest frame taken from a peer: one value of the platform's store (1 MB) and its envelope."""
@@ -63,7 +63,7 @@
         self.sent_bytes = 0
         self.sent_frames = 0
 
-    def seal(self, key: bytes) -> None:
+    def set_tag_key(self, key: bytes) -> None:
         """Tag every frame from now on."""
         self._key = key
 
@@ -100,7 +100,7 @@
         self.received_bytes = 0
         self.received_frames = 0
 
-    def seal(self, key: bytes) -> None:
+    def set_tag_key(self, key: bytes) -> None:
         """Expect a tag on every frame from now on."""
         self._key = key
 
@@ -126,9 +126,9 @@
         body = await self._stream.read_exactly(length)
         self.received_bytes += LENGTH_BYTES + length
         self.received_frames += 1
-        return self._open(body) if self._key else body
+        return self._verify_tag(body) if self._key else body
 
-    def _open(self, body: bytes) -> bytes:
+    def _verify_tag(self, body: bytes) -> bytes:
         tag, data = body[:TAG_BYTES], body[TAG_BYTES:]
         if not hmac.compare_digest(tag, _tag(self._key, self._sequence, data)):
             _raise(Failure(kind=ErrorKind.UNAUTHORISED, reason="a frame with a wrong tag"))
@@ -137,8 +137,8 @@
 
 
 def _tag(key: bytes, sequence: int, data: bytes) -> bytes:
-    numbered = sequence.to_bytes(SEQUENCE_BYTES, "big") + data
-    return hmac.digest(key, numbered, "sha256")[:TAG_BYTES]
+    sequenced = sequence.to_bytes(SEQUENCE_BYTES, "big") + data
+    return hmac.digest(key, sequenced, "sha256")[:TAG_BYTES]
 
 
 def _raise(failure: Failure) -> None:
--- a/src/shallotworks/protocol/_handshake.py
+++ b/src/shallotworks/protocol/_handshake.py
@@ -15,7 +15,7 @@
 from shallotworks.errors import ErrorKind, Failure, ShallotworksError
 
 from ._codec import decode, encode
-from ._frames import GREETING_LIMIT_BYTES, ByteStream, FrameReader, FrameWriter
+from ._frames import HANDSHAKE_LIMIT_BYTES, ByteStream, FrameReader, FrameWriter
 from ._keys import FleetKeys
 from ._messages import Hello, MemberRecord, Message, Proof
 
@@ -89,13 +89,13 @@
     reader, writer = FrameReader(stream=stream), FrameWriter(stream=stream)
     sent = encode(_hello(member, supported_versions))
     await writer.write_encoded(sent)
-    received = await reader.read_encoded(limit_bytes=GREETING_LIMIT_BYTES)
+    received = await reader.read_encoded(limit_bytes=HANDSHAKE_LIMIT_BYTES)
     hello = _expect(received, Hello)
     version = negotiate(supported_versions, _range(hello))
     transcript = sent + received
     key = await _check_proof(reader, keys, LISTENER, transcript)
     await writer.write(Proof(digest=keys.prove(key=key, role=DIALLER, transcript=transcript)))
-    _seal(reader, writer, key, transcript, ours=DIALLER, theirs=LISTENER)
+    _set_tag_keys(reader, writer, key, transcript, ours=DIALLER, theirs=LISTENER)
     return Session(member=hello.member, version=version, reader=reader, writer=writer)
 
 
@@ -108,16 +108,16 @@
 ) -> Session:
     """Greet as the end that was dialled; raises as `dial` does."""
     reader, writer = FrameReader(stream=stream), FrameWriter(stream=stream)
-    received = await reader.read_encoded(limit_bytes=GREETING_LIMIT_BYTES)
+    received = await reader.read_encoded(limit_bytes=HANDSHAKE_LIMIT_BYTES)
     hello = _expect(received, Hello)
     sent = encode(_hello(member, supported_versions))
     await writer.write_encoded(sent)
     version = negotiate(supported_versions, _range(hello))
     transcript = received + sent
-    offered = keys.prove(key=keys.keys[0], role=LISTENER, transcript=transcript)
-    await writer.write(Proof(digest=offered))
+    listener_digest = keys.prove(key=keys.keys[0], role=LISTENER, transcript=transcript)
+    await writer.write(Proof(digest=listener_digest))
     key = await _check_proof(reader, keys, DIALLER, transcript)
-    _seal(reader, writer, key, transcript, ours=LISTENER, theirs=DIALLER)
+    _set_tag_keys(reader, writer, key, transcript, ours=LISTENER, theirs=DIALLER)
     return Session(member=hello.member, version=version, reader=reader, writer=writer)
 
 
@@ -135,7 +135,7 @@
 
 
 def _expect(data: bytes, kind: type[_Kind]) -> _Kind:
-    message = decode(data, limit_bytes=GREETING_LIMIT_BYTES).value_or(None)
+    message = decode(data, limit_bytes=HANDSHAKE_LIMIT_BYTES).value_or(None)
     if not isinstance(message, kind):
         _refuse(ErrorKind.PROTOCOL, f"expected {kind.__name__}")
     return message
@@ -144,7 +144,7 @@
 async def _check_proof(
     reader: FrameReader, keys: FleetKeys, role: bytes, transcript: bytes
 ) -> bytes:
-    data = await reader.read_encoded(limit_bytes=GREETING_LIMIT_BYTES)
+    data = await reader.read_encoded(limit_bytes=HANDSHAKE_LIMIT_BYTES)
     proof = _expect(data, Proof)
     key = keys.find(role=role, transcript=transcript, digest=proof.digest)
     if key is None:
@@ -152,7 +152,7 @@
     return key
 
 
-def _seal(
+def _set_tag_keys(
     reader: FrameReader,
     writer: FrameWriter,
     key: bytes,
@@ -161,8 +161,8 @@
     ours: bytes,
     theirs: bytes,
 ) -> None:
-    writer.seal(hmac.digest(key, b"frames of " + ours + transcript, "sha256"))
-    reader.seal(hmac.digest(key, b"frames of " + theirs + transcript, "sha256"))
+    writer.set_tag_key(hmac.digest(key, b"frames of " + ours + transcript, "sha256"))
+    reader.set_tag_key(hmac.digest(key, b"frames of " + theirs + transcript, "sha256"))
 
 
 def _refuse(kind: ErrorKind, reason: str) -> NoReturn:
--- a/src/shallotworks/protocol/_keys.py
+++ b/src/shallotworks/protocol/_keys.py
@@ -17,8 +17,8 @@
 
 __all__ = ["FleetKeys", "load_keys"]
 
-LEAST_KEY_BYTES = 16
-MOST_KEYS = 2
+MIN_KEY_BYTES = 16
+MAX_KEYS = 2
 ENCODING = "utf-8"
 
 
@@ -54,10 +54,10 @@
     except (OSError, ValueError) as error:
         return _invalid(f"can't read the key file {path}: {error}")
     keys = tuple(line.strip().encode(ENCODING) for line in lines if line.strip())
-    if not 1 <= len(keys) <= MOST_KEYS:
-        return _invalid(f"the key file {path} must hold 1 or {MOST_KEYS} keys, one a line")
-    if min(len(key) for key in keys) < LEAST_KEY_BYTES:
-        return _invalid(f"a key in {path} is shorter than {LEAST_KEY_BYTES} bytes")
+    if not 1 <= len(keys) <= MAX_KEYS:
+        return _invalid(f"the key file {path} must hold 1 or {MAX_KEYS} keys, one a line")
+    if min(len(key) for key in keys) < MIN_KEY_BYTES:
+        return _invalid(f"a key in {path} is shorter than {MIN_KEY_BYTES} bytes")
     return Success(FleetKeys(keys=keys))
 
 
--- a/tests/test_instance_list_watcher.py
+++ b/tests/test_instance_list_watcher.py
@@ -22,7 +22,7 @@
 Listing = tuple[tuple[str, bool], ...]
 
 
-class _List:
+class _FakeInstanceList:
     def __init__(self, listings: list[Listing | None]) -> None:
         self.listings = listings
 
@@ -38,7 +38,7 @@
         )
 
 
-class _Config:
+class _FakeConfig:
     def __init__(self, healthy: dict[str, bool]) -> None:
         self.changes: list[SetHealth] = []
         self._instances = {
@@ -65,7 +65,7 @@
         return Success(Accepted(revision=1, change_id="c"))
 
 
-class _Dispatcher:
+class _FakeDispatcher:
     def __init__(self) -> None:
         self.leaving: frozenset[str] = frozenset()
 
@@ -94,30 +94,30 @@
         leaving: set[str],
     ) -> None:
         """Only a change of one's own data centre's instances is put into the configuration."""
-        config = _Config(healthy)
-        dispatcher = _Dispatcher()
-        watch = InstanceListWatcher(
+        config = _FakeConfig(healthy)
+        dispatcher = _FakeDispatcher()
+        watcher = InstanceListWatcher(
             data_centre="bergen",
-            instances=_List(list(listings)),
+            instances=_FakeInstanceList(list(listings)),
             view=config,
             log=config,
             dispatcher=dispatcher,
-            reads=lambda: True,
-            readers=lambda: 1,
+            should_read=lambda: True,
+            reader_count=lambda: 1,
             metrics=Metrics(),
             author="entry-1",
         )
         loop = looptime.new_event_loop()
         try:
-            loop.run_until_complete(_run_for(watch, seconds=len(listings)))
+            loop.run_until_complete(_run_for(watcher, seconds=len(listings)))
         finally:
             loop.close()
-        told = [(change.names[0], change.healthy) for change in config.changes]
-        self.assertEqual(told, expected)
+        proposed = [(change.names[0], change.healthy) for change in config.changes]
+        self.assertEqual(proposed, expected)
         self.assertEqual(dispatcher.leaving, frozenset(leaving))
 
 
-async def _run_for(watch: InstanceListWatcher, *, seconds: float) -> None:
+async def _run_for(watcher: InstanceListWatcher, *, seconds: float) -> None:
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
-            await watch.run()
+            await watcher.run()
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -13,7 +13,7 @@
 
 from shallotworks.errors import ErrorKind, ShallotworksError
 from shallotworks.protocol import (
-    GREETING_LIMIT_BYTES,
+    HANDSHAKE_LIMIT_BYTES,
     MESSAGE_LIMIT_BYTES,
     Entries,
     EntriesRequest,
@@ -105,7 +105,7 @@
         self.assertIs(outcome.failure().kind, ErrorKind.PROTOCOL)
 
     def _read(self, data: bytes) -> None:
-        outcome = decode(data, limit_bytes=GREETING_LIMIT_BYTES)
+        outcome = decode(data, limit_bytes=HANDSHAKE_LIMIT_BYTES)
         if not is_successful(outcome):
             self.assertIs(outcome.failure().kind, ErrorKind.PROTOCOL)
 
