--- a/src/shallotworks/peers/__init__.py
+++ b/src/shallotworks/peers/__init__.py
@@ -1,10 +1,12 @@
-"""The processes of one fleet among themselves.
+"""Peer-to-peer network of the entry instances of one fleet.
 
-Connections, membership, duties chosen by hash, and the configuration passed on.
+It keeps the connections between processes, tracks membership, assigns the store watch and the
+relays by rendezvous hashing, and distributes the configuration.
 
-`PeerNetwork` is what other packages use. Nothing here reads or writes the platform's store, and
-nothing is agreed on here: what must be agreed goes through the store. A duty by hash (watching the
-store, linking data centres) may be held twice for a while, which costs only messages.
+`PeerNetwork` is the interface for other packages. This package neither reads nor writes the
+platform's store and provides no consensus: whatever needs agreement goes through the store. While
+processes see different members, more of them than intended may watch the store or act as relays,
+which costs only additional messages.
 """
 
 from ._members import Member, MemberState
--- a/src/shallotworks/peers/_dialler.py
+++ b/src/shallotworks/peers/_dialler.py
@@ -1,4 +1,4 @@
-"""Whom this process dials: known members it has no connection to, and addresses to explore."""
+"""Dials known members that have no connection, and addresses that no known member has."""
 
 from __future__ import annotations
 
@@ -17,15 +17,19 @@
 __all__ = ["Dialler"]
 
 MAX_CONCURRENT_EXPLORATIONS = 4
+"""Dials of unknown addresses at once while no member of this data centre is connected."""
 EXPLORE_BACKOFF_CAP_S = 8.0
 LARGER_NAME_DIAL_DELAY_S = 0.3
-"""Head start of the member whose name sorts first, so that two seldom dial each other at once."""
+"""Delay before the first dial of a member whose name sorts before this process's name.
+
+The member whose name sorts first dials at once, so two members seldom dial each other together.
+"""
 BACKOFF_RESET_AFTER_S = 5.0
-"""A connection that lasted this long resets the backoff."""
+"""Duration of a connection from which on the redial backoff restarts."""
 MAX_BACKOFF_DOUBLINGS = 8
 RELAY_QUERY_BASE_WAIT_S = 1.0
 RELAY_QUERY_WAIT_CAP_S = 60.0
-"""Waits between two questions to a data centre for its relays; the first doubles up to the cap."""
+"""Wait between two queries to a data centre for its relays; it doubles from the base to the cap."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -35,16 +39,16 @@
 
 
 class Dialler:
-    """Keeps one task for each member that should be connected and is not, with backoff.
+    """Runs one redial task with backoff for each member that should be connected and is not.
 
     Args:
-        table: The members known.
-        links: The connections open now.
-        dial: Dials an address; returns the task that serves the connection, or nothing where it
+        table: The known members.
+        links: The open connections.
+        dial: Dials an address; returns the task that serves the connection, or ``None`` if it
             could not be opened.
         seeds: Addresses from the settings.
-        timing: Waits.
-        random: Draws the waits and what to explore.
+        timing: Intervals and backoff bounds.
+        random: Draws the waits and the addresses to explore.
     """
 
     __slots__ = (
@@ -96,9 +100,10 @@
                 del by_address[address]
 
     def is_wanted(self, record: MemberRecord) -> bool:
-        """Say whether a connection to a peer is of use.
+        """Return whether this process should keep a connection to a peer.
 
-        Within a data centre everyone links with everyone; between two, only relays of one slot do.
+        The members of one data centre form a full mesh; two data centres are connected only through
+        their relays of the same slot.
         """
         own = self._table.own
         if record.data_centre == own.data_centre:
@@ -106,11 +111,11 @@
         return own.relay_slot != NO_RELAY_SLOT and own.relay_slot == record.relay_slot
 
     def has_dialled_all_unknown(self) -> bool:
-        """Say whether each address to explore has been dialled at least once."""
+        """Return whether each address that no known member has was dialled at least once."""
         return all(address in self._explored_until_s for address in self._unknown_addresses())
 
     def reconcile(self) -> None:
-        """Start and end tasks so that they match what is known now."""
+        """Start and cancel redial tasks to match the known members and the open connections."""
         wanted = {record.name for record in self._table.records() if self._needs_link(record)}
         for name in [name for name in self._tasks if name not in wanted]:
             if self._links.get(name) is None:
@@ -123,7 +128,7 @@
         self._explore()
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks and wait for them."""
         tasks = [*self._tasks.values(), *self._exploring.values()]
         for task in tasks:
             task.cancel()
@@ -136,7 +141,7 @@
         return same_data_centre or record.data_centre not in self._linked_data_centres()
 
     def _linked_data_centres(self) -> set[str]:
-        """Return the data centres whose relay of this process's slot it is connected to."""
+        """Return the data centres connected through a peer with this process's relay slot."""
         slot = self._table.own.relay_slot
         return {link.peer.data_centre for link in self._links if link.peer.relay_slot == slot}
 
@@ -157,16 +162,19 @@
             await asyncio.sleep(wait_s)
 
     def _backoff_s(self, failures: int, *, cap_s: float) -> float:
-        """Return a wait with full jitter, so that those who lost a peer together spread out."""
+        """Return a wait with full jitter.
+
+        Processes that lost the same peer at the same time then spread their redials.
+        """
         doubled_s = self._timing.backoff_base_s * 2.0 ** min(failures, MAX_BACKOFF_DOUBLINGS)
         return self._random.uniform(0.0, min(doubled_s, cap_s))
 
     def _query_relays(self) -> None:
-        """Ask any member of a data centre that is not linked who its relays are.
+        """Dial any member of each data centre that is not connected, to learn its relays.
 
-        The failure: the relays known there were replaced while it was cut off, or none was chosen
-        yet when its members were met. Any member knows the relays and says so in its first
-        heartbeat; the connection is then dismissed, and the relay is dialled.
+        The relays known for a data centre may have been replaced while it was partitioned, or none
+        was chosen yet when its members were first seen. Any member reports the relays in its first
+        heartbeat; that connection is then closed as unwanted and the relay is dialled.
         """
         own = self._table.own
         if own.relay_slot == NO_RELAY_SLOT:
@@ -208,8 +216,9 @@
     def _explore(self) -> None:
         """Dial addresses that no known member has.
 
-        Alone in its data centre, a process tries several at once; else one now and then, which
-        finds a part of the data centre that has never heard of this one.
+        A process without a connection in its data centre dials several at once. Otherwise it dials
+        one per `PeerTiming.explore_interval_s`, which finds a group of members of the data centre
+        that does not know this process's group.
         """
         now_s = _now_s()
         isolated = not any(link.same_data_centre for link in self._links)
--- a/src/shallotworks/peers/_distribution.py
+++ b/src/shallotworks/peers/_distribution.py
@@ -1,9 +1,10 @@
-"""How a change of the configuration reaches every process, and how a gap is filled.
+"""Distribution of configuration changes to every process, and anti-entropy for missing ones.
 
-A new entry is pushed once along each way: by the one that has it from the store to its data centre
-and, if it is a relay, to the others; by a relay that has it from elsewhere to its data centre; by
-one that has it from its data centre to the others. What is lost on the way shows in heartbeats,
-which carry the revision held, and the one behind asks for what it lacks.
+A new entry is pushed once along each path. The process that read it from the store pushes it to its
+own data centre and, if that process is a relay, to the other data centres. A relay that received it
+from another data centre pushes it to its own; a relay that received it from its own data centre
+pushes it to the others. Heartbeats carry the revision that their sender holds, so a process that
+missed an entry sees the gap and requests what it lacks.
 """
 
 from __future__ import annotations
@@ -32,32 +33,36 @@
 __all__ = ["Distribution"]
 
 MAX_ENTRIES_PER_ANSWER = 512
-"""Entries sent for one request; whoever needs more asks again."""
+"""Entries sent for one request; a peer that needs more sends another request."""
 MAX_BATCH_BYTES = 256 * 1024
-"""Entries put into one message, by size."""
+"""Total size of the entries in one message; a single larger entry is sent alone."""
 SNAPSHOT_PART_BYTES = 128 * 1024
 MAX_SNAPSHOT_PARTS = 128
-"""Parts of a snapshot taken from a peer: 16 MB."""
+"""Parts accepted for one snapshot from a peer: 16 MB."""
 MIN_SNAPSHOT_GAP_ENTRIES = 512
-"""Entries missing from which on the whole state is cheaper than the changes."""
+"""Missing entries above which a snapshot costs less than the single changes."""
 MIN_ANNOUNCE_DELAY_S = 0.2
 MAX_ANNOUNCE_DELAY_S = 0.6
-"""Wait before a peer that was not pushed to is told of a new revision; most have it by then."""
+"""Bounds of the random delay before a new revision is announced to a peer that is behind.
+
+Most peers have received it from another process by then.
+"""
 NO_PROGRESS_PAUSE_S = 30.0
+"""Time without requests to a peer whose answer did not advance this replica."""
 MS_PER_S = 1000
 UNCONFIRMED_AGE_MS = 0xFFFFFFFF
-"""Age of a revision that nobody is known to have seen in the store."""
+"""Age sent for a revision that no process is known to have confirmed at the store."""
 
 
 class Distribution:
-    """Passes the configuration on between this process and its peers.
+    """Replicates the configuration between this process and its peers.
 
     Args:
-        replica: The configuration held here.
-        links: Returns the connections open now.
-        metrics: Counts what is passed on.
-        timing: Waits.
-        random: Spreads announcements.
+        replica: This process's replica of the configuration.
+        links: Returns the open connections.
+        metrics: Counts pushes, requests, answers and snapshots.
+        timing: Gives the reply timeout.
+        random: Draws the delays of announcements.
     """
 
     __slots__ = (
@@ -96,36 +101,39 @@
         self._newest_known = 0
 
     def start(self) -> None:
-        """Pass on whatever the replica takes from now on."""
+        """Push every entry that the replica applies from now on."""
         self._replica.subscribe(self._on_entry)
 
     def newest_revision(self) -> int:
-        """Return the newest revision that any process was heard to hold."""
+        """Return the newest revision that any heartbeat reported, or the replica's own if newer."""
         return max(self._newest_known, self._replica.revision())
 
     def confirmed_age_ms(self) -> int:
-        """Return how long ago the revision held was known to be the newest, as peers are told."""
+        """Return the time since the held revision was last confirmed as the newest."""
         return int(min(UNCONFIRMED_AGE_MS, self._replica.age_s() * MS_PER_S))
 
     def discard_link(self, link: Link) -> None:
-        """Drop what is kept for a connection that has ended."""
+        """Drop the snapshot parts received on a connection that has ended."""
         self._snapshot_parts.pop(link, None)
 
     def on_heartbeat(self, link: Link, message: Heartbeat) -> None:
-        """Learn how far a peer is, and ask it for what is missing here."""
+        """Record a peer's revision, and request the entries that this replica lacks.
+
+        A peer at the same revision passes on the age of its last confirmation by the store.
+        """
         link.revision = message.revision
         self._newest_known = max(self._newest_known, message.newest_revision, message.revision)
         held = self._replica.revision()
         if message.revision > held:
-            # A store that comes back older looks right to whoever lags behind, unless it has heard
-            # of the newer revision before it asks that store.
+            # A store restored to an older revision looks current to a replica that lags behind,
+            # unless the replica has recorded the newer revision before it reads that store.
             self._replica.confirm_newest(message.revision)
             self._request_missing(link)
         elif message.revision == held and message.newest_age_ms < UNCONFIRMED_AGE_MS:
             self._replica.confirm_newest(held, age_s=message.newest_age_ms / MS_PER_S)
 
     def on_entries(self, link: Link, message: Entries) -> None:
-        """Take entries; ask on where they leave a gap or the peer has more."""
+        """Apply entries; request more if they leave a gap or the peer has more."""
         entries = self._decode(message.entries)
         self._metrics.count("peers.entries.received", len(entries))
         self._request_deadline_s = float("-inf")
@@ -142,7 +150,7 @@
             self._request_missing(link)
 
     def on_entries_request(self, link: Link, message: EntriesRequest) -> None:
-        """Answer with entries, or with the whole state where they are not kept any more."""
+        """Answer with entries, or with a snapshot if the replica no longer keeps those entries."""
         entries = self._replica.entries_after(message.after, limit=MAX_ENTRIES_PER_ANSWER)
         if entries is None:
             self._send_snapshot(link)
@@ -152,32 +160,36 @@
             link.send_heartbeat_now()
 
     def on_snapshot_request(self, link: Link, _message: SnapshotRequest) -> None:
-        """Answer with the whole state."""
+        """Answer with a snapshot."""
         self._send_snapshot(link)
 
     def on_snapshot_part(self, link: Link, message: SnapshotPart) -> None:
-        """Keep a part; adopt the snapshot when it is whole.
+        """Keep one part, and install the snapshot once all parts are present.
 
         Raises:
-            ShallotworksError: ``PROTOCOL`` for a part out of order or a count out of bounds; the
-                connection keeps order, so neither happens to a peer that works.
+            ShallotworksError: ``PROTOCOL`` for a part out of order or a count out of bounds. The
+                connection preserves order, so a correct peer causes neither.
         """
         parts = self._snapshot_parts.setdefault(link, [])
         if message.index == 0:
             parts.clear()
         if message.index != len(parts) or not 1 <= message.count <= MAX_SNAPSHOT_PARTS:
-            raise _protocol_error("a part of a snapshot out of order")
+            raise _protocol_error("snapshot part out of order or part count out of bounds")
         if parts and (message.revision, message.count) != (parts[0].revision, parts[0].count):
-            raise _protocol_error("parts of two snapshots mixed")
+            raise _protocol_error("parts of different snapshots are interleaved")
         parts.append(message)
         if len(parts) == message.count:
             del self._snapshot_parts[link]
             self._install_snapshot(link, b"".join(part.data for part in parts))
 
     def _request_missing(self, link: Link) -> None:
-        """Ask for what is missing, from one peer at a time, a near one if it has as much."""
+        """Request missing entries or a snapshot, from one peer at a time.
+
+        A peer of this data centre is preferred if it holds at least the same revision.
+        """
         now_s = asyncio.get_running_loop().time()
-        # While a snapshot arrives each new entry leaves a gap; asking would start it over.
+        # While a snapshot arrives, each new entry leaves a gap; a request would start the snapshot
+        # again.
         if self._snapshot_parts or now_s < max(self._request_deadline_s, link.no_requests_before_s):
             return
         self._request_deadline_s = now_s + self._timing.reply_timeout_s
@@ -200,20 +212,20 @@
         return next((other for other in same_data_centre if other.revision >= link.revision), link)
 
     def _pause_requests(self, link: Link) -> None:
-        """Ask a peer for nothing for a while.
+        """Send a peer no requests for `NO_PROGRESS_PAUSE_S`.
 
-        The failure: its next entry contradicts what is held here, or is of a kind that this
-        release does not know. Each of its heartbeats would fetch the same entries again.
+        Its next entry contradicts this replica, or has a kind that this release does not know.
+        Without the pause each of its heartbeats would fetch the same entries again.
         """
         link.no_requests_before_s = asyncio.get_running_loop().time() + NO_PROGRESS_PAUSE_S
         self._metrics.count("peers.entries.stuck")
 
     def _decode(self, encoded: tuple[bytes, ...]) -> tuple[Entry, ...]:
-        """Read entries up to the first that this release does not know.
+        """Decode entries up to the first one that this release does not know.
 
-        The failure: during a roll-out a newer release's entry reaches an older process. Closing
-        the connection would cut that process off; it stays at the revision before instead, where
-        its heartbeats show it, and serves on.
+        During a roll-out an entry of a newer release can reach an older process. Closing the
+        connection would partition that process from its peers. Instead it keeps serving at the
+        revision before that entry, which its heartbeats report.
         """
         entries = []
         for data in encoded:
@@ -247,7 +259,7 @@
             self._announce(held)
 
     def _on_entry(self, entry: Entry) -> None:
-        """Keep an entry until the loop's next turn, so that many leave as one message."""
+        """Buffer an entry until the next iteration of the event loop, to batch several entries."""
         if not self._unpushed:
             asyncio.get_running_loop().call_soon(self._push_unpushed)
         self._unpushed.append((entry, self._appending_from))
@@ -266,10 +278,12 @@
         self._announce(held)
 
     def _should_push(self, source: Link | None, link: Link, entries: tuple[Entry, ...]) -> bool:
-        """Say whether a peer is sent entries unasked.
+        """Return whether to push entries to a peer that did not request them.
 
-        One far behind, or one whose revision is not known yet, asks when it sees a heartbeat;
-        pushing would send it what it can't take or has already.
+        A peer that is further behind, or whose revision is not known yet, sends a request when it
+        receives a heartbeat; a push would carry entries that it can't apply or already holds.
+        Entries received from a peer are only pushed between the two kinds of connection: from
+        another data centre into this one, or from this one to another.
         """
         if link.revision == UNKNOWN_REVISION:
             return False
--- a/src/shallotworks/peers/_link.py
+++ b/src/shallotworks/peers/_link.py
@@ -1,4 +1,4 @@
-"""One connection to one peer after the handshake: a task that reads, and one that writes."""
+"""One connection to one peer after the handshake, with a reading and a writing task."""
 
 from __future__ import annotations
 
@@ -29,41 +29,51 @@
 
 UNKNOWN_REVISION = -1
 MIN_FIRST_INTERVAL_PART = 0.5
-"""The first interval is shortened at random to this part at the least, so that heartbeats to
-different peers don't leave in one burst."""
+"""Smallest random fraction of the heartbeat interval that the first one lasts.
+
+Shortening it spreads the heartbeats to different peers, which would otherwise leave in one burst.
+"""
 GOODBYE_TIMEOUT_S = 0.5
+"""Time to write the goodbye message before the connection is closed without it."""
 TIMER_SLACK_S = 0.001
-"""What is due this soon is done now: a timer may wake its task a moment before the time it was set
-for, and waiting for the rest again would spin until the clock has moved."""
+"""Work due within this time is done now.
+
+A timer may wake its task slightly before the requested time; waiting for the remainder would spin
+until the clock has advanced.
+"""
 
 
 @unique
 class LinkEnd(Enum):
-    """Why a connection has ended."""
+    """Why a connection ended."""
 
     CLOSED = "closed"
     SILENT = "silent"
     REFUSED = "refused"
-    """The peer sent what is no message, or one that does not belong here."""
+    """The peer sent an invalid message, or one that is not allowed at this point."""
     DISMISSED = "dismissed"
-    """One of the two has no more use for it."""
+    """One end closed it because it no longer needs it."""
     LEFT = "left"
-    """The peer has left the fleet."""
+    """The peer announced that it leaves the fleet."""
 
 
 class LinkOwner(Protocol):
-    """What a connection needs of the process it belongs to."""
+    """Callbacks from a connection to the process that owns it."""
 
     def heartbeat_for(self, link: Link) -> Heartbeat:
-        """Return the heartbeat to send now."""
+        """Return the heartbeat to send to the peer now."""
         ...
 
     def has_newer_revision_for(self, link: Link) -> bool:
-        """Return whether this process holds a newer revision than that peer is known to hold."""
+        """Return whether this process holds a newer revision than the peer is known to hold."""
         ...
 
     def on_message(self, link: Link, message: Message) -> None:
-        """Take one message; raises ``ShallotworksError`` where it does not belong here."""
+        """Handle one message from the peer.
+
+        Raises:
+            ShallotworksError: ``PROTOCOL`` if the message is not allowed at this point.
+        """
         ...
 
 
@@ -71,13 +81,23 @@
     """One connection to one peer.
 
     Args:
-        session: The connection after the handshake.
-        stream: What it runs over.
-        dialled: Whether this process opened it.
-        near: Whether the peer stands in the same data centre.
-        timing: Intervals and bounds.
-        owner: Gives heartbeats and takes messages.
-        random: Shifts the heartbeats.
+        session: The session that the handshake established.
+        stream: The byte stream that carries the session.
+        dialled: Whether this process opened the connection.
+        same_data_centre: Whether the peer is in this process's data centre.
+        timing: Intervals, timeouts and the bound on the queue.
+        owner: Builds heartbeats and handles messages.
+        random: Draws the length of the first heartbeat interval.
+
+    Attributes:
+        peer: The peer's latest known record.
+        revision: Newest revision that the peer is known to hold.
+        pushed_revision: Newest revision pushed to the peer.
+        change_cursor: Membership change up to which records were sent to the peer.
+        load_cursor: Position in this process's loads from which the next heartbeat sends.
+        no_requests_before_s: Time before which this process sends the peer no requests.
+        opened_at_s: When the handshake was completed, by the event loop's clock.
+        end: Why the connection ended; ``None`` while it is open.
     """
 
     __slots__ = (
@@ -165,7 +185,7 @@
         return self._dropped
 
     async def run(self) -> LinkEnd:
-        """Serve the connection until it ends; says why it did."""
+        """Serve the connection until it ends, and return the reason."""
         writing = asyncio.create_task(self._write())
         writing.add_done_callback(self._on_write_end)
         try:
@@ -175,17 +195,20 @@
             self._stream.close()
             await asyncio.wait({writing})
         if not writing.cancelled():
-            # A fault of the program must show; otherwise the peer would just look silent.
+            # Raise a fault of the writer, which would otherwise look like a silent peer.
             writing.result()
         self.end = self.end or end
         return self.end
 
     def send(self, data: bytes) -> bool:
-        """Queue an encoded message; drops it where the queue is full.
+        """Queue an encoded message, or drop it if the queue is full.
+
+        Without a bound, a slowly reading peer would make this process buffer without limit or wait
+        for that peer. A dropped message can be recovered: heartbeats bypass the queue and carry
+        the revision, and the peer requests what it lacks.
 
-        The failure: a peer that reads slowly would make this process keep all that it is owed, or
-        wait for it. A dropped message is no loss: heartbeats are not queued, they carry the
-        revision, and the peer asks for what it lacks.
+        Returns:
+            Whether the message was queued.
         """
         if self._queued_bytes + len(data) > self._timing.queue_bytes:
             self._dropped += 1
@@ -196,10 +219,13 @@
         return True
 
     def send_bulk(self, messages: Iterable[bytes]) -> bool:
-        """Send many encoded messages one by one as the peer takes them; one such run at a time.
+        """Send a series of encoded messages, such as a snapshot, as fast as the peer reads them.
+
+        The messages don't count towards the bound on the queue, so a snapshot larger than the bound
+        still arrives. Queued messages have priority.
 
-        They count for nothing in the queue, so that a snapshot larger than its bound still arrives;
-        what is queued goes ahead.
+        Returns:
+            Whether the series was accepted; only one can be in progress.
         """
         if self._bulk is not None:
             return False
@@ -208,11 +234,11 @@
         return True
 
     def expect_reply(self) -> None:
-        """Take the connection for silent unless some message comes soon.
+        """End the connection as silent unless some message arrives within the reply timeout.
 
-        The failure: something between the two ends has lost track of the connection; writes still
-        succeed and nothing ever arrives. Without this it would be noticed only after several
-        heartbeats, which between data centres takes longer than a change may.
+        A middlebox may have lost the connection's state: writes still succeed but nothing arrives.
+        Without this timeout the fault would be detected only after several heartbeat intervals,
+        which between data centres is longer than a change may take to reach all processes.
         """
         if self._reply_due:
             return
@@ -222,24 +248,24 @@
             self._read_timeout.reschedule(self._deadline_s)
 
     def send_heartbeat_now(self) -> None:
-        """Send a heartbeat now."""
+        """Send a heartbeat without waiting for the interval to end."""
         self._next_heartbeat_s = _now_s()
         self._wake.set()
 
     def announce_soon(self, *, delay_s: float) -> None:
-        """Send a heartbeat after a while, unless the peer is known to be as far by then."""
+        """Send a heartbeat after a delay, unless the peer is known to be up to date by then."""
         at_s = _now_s() + delay_s
         if at_s < self._announce_at_s:
             self._announce_at_s = at_s
             self._wake.set()
 
     def close(self, end: LinkEnd) -> None:
-        """Close the connection at once."""
+        """Close the connection at once, without a goodbye message."""
         self.end = self.end or end
         self._stream.close()
 
     async def close_gracefully(self, *, leaving: bool) -> None:
-        """Say goodbye and close the connection."""
+        """Send a goodbye message and close the connection."""
         self.end = self.end or LinkEnd.DISMISSED
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(GOODBYE_TIMEOUT_S):
@@ -274,20 +300,20 @@
             while True:
                 await self._write_next()
         except (OSError, TimeoutError):
-            # A peer that stops reading fills the connection's buffer until a write has waited for
-            # as long as a silent peer is given.
+            # A peer that stops reading fills the connection's buffer; the write then times out
+            # after the same time as a silent peer.
             return
         finally:
             self._stream.close()
 
     def _on_write_end(self, writing: asyncio.Task[None]) -> None:
-        """End the connection with its writer.
+        """Close the connection if the writing task failed with an exception.
 
-        The failure: the writer ends by a fault of this program, and nobody looks at its result; the
-        connection stays open, never says a word, and the peer takes it for silent again and again.
+        Otherwise nothing would read that task's result while the connection stays open, and the
+        peer would find each connection to this process silent.
         """
         if not writing.cancelled() and writing.exception() is not None:
-            logging.error("peer %s: the writer failed: %r", self.peer.name, writing.exception())
+            logging.error("peer %s: writing task failed: %r", self.peer.name, writing.exception())
             self._stream.close()
 
     async def _write_next(self) -> None:
--- a/src/shallotworks/peers/_links.py
+++ b/src/shallotworks/peers/_links.py
@@ -1,4 +1,4 @@
-"""The connections open now, one to each peer."""
+"""The open connections, at most one to each peer."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 __all__ = ["Links"]
 
 SIMULTANEOUS_OPEN_WINDOW_S = 1.0
-"""Two connections opened within this time have crossed; a later one replaces the earlier."""
+"""Two connections opened by both ends within this time count as a simultaneous open.
+
+After it, a later connection replaces the earlier one.
+"""
 
 
 class Links:
-    """The connections open now, by the peer's name.
+    """The open connections, by the peer's name.
 
     Args:
         own_name: Name of this process.
@@ -34,15 +37,19 @@
         return len(self._by_name)
 
     def get(self, name: str) -> Link | None:
-        """Return the connection to a peer."""
+        """Return the connection to a peer, or ``None``."""
         return self._by_name.get(name)
 
     def add(self, link: Link) -> bool:
-        """Keep a new connection in place of an older one to the same peer; says whether it is kept.
+        """Add a new connection, in place of an existing one to the same peer.
+
+        If two processes dial each other at the same time, each could keep its own connection and
+        close the other's, which leaves none. Both therefore keep the connection whose dialler's
+        name sorts first. A later connection always replaces the existing one, as its peer would
+        not dial while it still had that one.
 
-        The failure: two processes dial each other at once, each keeps its own connection and
-        closes the other's, and none is left. Both keep the one whose dialler's name sorts first.
-        Any later connection wins: its peer would not dial if it still had the earlier one.
+        Returns:
+            Whether the new connection is kept.
         """
         existing = self._by_name.get(link.peer.name)
         if existing is not None:
@@ -53,22 +60,22 @@
         return True
 
     def remove(self, link: Link) -> None:
-        """Use a connection no more."""
+        """Remove a connection that this process no longer uses, even if it is still open."""
         if self._by_name.get(link.peer.name) is link:
             del self._by_name[link.peer.name]
 
     def retire(self, link: Link) -> None:
-        """Forget a connection that has ended, but for what it has carried."""
+        """Remove a connection that has ended, and keep its byte counts in the totals."""
         self.remove(link)
         self._ended_sent_bytes += link.sent_bytes
         self._ended_received_bytes += link.received_bytes
 
     def sent_bytes(self) -> int:
-        """Return the bytes sent on all connections so far."""
+        """Return the bytes sent on all open and ended connections."""
         return self._ended_sent_bytes + sum(link.sent_bytes for link in self)
 
     def received_bytes(self) -> int:
-        """Return the bytes received on all connections so far."""
+        """Return the bytes received on all open and ended connections."""
         return self._ended_received_bytes + sum(link.received_bytes for link in self)
 
     def _opened_simultaneously(self, existing: Link, link: Link) -> bool:
--- a/src/shallotworks/peers/_members.py
+++ b/src/shallotworks/peers/_members.py
@@ -1,8 +1,9 @@
-"""The members that this process knows, and which of them it believes to be alive.
+"""Membership and failure detection.
 
-A member is heard when a message of its own arrives. It is vouched for when a peer that is heard
-says that it hears the member itself, so that one broken link between two members makes neither
-count as dead. Nobody vouches from hearsay, hence vouching can't go round in circles.
+A message from a member is direct evidence that it is alive. Indirect evidence is a heartbeat in
+which another peer vouches for the member, because that peer itself received a message from it.
+One broken connection between two members therefore makes neither count as failed. No process
+vouches on indirect evidence, so vouches can't keep each other alive in a cycle.
 """
 
 from __future__ import annotations
@@ -19,24 +20,24 @@
 __all__ = ["Member", "MemberState", "MemberTable", "MemberUpdates", "incarnation_checksum"]
 
 MAX_MEMBERS = 4_000
-"""Records kept; the target is 220 entry instances, and a peer's list must not fill the memory."""
+"""Records kept, for a target of 220 entry instances; bounds the memory that a peer can use."""
 MAX_RECORDS_PER_HEARTBEAT = 200
-"""Records in one heartbeat."""
+"""Member records in one heartbeat; the others follow in the next ones."""
 RETAINED_REMOTE_RELAYS_PER_SLOT = 3
-"""Silent relays kept of each slot of another data centre."""
+"""Relay records that are kept, however long silent, for each slot of another data centre."""
 VOUCH_INTERVALS = 2
-"""Heartbeat intervals for which one message lets its reader vouch for the sender."""
+"""Heartbeat intervals for which a process vouches for a member after a message from it."""
 
 
 @unique
 class MemberState(Enum):
-    """What this process believes of a member."""
+    """State of a member in the failure detector of this process."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
-    """No sign of life for a while: takes no duty, still counts as live."""
+    """Without evidence for `PeerTiming.suspect_after_s`: gets no role, still counts as live."""
     GONE = "gone"
-    """Counts no more, but is still dialled."""
+    """Without evidence for `PeerTiming.remove_after_s`: not live, but still dialled."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -44,9 +45,9 @@
     """One member as this process sees it.
 
     Args:
-        record: What it says of itself.
-        state: What this process believes of it.
-        silent_for_s: Time since the last sign of life.
+        record: The newest record that the member published.
+        state: Its state in this process's failure detector.
+        silent_for_s: Time since the last evidence that it is alive.
     """
 
     record: MemberRecord
@@ -56,11 +57,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberUpdates:
-    """Records to pass on to one peer.
+    """Changed member records to send to one peer.
 
     Args:
         records: The records.
-        told: Pass this as ``since`` of the next call for that peer.
+        change_cursor: Number of the last change included; pass it as ``since`` of the next call
+            for that peer.
     """
 
     records: tuple[MemberRecord, ...]
@@ -77,12 +79,12 @@
 
 
 class MemberTable:
-    """All members known, this process included; changed by `peers` on the event loop only.
+    """All known members and this process; changed only on the event loop.
 
     Args:
         own: This process's record.
-        timing: When a member is suspect, gone and forgotten.
-        on_change: Called with a member whose state has changed.
+        timing: Times after which a member is suspect, gone and deleted.
+        on_change: Called with the record and the new state of a member whose state changed.
     """
 
     __slots__ = (
@@ -112,16 +114,16 @@
 
     @property
     def own(self) -> MemberRecord:
-        """Record of this process."""
+        """The record of this process."""
         return self._own
 
     @property
     def changes(self) -> int:
-        """Number of changes of records so far."""
+        """Number of the latest change of a record."""
         return self._changes
 
     def change_own(self, *, relay_slot: int, left: bool = False) -> None:
-        """Change this process's record, which peers then pass on."""
+        """Update this process's record, which the next heartbeats distribute."""
         if (relay_slot, left) == (self._own.relay_slot, self._own.left):
             return
         version = self._own.version + 1
@@ -129,12 +131,12 @@
         self._own_changed = self._next_change()
 
     def get(self, name: str) -> MemberRecord | None:
-        """Return a member's record."""
+        """Return the record of a member, or ``None``."""
         tracked = self._tracked.get(name)
         return None if tracked is None else tracked.record
 
     def state_of(self, name: str) -> MemberState:
-        """Return what this process believes of a member."""
+        """Return the state of a member; an unknown member is gone."""
         tracked = self._tracked.get(name)
         return MemberState.GONE if tracked is None else tracked.state
 
@@ -143,11 +145,11 @@
         return (tracked.record for tracked in self._tracked.values())
 
     def alive_in_data_centre(self) -> tuple[str, ...]:
-        """Return the names believed alive in this data centre, this process included."""
+        """Return the names of the alive members of this data centre, this process included."""
         return (self._own.name, *self._names_in_data_centre(MemberState.ALIVE))
 
     def live_in_data_centre(self, *, now_s: float) -> tuple[Member, ...]:
-        """Return the live entry instances of this data centre, this process first."""
+        """Return the alive and suspect members of this data centre, this process first."""
         own = Member(record=self._own, state=MemberState.ALIVE, silent_for_s=0.0)
         names = self._names_in_data_centre(MemberState.ALIVE, MemberState.SUSPECT)
         return (own, *(self._view(self._tracked[name], now_s) for name in names))
@@ -157,10 +159,13 @@
         return tuple(self._view(tracked, now_s) for tracked in self._tracked.values())
 
     def merge_record(self, record: MemberRecord, *, now_s: float) -> bool:
-        """Take a record from hearsay; says whether it was news.
+        """Merge a record that a peer passed on.
 
-        A record alone is no sign of life: its member stays suspect until it is heard or vouched
-        for, so that a list passed on late can't bring back one that has died.
+        A record is no evidence that its member is alive: a new member stays suspect until a message
+        or a vouch arrives, so that an outdated list can't revive a member that has failed.
+
+        Returns:
+            Whether the record was newer than the known one and was kept.
         """
         if record.name == self._own.name or not self._is_newer(record):
             return False
@@ -184,12 +189,15 @@
         return True
 
     def admit(self, record: MemberRecord, *, now_s: float) -> bool:
-        """Take a record from the member itself, just proved; says whether it may be linked.
+        """Merge the record of a member that has just completed the handshake.
+
+        An instance may have been replaced under its name while its old process, partitioned or
+        paused, dials again. The lower incarnation is rejected while the newer one is alive. If the
+        newer one is silent, the dialling process is the only one left and its clock may just run
+        behind, so it is admitted.
 
-        The failure: an instance is replaced under its name and the old process, cut off or paused,
-        dials again. The lower incarnation is refused while the newer one is alive. Where the newer
-        one is silent the caller is the only one there is, its clock may just run behind, and it is
-        taken.
+        Returns:
+            Whether a connection to the member may be used.
         """
         tracked = self._tracked.get(record.name)
         if record.name == self._own.name:
@@ -204,7 +212,7 @@
         return True
 
     def note_message(self, name: str, *, now_s: float) -> None:
-        """Note a message of a member's own."""
+        """Record that a message from a member arrived."""
         tracked = self._tracked.get(name)
         if tracked is None:
             return
@@ -213,7 +221,7 @@
         self._set_state(tracked, MemberState.ALIVE)
 
     def heard_in_data_centre(self, *, now_s: float) -> tuple[int, ...]:
-        """Return the marks of the members of this data centre that this process hears itself."""
+        """Return the checksums of the members of this data centre that this process vouches for."""
         since_s = now_s - VOUCH_INTERVALS * self._timing.mesh_interval_s
         return tuple(
             incarnation_checksum(tracked.record)
@@ -222,10 +230,11 @@
         )
 
     def apply_vouches(self, checksums: Iterable[int], *, now_s: float) -> None:
-        """Take a peer's word for the members that it hears itself.
+        """Apply a peer's vouches for the members from which it receives messages.
 
-        Worth less than hearing: the member may have died just after the peer heard it, and the
-        time to suspicion counts from then.
+        A vouch counts for less than a message: it postpones suspicion by `VOUCH_INTERVALS`
+        heartbeat intervals at most, since the member may have failed just after the message on
+        which the vouch rests.
         """
         lag_s = VOUCH_INTERVALS * self._timing.mesh_interval_s
         last_evidence_s = now_s - max(0.0, self._timing.suspect_after_s - lag_s)
@@ -239,7 +248,7 @@
                 self._set_state(tracked, MemberState.ALIVE)
 
     def update_states(self, *, now_s: float) -> None:
-        """Suspect, remove and forget members by the time since their last sign of life."""
+        """Suspect, remove and delete members by the time since the last evidence for them."""
         for tracked in list(self._tracked.values()):
             silent_for_s = now_s - tracked.last_evidence_s
             if silent_for_s >= self._timing.forget_after_s and self._is_forgettable(tracked.record):
@@ -250,10 +259,10 @@
                 self._set_state(tracked, MemberState.SUSPECT)
 
     def updates_for(self, peer: MemberRecord, *, since: int) -> MemberUpdates:
-        """Return the records changed since then that concern a peer.
+        """Return the records changed after ``since`` that a peer needs.
 
-        Its own data centre's members and the relays of all others; a record that has been a
-        relay's stays of concern, so that a peer elsewhere hears that it is one no more.
+        A peer needs the members of its own data centre and the relays of all others. The record of
+        a former relay is included too, so that other data centres learn that it no longer is one.
         """
         is_local_peer = peer.data_centre == self._own.data_centre
         updates = [
@@ -280,10 +289,10 @@
         )
 
     def _is_forgettable(self, record: MemberRecord) -> bool:
-        """Say whether a silent member's record is of no more use.
+        """Return whether the record of a silent member may be deleted.
 
-        A data centre that has been cut off for long must be found again at once, hence the last
-        relays known of another data centre are kept, however long they are silent.
+        The last known relays of another data centre are kept however long they are silent, so that
+        a data centre can be found at once after a long partition.
         """
         if self._is_same_data_centre(record) or record.relay_slot == NO_RELAY_SLOT:
             return True
@@ -316,7 +325,7 @@
         return tracked is None or record.supersedes(tracked.record)
 
     def _remove_departed(self, record: MemberRecord) -> None:
-        """Remove a member that said goodbye, and keep its last record against late hearsay."""
+        """Remove a member that left, and keep its last record to reject outdated ones."""
         if len(self._departed) >= MAX_MEMBERS:
             del self._departed[next(iter(self._departed))]
         self._departed[record.name] = record
@@ -340,14 +349,18 @@
 
 
 def incarnation_checksum(record: MemberRecord) -> int:
-    """Return the short mark of one incarnation of a member, as heartbeats carry it.
+    """Return the short checksum of one incarnation of a member that heartbeats carry.
 
-    Two of a data centre's members share one once in 4 billion; one could then hide the other's
-    death from those who don't hear it, until either is replaced.
+    Two members of a data centre share a checksum with a probability of 1 in 4 billion. One could
+    then hide the failure of the other from processes that receive no message from it, until either
+    is replaced.
     """
     return crc32(f"{record.name}/{record.incarnation}".encode())
 
 
 def _has_been_relay(record: MemberRecord) -> bool:
-    """Say whether a record was ever a relay's: it starts as none, and only slots change it."""
+    """Return whether a member was ever a relay.
+
+    A record starts without a relay slot, and only a new slot or a departure changes its version.
+    """
     return record.version > 0
--- a/src/shallotworks/peers/_network.py
+++ b/src/shallotworks/peers/_network.py
@@ -1,4 +1,4 @@
-"""The facade of the package: this process among its peers."""
+"""The interface of the package: one process in the network of its peers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 __all__ = ["PeerNetwork"]
 
 UNWANTED_LINK_GRACE_S = 2.0
-"""Time that a connection of no use stays open, in which both ends exchange records."""
+"""Time that an unwanted connection stays open, so that both ends exchange member records."""
 MS_PER_S = 1000
 STATE_EVENTS = {
     MemberState.ALIVE: EventKind.PEER_UP,
@@ -50,17 +50,17 @@
 
 
 class PeerNetwork:
-    """One process among its peers: membership, and the configuration passed on.
+    """One process in the peer network: membership and distribution of the configuration.
 
     Args:
-        settings: Who this process is and whom it asks first.
-        replica: The configuration held here.
-        metrics: Counts connections, members and what is passed on.
-        timeline: Records members coming and going.
-        random: Spreads heartbeats and redials; secrets are not drawn from it.
+        settings: Identity of this process and the addresses to dial first.
+        replica: This process's replica of the configuration.
+        metrics: Counts connections, changes of members and distributed entries.
+        timeline: Records changes of the members' states.
+        random: Spreads heartbeats and redials; no secret is drawn from it.
         wall_clock_s: Returns the Unix time, from which the incarnation is taken.
-        transport: Opens connections.
-        loads: Returns how busy this process is, for its data centre's members.
+        transport: Opens and accepts connections; TCP by default.
+        loads: Returns the loads of this process, which its data centre's members receive.
     """
 
     __slots__ = (
@@ -133,14 +133,18 @@
         self._counted_received_bytes = 0
 
     async def start(self) -> None:
-        """Listen, and look for peers; raises ``OSError`` where the address can't be bound."""
+        """Listen, and start to dial peers.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         self._started_s = _now_s()
         self._distribution.start()
         self._listener = await self._transport.listen(self._settings.address, self._accept)
         self._tick_task = asyncio.create_task(self._tick())
 
     async def stop(self) -> None:
-        """Say goodbye to all peers, who then count this process no more, and close."""
+        """Send all peers a goodbye, on which they remove this process, and close."""
         if self._tick_task is not None:
             self._tick_task.cancel()
             await asyncio.gather(self._tick_task, return_exceptions=True)
@@ -154,42 +158,43 @@
         await asyncio.gather(*self._serving_tasks, return_exceptions=True)
 
     def set_candidates(self, addresses: tuple[str, ...]) -> None:
-        """Take the addresses of entry instances from the platform's list, which lags."""
+        """Replace the addresses of entry instances from the platform's list, which may lag."""
         self._dialler.set_candidates(addresses)
 
     def live_entries(self) -> tuple[Member, ...]:
-        """Return the live entry instances of this data centre, this process first."""
+        """Return the alive and suspect members of this data centre, this process first."""
         return self._table.live_in_data_centre(now_s=_now_s())
 
     @property
     def own_record(self) -> MemberRecord:
-        """What this process says of itself."""
+        """The record that this process publishes."""
         return self._table.own
 
     def members(self) -> tuple[Member, ...]:
-        """Return all other members known, whatever their state and data centre."""
+        """Return all other known members, in any state and data centre."""
         return self._table.members(now_s=_now_s())
 
     def should_watch(self) -> bool:
-        """Say whether this process watches the platform's store for its data centre.
+        """Return whether this process watches the platform's store for its data centre.
 
-        Right after its start it does not, unless there is nobody to ask: all instances of a data
-        centre that start together would all watch. If its peers stay silent it watches itself.
+        Within `PeerTiming.settle_s` of its start it does not, unless it has no connection after all
+        addresses were dialled; otherwise all instances of a data centre that start together would
+        watch. If its peers stay silent for that time, it watches.
         """
         return self._is_settled() and self._own_name in watchers_among(
             self._table.alive_in_data_centre()
         )
 
     def peer_loads(self) -> dict[str, tuple[ServiceLoad, ...]]:
-        """Return how busy each live member of this data centre has said it is, by its name."""
+        """Return the loads that each live member of this data centre reported, by its name."""
         return self._loads.by_peer()
 
     def linked_revisions(self) -> dict[str, int]:
-        """Return the newest revision that each linked peer has said to hold, by its name."""
+        """Return the newest revision that each connected peer is known to hold, by its name."""
         return {link.peer.name: link.revision for link in self._links}
 
     def status(self) -> PeerStatus:
-        """Return how this process stands among its peers."""
+        """Return the state of this process in the peer network, for operators."""
         own = self._table.own
         known = {record.data_centre for record in self._table.records()}
         linked = {link.peer.data_centre for link in self._links}
@@ -207,7 +212,7 @@
         )
 
     def heartbeat_for(self, link: Link) -> Heartbeat:
-        """Return the heartbeat to send on a connection now."""
+        """Return the heartbeat to send on a connection, and advance its cursors."""
         updates = self._table.updates_for(link.peer, since=link.change_cursor)
         link.change_cursor = updates.change_cursor
         return Heartbeat(
@@ -224,7 +229,11 @@
         return link.revision < self._replica.revision()
 
     def on_message(self, link: Link, message: Message) -> None:
-        """Take one message; raises ``ShallotworksError`` where it does not belong here."""
+        """Handle one message.
+
+        Raises:
+            ShallotworksError: ``PROTOCOL`` for a handshake message or invalid snapshot parts.
+        """
         self._table.note_message(link.peer.name, now_s=_now_s())
         match message:
             case Heartbeat():
@@ -238,7 +247,9 @@
             case SnapshotPart():
                 self._distribution.on_snapshot_part(link, message)
             case _:
-                failure = Failure(kind=ErrorKind.PROTOCOL, reason="a greeting after the handshake")
+                failure = Failure(
+                    kind=ErrorKind.PROTOCOL, reason="handshake message after the handshake"
+                )
                 raise ShallotworksError(failure)
 
     @property
@@ -296,12 +307,12 @@
         return task
 
     async def _accept(self, stream: ByteStream) -> None:
-        """Serve one connection that a peer has opened, in its own task."""
+        """Serve one connection that a peer opened; runs in the connection's own task."""
         task = asyncio.current_task()
         if task is not None:
             self._serving_tasks.add(task)
             task.add_done_callback(self._serving_tasks.discard)
-        # Strangers that connect and say nothing must not use up the process's descriptors.
+        # Clients that connect and stay silent must not exhaust the process's file descriptors.
         if self._accepted_count >= self._settings.timing.connections:
             self._metrics.count("peers.links.over-limit")
             stream.close()
@@ -316,7 +327,7 @@
             stream.close()
 
     async def _dial(self, address: str) -> asyncio.Task[None] | None:
-        """Dial an address; returns the task that serves the connection, or nothing."""
+        """Dial an address; return the task that serves the connection, or ``None`` on failure."""
         try:
             async with asyncio.timeout(self._settings.timing.connect_timeout_s):
                 stream = await self._transport.connect(address)
--- a/src/shallotworks/peers/_rendezvous.py
+++ b/src/shallotworks/peers/_rendezvous.py
@@ -1,4 +1,7 @@
-"""Who takes which duty in a data centre, chosen the same way by all who see the same members."""
+"""Rendezvous hashing that picks the relays and store watchers of a data centre.
+
+All processes that see the same members pick the same ones.
+"""
 
 from __future__ import annotations
 
@@ -14,17 +17,17 @@
 ]
 
 RELAYS_PER_DATA_CENTRE = 2
-"""Relays of a data centre; each links with the one of its own slot in every other."""
+"""Relay slots per data centre; a relay connects to the relay of its slot in every other one."""
 WATCHERS_PER_DATA_CENTRE = 2
-"""Instances of a data centre that watch the platform's store."""
+"""Entry instances per data centre that watch the platform's store."""
 SCORE_BYTES = 8
 
 
 def relays_among(names: Iterable[str]) -> tuple[str, ...]:
-    """Return the relays in the order of their slots.
+    """Return the names of the relays in the order of their slots.
 
-    Each slot is drawn by a hash of its own, so that losing the holder of one slot seldom moves the
-    holder of the other, whose links would all be made anew.
+    Each slot has a hash of its own, so that the loss of the relay of one slot seldom moves the
+    other slot, whose relay would have to open all its connections again.
     """
     remaining = set(names)
     chosen = []
@@ -36,17 +39,17 @@
 
 
 def watchers_among(names: Iterable[str]) -> tuple[str, ...]:
-    """Return those that watch the platform's store."""
+    """Return the names of the instances that watch the platform's store."""
     ranked = sorted(names, key=lambda name: (_score("watch", name), name), reverse=True)
     return tuple(ranked[:WATCHERS_PER_DATA_CENTRE])
 
 
 def rank_among(names: Iterable[str], own: str, *, duty: str) -> int:
-    """Return how many of these names come before one's own for a duty; 0 for the first."""
+    """Return how many of the names rank before ``own`` for a duty; 0 for the first."""
     own_score = (_score(duty, own), own)
     return sum(1 for name in names if (_score(duty, name), name) > own_score)
 
 
 def _score(duty: str, name: str) -> bytes:
-    """Return the rendezvous hash of one name for one duty."""
+    """Return the rendezvous hash of a name for a duty."""
     return blake2b(f"{duty}/{name}".encode(), digest_size=SCORE_BYTES).digest()
--- a/src/shallotworks/peers/_settings.py
+++ b/src/shallotworks/peers/_settings.py
@@ -1,4 +1,4 @@
-"""What a process knows of its peers when it starts."""
+"""Settings of a process for the peer network."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerTiming:
-    """Intervals, waits and bounds; the defaults fit the target size, see docs/CAPACITY.md.
+    """Intervals, timeouts and bounds; the defaults fit the target size, see docs/CAPACITY.md.
 
     Args:
-        mesh_interval_s: Between two heartbeats within a data centre.
-        relay_interval_s: Between two heartbeats between data centres.
-        silent_intervals: Heartbeat intervals without a message after which a connection counts as
-            silent.
-        suspect_after_s: Time without a sign of life after which a member is suspect.
-        remove_after_s: Time without one after which it no longer counts as live.
-        forget_after_s: Time without one after which it is no longer dialled.
-        reply_timeout_s: Wait for any message after entries were sent, before the connection is
-            taken for silent.
-        connect_timeout_s: Wait for a connection, and again for its handshake.
-        backoff_base_s: Longest wait before the first redial; doubles with each failure.
-        backoff_cap_s: Longest wait before any redial.
-        settle_s: Time after the start in which this process takes no duty while peers may answer.
-        explore_interval_s: Between two dials of addresses that nobody has vouched for.
-        explored_for_s: Time for which an address that answered is not explored again.
-        tick_s: Between two looks at who must be dialled and who is silent.
-        queue_bytes: Bytes that may wait to be sent on one connection.
-        connections: Connections accepted at once.
+        mesh_interval_s: Time between two heartbeats to a peer in the same data centre.
+        relay_interval_s: Time between two heartbeats to a peer in another data centre.
+        silent_intervals: Heartbeat intervals without a message after which a connection is
+            closed as silent.
+        suspect_after_s: Time without evidence that a member is alive after which it is suspect.
+        remove_after_s: Time without evidence after which a member no longer counts as live.
+        forget_after_s: Time without evidence after which a member is deleted and no longer dialled.
+        reply_timeout_s: Time to wait for any message after a push or a request, before the
+            connection is closed as silent.
+        connect_timeout_s: Timeout of opening a connection, and again of its handshake.
+        backoff_base_s: Longest wait before a redial after a lasting connection; doubles with each
+            failure.
+        backoff_cap_s: Longest wait before the redial of a known member.
+        settle_s: Time after the start in which this process takes no role while peers may answer.
+        explore_interval_s: Time between two dials of addresses that no known member has.
+        explored_for_s: Time for which an address that answered is not dialled again to explore it.
+        tick_s: Time between two updates of member states, the relay slot and the dial tasks.
+        queue_bytes: Bytes that may be queued on one connection.
+        connections: Accepted connections that may be open at once.
     """
 
     mesh_interval_s: float = 1.5
@@ -54,17 +55,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerSettings:
-    """Who this process is and whom it asks first.
+    """Identity of a process in the peer network, and the addresses to dial first.
 
     Args:
-        name: Name of its instance, unique in the fleet.
-        address: ``ip:port`` at which it listens and at which peers dial it.
-        data_centre: Where it stands.
+        name: Name of the entry instance, unique in the fleet.
+        address: ``ip:port`` on which the process listens and which peers dial.
+        data_centre: Name of the data centre of the process.
         region: The region of that data centre.
-        keys: The fleet's keys.
+        keys: The fleet's shared keys.
         seeds: Addresses to dial first, in any data centre.
-        timing: Intervals, waits and bounds.
-        supported_versions: Versions of the protocol to speak.
+        timing: Intervals, timeouts and bounds.
+        supported_versions: Protocol versions to offer in the handshake.
     """
 
     name: str
--- a/src/shallotworks/peers/_status.py
+++ b/src/shallotworks/peers/_status.py
@@ -1,4 +1,4 @@
-"""How one process stands among its peers, as operators are told."""
+"""State of a process in the peer network, as operators see it."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerStatus:
-    """How this process stands among its peers, for operators.
+    """State of a process in the peer network.
 
     Args:
-        relay_slot: Which relay of its data centre it is; -1 for none.
-        watches: Whether it should watch the platform's store.
-        links: Connections open.
-        data_centres_linked: Other data centres that it has a connection to.
-        data_centres_known: Other data centres that it knows a member of.
-        revision: Newest revision held here.
-        newest_revision: Newest revision that any process was heard to hold.
-        config_age_s: How long ago the revision held was known to be the newest.
-        sent_bytes: Bytes sent to peers so far.
-        received_bytes: Bytes received from peers so far.
+        relay_slot: The process's relay slot in its data centre; -1 if it is no relay.
+        watches: Whether the process should watch the platform's store.
+        links: Number of open connections.
+        data_centres_linked: Other data centres with a connection to this process.
+        data_centres_known: Other data centres of which the process knows a member.
+        revision: Newest revision that the process holds.
+        newest_revision: Newest revision that any heartbeat reported, or its own if newer.
+        config_age_s: Time since the held revision was last confirmed as the newest.
+        sent_bytes: Bytes sent to peers since the start.
+        received_bytes: Bytes received from peers since the start.
     """
 
     relay_slot: int
--- a/src/shallotworks/peers/_transport.py
+++ b/src/shallotworks/peers/_transport.py
@@ -1,4 +1,4 @@
-"""Connections between processes: TCP by IP number."""
+"""Transport of connections between processes: TCP between IP addresses."""
 
 from __future__ import annotations
 
@@ -11,39 +11,54 @@
 
 __all__ = ["Listener", "TcpTransport", "Transport"]
 
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 READ_BUFFER_BYTES = 64 * 1024
 
 
 class Listener(Protocol):
-    """An open port."""
+    """A listening port."""
 
     async def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         ...
 
 
 class Transport(Protocol):
-    """How connections are opened; tests pass one that loses bytes on purpose."""
+    """Opens and accepts connections; tests substitute one that loses bytes."""
 
     async def connect(self, address: str) -> ByteStream:
-        """Open a connection; raises ``OSError`` where that fails."""
+        """Open a connection.
+
+        Raises:
+            OSError: The connection can't be opened.
+            ValueError: The address has no valid port.
+        """
         ...
 
     async def listen(
         self, address: str, on_stream: Callable[[ByteStream], Awaitable[None]]
     ) -> Listener:
-        """Accept connections and serve each in a task of its own; raises ``OSError``."""
+        """Accept connections and serve each in a task of its own.
+
+        Raises:
+            OSError: The address can't be bound.
+            ValueError: The address has no valid port.
+        """
         ...
 
 
 class TcpTransport:
-    """TCP by IP number."""
+    """TCP between IP addresses."""
 
     __slots__ = ()
 
     async def connect(self, address: str) -> ByteStream:
-        """Open a connection; raises ``OSError`` where that fails."""
+        """Open a connection.
+
+        Raises:
+            OSError: The connection can't be opened.
+            ValueError: The address has no valid port.
+        """
         host, port = _split(address)
         reader, writer = await asyncio.open_connection(host, port, limit=READ_BUFFER_BYTES)
         return _TcpStream(reader=reader, writer=writer)
@@ -51,17 +66,22 @@
     async def listen(
         self, address: str, on_stream: Callable[[ByteStream], Awaitable[None]]
     ) -> Listener:
-        """Accept connections and serve each in a task of its own; raises ``OSError``."""
+        """Accept connections and serve each in a task of its own.
+
+        Raises:
+            OSError: The address can't be bound.
+            ValueError: The address has no valid port.
+        """
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            # asyncio's own callback on this task fails on one that was cancelled, and writes a
-            # trace for each connection when the network stops; the cancel ends here instead.
+            # asyncio's own callback on this task raises if the task was cancelled, which logs a
+            # traceback for each connection when the network stops; so the cancellation ends here.
             with contextlib.suppress(asyncio.CancelledError):
                 await on_stream(_TcpStream(reader=reader, writer=writer))
 
         host, port = _split(address)
         server = await asyncio.start_server(
-            serve, host, port, backlog=BACKLOG, limit=READ_BUFFER_BYTES
+            serve, host, port, backlog=LISTEN_BACKLOG, limit=READ_BUFFER_BYTES
         )
         return _TcpListener(server=server)
 
--- a/src/shallotworks/protocol/__init__.py
+++ b/src/shallotworks/protocol/__init__.py
@@ -1,8 +1,8 @@
-"""The inner protocol: what the processes of one fleet say to each other, and how it is framed.
+"""Wire protocol between the processes of one fleet.
 
-Typed messages, a Cap'n Proto schema that is read when the package is loaded, frames with a bound
-checked before anything is allocated, and the handshake. It opens no connection and decides
-nothing: `shallotworks.peers` does.
+It defines typed messages, their Cap'n Proto schema, which is loaded on import, frames whose length
+is checked before memory is allocated, and the handshake. It opens no connections and makes no
+decisions; `shallotworks.peers` does.
 """
 
 from ._codec import decode, encode
--- a/src/shallotworks/protocol/_codec.py
+++ b/src/shallotworks/protocol/_codec.py
@@ -1,4 +1,4 @@
-"""Messages to bytes and back, by the schema in ``peers.capnp``."""
+"""Encodes and decodes messages by the Cap'n Proto schema in ``peers.capnp``."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 WORD_BYTES = 8
 MAX_UNPACKED_WORDS_PER_WORD = 4
-"""Words that a packed frame may unpack to and be read as, per word of the bound on the frame."""
+"""Words that a packed frame may unpack to and that may be read, per word of the frame's bound."""
 MAX_NESTING_DEPTH = 8
 
 _SCHEMA: Any = capnp.load(
@@ -39,7 +39,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as a packed Cap'n Proto message."""
+    """Encode a message in packed Cap'n Proto format."""
     frame = _SCHEMA.Frame.new_message()
     _WRITERS[type(message)](frame, message)
     packed: bytes = frame.to_bytes_packed()
@@ -47,17 +47,17 @@
 
 
 def decode(data: bytes, *, limit_bytes: int) -> Result[Message, Failure]:
-    """Read one message.
+    """Decode one message.
 
-    The failure guarded against: a few packed bytes that unpack to gigabytes. The library checks
-    the sizes in the message's own header against the limit before it allocates.
+    A few packed bytes can unpack to gigabytes. The traversal limit makes the library check the
+    sizes in the message's header before it allocates memory.
 
     Args:
         data: The packed message.
-        limit_bytes: The bound on the frame that it came in.
+        limit_bytes: Largest size of the frame that carried the message.
 
     Returns:
-        The message, or ``PROTOCOL`` where the bytes are not one that this release knows.
+        The message, or ``PROTOCOL`` if the bytes are no message that this release knows.
     """
     limit_words = MAX_UNPACKED_WORDS_PER_WORD * limit_bytes // WORD_BYTES
     try:
@@ -67,7 +67,9 @@
         return Success(_READERS[str(frame.which())](frame))
     except (capnp.KjException, KeyError, ValueError) as error:
         return Err(
-            Failure(kind=ErrorKind.PROTOCOL, reason=f"not a message: {type(error).__name__}")
+            Failure(
+                kind=ErrorKind.PROTOCOL, reason=f"cannot decode the message: {type(error).__name__}"
+            )
         )
 
 
--- a/src/shallotworks/protocol/_frames.py
+++ b/src/shallotworks/protocol/_frames.py
@@ -1,4 +1,4 @@
-"""Frames: a length, the message, and after the handshake a tag that proves its origin."""
+"""Frames: a length, a message, and after the handshake an authentication tag before the message."""
 
 from __future__ import annotations
 
@@ -22,24 +22,29 @@
 TAG_BYTES = 8
 SEQUENCE_BYTES = 8
 HANDSHAKE_LIMIT_BYTES = 1024
-"""Largest frame taken from one who has not yet proved that it belongs."""
+"""Largest frame accepted from a peer before it is authenticated."""
 MESSAGE_LIMIT_BYTES = 1_280 * 1024
-"""Largest frame taken from a peer: one value of the platform's store (1 MB) and its envelope."""
+"""Largest frame accepted from an authenticated peer: a value of the store (1 MB) and overhead."""
 
 
 class ByteStream(Protocol):
-    """One connection, as the frames see it."""
+    """The byte stream of one connection."""
 
     async def read_exactly(self, size_bytes: int) -> bytes:
-        """Return exactly so many bytes; raises ``EOFError`` or ``OSError`` where it ends."""
+        """Return exactly ``size_bytes`` bytes.
+
+        Raises:
+            EOFError: The connection ended.
+            OSError: The connection broke.
+        """
         ...
 
     def write(self, data: bytes) -> None:
-        """Hand bytes to the connection."""
+        """Add bytes to the connection's send buffer."""
         ...
 
     async def drain(self) -> None:
-        """Wait until the connection takes more bytes."""
+        """Wait until the send buffer accepts more bytes."""
         ...
 
     def close(self) -> None:
@@ -48,7 +53,7 @@
 
 
 class FrameWriter:
-    """Writes messages to one connection and counts bytes.
+    """Writes messages to one connection and counts frames and bytes.
 
     Args:
         stream: The connection.
@@ -64,15 +69,15 @@
         self.sent_frames = 0
 
     def set_tag_key(self, key: bytes) -> None:
-        """Tag every frame from now on."""
+        """Tag every frame from now on with this key."""
         self._key = key
 
     async def write(self, message: Message) -> None:
-        """Write one message and wait until the connection can take more."""
+        """Write one message and wait until the send buffer accepts more."""
         await self.write_encoded(encode(message))
 
     async def write_encoded(self, data: bytes) -> None:
-        """Write one encoded message and wait until the connection can take more."""
+        """Write one encoded message and wait until the send buffer accepts more."""
         tag = b""
         if self._key:
             tag = _tag(self._key, self._sequence, data)
@@ -85,7 +90,7 @@
 
 
 class FrameReader:
-    """Reads messages from one connection and counts bytes.
+    """Reads messages from one connection and counts frames and bytes.
 
     Args:
         stream: The connection.
@@ -101,15 +106,15 @@
         self.received_frames = 0
 
     def set_tag_key(self, key: bytes) -> None:
-        """Expect a tag on every frame from now on."""
+        """Require a tag with this key on every frame from now on."""
         self._key = key
 
     async def read(self, *, limit_bytes: int = MESSAGE_LIMIT_BYTES) -> Message:
         """Return the next message.
 
         Raises:
-            ShallotworksError: ``TOO_LARGE`` before any byte of an oversized frame is kept;
-                ``UNAUTHORISED`` for a wrong tag; ``PROTOCOL`` for anything that is no message.
+            ShallotworksError: ``TOO_LARGE`` for an oversized frame, before its body is read;
+                ``UNAUTHORISED`` for a wrong tag; ``PROTOCOL`` for an invalid message.
             EOFError: The connection ended.
             OSError: The connection broke.
         """
@@ -117,12 +122,23 @@
         return decode(data, limit_bytes=limit_bytes).alt(_raise).unwrap()
 
     async def read_encoded(self, *, limit_bytes: int) -> bytes:
-        """Return the next frame's message as bytes; raises as `read` does."""
+        """Return the encoded message of the next frame.
+
+        Raises:
+            ShallotworksError: ``TOO_LARGE`` or ``UNAUTHORISED``, as `read`.
+            EOFError: The connection ended.
+            OSError: The connection broke.
+        """
         length = int.from_bytes(await self._stream.read_exactly(LENGTH_BYTES), "big")
-        # A foreign protocol or a hostile length (an HTTP request line reads as 1.2 GB) would make
-        # the process allocate it; checked before the body is read, it costs four bytes.
+        # Another protocol or a malicious peer can announce a huge length (the start of an HTTP
+        # request reads as 1.2 GB). The check comes before memory for the body is allocated.
         if length > limit_bytes:
-            _raise(Failure(kind=ErrorKind.TOO_LARGE, reason=f"a frame of {length} bytes"))
+            _raise(
+                Failure(
+                    kind=ErrorKind.TOO_LARGE,
+                    reason=f"frame of {length} bytes exceeds the size limit",
+                )
+            )
         body = await self._stream.read_exactly(length)
         self.received_bytes += LENGTH_BYTES + length
         self.received_frames += 1
@@ -131,7 +147,9 @@
     def _verify_tag(self, body: bytes) -> bytes:
         tag, data = body[:TAG_BYTES], body[TAG_BYTES:]
         if not hmac.compare_digest(tag, _tag(self._key, self._sequence, data)):
-            _raise(Failure(kind=ErrorKind.UNAUTHORISED, reason="a frame with a wrong tag"))
+            _raise(
+                Failure(kind=ErrorKind.UNAUTHORISED, reason="frame has a wrong authentication tag")
+            )
         self._sequence += 1
         return data
 
--- a/src/shallotworks/protocol/_handshake.py
+++ b/src/shallotworks/protocol/_handshake.py
@@ -1,8 +1,8 @@
-"""The handshake: who is there, which version to speak, and proof of the fleet's key both ways.
+"""The handshake: exchange of identities, version negotiation and mutual proof of the fleet's key.
 
-The dialler sends its hello; the listener answers with its own and its proof; the dialler proves
-itself last. Each proof covers both hellos, which hold a fresh nonce each, so none can be replayed,
-and names its sender's role, so none can be reflected.
+The dialler sends its hello, the listener answers with its own hello and its proof, and the dialler
+sends its proof last. Each proof covers both hellos, each with a fresh nonce, so that it can't be
+replayed, and the sender's role, so that it can't be reflected.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VersionRange:
-    """Versions of the protocol that one release speaks, both ends included."""
+    """Protocol versions that one release supports, both ends included."""
 
     lowest: int
     highest: int
@@ -41,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Session:
-    """A connection after the handshake.
+    """A session that the handshake has established.
 
     Args:
-        member: Who is at the other end.
-        version: The version both speak.
-        reader: Reads its messages.
-        writer: Writes ours.
+        member: Record of the peer.
+        version: The negotiated protocol version.
+        reader: Reads the peer's messages.
+        writer: Writes messages to the peer.
     """
 
     member: MemberRecord
@@ -57,17 +57,17 @@
 
 
 def negotiate(ours: VersionRange, theirs: VersionRange) -> int:
-    """Return the newest version that both speak.
+    """Return the newest version that both ends support.
 
     Raises:
-        ShallotworksError: ``PROTOCOL`` where there is none: the releases are not neighbours.
+        ShallotworksError: ``PROTOCOL`` if there is none, as the releases are too far apart.
     """
     version = min(ours.highest, theirs.highest)
     if version < max(ours.lowest, theirs.lowest):
         _refuse(
             ErrorKind.PROTOCOL,
-            f"speaks versions {theirs.lowest} to {theirs.highest}, not {ours.lowest} to"
-            f" {ours.highest}",
+            f"peer supports protocol versions {theirs.lowest} to {theirs.highest}, not"
+            f" {ours.lowest} to {ours.highest}",
         )
     return version
 
@@ -79,10 +79,11 @@
     keys: FleetKeys,
     supported_versions: VersionRange = SUPPORTED_VERSIONS,
 ) -> Session:
-    """Greet as the end that opened the connection.
+    """Perform the handshake as the end that opened the connection.
 
     Raises:
-        ShallotworksError: ``UNAUTHORISED``, ``PROTOCOL`` or ``TOO_LARGE``.
+        ShallotworksError: ``UNAUTHORISED`` for a wrong proof, ``PROTOCOL`` for an unexpected
+            message or no common version, ``TOO_LARGE`` for an oversized frame.
         EOFError: The other end closed the connection.
         OSError: The connection broke.
     """
@@ -106,7 +107,7 @@
     keys: FleetKeys,
     supported_versions: VersionRange = SUPPORTED_VERSIONS,
 ) -> Session:
-    """Greet as the end that was dialled; raises as `dial` does."""
+    """Perform the handshake as the end that was dialled; raises the errors of `dial`."""
     reader, writer = FrameReader(stream=stream), FrameWriter(stream=stream)
     received = await reader.read_encoded(limit_bytes=HANDSHAKE_LIMIT_BYTES)
     hello = _expect(received, Hello)
@@ -137,7 +138,7 @@
 def _expect(data: bytes, kind: type[_Kind]) -> _Kind:
     message = decode(data, limit_bytes=HANDSHAKE_LIMIT_BYTES).value_or(None)
     if not isinstance(message, kind):
-        _refuse(ErrorKind.PROTOCOL, f"expected {kind.__name__}")
+        _refuse(ErrorKind.PROTOCOL, f"handshake expected a {kind.__name__} message")
     return message
 
 
@@ -148,7 +149,7 @@
     proof = _expect(data, Proof)
     key = keys.find(role=role, transcript=transcript, digest=proof.digest)
     if key is None:
-        _refuse(ErrorKind.UNAUTHORISED, "does not hold the fleet's key")
+        _refuse(ErrorKind.UNAUTHORISED, "peer's proof matches none of the fleet's keys")
     return key
 
 
--- a/src/shallotworks/protocol/_messages.py
+++ b/src/shallotworks/protocol/_messages.py
@@ -1,4 +1,4 @@
-"""Messages that the processes of one fleet send each other."""
+"""Messages between the processes of one fleet."""
 
 from __future__ import annotations
 
@@ -20,21 +20,22 @@
 ]
 
 NO_RELAY_SLOT = -1
+"""Relay slot of a process that is no relay."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberRecord:
-    """What a process says of itself, passed on by others.
+    """Record that a process publishes about itself and its peers pass on.
 
     Args:
-        name: Name of its instance.
-        address: ``ip:port`` of its peers' port.
-        data_centre: Where it stands.
+        name: Name of the entry instance.
+        address: ``ip:port`` on which it accepts peers.
+        data_centre: Name of its data centre.
         region: The region of that data centre.
-        incarnation: Grows each time a process starts under this name.
-        version: Grows with each change of this record within one incarnation.
-        relay_slot: Which of its data centre's relays it is; `NO_RELAY_SLOT` for none.
-        left: Whether it has said goodbye.
+        incarnation: Increases with each start of a process under this name.
+        version: Increases with each change of the record within one incarnation.
+        relay_slot: Its relay slot in its data centre; `NO_RELAY_SLOT` if it is no relay.
+        left: Whether it has left the fleet.
     """
 
     name: str
@@ -53,13 +54,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Hello:
-    """The first message each way on a connection.
+    """First message in each direction of a connection.
 
     Args:
-        lowest_version: Oldest version of the protocol that the sender speaks.
-        highest_version: Newest one.
-        member: Who the sender is.
-        nonce: Fresh random bytes that the other end's proof must cover.
+        lowest_version: Oldest protocol version that the sender supports.
+        highest_version: Newest protocol version that the sender supports.
+        member: Record of the sender.
+        nonce: Fresh random bytes that the proof of the other end must cover.
     """
 
     lowest_version: int
@@ -70,19 +71,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Proof:
-    """Proof that the sender holds the fleet's key, over both hellos."""
+    """Proof that the sender has the fleet's key: an HMAC over both hellos."""
 
     digest: bytes
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceLoad:
-    """How busy one entry instance is with one service.
+    """Load of one service at one entry instance.
 
     Args:
         service: Name of the service.
-        in_flight: Requests sent to targets and not yet answered.
-        waiting: Requests in the queue.
+        in_flight: Requests sent to targets and not answered yet.
+        waiting: Queued requests.
     """
 
     service: str
@@ -92,16 +93,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Heartbeat:
-    """Sent at a fixed interval, and early where it carries news.
+    """Periodic message, sent early to announce a new revision or to confirm a received one.
 
     Args:
         revision: Newest revision that the sender holds.
-        newest_revision: Newest revision that the store was seen to hold, as far as known.
-        newest_age_ms: How long ago that was seen.
-        heard: Marks of the members of its data centre that the sender hears itself, see
-            `shallotworks.peers`.
-        records: Records that have changed since the last heartbeat on this connection.
-        loads: Loads that have changed, a bounded number.
+        newest_revision: Newest revision that any process is known to hold.
+        newest_age_ms: Time since ``revision`` was last confirmed as the newest in the store; the
+            largest value of 32 bits if it never was.
+        heard: Checksums of the members of its data centre from which the sender received a
+            message lately, see `shallotworks.peers`.
+        records: Member records changed since the last heartbeat on this connection, a bounded
+            number.
+        loads: Some of the sender's loads, in rotation.
     """
 
     revision: int
@@ -121,14 +124,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntriesRequest:
-    """Asks for the entries after a revision; answered by `Entries` or by `SnapshotPart`."""
+    """Requests the entries after a revision; the answer is `Entries` or `SnapshotPart`."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SnapshotRequest:
-    """Asks for the whole configuration."""
+    """Requests a snapshot of the whole configuration."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -136,10 +139,10 @@
     """One part of a snapshot as `shallotworks.config.Snapshot` encodes it.
 
     Args:
-        revision: Revision of the snapshot; parts of different ones never mix.
-        index: Number of this part, from 0.
-        count: Number of parts.
-        data: The bytes.
+        revision: Revision of the snapshot; parts of two snapshots are never interleaved.
+        index: Index of the part, from 0.
+        count: Total number of parts.
+        data: The bytes of this part.
     """
 
     revision: int
@@ -150,10 +153,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Goodbye:
-    """The last message on a connection.
+    """Last message before a graceful close of a connection.
 
     Args:
-        leaving: Whether the sender leaves the fleet; else only this connection is of no more use.
+        leaving: Whether the sender leaves the fleet; otherwise it only closes this connection.
     """
 
     leaving: bool
--- a/src/shallotworks/protocol/peers.capnp
+++ b/src/shallotworks/protocol/peers.capnp
@@ -1,6 +1,6 @@
 @0xc7f1a5d2b3e49860;
-# Messages between the processes of one fleet. Fields are only ever added, never renumbered, so
-# that neighbouring releases read each other.
+# Messages between the processes of one fleet. Fields may be added but never renumbered or removed,
+# so that neighbouring releases can decode each other's messages.
 
 struct Frame {
   union {
