--- a/src/shallotworks/node/__init__.py
+++ b/src/shallotworks/node/__init__.py
@@ -1,6 +1,7 @@
-"""One entry instance put together: every part on one event loop, its ports, start and stop.
+"""Composition root of an entry instance: its components, ports, start and stop on one event loop.
 
-It holds no rule of its own about requests, plans or the configuration; it wires what does.
+This package has no logic about requests, plans or the configuration; it connects the packages that
+do.
 """
 
 from ._node import Node
--- a/src/shallotworks/node/_acknowledgements.py
+++ b/src/shallotworks/node/_acknowledgements.py
@@ -1,4 +1,4 @@
-"""How far the entry instances have come with the configuration, as their heartbeats say."""
+"""Configuration revisions that the entry instances acknowledge in their heartbeats."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 
 class PeerAcknowledgements:
-    """Implements `shallotworks.plans.Acknowledgements` over the peers that this process hears.
+    """Implements `shallotworks.plans.Acknowledgements` with the connected peers.
 
-    These are the entry instances of its own data centre and the relays of the others. An instance
-    that is not heard can't be asked; the conductor waits a fixed time for those.
+    A process is connected to the entry instances of its own data centre and, if it is a relay, to
+    relays of other data centres. The revision of any other instance is unknown; the conductor
+    waits a fixed time for those.
 
     Args:
-        replica: The configuration held here.
-        peers: The network.
+        replica: This process's replica of the configuration.
+        peers: The peer network.
     """
 
     __slots__ = ("_peers", "_replica")
@@ -26,6 +27,6 @@
         self._peers = peers
 
     def lowest_acknowledged_revision(self) -> int:
-        """Return the newest revision that all entry instances within reach hold."""
+        """Return the newest revision that this process and all connected peers hold."""
         heard = self._peers.linked_revisions()
         return min((self._replica.revision(), *heard.values()))
--- a/src/shallotworks/node/_backend.py
+++ b/src/shallotworks/node/_backend.py
@@ -1,4 +1,4 @@
-"""What the operators' port asks of this instance."""
+"""Backend of the operators' port of an entry instance."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BackendDependencies:
-    """The parts that operators look into.
+    """Components whose state the operators' port shows or changes.
 
     Args:
-        settings: Checked settings.
-        config: The configuration held here, and the way to change it.
-        peers: The entry instances heard.
-        plan_registry: Plans, confirmed or not.
-        dispatcher: Requests that wait and that are in flight.
+        settings: Validated settings.
+        config: The configuration store of this process.
+        peers: The peer network.
+        plan_registry: Proposed and confirmed plans.
+        dispatcher: Counts queued requests and requests in flight.
         metrics: All metrics.
-        is_store_up: Returns whether the platform's store answered when it was last asked.
-        is_stopping: Returns whether this instance takes no more requests.
-        duties: Returns the names of the duties held here.
-        started_at_s: When this instance was made, by the event loop's clock.
+        is_store_up: Returns whether the platform's store answered the last call.
+        is_stopping: Returns whether this instance is stopping and accepts no more requests.
+        duties: Returns the names of the leases that this process holds.
+        started_at_s: When this instance was created, by the event loop's clock.
     """
 
     settings: Settings
@@ -60,10 +60,10 @@
 
 
 class NodeBackend:
-    """Implements `shallotworks.operators.OperatorBackend` over the parts of one node.
+    """Implements `shallotworks.operators.OperatorBackend` with the components of one node.
 
     Args:
-        dependencies: The parts.
+        dependencies: The components.
     """
 
     __slots__ = ("_dependencies",)
@@ -72,7 +72,7 @@
         self._dependencies = dependencies
 
     async def status(self) -> StatusView:
-        """Return how the instance is doing."""
+        """Return the status of this instance."""
         dependencies = self._dependencies
         own = dependencies.settings.instance
         revisions = dependencies.peers.linked_revisions()
@@ -96,44 +96,48 @@
         )
 
     async def fleet(self) -> FleetState:
-        """Return the state in force here."""
+        """Return the configuration in force at this process."""
         return self._dependencies.config.state()
 
     async def propose_change(self, change: Change, *, operator: str) -> Result[Accepted, Failure]:
-        """Append one change to the configuration log."""
+        """Append a change to the configuration log."""
         return await self._dependencies.config.propose(change, author=operator)
 
     async def changes_after(
         self, revision: int, *, limit: int
     ) -> Result[tuple[Entry, ...], Failure]:
-        """Return accepted changes that follow a revision, oldest first."""
+        """Return the accepted changes after a revision, oldest first.
+
+        Returns:
+            The changes, or ``NOT_FOUND`` if they are no longer kept.
+        """
         entries = self._dependencies.config.entries_after(revision, limit=limit)
         if entries is None:
-            reason = f"changes that follow revision {revision} are not kept any more"
+            reason = f"changes after revision {revision} are no longer kept"
             return Err(Failure(kind=ErrorKind.NOT_FOUND, reason=reason))
         return Success(entries)
 
     async def restore_store(self, *, operator: str) -> Result[int, Failure]:
-        """Write the state held here into a store that came back empty or older."""
+        """Write this process's configuration to a store that was restored empty or older."""
         return await self._dependencies.config.restore_store()
 
     async def propose_plan(self, intent: Intent, *, operator: str) -> Result[PlanView, Failure]:
-        """Work out a plan for an intent and store it; nothing acts on it."""
+        """Compute a plan for an intent and store it as a proposal, which nothing executes."""
         planned = await self._dependencies.plan_registry.propose(intent, author=operator)
         return planned.map(self._view)
 
     async def plans(self) -> Result[tuple[PlanView, ...], Failure]:
-        """Return proposals and confirmed plans, by base revision."""
+        """Return proposed and confirmed plans, by base revision."""
         listed = await self._dependencies.plan_registry.list()
         return listed.map(lambda plans: tuple(self._view(entry.plan) for entry in plans))
 
     async def plan(self, digest: str) -> Result[PlanView, Failure]:
-        """Return one plan by its digest or the unambiguous beginning of it."""
+        """Return a plan by its digest or an unambiguous prefix of it."""
         found = await self._dependencies.plan_registry.show(digest)
         return found.map(self._view)
 
     async def confirm_plan(self, digest: str, *, operator: str) -> Result[PlanView, Failure]:
-        """Confirm a proposal."""
+        """Confirm a proposed plan."""
         confirmed = await self._dependencies.plan_registry.confirm(digest, operator=operator)
         return await self._view_of(confirmed)
 
--- a/src/shallotworks/node/_instance_list_watcher.py
+++ b/src/shallotworks/node/_instance_list_watcher.py
@@ -1,4 +1,4 @@
-"""Turns the platform's word that instances leave, are gone or are back into the configuration."""
+"""Applies the platform's list of leaving, removed and returned instances to the configuration."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 __all__ = ["InstanceListWatcher"]
 
 LIST_READ_INTERVAL_S = 1.0
-"""Pause between two reads of the list where one process reads it."""
+"""Pause between two reads of the list if one process of the data centre reads it."""
 NOT_READING_POLL_S = 0.5
-"""Pause before a process that does not read asks again whether it should."""
+"""Pause before a process that does not read the list checks again whether it should."""
 
 
 class InstanceListWatcher:
-    """Reads the platform's list of instances and acts on it.
+    """Reads the platform's list of instances and sets the health of the listed instances.
 
-    Only the few processes that watch the store read the list, so that its calls do not grow with
-    the entry instances. What they learn becomes a `SetHealth`, which reaches every entry instance
-    as the configuration does; an instance that leaves is unavailable, and counts against its
-    services' budgets like a failed one. The process that reads also takes it out of its own choice
-    at once. Where the configuration is old, since the store or the watchers can't be reached, every
-    process reads the list for itself.
+    Only the few processes that watch the store read the list, so that the number of calls does not
+    grow with the entry instances. Each change they find becomes a `SetHealth`, which is distributed
+    with the configuration to every entry instance. A leaving instance is unavailable and counts
+    against the disruption budgets of its services like a failed one. The reading process also stops
+    selecting it at once. If the configuration is stale, because the store or the watchers are
+    unreachable, every process reads the list itself.
 
     Args:
-        data_centre: Instances of this data centre are looked after.
+        data_centre: Only instances of this data centre are changed in the configuration.
         instances: The platform's list.
         view: The configuration in force.
-        log: Where changes go.
-        dispatcher: Told which instances are away, before the change is in force.
-        should_read: Whether this process reads the list.
-        reader_count: How many processes of the data centre read it now; each reads that much
-            less often, so that an outage of the store does not multiply the calls to the list.
-        metrics: Counters.
-        author: Name of this process, for the history.
+        log: The configuration log to which changes are proposed.
+        dispatcher: Gets the unavailable instances before the change is in force.
+        should_read: Returns whether this process reads the list.
+        reader_count: Returns how many processes of the data centre read the list. Each multiplies
+            its pause by it, so that an outage of the store does not multiply the calls to the list.
+        metrics: Counts failed reads and proposed changes.
+        author: Name of this process, recorded as the author of changes.
     """
 
     __slots__ = (
@@ -82,7 +82,7 @@
         self._ever_listed: frozenset[str] = frozenset()
 
     async def run(self) -> None:
-        """Read and act until cancelled."""
+        """Read the list and apply it, repeatedly, until cancelled."""
         while True:
             if not self._should_read():
                 await asyncio.sleep(NOT_READING_POLL_S)
@@ -97,7 +97,8 @@
     async def _apply_list(self, listed: tuple[ListedInstance, ...]) -> None:
         present = frozenset(entry.name for entry in listed)
         leaving = frozenset(entry.name for entry in listed if entry.leaving)
-        # Gone is only what was there before: the list lags, and a new instance is not in it yet.
+        # The list lags, and a new instance is not in it yet. Therefore only an instance that was
+        # listed before counts as removed.
         unavailable = leaving | (self._ever_listed - present)
         self._ever_listed |= present
         self._dispatcher.set_leaving(unavailable)
--- a/src/shallotworks/node/_limits.py
+++ b/src/shallotworks/node/_limits.py
@@ -1,4 +1,4 @@
-"""From the settings to the limits of each part."""
+"""Derives the limits of each component from the settings."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def request_limits(settings: Settings) -> RequestLimits:
-    """Return the bounds on what a caller may ask."""
+    """Return the bounds on a caller's request."""
     return RequestLimits(
         body_limit_bytes=settings.callers.body_limit_bytes,
         default_deadline_s=settings.requests.default_deadline_s,
@@ -36,12 +36,12 @@
 
 
 def long_running_limit(settings: Settings) -> int:
-    """Return how many long-running requests may be here at once."""
+    """Return how many long-running requests this instance accepts at once."""
     return max(1, int(settings.callers.threads * settings.callers.long_running_part))
 
 
 def target_client_limits(settings: Settings) -> TargetClientLimits:
-    """Return the bounds on one attempt."""
+    """Return the timeouts of one attempt at a target."""
     return TargetClientLimits(
         connect_timeout_s=settings.requests.connect_timeout_s,
         attempt_timeout_s=settings.requests.attempt_timeout_s,
@@ -50,7 +50,7 @@
 
 
 def dispatch_limits(settings: Settings) -> DispatchLimits:
-    """Return the limits of dispatch."""
+    """Return the limits of the dispatcher."""
     return DispatchLimits(
         long_running_min_part=settings.requests.long_running_min_part,
         reserve_factor=settings.requests.interactive_reserve_factor,
@@ -60,12 +60,12 @@
 
 
 def retry_limits(settings: Settings) -> RetryLimits:
-    """Return what retries may add."""
+    """Return the retry budget."""
     return RetryLimits(retry_ratio=settings.requests.retry_part)
 
 
 def idempotency_limits(settings: Settings) -> IdempotencyLimits:
-    """Return how long idempotency keys are kept."""
+    """Return how long idempotency keys are kept and how long a lease takes new records."""
     window_s = settings.requests.once_window_s
     return IdempotencyLimits(window_s=window_s, lease_every_s=min(3_600.0, window_s))
 
@@ -81,7 +81,7 @@
 
 
 def peer_timing(settings: Settings) -> PeerTiming:
-    """Return the intervals among peers."""
+    """Return the intervals and timeouts of the peer network."""
     peers = settings.peers
     return PeerTiming(
         mesh_interval_s=peers.heartbeat_interval_s,
@@ -93,7 +93,7 @@
 
 
 def planner_weights(settings: Settings) -> PlannerWeights:
-    """Return what this user weighs most."""
+    """Return the weights of the planner's cost function."""
     window = _window(settings)
     return PlannerWeights(
         buffer=settings.plans.weight_buffer,
@@ -104,12 +104,12 @@
 
 
 def disruption_model(settings: Settings) -> DisruptionModel:
-    """Return what a step is expected to take."""
+    """Return the expected duration of a step."""
     return DisruptionModel(return_s=settings.plans.settle_s)
 
 
 def conductor_policy(settings: Settings) -> ConductorPolicy:
-    """Return when a conductor goes on, waits or gives up."""
+    """Return the timeouts of a conductor and its maintenance window."""
     return ConductorPolicy(
         drain_timeout_s=settings.plans.drain_timeout_s,
         return_timeout_s=settings.plans.reboot_timeout_s,
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -1,4 +1,4 @@
-"""One entry instance: its parts, its ports, its start and its stop."""
+"""One entry instance: its components, ports, start and stop."""
 
 from __future__ import annotations
 
@@ -44,27 +44,27 @@
 __all__ = ["Node"]
 
 CONFIG_LOAD_RETRY_S = 0.5
-"""Pause between two tries to get a first configuration."""
+"""Pause between two attempts to load the first configuration."""
 PEER_CONFIG_WAIT_S = 1.0
-"""Time that peers have at a start to hand over what they hold, before the store is read."""
+"""Time at the start to receive the configuration from peers before the store is read."""
 STALE_CONFIG_AGE_S = 15.0
-"""Age of the configuration from which this process reads the list of instances for itself."""
+"""Age of the configuration above which this process reads the list of instances itself."""
 IN_FLIGHT_POLL_S = 0.05
 FLUSH_RECORDS_TIMEOUT_S = 3.0
-"""Time that a stop spends on records of answers which a slow store has not taken yet."""
+"""Time that a stop spends on writing records of answers that a slow store has not taken yet."""
 PRUNE_PROPOSALS_EVERY_S = 6 * 3_600.0
 STOP_NOTICE_S = 1.0
-"""Time in which a stopping instance still answers: 503, not run, and closes the connection."""
+"""Time for which a stopping instance answers 503, not run, and asks to close the connection."""
 
 
 class Node:
-    """One entry instance; made, started and stopped on the event loop that it runs on.
+    """One entry instance; created, started and stopped on the event loop that it runs on.
 
     Args:
-        settings: Checked settings.
+        settings: Validated settings.
 
     Raises:
-        ShallotworksError: ``INVALID_SETTINGS`` where a key or token can't be read.
+        ShallotworksError: ``INVALID_SETTINGS`` if a key or token can't be read.
     """
 
     def __init__(self, *, settings: Settings) -> None:
@@ -97,13 +97,13 @@
         return self._operators.port
 
     async def start(self) -> None:
-        """Open the ports; the callers' port only once a configuration is held.
+        """Open the ports; the callers' port only after a configuration is loaded.
 
-        Without one every request would be answered with "no such service", which is final and
-        would be false.
+        Without a configuration every request would be answered with "no such service", which is
+        final and would be false.
 
         Raises:
-            ShallotworksError: ``INVALID_SETTINGS`` where a port can't be bound.
+            ShallotworksError: ``INVALID_SETTINGS`` if a port can't be bound.
         """
         await asyncio.to_thread(self._operators.start)
         await self._start_peers()
@@ -118,14 +118,15 @@
         logging.info("%s serves callers at port %d", self._process, self.callers_port)
 
     async def stop(self) -> None:
-        """Stop gracefully: no new work, what is in flight is answered, leases are given back."""
+        """Stop gracefully: refuse new requests, answer those in flight and release leases."""
         self._stopping = True
         self._record_event(EventKind.STOPPING, "")
         self.relay.refuse_new()
         self._dispatcher.stop_admitting()
         self._dispatcher.refuse_waiting()
-        # Callers on kept-alive connections and the balancer need to see that this instance stops;
-        # a connection closed under a request just sent would leave its outcome unknown.
+        # Callers with persistent connections and the load balancer need time to see that this
+        # instance stops; closing a connection right after a request was sent on it would leave the
+        # outcome of that request unknown.
         await asyncio.sleep(STOP_NOTICE_S)
         await self._wait_until_idle()
         await asyncio.to_thread(self._callers.stop)
@@ -306,7 +307,7 @@
             raise _cannot_listen(self._settings, error) from error
 
     async def _load_configuration(self) -> None:
-        """Take the configuration from peers or from the store, whichever has it."""
+        """Load the configuration from peers or from the store, whichever provides it first."""
         if self._settings.peers.seeds:
             await asyncio.sleep(PEER_CONFIG_WAIT_S)
         while True:
@@ -321,7 +322,7 @@
             await asyncio.sleep(IN_FLIGHT_POLL_S)
 
     async def _prune_proposals(self) -> None:
-        """Delete old proposals now and then; one of the few that watch is enough."""
+        """Delete old proposals periodically, only on processes that watch the store."""
         while True:
             await asyncio.sleep(PRUNE_PROPOSALS_EVERY_S * self._rng.uniform(0.5, 1.0))
             if self.peers.should_watch():
@@ -345,13 +346,13 @@
         )
 
     def _entry_rank(self) -> int:
-        """Return which of the slots that don't divide evenly are this process's."""
+        """Return the rank of this process by name, for the slots that don't divide evenly."""
         names = sorted(entry.record.name for entry in self.peers.live_entries())
         own = self._settings.instance.name
         return names.index(own) if own in names else 0
 
     def _record_condition_change(self, entry: Entry) -> None:
-        """Record from when on this process gives instances no new work, or gives it again."""
+        """Record that this process stops or resumes sending requests to instances."""
         change = entry.change
         if not isinstance(change, SetCondition):
             return
@@ -363,17 +364,18 @@
             self.timeline.record(kind, subject=subject, detail=f"revision {entry.revision}")
 
     def _pause_factor(self, digest: str) -> float:
-        """Return the factor on the pauses of this process's candidacy, by its data centre's rank.
+        """Return the factor on the pauses between attempts to acquire a plan's lease.
 
-        With 22 data centres whose watchers all stood alike, each open plan would cost the store 14
-        reads a second; ranked they cost as much as about eight candidates.
+        It is 1 plus the rank of this data centre for the plan. If the watchers of 22 data centres
+        all used the same pause, each open plan would cost the store 14 reads per second; ranked,
+        they cost as much as about eight candidates.
         """
         data_centres = self.config.state().data_centres
         own = self._settings.instance.data_centre
         return 1.0 + rank_among(data_centres, own, duty=f"plan/{digest}")
 
     def _is_live(self, process: str) -> bool:
-        """Say whether a process is known to run; one that is not known may still run."""
+        """Return whether a process is known to run; an unknown process may run, too."""
         members = self.peers.members()
         known = (entry.record for entry in members if entry.state is not MemberState.GONE)
         return process == self._process or process in map(_process_name, known)
@@ -388,7 +390,7 @@
 
 
 def _process_name(record: MemberRecord) -> str:
-    """Return a name that differs after each start."""
+    """Return a process name that is different after each start."""
     return f"{record.name}#{record.incarnation:x}"
 
 
@@ -400,4 +402,4 @@
 
 def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        logging.error("a part of the instance has ended: %r", task.exception())
+        logging.error("background task of the instance failed: %r", task.exception())
--- a/src/shallotworks/node/_plan_lease.py
+++ b/src/shallotworks/node/_plan_lease.py
@@ -1,4 +1,4 @@
-"""The right to conduct one plan, held by a lease in the platform's service."""
+"""Lease on the execution of one plan, kept in the platform's store."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     """Implements `shallotworks.plans.PlanLease` with a `LeaseCandidate`.
 
     Args:
-        candidate: The candidate for the duty.
-        is_eligible: Whether this process is among the few that stand for duties.
-        pause_factor: See `LeaseCandidate.run`.
-        held: Names of the duties held by this process, for operators.
+        candidate: Acquires and renews the lease.
+        is_eligible: Returns whether this process may acquire the lease.
+        pause_factor: Returns the factor on the pauses between attempts; see `LeaseCandidate.run`.
+        held: Names of the leases that this process holds; updated for operators.
     """
 
     __slots__ = ("_candidacy", "_candidate", "_held", "_is_eligible", "_pause_factor")
@@ -38,7 +38,7 @@
         self._candidacy: asyncio.Task[None] | None = None
 
     async def acquire(self) -> int:
-        """Wait until it is held; returns its fencing token."""
+        """Wait until the lease is acquired, and return its fencing token."""
         if self._candidacy is None:
             work = self._candidate.run(
                 is_eligible=self._is_eligible, pause_factor=self._pause_factor
@@ -49,11 +49,11 @@
         return lease_record.fencing_token
 
     def is_held(self) -> bool:
-        """Return whether it is held by the local clock."""
+        """Return whether the lease is still held, by the local clock."""
         return self._candidate.is_held()
 
     async def release(self) -> None:
-        """Give it up, where it is held."""
+        """Release the lease if it is held, and stop trying to acquire it."""
         self._held.discard(self._candidate.duty)
         if self._candidacy is None:
             return
--- a/src/shallotworks/node/_serve.py
+++ b/src/shallotworks/node/_serve.py
@@ -1,4 +1,4 @@
-"""The daemon: one node on one event loop, until a signal to stop."""
+"""The daemon: runs one node on one event loop until a signal stops it."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     """Run one entry instance until SIGTERM or SIGINT.
 
     Args:
-        settings: Checked settings.
+        settings: Validated settings.
 
     Returns:
-        The exit code: 0 after a graceful stop, else that of the error kind.
+        The exit code: 0 after a graceful stop, otherwise that of the error kind.
     """
     logging.use_absl_handler()
     logging.set_verbosity(settings.log.verbosity)
