--- a/src/shallotworks/node/_backend.py
+++ b/src/shallotworks/node/_backend.py
@@ -43,7 +43,7 @@
         metrics: All metrics.
         is_store_up: Returns whether the platform's store answered the last call.
         is_stopping: Returns whether this instance is stopping and accepts no more requests.
-        duties: Returns the names of the leases that this process holds.
+        held_leases: Returns the names of the leases that this process holds.
         started_at_s: When this instance was created, by the event loop's clock.
     """
 
@@ -55,7 +55,7 @@
     metrics: Metrics
     is_store_up: Callable[[], bool]
     is_stopping: Callable[[], bool]
-    duties: Callable[[], tuple[str, ...]]
+    held_leases: Callable[[], tuple[str, ...]]
     started_at_s: float
 
 
@@ -91,7 +91,7 @@
             store_fault=config_fault.reason if config_fault is not None else "",
             requests_queued=dependencies.dispatcher.waiting,
             requests_in_flight=dependencies.dispatcher.in_flight,
-            duties=dependencies.duties(),
+            duties=dependencies.held_leases(),
             peers=tuple(_peer_view(member, revisions) for member in dependencies.peers.members()),
         )
 
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -288,7 +288,7 @@
             metrics=self.metrics,
             is_store_up=lambda: self._store.is_up,
             is_stopping=lambda: self._stopping,
-            duties=lambda: tuple(sorted(self._held_leases)),
+            held_leases=lambda: tuple(sorted(self._held_leases)),
             started_at_s=self._loop.time(),
         )
         self._operators = OperatorsServer(
