--- a/tests/peer_fakes.py
+++ b/tests/peer_fakes.py
@@ -19,8 +19,8 @@
 from shallotworks.timeline import Timeline
 
 KEYS = FleetKeys(keys=(b"the key of this fleet, for tests",))
-DELAY_S = 0.002
-UNIX_START_S = 1_700_000_000.0
+LATENCY_S = 0.002
+START_UNIX_TIME_S = 1_700_000_000.0
 _Value = TypeVar("_Value")
 
 
@@ -39,14 +39,14 @@
     """A replica that remembers which revisions it has held."""
 
     def __init__(self) -> None:
-        timeline = Timeline(process="replica", wall_clock_s=lambda: UNIX_START_S)
+        timeline = Timeline(process="replica", wall_clock_s=lambda: START_UNIX_TIME_S)
         super().__init__(metrics=Metrics(), timeline=timeline)
-        self.held: list[int] = []
-        self.subscribe(lambda entry: self.held.append(entry.revision))
+        self.held_revisions: list[int] = []
+        self.subscribe(lambda entry: self.held_revisions.append(entry.revision))
 
     def install_snapshot(self, snapshot: Snapshot) -> int:
-        self.held.append(super().install_snapshot(snapshot))
-        return self.held[-1]
+        self.held_revisions.append(super().install_snapshot(snapshot))
+        return self.held_revisions[-1]
 
 
 class AcceptedLog:
@@ -76,10 +76,10 @@
         self._listening: dict[str, Callable[[ByteStream], Awaitable[None]]] = {}
         self._serving: set[asyncio.Future[None]] = set()
         self._streams: list[MemoryStream] = []
-        self.is_cut: Callable[[str, str], bool] = lambda _source, _target: False
+        self.is_partitioned: Callable[[str, str], bool] = lambda _source, _target: False
         self.refuses_dial: Callable[[str, str], bool] = lambda _source, _target: False
 
-    def at(self, address: str) -> MemoryTransport:
+    def transport_for(self, address: str) -> MemoryTransport:
         """Return the network as one process sees it."""
         return MemoryTransport(network=self, address=address)
 
@@ -91,34 +91,34 @@
         if self._listening.get(address) == on_stream:
             del self._listening[address]
 
-    def silence(self, address: str) -> None:
+    def lose_connections(self, address: str) -> None:
         """Let the connections open at one address go silent for good."""
         for stream in self._streams:
             if address in (stream.source, stream.target):
-                stream.lost = True
+                stream.silent = True
 
-    def block(self, address: str) -> None:
+    def stall_writes(self, address: str) -> None:
         """Let the connections open at one address take no more bytes from it."""
         for stream in self._streams:
             if address == stream.source:
-                stream.blocked = True
+                stream.stalled = True
 
     async def connect(self, source: str, target: str) -> MemoryStream:
-        await asyncio.sleep(DELAY_S)
-        if self.is_cut(source, target) or self.refuses_dial(source, target):
+        await asyncio.sleep(LATENCY_S)
+        if self.is_partitioned(source, target) or self.refuses_dial(source, target):
             await asyncio.Event().wait()
         if target not in self._listening:
             raise ConnectionRefusedError(target)
-        ours = MemoryStream(network=self, source=source, target=target)
-        theirs = MemoryStream(network=self, source=target, target=source)
-        ours.other, theirs.other = theirs, ours
-        self._streams += [ours, theirs]
-        serving = asyncio.ensure_future(self._listening[target](theirs))
+        local = MemoryStream(network=self, source=source, target=target)
+        remote = MemoryStream(network=self, source=target, target=source)
+        local.remote_end, remote.remote_end = remote, local
+        self._streams += [local, remote]
+        serving = asyncio.ensure_future(self._listening[target](remote))
         self._serving.add(serving)
         serving.add_done_callback(self._serving.discard)
-        return ours
+        return local
 
-    def forget(self, stream: MemoryStream) -> None:
+    def remove_stream(self, stream: MemoryStream) -> None:
         if stream in self._streams:
             self._streams.remove(stream)
 
@@ -150,13 +150,13 @@
     def __init__(self, *, network: MemoryNetwork, source: str, target: str) -> None:
         self._network = network
         self._reader = asyncio.StreamReader()
-        self._arriving: deque[bytes] = deque()
+        self._in_transit: deque[bytes] = deque()
         self._closed = False
         self.source = source
         self.target = target
-        self.other: MemoryStream | None = None
-        self.lost = False
-        self.blocked = False
+        self.remote_end: MemoryStream | None = None
+        self.silent = False
+        self.stalled = False
 
     def feed(self, data: bytes) -> None:
         """Let bytes arrive that the other end has not written."""
@@ -168,30 +168,30 @@
     def write(self, data: bytes) -> None:
         if self._closed:
             raise ConnectionResetError
-        if not self.blocked:
-            self._carry(data)
+        if not self.stalled:
+            self._deliver(data)
 
     async def drain(self) -> None:
-        await (asyncio.Event().wait() if self.blocked else asyncio.sleep(0))
+        await (asyncio.Event().wait() if self.stalled else asyncio.sleep(0))
 
     def close(self) -> None:
         if not self._closed:
             self._closed = True
-            self._network.forget(self)
-            self._carry(b"")
+            self._network.remove_stream(self)
+            self._deliver(b"")
             self._reader.feed_eof()
 
-    def _carry(self, data: bytes) -> None:
-        if self._network.is_cut(self.source, self.target):
-            self.lost = True
-        if self.lost or self.other is None or self.other.lost:
+    def _deliver(self, data: bytes) -> None:
+        if self._network.is_partitioned(self.source, self.target):
+            self.silent = True
+        if self.silent or self.remote_end is None or self.remote_end.silent:
             return
-        self.other._arriving.append(data)
-        asyncio.get_running_loop().call_later(DELAY_S, self.other._arrive)
+        self.remote_end._in_transit.append(data)
+        asyncio.get_running_loop().call_later(LATENCY_S, self.remote_end._receive_next)
 
-    def _arrive(self) -> None:
-        data = self._arriving.popleft()
-        if self._closed or self.lost:
+    def _receive_next(self) -> None:
+        data = self._in_transit.popleft()
+        if self._closed or self.silent:
             return
         if data:
             self._reader.feed_data(data)
@@ -199,7 +199,7 @@
             self._reader.feed_eof()
 
 
-class Node:
+class PeerNode:
     """One process: a replica and its network of peers."""
 
     def __init__(
@@ -210,7 +210,7 @@
         network: MemoryNetwork,
         seeds: tuple[str, ...],
         keys: FleetKeys = KEYS,
-        started: float = 0.0,
+        start_offset_s: float = 0.0,
         timing: PeerTiming | None = None,
         replica: RecordingReplica | None = None,
         loads: Callable[[], tuple[ServiceLoad, ...]] = tuple,
@@ -222,7 +222,7 @@
         self.data_centre = data_centre
         self.metrics = Metrics()
         self.replica = replica or RecordingReplica()
-        wall_clock_s = lambda: UNIX_START_S + started  # noqa: E731
+        wall_clock_s = lambda: START_UNIX_TIME_S + start_offset_s  # noqa: E731
         self.timeline = Timeline(process=name, wall_clock_s=wall_clock_s)
         self.peers = PeerNetwork(
             settings=PeerSettings(
@@ -237,13 +237,13 @@
             replica=self.replica,
             metrics=self.metrics,
             timeline=self.timeline,
-            random=Random(f"{name} {started}"),
+            random=Random(f"{name} {start_offset_s}"),
             wall_clock_s=wall_clock_s,
-            transport=transport or network.at(self.address),
+            transport=transport or network.transport_for(self.address),
             loads=loads,
         )
 
-    def live(self) -> list[str]:
+    def live_names(self) -> list[str]:
         """Return the names of the live entries as this process sees them."""
         return sorted(member.record.name for member in self.peers.live_entries())
 
@@ -256,17 +256,17 @@
         self.log = AcceptedLog()
         names = [f"{centre}{index}" for centre, size in sizes.items() for index in range(size)]
         self.seeds = tuple(f"{name}:1" for name in names)
-        self.nodes = {name: self.make(name) for name in names}
-        self._ending: list[asyncio.Future[None]] = []
+        self.nodes = {name: self.make_node(name) for name in names}
+        self._stopping: list[asyncio.Future[None]] = []
 
-    def make(self, name: str, *, started: float = 0.0, **options: Any) -> Node:
+    def make_node(self, name: str, *, start_offset_s: float = 0.0, **options: Any) -> PeerNode:
         """Return a new process under a name, not yet started."""
         options.setdefault("seeds", self.seeds)
-        return Node(
+        return PeerNode(
             name=name,
             data_centre=name.rstrip("0123456789"),
             network=self.network,
-            started=started,
+            start_offset_s=start_offset_s,
             **options,
         )
 
@@ -278,17 +278,17 @@
 
     async def stop(self) -> None:
         """Stop all nodes."""
-        self.network.is_cut = lambda _source, _target: False
-        await asyncio.gather(*(node.peers.stop() for node in self.nodes.values()), *self._ending)
+        self.network.is_partitioned = lambda _source, _target: False
+        await asyncio.gather(*(node.peers.stop() for node in self.nodes.values()), *self._stopping)
 
-    def kill(self, name: str) -> Node:
+    def kill(self, name: str) -> PeerNode:
         """Let a process vanish without a word: its connections stay silent, its port is closed."""
         node = self.nodes.pop(name)
-        self.network.silence(node.address)
-        self._ending.append(asyncio.ensure_future(node.peers.stop()))
+        self.network.lose_connections(node.address)
+        self._stopping.append(asyncio.ensure_future(node.peers.stop()))
         return node
 
-    def accept_at(self, name: str) -> Entry:
+    def accept_change_at(self, name: str) -> Entry:
         """Accept a change, which one process has from the store."""
         node = self.nodes[name]
         self.log.accept()
--- a/tests/system.py
+++ b/tests/system.py
@@ -25,10 +25,10 @@
 DATA_CENTRES = ("bergen", "forde")
 RACKS = ("r1", "r2")
 SERVICES = ("traces", "orders")
-SLOTS = 8
+SLOTS_PER_WORKER = 8
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 30.0
-POLL_S = 0.05
+CONDITION_POLL_S = 0.05
 
 SETTINGS = """
 [instance]
@@ -107,13 +107,13 @@
         """Wait until it takes requests."""
         url = f"http://127.0.0.1:{self.callers_port}/.shallotworks/health"
 
-        def healthy() -> bool:
+        def is_healthy() -> bool:
             with contextlib.suppress(urllib3.exceptions.HTTPError):
                 answer = urllib3.request("GET", url, retries=False, timeout=1.0)
                 return answer.status == 200
             return False
 
-        wait_for(healthy, START_TIMEOUT_S)
+        wait_for(is_healthy, START_TIMEOUT_S)
 
     def signal(self, number: int) -> None:
         """Send a signal to the process that this entry started."""
@@ -154,8 +154,10 @@
         self.platform = PlatformStandIn(threads=96, watch_threads=48)
         self.platform.start()
         self.workers = [
-            WorkerStandIn(name=f"{place}-{rack}-{service}", slots=SLOTS, reboot_s=0.5)
-            for place in data_centres
+            WorkerStandIn(
+                name=f"{data_centre}-{rack}-{service}", slots=SLOTS_PER_WORKER, reboot_s=0.5
+            )
+            for data_centre in data_centres
             for rack in RACKS
             for service in SERVICES
         ]
@@ -164,11 +166,11 @@
         ports = free_ports(6 * len(data_centres))
         self.entries = [
             Entry(
-                name=f"{place}-entry-{number}",
-                data_centre=place,
+                name=f"{data_centre}-entry-{number}",
+                data_centre=data_centre,
                 ports=[ports.pop() for _ in range(3)],
             )
-            for place in data_centres
+            for data_centre in data_centres
             for number in (1, 2)
         ]
         for entry in self.entries:
@@ -229,4 +231,4 @@
     while not condition():
         if time.monotonic() > ends_at_s:
             raise TimeoutError(f"not reached within {timeout_s:g} s")
-        time.sleep(POLL_S)
+        time.sleep(CONDITION_POLL_S)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,10 +18,10 @@
 
 from .peer_fakes import Fleet, RecordingReplica, run_on_virtual_clock
 
-IN_FORCE_S = 8.0
+CONVERGENCE_TIMEOUT_S = 8.0
 
 
-def on_fleet(
+def with_fleet(
     **sizes: int,
 ) -> Callable[[Callable[..., Coroutine[Any, Any, None]]], Callable[..., None]]:
     """Run a test on a fleet that has found itself, and stop the fleet after it."""
@@ -42,16 +42,16 @@
     return wrap
 
 
-def cut_between(fleet: Fleet, *centres: str) -> None:
+def isolate_data_centres(fleet: Fleet, *centres: str) -> None:
     """Cut data centres off from all others."""
 
-    def is_cut(source: str, target: str) -> bool:
+    def is_partitioned(source: str, target: str) -> bool:
         inside = [
             address.split(":")[0].rstrip("0123456789") in centres for address in (source, target)
         ]
         return inside[0] != inside[1]
 
-    fleet.network.is_cut = is_cut
+    fleet.network.is_partitioned = is_partitioned
 
 
 def free_address() -> str:
@@ -60,11 +60,11 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-def heal(fleet: Fleet) -> None:
-    fleet.network.is_cut = lambda _source, _target: False
+def heal_partition(fleet: Fleet) -> None:
+    fleet.network.is_partitioned = lambda _source, _target: False
 
 
-def relay(fleet: Fleet, centre: str, slot: int) -> str:
+def relay_name(fleet: Fleet, centre: str, slot: int) -> str:
     """Return the name of one relay."""
     return next(
         name
@@ -74,24 +74,24 @@
 
 
 class MembershipTests(unittest.TestCase):
-    @on_fleet(a=4, b=1)
+    @with_fleet(a=4, b=1)
     async def test_members_of_a_data_centre_find_each_other(self, fleet: Fleet) -> None:
         """Each lists all of its own data centre and none of another; two relay and two watch."""
         nodes = [node for node in fleet.nodes.values() if node.data_centre == "a"]
         for node in nodes:
-            self.assertEqual(node.live(), ["a0", "a1", "a2", "a3"])
+            self.assertEqual(node.live_names(), ["a0", "a1", "a2", "a3"])
         self.assertEqual(sorted(node.peers.status().relay_slot for node in nodes), [-1, -1, 0, 1])
         self.assertEqual(sum(node.peers.should_watch() for node in nodes), 2)
 
-    @on_fleet(a=3)
+    @with_fleet(a=3)
     async def test_a_leaving_member_is_gone_at_once(self, fleet: Fleet) -> None:
         """A graceful stop removes a member everywhere within a heartbeat, without suspicion."""
         await fleet.nodes.pop("a0").peers.stop()
         await asyncio.sleep(0.1)
         for node in fleet.nodes.values():
-            self.assertEqual(node.live(), ["a1", "a2"])
+            self.assertEqual(node.live_names(), ["a1", "a2"])
 
-    @on_fleet(a=3)
+    @with_fleet(a=3)
     async def test_a_silent_member_is_suspected_before_it_is_removed(self, fleet: Fleet) -> None:
         """Silence first takes a member's duties away, and only later the member.
 
@@ -102,39 +102,39 @@
         await asyncio.sleep(6.5)
         suspects = [event.kind for event in fleet.nodes["a1"].timeline.events()]
         self.assertIs(suspects[-1], EventKind.PEER_SUSPECT)
-        self.assertIn("a0", fleet.nodes["a1"].live())
+        self.assertIn("a0", fleet.nodes["a1"].live_names())
         self.assertTrue(all(fleet.nodes[name].peers.should_watch() for name in ("a1", "a2")))
         await asyncio.sleep(4)
-        self.assertEqual(fleet.nodes["a1"].live(), ["a1", "a2"])
+        self.assertEqual(fleet.nodes["a1"].live_names(), ["a1", "a2"])
 
-    @on_fleet(a=3)
-    async def test_two_that_lose_only_each_other_stay_members(self, fleet: Fleet) -> None:
+    @with_fleet(a=3)
+    async def test_a_broken_link_between_two_members_suspects_neither(self, fleet: Fleet) -> None:
         """A member that another member hears is not suspected.
 
         Story: a switch loses the path between two instances; both serve callers, and a third
         reaches both. If each removed the other they would choose watchers and relays differently.
         """
         pair = {"a0:1", "a1:1"}
-        fleet.network.is_cut = lambda source, target: {source, target} == pair
+        fleet.network.is_partitioned = lambda source, target: {source, target} == pair
         await asyncio.sleep(30)
         for node in fleet.nodes.values():
-            self.assertEqual(node.live(), ["a0", "a1", "a2"])
+            self.assertEqual(node.live_names(), ["a0", "a1", "a2"])
         self.assertNotIn("peers.members.suspect", fleet.nodes["a2"].metrics.counters())
 
-    @on_fleet(a=2)
-    async def test_one_way_dialling_is_enough(self, fleet: Fleet) -> None:
+    @with_fleet(a=2)
+    async def test_members_connect_if_only_one_can_dial(self, fleet: Fleet) -> None:
         """Either end may open the connection that both use.
 
         Story: a filter lets one instance dial another, never back. When the connection goes
         silent for good, the one that may dial opens a fresh one, which serves both ways.
         """
         fleet.network.refuses_dial = lambda source, _target: source == "a0:1"
-        fleet.network.silence("a0:1")
+        fleet.network.lose_connections("a0:1")
         await asyncio.sleep(6.5)
         links = [node.peers.status().links for node in fleet.nodes.values()]
         self.assertEqual(links, [1, 1])
 
-    @on_fleet(a=3)
+    @with_fleet(a=3)
     async def test_a_new_incarnation_replaces_the_old(self, fleet: Fleet) -> None:
         """The newest start under a name is the one that counts.
 
@@ -142,20 +142,20 @@
         for a moment. The newer start wins; the old one is refused while the newer lives.
         """
         old = fleet.kill("a0")
-        fleet.nodes["a0"] = fleet.make("a0", started=100.0)
+        fleet.nodes["a0"] = fleet.make_node("a0", start_offset_s=100.0)
         await fleet.nodes["a0"].peers.start()
         await asyncio.sleep(2)
         members = {member.record.name: member for member in fleet.nodes["a1"].peers.live_entries()}
         own = old.peers.live_entries()[0].record
         self.assertEqual(members["a0"].record.incarnation - own.incarnation, 100_000)
-        revived = fleet.make("a0", started=50.0)
+        revived = fleet.make_node("a0", start_offset_s=50.0)
         await revived.peers.start()
         await asyncio.sleep(2)
         self.assertGreater(fleet.nodes["a1"].metrics.counters()["peers.links.unwelcome"], 0)
         await revived.peers.stop()
 
-    @on_fleet(a=2)
-    async def test_a_stranger_costs_its_connection_only(self, fleet: Fleet) -> None:
+    @with_fleet(a=2)
+    async def test_foreign_connections_are_refused_and_counted(self, fleet: Fleet) -> None:
         """Foreign bytes and foreign keys are refused and counted.
 
         Story: a scanner, and a process with another fleet's key, dial the peers' port. Each
@@ -164,85 +164,87 @@
         stream = await fleet.network.connect("x:1", "a0:1")
         stream.write(b"GET / HTTP/1.1\r\n\r\n")
         wrong = FleetKeys(keys=(b"some other fleet's key",))
-        stranger = fleet.make("a7", keys=wrong)
-        await stranger.peers.start()
+        foreign_node = fleet.make_node("a7", keys=wrong)
+        await foreign_node.peers.start()
         await asyncio.sleep(3)
         counters = fleet.nodes["a0"].metrics.counters()
         self.assertEqual(counters["peers.handshakes.refused.too-large"], 1)
-        self.assertGreater(stranger.metrics.counters()["peers.handshakes.refused.unauthorised"], 0)
-        self.assertEqual(fleet.nodes["a0"].live(), ["a0", "a1"])
-        self.assertTrue(stranger.peers.should_watch())
-        await stranger.peers.stop()
+        self.assertGreater(
+            foreign_node.metrics.counters()["peers.handshakes.refused.unauthorised"], 0
+        )
+        self.assertEqual(fleet.nodes["a0"].live_names(), ["a0", "a1"])
+        self.assertTrue(foreign_node.peers.should_watch())
+        await foreign_node.peers.stop()
 
-    @on_fleet(a=2)
+    @with_fleet(a=2)
     async def test_candidates_from_the_platforms_list_are_found(self, fleet: Fleet) -> None:
         """An instance that no seed names is met through the list, and is then known to all."""
-        late = fleet.nodes["a9"] = fleet.make("a9", seeds=())
-        await late.peers.start()
+        newcomer = fleet.nodes["a9"] = fleet.make_node("a9", seeds=())
+        await newcomer.peers.start()
         await asyncio.sleep(4)
-        self.assertEqual(late.live(), ["a9"])
-        late.peers.set_candidates(("a0:1",))
+        self.assertEqual(newcomer.live_names(), ["a9"])
+        newcomer.peers.set_candidates(("a0:1",))
         await asyncio.sleep(4)
-        self.assertEqual(fleet.nodes["a1"].live(), ["a0", "a1", "a9"])
+        self.assertEqual(fleet.nodes["a1"].live_names(), ["a0", "a1", "a9"])
 
-    @on_fleet(a=2)
+    @with_fleet(a=2)
     async def test_loads_of_peers_arrive(self, fleet: Fleet) -> None:
         """Each peer learns all loads of another over a few heartbeats, four in each."""
         loads = tuple(ServiceLoad(service=f"s{n}", in_flight=n, waiting=0) for n in range(6))
-        busy = fleet.nodes["a8"] = fleet.make("a8", loads=lambda: loads)
+        busy = fleet.nodes["a8"] = fleet.make_node("a8", loads=lambda: loads)
         await busy.peers.start()
         await asyncio.sleep(8)
         self.assertEqual(set(fleet.nodes["a0"].peers.peer_loads()["a8"]), set(loads))
 
 
 class TcpTests(unittest.TestCase):
-    def test_two_processes_meet_over_tcp(self) -> None:
+    def test_two_processes_connect_over_tcp(self) -> None:
         """Over real connections two networks meet, pass a change on, and stop quietly."""
 
         async def main() -> list[str]:
             fleet = Fleet(sizes={})
             for name in ("a0", "a1"):
-                fleet.nodes[name] = fleet.make(
+                fleet.nodes[name] = fleet.make_node(
                     name, address=free_address(), transport=TcpTransport(), seeds=()
                 )
                 await fleet.nodes[name].peers.start()
             fleet.nodes["a1"].peers.set_candidates((fleet.nodes["a0"].address,))
-            fleet.accept_at("a0")
-            await fleet.time_until(lambda: fleet.revisions() == {1}, within_s=IN_FORCE_S)
-            live = fleet.nodes["a0"].live()
+            fleet.accept_change_at("a0")
+            await fleet.time_until(lambda: fleet.revisions() == {1}, within_s=CONVERGENCE_TIMEOUT_S)
+            live_names = fleet.nodes["a0"].live_names()
             await fleet.stop()
-            return live
+            return live_names
 
         self.assertEqual(asyncio.run(main()), ["a0", "a1"])
 
 
 class DistributionTests(unittest.TestCase):
-    @on_fleet(a=4, b=3, c=1)
-    async def test_a_change_reaches_all_at_once(self, fleet: Fleet) -> None:
+    @with_fleet(a=4, b=3, c=1)
+    async def test_a_change_reaches_all_within_a_second(self, fleet: Fleet) -> None:
         """A change is held by all within a second, whoever has it from the store.
 
         Story: whichever process watches the store, relay or not, its data centre and all others
         wait for what it has seen.
         """
         for name in fleet.nodes:
-            entry = fleet.accept_at(name)
+            entry = fleet.accept_change_at(name)
             reached = lambda at=entry.revision: fleet.revisions() == {at}  # noqa: E731
-            self.assertLess(await fleet.time_until(reached, within_s=IN_FORCE_S), 1.0)
+            self.assertLess(await fleet.time_until(reached, within_s=CONVERGENCE_TIMEOUT_S), 1.0)
 
-    @on_fleet(a=3, b=3)
-    async def test_a_lost_push_is_made_good(self, fleet: Fleet) -> None:
+    @with_fleet(a=3, b=3)
+    async def test_a_lost_push_is_repeated_on_a_new_connection(self, fleet: Fleet) -> None:
         """A push into silent connections is noticed and repeated over fresh ones.
 
         Story: all connections of an instance go silent for good just before a change; writes
         into them still succeed. The missing reply closes them and fresh ones carry the change.
         """
-        fleet.network.silence("a0:1")
-        fleet.accept_at("a0")
+        fleet.network.lose_connections("a0:1")
+        fleet.accept_change_at("a0")
         reached = lambda: fleet.revisions() == {1}  # noqa: E731
-        self.assertLess(await fleet.time_until(reached, within_s=IN_FORCE_S), 4.0)
+        self.assertLess(await fleet.time_until(reached, within_s=CONVERGENCE_TIMEOUT_S), 4.0)
 
-    @on_fleet(a=2)
-    async def test_a_peer_that_stops_reading_costs_a_bounded_queue(self, fleet: Fleet) -> None:
+    @with_fleet(a=2)
+    async def test_the_queue_of_a_peer_that_stops_reading_is_bounded(self, fleet: Fleet) -> None:
         """What a peer does not take is dropped past a bound, and made good over a new connection.
 
         Story: a peer's process is stopped for a while. Writes to it block; without a bound all
@@ -250,14 +252,14 @@
         """
         link = fleet.nodes["a0"].peers._links.get("a1")
         assert link is not None
-        fleet.network.block("a0:1")
+        fleet.network.stall_writes("a0:1")
         part = bytes(PeerTiming().queue_bytes // 4)
         self.assertEqual([link.send(part) for _ in range(6)], [True] * 4 + [False] * 2)
-        fleet.accept_at("a0")
+        fleet.accept_change_at("a0")
         reached = lambda: fleet.revisions() == {1}  # noqa: E731
-        self.assertLess(await fleet.time_until(reached, within_s=IN_FORCE_S), 5.0)
+        self.assertLess(await fleet.time_until(reached, within_s=CONVERGENCE_TIMEOUT_S), 5.0)
 
-    @on_fleet(a=1)
+    @with_fleet(a=1)
     async def test_a_snapshot_larger_than_the_queue_arrives(self, fleet: Fleet) -> None:
         """The bound on what waits for a peer does not keep a newcomer from a large state."""
         names = tuple(f"{number:0500}" for number in range(2 * PeerTiming().queue_bytes // 500))
@@ -271,9 +273,9 @@
         )
         state = FleetState(revision=7, plans={"d": plan})
         fleet.nodes["a0"].replica.install_snapshot(Snapshot(state=state, last_change_id="c7"))
-        fleet.nodes["a5"] = fleet.make("a5")
+        fleet.nodes["a5"] = fleet.make_node("a5")
         await fleet.nodes["a5"].peers.start()
-        await fleet.time_until(lambda: fleet.revisions() == {7}, within_s=IN_FORCE_S)
+        await fleet.time_until(lambda: fleet.revisions() == {7}, within_s=CONVERGENCE_TIMEOUT_S)
         self.assertEqual(fleet.nodes["a5"].replica.state(), state)
 
     @parameterized.expand([("entries", 50), ("a snapshot", 900)])
@@ -284,79 +286,79 @@
         a small gap as entries and a large one as a snapshot.
         """
 
-        @on_fleet(a=3)
+        @with_fleet(a=3)
         async def main(_case: unittest.TestCase, fleet: Fleet) -> None:
             for _ in range(changes):
-                fleet.accept_at("a1")
+                fleet.accept_change_at("a1")
             await asyncio.sleep(5)
             replica = RecordingReplica()
             replica.append_entries(tuple(fleet.log.entries[:10]))
-            late = fleet.nodes["a7"] = fleet.make("a7", replica=replica)
-            await late.peers.start()
+            newcomer = fleet.nodes["a7"] = fleet.make_node("a7", replica=replica)
+            await newcomer.peers.start()
             reached = lambda: replica.state() == fleet.nodes["a1"].replica.state()  # noqa: E731
-            self.assertLess(await fleet.time_until(reached, within_s=IN_FORCE_S), 3.0)
-            snapshots = late.metrics.counters().get("peers.snapshots.adopted", 0)
+            self.assertLess(await fleet.time_until(reached, within_s=CONVERGENCE_TIMEOUT_S), 3.0)
+            snapshots = newcomer.metrics.counters().get("peers.snapshots.adopted", 0)
             self.assertEqual(snapshots, int(changes > 512))
 
         main(self)
 
-    @on_fleet(a=3, b=3, c=2)
-    async def test_a_cut_off_data_centre_catches_up(self, fleet: Fleet) -> None:
+    @with_fleet(a=3, b=3, c=2)
+    async def test_a_partitioned_data_centre_catches_up(self, fleet: Fleet) -> None:
         """A data centre cut off says so, serves on, and catches up when healed.
 
         Story: a data centre loses all others and the platform for two minutes. It serves on,
         says how old its configuration is, and holds the newest within seconds of the healing.
         """
-        fleet.accept_at("a0")
+        fleet.accept_change_at("a0")
         await asyncio.sleep(4)
-        cut_between(fleet, "b")
+        isolate_data_centres(fleet, "b")
         for _ in range(40):
-            fleet.accept_at("a0")
+            fleet.accept_change_at("a0")
             await asyncio.sleep(3)
         status = fleet.nodes["b0"].peers.status()
         self.assertGreater(status.config_age_s, 115)
         self.assertEqual(status.data_centres_linked, ())
-        self.assertEqual(fleet.nodes["b0"].live(), ["b0", "b1", "b2"])
-        heal(fleet)
+        self.assertEqual(fleet.nodes["b0"].live_names(), ["b0", "b1", "b2"])
+        heal_partition(fleet)
         reached = lambda: fleet.revisions() == {41}  # noqa: E731
-        self.assertLess(await fleet.time_until(reached, within_s=IN_FORCE_S), 4.5)
+        self.assertLess(await fleet.time_until(reached, within_s=CONVERGENCE_TIMEOUT_S), 4.5)
         await asyncio.sleep(4)
         self.assertLess(fleet.nodes["b0"].peers.status().config_age_s, 8)
 
-    @on_fleet(a=3, b=3)
-    async def test_a_relay_that_dies_is_replaced(self, fleet: Fleet) -> None:
+    @with_fleet(a=3, b=3)
+    async def test_failed_relays_are_replaced(self, fleet: Fleet) -> None:
         """Losing both relays of a data centre cuts it off for some seconds only.
 
         Story: both relays of a data centre lose power together. The others notice, choose the
         next two the same way, and changes pass between the data centres again.
         """
         for slot in (0, 1):
-            fleet.kill(relay(fleet, "a", slot))
+            fleet.kill(relay_name(fleet, "a", slot))
         await asyncio.sleep(9)
-        fleet.accept_at(relay(fleet, "a", 0))
+        fleet.accept_change_at(relay_name(fleet, "a", 0))
         reached = lambda: fleet.revisions() == {1}  # noqa: E731
-        self.assertLess(await fleet.time_until(reached, within_s=IN_FORCE_S), 1.0)
+        self.assertLess(await fleet.time_until(reached, within_s=CONVERGENCE_TIMEOUT_S), 1.0)
 
-    @on_fleet(a=2)
-    async def test_ages_do_not_refresh_each_other(self, fleet: Fleet) -> None:
+    @with_fleet(a=2)
+    async def test_peers_do_not_refresh_an_unconfirmed_age(self, fleet: Fleet) -> None:
         """A configuration that nobody confirms ages at every process.
 
         Story: the store is down for all. If peers took each other's word without its age, each
         would keep the other's configuration looking fresh for ever.
         """
-        fleet.accept_at("a0")
+        fleet.accept_change_at("a0")
         await asyncio.sleep(60)
         for node in fleet.nodes.values():
             self.assertGreater(node.peers.status().config_age_s, 55)
 
-    @on_fleet(a=2)
-    async def test_an_unknown_kind_of_change_cuts_nobody_off(self, fleet: Fleet) -> None:
+    @with_fleet(a=2)
+    async def test_an_unknown_kind_of_change_closes_no_connection(self, fleet: Fleet) -> None:
         """An entry that can't be read stops the replica, not the connection.
 
         Story: during a roll-out a newer release's change reaches an older process, which can't
         read it. It stays at the revision before and keeps its connections.
         """
-        fleet.accept_at("a0")
+        fleet.accept_change_at("a0")
         await asyncio.sleep(1)
         entry = fleet.log.accept()
         newer = NewerEntry(**{name: getattr(entry, name) for name in Entry.__slots__})
@@ -365,7 +367,7 @@
         older = fleet.nodes["a1"]
         self.assertEqual(older.replica.revision(), 1)
         self.assertEqual(older.peers.status().newest_revision, 2)
-        self.assertEqual(older.live(), ["a0", "a1"])
+        self.assertEqual(older.live_names(), ["a0", "a1"])
         self.assertLess(older.metrics.counters()["peers.entries.undecodable"], 6)
 
 
@@ -376,7 +378,7 @@
         return super().encode().replace(b"put-team", b"put-thing")
 
 
-STEPS = st.lists(
+FAULT_SEQUENCES = st.lists(
     st.tuples(
         st.sampled_from(["accept", "cut", "heal", "restart", "silence"]),
         st.integers(0, 99),
@@ -389,40 +391,40 @@
 
 class FaultSequenceTests(unittest.TestCase):
     @settings(max_examples=20)
-    @given(STEPS)
-    def test_all_hold_the_newest_soon_after_the_last_fault(
-        self, steps: list[tuple[str, int, float]]
-    ) -> None:
+    @given(FAULT_SEQUENCES)
+    def test_all_converge_after_the_last_fault(self, steps: list[tuple[str, int, float]]) -> None:
         """After any faults all hold the newest revision, and none ever went back.
 
         Story: data centres are cut off and healed, instances replaced without a word and
         connections lost in any order while changes go on. Revisions only ever grow at each
         process, and 8 s after the last fault's end all hold the newest.
         """
-        run_on_virtual_clock(self.play(steps))
+        run_on_virtual_clock(self.run_fault_sequence(steps))
 
-    async def play(self, steps: list[tuple[str, int, float]]) -> None:
+    async def run_fault_sequence(self, steps: list[tuple[str, int, float]]) -> None:
         fleet = Fleet(sizes={"a": 3, "b": 2, "c": 1})
         await fleet.start()
         for number, (step, choice, wait_s) in enumerate(steps):
             name = sorted(fleet.nodes)[choice % len(fleet.nodes)]
             if step == "accept":
-                fleet.accept_at(name)
+                fleet.accept_change_at(name)
             elif step == "cut":
-                cut_between(fleet, "abc"[choice % 3])
+                isolate_data_centres(fleet, "abc"[choice % 3])
             elif step == "heal":
-                heal(fleet)
+                heal_partition(fleet)
             elif step == "silence":
-                fleet.network.silence(f"{name}:1")
+                fleet.network.lose_connections(f"{name}:1")
             else:
                 fleet.kill(name)
-                fleet.nodes[name] = fleet.make(name, started=float(number + 1))
+                fleet.nodes[name] = fleet.make_node(name, start_offset_s=float(number + 1))
                 await fleet.nodes[name].peers.start()
             await asyncio.sleep(wait_s)
-        heal(fleet)
-        fleet.accept_at(sorted(fleet.nodes)[0])
+        heal_partition(fleet)
+        fleet.accept_change_at(sorted(fleet.nodes)[0])
         newest = len(fleet.log.entries)
-        await fleet.time_until(lambda: fleet.revisions() == {newest}, within_s=IN_FORCE_S)
+        await fleet.time_until(
+            lambda: fleet.revisions() == {newest}, within_s=CONVERGENCE_TIMEOUT_S
+        )
         for node in fleet.nodes.values():
-            self.assertEqual(node.replica.held, sorted(node.replica.held))
+            self.assertEqual(node.replica.held_revisions, sorted(node.replica.held_revisions))
         await fleet.stop()
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -79,21 +79,21 @@
         self.assertEqual(decode(encode(message), limit_bytes=4096).unwrap(), message)
 
     @given(st.binary(max_size=300))
-    def test_any_bytes_are_a_message_or_a_failure(self, data: bytes) -> None:
+    def test_decoding_any_bytes_does_not_raise(self, data: bytes) -> None:
         """Random bytes never raise: they read as some message, or are refused as no message."""
-        self._read(data)
+        self._decode_or_fail(data)
 
     @given(st.sampled_from(MESSAGES), st.integers(0, 300), st.integers(0, 255))
-    def test_damaged_messages_are_a_message_or_a_failure(
+    def test_decoding_damaged_messages_does_not_raise(
         self, case: tuple[str, Message], at: int, value: int
     ) -> None:
         """A message with one byte changed, or cut short, never raises."""
         data = bytearray(encode(case[1]))
         data[at % len(data)] = value
-        self._read(bytes(data))
-        self._read(bytes(data[: at % len(data)]))
+        self._decode_or_fail(bytes(data))
+        self._decode_or_fail(bytes(data[: at % len(data)]))
 
-    def test_a_small_message_can_not_unpack_to_a_large_one(self) -> None:
+    def test_unpacked_size_is_bounded(self) -> None:
         """What a message unpacks to is bounded before it is unpacked.
 
         Story: a peer sends 600 bytes that unpack to 10 MB of zeros; each such message would
@@ -104,7 +104,7 @@
         outcome = decode(packed, limit_bytes=64 * 1024)
         self.assertIs(outcome.failure().kind, ErrorKind.PROTOCOL)
 
-    def _read(self, data: bytes) -> None:
+    def _decode_or_fail(self, data: bytes) -> None:
         outcome = decode(data, limit_bytes=HANDSHAKE_LIMIT_BYTES)
         if not is_successful(outcome):
             self.assertIs(outcome.failure().kind, ErrorKind.PROTOCOL)
@@ -119,13 +119,13 @@
             ("a release apart", (1, 1), (2, 2), None),
         ]
     )
-    def test_newest_common_version_is_spoken(
-        self, _name: str, ours: tuple[int, int], theirs: tuple[int, int], spoken: int | None
+    def test_newest_common_version_is_negotiated(
+        self, _name: str, ours: tuple[int, int], theirs: tuple[int, int], negotiated: int | None
     ) -> None:
         """Neighbouring releases meet at the newest version both speak; others are refused."""
         ranges = [VersionRange(lowest=low, highest=high) for low, high in (ours, theirs)]
-        if spoken is not None:
-            self.assertEqual(negotiate(*ranges), spoken)
+        if negotiated is not None:
+            self.assertEqual(negotiate(*ranges), negotiated)
             return
         with self.assertRaises(ShallotworksError) as caught:
             negotiate(*ranges)
@@ -155,7 +155,7 @@
         self.assertEqual(len(outcome.unwrap().keys) if is_successful(outcome) else 0, keys)
 
 
-async def _pair() -> tuple[MemoryStream, MemoryStream]:
+async def _connect_pair() -> tuple[MemoryStream, MemoryStream]:
     network = MemoryNetwork()
     accepted: asyncio.Queue[Any] = asyncio.Queue()
     network.listen("there:1", accepted.put)
@@ -164,29 +164,35 @@
 
 
 class HandshakeTests(unittest.TestCase):
-    def greet(self, ours: FleetKeys, theirs: FleetKeys) -> list[Session | BaseException]:
+    def perform_handshake(
+        self, ours: FleetKeys, theirs: FleetKeys
+    ) -> list[Session | BaseException]:
         async def main() -> list[Session | BaseException]:
-            here, there = await _pair()
+            dialler_stream, listener_stream = await _connect_pair()
 
-            async def close_after(greeting: Any, stream: MemoryStream) -> Session:
+            async def close_on_error(handshake: Any, stream: MemoryStream) -> Session:
                 try:
-                    session: Session = await greeting
+                    session: Session = await handshake
                 except BaseException:
                     stream.close()
                     raise
                 return session
 
             return await asyncio.gather(
-                close_after(dial(stream=here, member=MEMBER, keys=ours), here),
-                close_after(accept(stream=there, member=MEMBER, keys=theirs), there),
+                close_on_error(
+                    dial(stream=dialler_stream, member=MEMBER, keys=ours), dialler_stream
+                ),
+                close_on_error(
+                    accept(stream=listener_stream, member=MEMBER, keys=theirs), listener_stream
+                ),
                 return_exceptions=True,
             )
 
         return run_on_virtual_clock(main())
 
-    def test_both_ends_learn_who_is_there(self) -> None:
+    def test_both_ends_receive_the_record_of_the_other(self) -> None:
         """With the same key each end knows the other's record."""
-        for session in self.greet(KEYS, KEYS):
+        for session in self.perform_handshake(KEYS, KEYS):
             assert isinstance(session, Session)
             self.assertEqual(session.member, MEMBER)
 
@@ -196,18 +202,18 @@
         Story: a process of another fleet dials. The dialler sees that the listener's proof is
         wrong before it gives any of its own, and the listener gets no proof at all.
         """
-        dialler, listener = self.greet(KEYS, FleetKeys(keys=(b"another fleet's key",)))
+        dialler, listener = self.perform_handshake(KEYS, FleetKeys(keys=(b"another fleet's key",)))
         assert isinstance(dialler, ShallotworksError)
         self.assertIs(dialler.failure.kind, ErrorKind.UNAUTHORISED)
         self.assertIsInstance(listener, EOFError)
 
-    def test_keys_are_replaced_without_a_gap(self) -> None:
+    def test_keys_can_be_rotated(self) -> None:
         """Processes that hold the old and the new key, in whichever order, accept each other."""
         new, old = b"the new key 0123456", b"the old key 0123456"
-        ends = self.greet(FleetKeys(keys=(new, old)), FleetKeys(keys=(old,)))
+        ends = self.perform_handshake(FleetKeys(keys=(new, old)), FleetKeys(keys=(old,)))
         self.assertTrue(all(isinstance(end, Session) for end in ends))
 
-    def test_a_frame_is_no_good_twice(self) -> None:
+    def test_a_replayed_frame_is_refused(self) -> None:
         """A repeated frame is refused.
 
         Story: something between the ends repeats a frame; without a number under the tag an old
@@ -215,16 +221,16 @@
         """
 
         async def main() -> ErrorKind:
-            here, there = await _pair()
-            greetings = [
-                dial(stream=here, member=MEMBER, keys=KEYS),
-                accept(stream=there, member=MEMBER, keys=KEYS),
+            dialler_stream, listener_stream = await _connect_pair()
+            handshakes = [
+                dial(stream=dialler_stream, member=MEMBER, keys=KEYS),
+                accept(stream=listener_stream, member=MEMBER, keys=KEYS),
             ]
-            dialler, listener = await asyncio.gather(*greetings)
+            dialler, listener = await asyncio.gather(*handshakes)
             written: list[bytes] = []
-            here.write = written.append  # type: ignore[method-assign]
+            dialler_stream.write = written.append  # type: ignore[method-assign]
             await dialler.writer.write(Goodbye(leaving=False))
-            there.feed(written[0] + written[0])
+            listener_stream.feed(written[0] + written[0])
             await listener.reader.read()
             with self.assertRaises(ShallotworksError) as caught:
                 await listener.reader.read()
@@ -246,10 +252,10 @@
         """What is no frame of ours is refused, an oversized one before its body is read."""
 
         async def main() -> ErrorKind:
-            _, there = await _pair()
-            there.feed(data)
+            _, listener_stream = await _connect_pair()
+            listener_stream.feed(data)
             with self.assertRaises(ShallotworksError) as caught:
-                await FrameReader(stream=there).read()
+                await FrameReader(stream=listener_stream).read()
             return caught.exception.failure.kind
 
         self.assertIs(run_on_virtual_clock(main()), kind)
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -33,20 +33,20 @@
         self.addCleanup(context.__exit__, None, None, None)
         self.entries = self.system.entries
 
-    def load(self, while_doing: Callable[[], None]) -> Ledger:
+    def run_under_load(self, action: Callable[[], None]) -> Ledger:
         """Let callers ask all entry instances while something happens; returns their ledger."""
         ports = [entry.callers_port for entry in self.entries]
         callers = Callers(ports=ports, seed=SEED, repeat_unknown=True)
         callers.start()
         try:
             time.sleep(1.0)
-            while_doing()
+            action()
             time.sleep(1.0)
         finally:
             callers.stop()
         return callers.ledger
 
-    def check_promises(self, ledger: Ledger, *, unknown_allowed: bool) -> None:
+    def check_guarantees(self, ledger: Ledger, *, unknown_allowed: bool) -> None:
         """Fail where a promise to a caller was broken."""
         violations = count_violations(ledger, self.system.workers)
         self.assertEqual(violations.doubled, 0)
@@ -59,7 +59,7 @@
             self.assertEqual(ledger.unknown, {})
         self.assertGreater(ledger.answered.total(), 100)
 
-    def at(self, entry: Entry) -> DemoOperator:
+    def operator_at(self, entry: Entry) -> DemoOperator:
         """Give an operator at one entry instance."""
         context = self.system.operator(entry)
         self.addCleanup(context.__exit__, None, None, None)
@@ -79,8 +79,8 @@
             self.entries[0].kill()
             time.sleep(1.5)
 
-        ledger = self.load(kill)
-        self.check_promises(ledger, unknown_allowed=True)
+        ledger = self.run_under_load(kill)
+        self.check_guarantees(ledger, unknown_allowed=True)
 
     def test_rolling_replacement(self) -> None:
         """All entry instances are replaced one by one under load, and no request notices.
@@ -98,9 +98,9 @@
                 entry.start()
                 entry.wait_serving()
 
-        ledger = self.load(replace_all)
+        ledger = self.run_under_load(replace_all)
         self.assertEqual(codes, [0] * len(self.entries))
-        self.check_promises(ledger, unknown_allowed=False)
+        self.check_guarantees(ledger, unknown_allowed=False)
 
     def test_stop_waits_for_what_is_in_flight(self) -> None:
         """A request that runs for longer than the notice of a stop is answered all the same.
@@ -111,7 +111,7 @@
         """
         answers: list[int] = []
 
-        def model() -> None:
+        def send_long_request() -> None:
             answer = urllib3.request(
                 "POST",
                 f"http://127.0.0.1:{self.entries[0].callers_port}/model",
@@ -121,7 +121,7 @@
             )
             answers.append(answer.status)
 
-        caller = threading.Thread(target=model)
+        caller = threading.Thread(target=send_long_request)
         caller.start()
         wait_for(lambda: any(each.status().in_flight for each in self.system.workers), 5.0)
         code = self.entries[0].stop()
@@ -145,7 +145,7 @@
             self.entries[3].kill()
             self.entries[3].start()
             self.entries[3].wait_serving()
-            operator = self.at(self.entries[3])
+            operator = self.operator_at(self.entries[3])
             revision = operator.status().revision
             self.assertGreater(revision, 0)
             change = PutPool(pool=Pool(name="archive"))
@@ -156,8 +156,8 @@
             for entry in self.entries:
                 self.system.wait_revision(entry, revision + 1, IN_FORCE_TIMEOUT_S)
 
-        served = self.load(take_store_down)
-        self.check_promises(served, unknown_allowed=True)
+        served = self.run_under_load(take_store_down)
+        self.check_guarantees(served, unknown_allowed=True)
         self.assertGreater(served.refused["store-unavailable"], 0)
 
     def _accepted(self, operator: DemoOperator, change: PutPool) -> bool:
@@ -177,28 +177,28 @@
         of a step and would cordon or reboot as if nothing had happened: two instances of a pool
         would be away at once, or one rebooted twice.
         """
-        operator = self.at(self.entries[1])
-        watch = _BudgetWatch(operator)
+        operator = self.operator_at(self.entries[1])
+        budget_monitor = _BudgetMonitor(operator)
 
         def maintain() -> None:
             plan = operator.propose(Maintain(selection=InPool(pool="traces")))
             operator.confirm(plan.plan.digest)
             conductor = self._conductor(plan)
-            watch.start()
+            budget_monitor.start()
             time.sleep(1.0)
             conductor.signal(signal.SIGSTOP)
             survivor = next(entry for entry in self.entries if entry is not conductor)
-            survivors_operator = self.at(survivor)
+            survivors_operator = self.operator_at(survivor)
             time.sleep(4.0)
             conductor.signal(signal.SIGCONT)
             wait_for(
                 lambda: survivors_operator.plan(plan.plan.digest).stage == "done", PLAN_TIMEOUT_S
             )
 
-        ledger = self.load(maintain)
-        watch.stop()
-        self.check_promises(ledger, unknown_allowed=True)
-        self.assertLessEqual(watch.most_unavailable, 1)
+        ledger = self.run_under_load(maintain)
+        budget_monitor.stop()
+        self.check_guarantees(ledger, unknown_allowed=True)
+        self.assertLessEqual(budget_monitor.max_unavailable_seen, 1)
         traces = [worker for worker in self.system.workers if worker.name.endswith("traces")]
         self.assertEqual([worker.reboots for worker in traces], [1] * len(traces))
 
@@ -206,28 +206,28 @@
         """Wait until one of the instances conducts the plan."""
         found: list[Entry] = []
 
-        def look() -> bool:
+        def find_conductor() -> bool:
             for entry in self.entries:
-                duties = self.at(entry).status().duties
+                duties = self.operator_at(entry).status().duties
                 if any(plan.plan.digest in duty for duty in duties):
                     found.append(entry)
                     return True
             return False
 
-        wait_for(look, PLAN_TIMEOUT_S)
+        wait_for(find_conductor, PLAN_TIMEOUT_S)
         return found[0]
 
-    def test_two_operators(self) -> None:
+    def test_conflicting_plans_of_two_operators(self) -> None:
         """Of two plans over the same instance one is confirmed; the other is told by whom.
 
         Story: Kari drains a rack while Ola, at another data centre, drains an instance in it. Both
         were shown a plan and confirm in the same moment. Both plans would wait for and release the
         same instance.
         """
-        first, second = self.at(self.entries[0]), self.at(self.entries[2])
-        rack: Intent = Drain(selection=InRack(data_centre=DATA_CENTRES[0], rack="r1"))
-        one: Intent = Drain(selection=Named(names=(f"{DATA_CENTRES[0]}-r1-traces",)))
-        plans = [(first, first.propose(rack)), (second, second.propose(one))]
+        first, second = self.operator_at(self.entries[0]), self.operator_at(self.entries[2])
+        rack_drain: Intent = Drain(selection=InRack(data_centre=DATA_CENTRES[0], rack="r1"))
+        instance_drain: Intent = Drain(selection=Named(names=(f"{DATA_CENTRES[0]}-r1-traces",)))
+        plans = [(first, first.propose(rack_drain)), (second, second.propose(instance_drain))]
         refusals: list[str] = []
 
         def confirm(operator: DemoOperator, plan: PlanView) -> None:
@@ -264,27 +264,27 @@
         ]
         runs: list[int] = []
 
-        def leave() -> None:
+        def mark_leaving() -> None:
             self.system.platform.set_instances(tuple(listed))
             time.sleep(LEAVING_TIMEOUT_S)
             runs.append(leaving.status().counts.runs)
             time.sleep(2.0)
             runs.append(leaving.status().counts.runs)
 
-        ledger = self.load(leave)
+        ledger = self.run_under_load(mark_leaving)
         self.assertGreater(runs[0], 0)
         self.assertEqual(runs[0], runs[1])
-        self.check_promises(ledger, unknown_allowed=False)
+        self.check_guarantees(ledger, unknown_allowed=False)
 
 
-class _BudgetWatch:
+class _BudgetMonitor:
     """Looks again and again how many instances of a pool are unavailable by configuration."""
 
     def __init__(self, operator: DemoOperator) -> None:
-        self.most_unavailable = 0
+        self.max_unavailable_seen = 0
         self._operator = operator
         self._stop = threading.Event()
-        self._thread = threading.Thread(target=self._look, daemon=True)
+        self._thread = threading.Thread(target=self._poll, daemon=True)
 
     def start(self) -> None:
         self._thread.start()
@@ -293,9 +293,9 @@
         self._stop.set()
         self._thread.join()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         while not self._stop.wait(0.05):
-            away: dict[str, int] = {}
+            cordoned: dict[str, int] = {}
             try:
                 instances = self._operator.instances().instances
             except Exception:
@@ -303,5 +303,5 @@
                 continue
             for entry in instances:
                 if entry.condition is Condition.CORDONED:
-                    away[entry.pool] = away.get(entry.pool, 0) + 1
-            self.most_unavailable = max(self.most_unavailable, *away.values(), 0)
+                    cordoned[entry.pool] = cordoned.get(entry.pool, 0) + 1
+            self.max_unavailable_seen = max(self.max_unavailable_seen, *cordoned.values(), 0)
