--- a/tests/fake_backend.py
+++ b/tests/fake_backend.py
@@ -1,4 +1,4 @@
-"""A backend of the operators' port that keeps everything in memory, and a server in front of it."""
+"""An in-memory backend of the operators' port, and a server that exposes it."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class FakeBackend:
-    """Applies changes at once; every proposal is the same canned plan."""
+    """Applies changes at once; every proposal returns the same plan under a new number."""
 
     def __init__(self) -> None:
         self.state = FleetState()
@@ -59,7 +59,7 @@
         self.recorded = Metrics()
 
     async def status(self) -> StatusView:
-        """Return a canned status at the real revision."""
+        """Return a fixed status with the current revision."""
         if self.fault is not None:
             raise self.fault
         peer = PeerView(
@@ -87,7 +87,7 @@
         )
 
     async def fleet(self) -> FleetState:
-        """Return the state."""
+        """Return the current state."""
         return self.state
 
     async def propose_change(self, change: Change, *, operator: str) -> Result[Accepted, Failure]:
@@ -117,15 +117,15 @@
     async def changes_after(
         self, revision: int, *, limit: int
     ) -> Result[tuple[Entry, ...], Failure]:
-        """Return entries."""
+        """Return the entries after a revision."""
         return Success(tuple(self.entries[revision : revision + limit]))
 
     async def restore_store(self, *, operator: str) -> Result[int, Failure]:
-        """Say that it is done."""
+        """Return the current revision without writing anything."""
         return Success(self.state.revision)
 
     async def propose_plan(self, intent: Intent, *, operator: str) -> Result[PlanView, Failure]:
-        """Return a canned plan for any intent but to drain nothing."""
+        """Return a fixed plan for any intent except an empty drain."""
         if intent == Drain(selection=Named(names=())):
             return Err(Failure(kind=ErrorKind.UNSATISFIABLE, reason="there is nothing to drain"))
         plan = make_plan(number=len(self.stored) + 1, intent=intent, author=operator)
@@ -137,7 +137,7 @@
         return Success(tuple(self._view(plan) for plan in self.stored.values()))
 
     async def plan(self, digest: str) -> Result[PlanView, Failure]:
-        """Return a plan by the beginning of its digest."""
+        """Return a plan by a prefix of its digest."""
         for plan in self.stored.values():
             if plan.digest.startswith(digest):
                 return Success(self._view(plan))
@@ -181,7 +181,7 @@
         return accepted.map(lambda _: self._view(plan))
 
     async def metrics(self) -> FrozenMetrics:
-        """Return a copy of what was recorded."""
+        """Return a copy of the recorded metrics."""
         return self.recorded.freeze()
 
     def _view(self, plan: Plan) -> PlanView:
@@ -244,7 +244,7 @@
 
 
 class ServedBackend:
-    """A fake backend behind a real operators' port; ends with the test that made it."""
+    """A fake backend behind a real operators' port; stopped at the end of its test."""
 
     def __init__(self, test: unittest.TestCase, *, threads: int = 2) -> None:
         folder = tempfile.TemporaryDirectory()
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces, shared by several tests."""
+"""Small fakes of interfaces, shared by several test modules."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LoopThread:
-    """An event loop on a thread of its own, for tests whose callers are threads."""
+    """An event loop in its own thread, for tests that call it from other threads."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -25,21 +25,21 @@
         self._thread.start()
 
     def run(self, work: Coroutine[Any, Any, _Value]) -> _Value:
-        """Run a coroutine on the loop and wait for it."""
+        """Run a coroutine on the loop, and return its result."""
         return asyncio.run_coroutine_threadsafe(work, self.loop).result(timeout=30)
 
     def stop(self) -> None:
-        """End the loop and its thread."""
+        """Stop the loop and its thread."""
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join()
         self.loop.close()
 
 
 class RoundRobinDispatcher:
-    """Grants at once, the next target in turn that was not tried yet.
+    """Grants a target without waiting, in turn among those that were not tried yet.
 
     Attributes:
-        grants_per_request: Targets that one request may try before it is refused.
+        grants_per_request: Number of targets that one request may try before it is refused.
     """
 
     def __init__(self, *, targets: list[Target]) -> None:
@@ -55,7 +55,7 @@
         return self.try_acquire(request, tried=tried)
 
     async def wait(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
-        """Nothing ever waits here."""
+        """Fail; this dispatcher has no queue."""
         raise AssertionError
 
     def try_acquire(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
@@ -69,28 +69,28 @@
         return Success(Grant(grant_id=number, request_id=request.request_id, target=chosen))
 
     def release(self, grant: Grant, outcome: AttemptOutcome, *, duration_s: float) -> None:
-        """Note the outcome."""
+        """Record the outcome."""
         self.open_grants -= 1
         self.outcomes.append(outcome)
 
     def cancel(self, request_id: str) -> bool:
-        """Nothing ever waits here."""
+        """Return false; this dispatcher has no queue."""
         return False
 
 
 class FixedRetryPolicy:
-    """Allows a fixed number of attempts, under the rule that every policy has to keep."""
+    """Allows a fixed number of attempts, and repeats only a safe request, as every policy must."""
 
     def __init__(self, *, attempts: int) -> None:
         self.attempts = attempts
 
     def count_first_attempt(self, request: Request) -> None:
-        """Count nothing."""
+        """Do nothing; there is no retry budget."""
 
     def next_delay_s(
         self, request: Request, *, attempts: int, outcome: AttemptOutcome
     ) -> float | None:
-        """Return no delay while attempts are left and another one is safe."""
+        """Return a delay of zero while attempts are left and another one is safe."""
         safe = request.idempotent or outcome.known_not_run
         return 0.0 if safe and attempts < self.attempts else None
 
@@ -99,8 +99,8 @@
     """Keeps claims in a dict.
 
     Attributes:
-        unknown: Keys whose end nobody knows.
-        write_s: How long it takes to note that, or to store an answer.
+        unknown: Keys of requests whose outcome is unknown.
+        write_s: Time that marking a key or storing an answer takes.
     """
 
     def __init__(self) -> None:
@@ -109,7 +109,7 @@
         self.write_s = 0.0
 
     async def claim(self, request: Request) -> Result[Claim, Failure]:
-        """Claim a key once."""
+        """Claim a key once; return the stored answer for a completed one."""
         key = request.idempotency_key
         if key in self.records:
             stored = self.records[key]
@@ -126,10 +126,10 @@
         self.records[claim.key] = response
 
     async def mark_outcome_unknown(self, claim: Claim) -> None:
-        """Note that the end is not known."""
+        """Mark the outcome of the request as unknown."""
         self.unknown.add(claim.key)
         await asyncio.sleep(self.write_s)
 
     async def release_claim(self, claim: Claim) -> None:
-        """Free the key."""
+        """Delete the claim of the key."""
         del self.records[claim.key]
--- a/tests/peer_fakes.py
+++ b/tests/peer_fakes.py
@@ -1,4 +1,4 @@
-"""A network in memory, a held configuration and a small fleet of peers, for tests and `bench`."""
+"""An in-memory network, a recording replica and a small fleet of peers, for tests."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 
 def put_team(name: str, slots: int = 1) -> PutTeam:
-    """Return a small change."""
+    """Return a small configuration change."""
     return PutTeam(team=Team(name=name, quota_slots=slots))
 
 
 class RecordingReplica(Replica):
-    """A replica that remembers which revisions it has held."""
+    """A replica that records each revision that it has held."""
 
     def __init__(self) -> None:
         timeline = Timeline(process="replica", wall_clock_s=lambda: START_UNIX_TIME_S)
@@ -50,13 +50,13 @@
 
 
 class AcceptedLog:
-    """Stands for the platform's store: what it has accepted, in order."""
+    """Accepted entries of the configuration log, in order; replaces the platform's store."""
 
     def __init__(self) -> None:
         self.entries: list[Entry] = []
 
     def accept(self, *, slots: int = 1) -> Entry:
-        """Accept one more change and return its entry."""
+        """Append one change and return its entry."""
         revision = len(self.entries) + 1
         entry = Entry(
             revision=revision,
@@ -70,7 +70,7 @@
 
 
 class MemoryNetwork:
-    """Connections in memory that can be cut, after which those open stay silent for good."""
+    """In-memory connections; after a partition the open ones stay silent permanently."""
 
     def __init__(self) -> None:
         self._listening: dict[str, Callable[[ByteStream], Awaitable[None]]] = {}
@@ -80,25 +80,25 @@
         self.refuses_dial: Callable[[str, str], bool] = lambda _source, _target: False
 
     def transport_for(self, address: str) -> MemoryTransport:
-        """Return the network as one process sees it."""
+        """Return the transport of one process."""
         return MemoryTransport(network=self, address=address)
 
     def listen(self, address: str, on_stream: Callable[[ByteStream], Awaitable[None]]) -> None:
         self._listening[address] = on_stream
 
     def unlisten(self, address: str, on_stream: Callable[[ByteStream], Awaitable[None]]) -> None:
-        """Close a port, unless a new process has opened it since."""
+        """Close a port, unless a new process has opened it in the meantime."""
         if self._listening.get(address) == on_stream:
             del self._listening[address]
 
     def lose_connections(self, address: str) -> None:
-        """Let the connections open at one address go silent for good."""
+        """Make the open connections of one address silent permanently, without closing them."""
         for stream in self._streams:
             if address in (stream.source, stream.target):
                 stream.silent = True
 
     def stall_writes(self, address: str) -> None:
-        """Let the connections open at one address take no more bytes from it."""
+        """Block writes from one address on its open connections, as a full send buffer does."""
         for stream in self._streams:
             if address == stream.source:
                 stream.stalled = True
@@ -145,7 +145,7 @@
 
 
 class MemoryStream:
-    """One end of a connection in memory."""
+    """One end of an in-memory connection."""
 
     def __init__(self, *, network: MemoryNetwork, source: str, target: str) -> None:
         self._network = network
@@ -159,7 +159,7 @@
         self.stalled = False
 
     def feed(self, data: bytes) -> None:
-        """Let bytes arrive that the other end has not written."""
+        """Inject bytes that the other end has not written."""
         self._reader.feed_data(data)
 
     async def read_exactly(self, size_bytes: int) -> bytes:
@@ -200,7 +200,7 @@
 
 
 class PeerNode:
-    """One process: a replica and its network of peers."""
+    """One process: a replica and its peer network."""
 
     def __init__(
         self,
@@ -244,12 +244,12 @@
         )
 
     def live_names(self) -> list[str]:
-        """Return the names of the live entries as this process sees them."""
+        """Return the sorted names of the members that this process counts as live."""
         return sorted(member.record.name for member in self.peers.live_entries())
 
 
 class Fleet:
-    """Some data centres of nodes over one network in memory."""
+    """Nodes in several data centres, connected by one in-memory network."""
 
     def __init__(self, *, sizes: dict[str, int]) -> None:
         self.network = MemoryNetwork()
@@ -260,7 +260,7 @@
         self._stopping: list[asyncio.Future[None]] = []
 
     def make_node(self, name: str, *, start_offset_s: float = 0.0, **options: Any) -> PeerNode:
-        """Return a new process under a name, not yet started."""
+        """Return a new node that is not started yet."""
         options.setdefault("seeds", self.seeds)
         return PeerNode(
             name=name,
@@ -271,7 +271,7 @@
         )
 
     async def start(self, *, settle_s: float = 6.0) -> None:
-        """Start all nodes and let them find each other."""
+        """Start all nodes and wait until they have connected."""
         for node in self.nodes.values():
             await node.peers.start()
         await asyncio.sleep(settle_s)
@@ -282,14 +282,14 @@
         await asyncio.gather(*(node.peers.stop() for node in self.nodes.values()), *self._stopping)
 
     def kill(self, name: str) -> PeerNode:
-        """Let a process vanish without a word: its connections stay silent, its port is closed."""
+        """Crash a node: its connections become silent without a goodbye, and its port is closed."""
         node = self.nodes.pop(name)
         self.network.lose_connections(node.address)
         self._stopping.append(asyncio.ensure_future(node.peers.stop()))
         return node
 
     def accept_change_at(self, name: str) -> Entry:
-        """Accept a change, which one process has from the store."""
+        """Accept a change that one node reads from the store."""
         node = self.nodes[name]
         self.log.accept()
         node.replica.append_entries(tuple(self.log.entries[node.replica.revision() :]))
@@ -297,11 +297,15 @@
         return self.log.entries[-1]
 
     def revisions(self) -> set[int]:
-        """Return the revisions held by all nodes."""
+        """Return the set of revisions that the nodes hold."""
         return {node.replica.revision() for node in self.nodes.values()}
 
     async def time_until(self, reached: Callable[[], bool], *, within_s: float) -> float:
-        """Return how long something takes; raises ``TimeoutError``."""
+        """Return the time until a condition holds.
+
+        Raises:
+            TimeoutError: It did not hold in time.
+        """
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         async with asyncio.timeout(within_s):
--- a/tests/system.py
+++ b/tests/system.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes on loopback, for tests of whole-system failures.
+"""A fleet of real processes on the loopback interface, for whole-system failure tests.
 
-The platform and the workers are stand-ins in the test's own process, where their faults and counts
-are at hand; each entry instance is a process of ``shallotworks serve``.
+The platform and the workers are stand-ins in the test's process, so that a test can inject faults
+and read their counters. Each entry instance is a ``shallotworks serve`` process.
 """
 
 from __future__ import annotations
@@ -66,11 +66,11 @@
 
 
 class Entry:
-    """One entry instance, run as a process.
+    """One entry instance that runs as a process.
 
     Args:
-        name: Its name.
-        data_centre: Where it stands.
+        name: Name of the instance.
+        data_centre: Name of its data centre.
         ports: Ports for callers, operators and peers.
     """
 
@@ -82,7 +82,7 @@
         self._settings = Path()
 
     def write_settings(self, folder: Path, *, seeds: str, platform: str) -> None:
-        """Write its settings file."""
+        """Write the settings file of the instance."""
         self._settings = folder / f"{self.name}.ini"
         self._settings.write_text(
             SETTINGS.format(
@@ -97,14 +97,14 @@
         )
 
     def start(self) -> None:
-        """Start the process; see `wait_serving`."""
+        """Start the process without waiting; see `wait_serving`."""
         command = [sys.executable, "-m", "shallotworks", "serve", "--settings"]
         self._process = subprocess.Popen(
             [*command, str(self._settings)], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
         )
 
     def wait_serving(self) -> None:
-        """Wait until it takes requests."""
+        """Wait until the instance accepts requests."""
         url = f"http://127.0.0.1:{self.callers_port}/.shallotworks/health"
 
         def is_healthy() -> bool:
@@ -116,12 +116,12 @@
         wait_for(is_healthy, START_TIMEOUT_S)
 
     def signal(self, number: int) -> None:
-        """Send a signal to the process that this entry started."""
+        """Send a signal to the process of this instance."""
         assert self._process is not None
         os.kill(self._process.pid, number)
 
     def stop(self) -> int:
-        """Stop it gracefully; returns its exit code."""
+        """Stop the process gracefully, and return its exit code."""
         if self._process is None:
             return 0
         if self._process.poll() is None:
@@ -132,7 +132,7 @@
         return code
 
     def kill(self) -> None:
-        """End it at once, as a machine that fails does."""
+        """Kill the process at once, as a failing machine does."""
         self.signal(signal.SIGKILL)
         assert self._process is not None
         self._process.wait(timeout=STOP_TIMEOUT_S)
@@ -143,8 +143,8 @@
     """Data centres with two entry instances and four workers each.
 
     Args:
-        folder: Folder for settings, token and key.
-        data_centres: Their names.
+        folder: Directory for the settings, the token and the key.
+        data_centres: Names of the data centres.
     """
 
     def __init__(self, *, folder: Path, data_centres: Sequence[str] = DATA_CENTRES) -> None:
@@ -179,7 +179,7 @@
             entry.write_settings(folder, seeds=seeds, platform=self.platform.address)
 
     def start(self) -> None:
-        """Start the entry instances and put the fleet's configuration in force everywhere."""
+        """Start the entry instances and wait until all hold the fleet's configuration."""
         for entry in self.entries:
             entry.start()
         for entry in self.entries:
@@ -191,7 +191,7 @@
             self.wait_revision(entry, len(changes))
 
     def stop(self) -> None:
-        """Stop everything; the workers first let go of what a test has left silent."""
+        """Stop all processes; a worker ends an injected silence, so that held requests finish."""
         for entry in self.entries:
             entry.stop()
         for worker in self.workers:
@@ -200,7 +200,7 @@
 
     @contextlib.contextmanager
     def operator(self, entry: Entry) -> Iterator[DemoOperator]:
-        """Give an operator at one entry instance."""
+        """Yield an operator connected to one entry instance."""
         operator = DemoOperator(port=entry.operators_port, token=self.token)
         try:
             yield operator
@@ -215,7 +215,7 @@
 
 @contextlib.contextmanager
 def running_system(data_centres: Sequence[str] = DATA_CENTRES) -> Iterator[System]:
-    """Give a system that serves."""
+    """Yield a started system, and stop it afterwards."""
     with tempfile.TemporaryDirectory() as folder:
         system = System(folder=Path(folder), data_centres=data_centres)
         try:
@@ -226,7 +226,11 @@
 
 
 def wait_for(condition: Callable[[], bool], timeout_s: float) -> None:
-    """Wait until a condition holds; raises ``TimeoutError``."""
+    """Wait until a condition holds.
+
+    Raises:
+        TimeoutError: It did not hold in time.
+    """
     ends_at_s = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > ends_at_s:
--- a/tests/test_instance_list_watcher.py
+++ b/tests/test_instance_list_watcher.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.node` on the platform's list: leaving, gone and returned instances."""
+"""Tests of `InstanceListWatcher`: leaving, removed and returned instances."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
         expected: list[tuple[str, bool]],
         leaving: set[str],
     ) -> None:
-        """Only a change of one's own data centre's instances is put into the configuration."""
+        """Only changes of instances in the watcher's own data centre reach the configuration."""
         config = _FakeConfig(healthy)
         dispatcher = _FakeDispatcher()
         watcher = InstanceListWatcher(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.peers`: what processes do when peers, links and data centres fail."""
+"""Tests of `shallotworks.peers`, in particular under failures of peers, links and data centres."""
 
 import asyncio
 import socket
@@ -24,7 +24,7 @@
 def with_fleet(
     **sizes: int,
 ) -> Callable[[Callable[..., Coroutine[Any, Any, None]]], Callable[..., None]]:
-    """Run a test on a fleet that has found itself, and stop the fleet after it."""
+    """Run a test on a connected fleet, and stop the fleet after it."""
 
     def wrap(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
         async def main(case: unittest.TestCase, *given_values: Any) -> None:
@@ -43,7 +43,7 @@
 
 
 def isolate_data_centres(fleet: Fleet, *centres: str) -> None:
-    """Cut data centres off from all others."""
+    """Partition the given data centres from all others."""
 
     def is_partitioned(source: str, target: str) -> bool:
         inside = [
@@ -65,7 +65,7 @@
 
 
 def relay_name(fleet: Fleet, centre: str, slot: int) -> str:
-    """Return the name of one relay."""
+    """Return the name of a data centre's relay of one slot."""
     return next(
         name
         for name, node in fleet.nodes.items()
@@ -76,7 +76,7 @@
 class MembershipTests(unittest.TestCase):
     @with_fleet(a=4, b=1)
     async def test_members_of_a_data_centre_find_each_other(self, fleet: Fleet) -> None:
-        """Each lists all of its own data centre and none of another; two relay and two watch."""
+        """Each lists all members of its own data centre only; two are relays and two watch."""
         nodes = [node for node in fleet.nodes.values() if node.data_centre == "a"]
         for node in nodes:
             self.assertEqual(node.live_names(), ["a0", "a1", "a2", "a3"])
@@ -85,7 +85,7 @@
 
     @with_fleet(a=3)
     async def test_a_leaving_member_is_gone_at_once(self, fleet: Fleet) -> None:
-        """A graceful stop removes a member everywhere within a heartbeat, without suspicion."""
+        """A graceful stop removes a member everywhere within 0.1 s, without suspicion."""
         await fleet.nodes.pop("a0").peers.stop()
         await asyncio.sleep(0.1)
         for node in fleet.nodes.values():
@@ -93,10 +93,9 @@
 
     @with_fleet(a=3)
     async def test_a_silent_member_is_suspected_before_it_is_removed(self, fleet: Fleet) -> None:
-        """Silence first takes a member's duties away, and only later the member.
+        """A member whose machine loses power stays open and silent; it soon loses its roles.
 
-        Story: a machine loses power. Its connections stay open and silent. It must not take
-        part in duties for long, but a pause of a few seconds must not remove it either.
+        A pause of a few seconds, however, must not remove it.
         """
         fleet.kill("a0")
         await asyncio.sleep(6.5)
@@ -109,10 +108,9 @@
 
     @with_fleet(a=3)
     async def test_a_broken_link_between_two_members_suspects_neither(self, fleet: Fleet) -> None:
-        """A member that another member hears is not suspected.
+        """A third member that reaches both vouches for them when the path between two is lost.
 
-        Story: a switch loses the path between two instances; both serve callers, and a third
-        reaches both. If each removed the other they would choose watchers and relays differently.
+        If each removed the other, they would pick different watchers and relays.
         """
         pair = {"a0:1", "a1:1"}
         fleet.network.is_partitioned = lambda source, target: {source, target} == pair
@@ -123,10 +121,9 @@
 
     @with_fleet(a=2)
     async def test_members_connect_if_only_one_can_dial(self, fleet: Fleet) -> None:
-        """Either end may open the connection that both use.
+        """A firewall allows dialling in one direction only, and the connection becomes silent.
 
-        Story: a filter lets one instance dial another, never back. When the connection goes
-        silent for good, the one that may dial opens a fresh one, which serves both ways.
+        The end that can dial must open a new connection, which both ends use.
         """
         fleet.network.refuses_dial = lambda source, _target: source == "a0:1"
         fleet.network.lose_connections("a0:1")
@@ -136,10 +133,9 @@
 
     @with_fleet(a=3)
     async def test_a_new_incarnation_replaces_the_old(self, fleet: Fleet) -> None:
-        """The newest start under a name is the one that counts.
+        """An instance is replaced under its name while its old process, partitioned, still runs.
 
-        Story: an instance is replaced under its name while the old one still runs, cut off
-        for a moment. The newer start wins; the old one is refused while the newer lives.
+        The newer incarnation wins, and the older one is refused while the newer one is alive.
         """
         old = fleet.kill("a0")
         fleet.nodes["a0"] = fleet.make_node("a0", start_offset_s=100.0)
@@ -156,10 +152,9 @@
 
     @with_fleet(a=2)
     async def test_foreign_connections_are_refused_and_counted(self, fleet: Fleet) -> None:
-        """Foreign bytes and foreign keys are refused and counted.
+        """A port scanner and a process with another fleet's key dial the peers' port.
 
-        Story: a scanner, and a process with another fleet's key, dial the peers' port. Each
-        loses its connection and is counted; the members notice nothing.
+        Both are refused and counted, and the members are not affected.
         """
         stream = await fleet.network.connect("x:1", "a0:1")
         stream.write(b"GET / HTTP/1.1\r\n\r\n")
@@ -178,7 +173,7 @@
 
     @with_fleet(a=2)
     async def test_candidates_from_the_platforms_list_are_found(self, fleet: Fleet) -> None:
-        """An instance that no seed names is met through the list, and is then known to all."""
+        """An instance without seeds finds one peer by the platform's list, and all then know it."""
         newcomer = fleet.nodes["a9"] = fleet.make_node("a9", seeds=())
         await newcomer.peers.start()
         await asyncio.sleep(4)
@@ -189,7 +184,7 @@
 
     @with_fleet(a=2)
     async def test_loads_of_peers_arrive(self, fleet: Fleet) -> None:
-        """Each peer learns all loads of another over a few heartbeats, four in each."""
+        """A peer receives all loads of another over a few heartbeats, four in each."""
         loads = tuple(ServiceLoad(service=f"s{n}", in_flight=n, waiting=0) for n in range(6))
         busy = fleet.nodes["a8"] = fleet.make_node("a8", loads=lambda: loads)
         await busy.peers.start()
@@ -199,7 +194,7 @@
 
 class TcpTests(unittest.TestCase):
     def test_two_processes_connect_over_tcp(self) -> None:
-        """Over real connections two networks meet, pass a change on, and stop quietly."""
+        """Over TCP two networks connect, distribute a change and stop without errors."""
 
         async def main() -> list[str]:
             fleet = Fleet(sizes={})
@@ -221,11 +216,7 @@
 class DistributionTests(unittest.TestCase):
     @with_fleet(a=4, b=3, c=1)
     async def test_a_change_reaches_all_within_a_second(self, fleet: Fleet) -> None:
-        """A change is held by all within a second, whoever has it from the store.
-
-        Story: whichever process watches the store, relay or not, its data centre and all others
-        wait for what it has seen.
-        """
+        """A change reaches all processes, whether or not the one that read it is a relay."""
         for name in fleet.nodes:
             entry = fleet.accept_change_at(name)
             reached = lambda at=entry.revision: fleet.revisions() == {at}  # noqa: E731
@@ -233,10 +224,9 @@
 
     @with_fleet(a=3, b=3)
     async def test_a_lost_push_is_repeated_on_a_new_connection(self, fleet: Fleet) -> None:
-        """A push into silent connections is noticed and repeated over fresh ones.
+        """Connections became silent just before a push, and writes to them still succeed.
 
-        Story: all connections of an instance go silent for good just before a change; writes
-        into them still succeed. The missing reply closes them and fresh ones carry the change.
+        The missing reply must close them, and new connections must carry the change.
         """
         fleet.network.lose_connections("a0:1")
         fleet.accept_change_at("a0")
@@ -245,10 +235,9 @@
 
     @with_fleet(a=2)
     async def test_the_queue_of_a_peer_that_stops_reading_is_bounded(self, fleet: Fleet) -> None:
-        """What a peer does not take is dropped past a bound, and made good over a new connection.
+        """Writes to a suspended peer block: its queue must not grow, nor other peers wait for it.
 
-        Story: a peer's process is stopped for a while. Writes to it block; without a bound all
-        that it is owed would pile up here, and waiting for it would hold up everyone else.
+        Messages beyond the bound are dropped and recovered over a new connection.
         """
         link = fleet.nodes["a0"].peers._links.get("a1")
         assert link is not None
@@ -261,7 +250,7 @@
 
     @with_fleet(a=1)
     async def test_a_snapshot_larger_than_the_queue_arrives(self, fleet: Fleet) -> None:
-        """The bound on what waits for a peer does not keep a newcomer from a large state."""
+        """The bound on a peer's queue must not prevent a new process from getting a large state."""
         names = tuple(f"{number:0500}" for number in range(2 * PeerTiming().queue_bytes // 500))
         plan = PlanRecord(
             digest="d",
@@ -280,10 +269,9 @@
 
     @parameterized.expand([("entries", 50), ("a snapshot", 900)])
     def test_a_gap_is_filled(self, _name: str, changes: int) -> None:
-        """A newcomer takes what it lacks from its peers.
+        """An instance that starts while the store is down must load the state from its peers.
 
-        Story: the store is down and a new instance starts. It takes its state from its peers,
-        a small gap as entries and a large one as a snapshot.
+        A small gap is filled with entries and a large one with a snapshot.
         """
 
         @with_fleet(a=3)
@@ -304,10 +292,9 @@
 
     @with_fleet(a=3, b=3, c=2)
     async def test_a_partitioned_data_centre_catches_up(self, fleet: Fleet) -> None:
-        """A data centre cut off says so, serves on, and catches up when healed.
+        """A data centre is partitioned from all others and the platform for two minutes.
 
-        Story: a data centre loses all others and the platform for two minutes. It serves on,
-        says how old its configuration is, and holds the newest within seconds of the healing.
+        It reports the age of its configuration and holds the newest one 4.5 s after the healing.
         """
         fleet.accept_change_at("a0")
         await asyncio.sleep(4)
@@ -327,10 +314,9 @@
 
     @with_fleet(a=3, b=3)
     async def test_failed_relays_are_replaced(self, fleet: Fleet) -> None:
-        """Losing both relays of a data centre cuts it off for some seconds only.
+        """Both relays of a data centre lose power together, which must isolate it only for seconds.
 
-        Story: both relays of a data centre lose power together. The others notice, choose the
-        next two the same way, and changes pass between the data centres again.
+        The other members pick the same two successors, and changes pass between data centres again.
         """
         for slot in (0, 1):
             fleet.kill(relay_name(fleet, "a", slot))
@@ -341,10 +327,9 @@
 
     @with_fleet(a=2)
     async def test_peers_do_not_refresh_an_unconfirmed_age(self, fleet: Fleet) -> None:
-        """A configuration that nobody confirms ages at every process.
+        """While the store is down for all, the configuration must age at every process.
 
-        Story: the store is down for all. If peers took each other's word without its age, each
-        would keep the other's configuration looking fresh for ever.
+        Confirmations passed on without their age would keep it looking fresh indefinitely.
         """
         fleet.accept_change_at("a0")
         await asyncio.sleep(60)
@@ -353,10 +338,9 @@
 
     @with_fleet(a=2)
     async def test_an_unknown_kind_of_change_closes_no_connection(self, fleet: Fleet) -> None:
-        """An entry that can't be read stops the replica, not the connection.
+        """During a roll-out an older process receives a change that it can't decode.
 
-        Story: during a roll-out a newer release's change reaches an older process, which can't
-        read it. It stays at the revision before and keeps its connections.
+        It must stay at the revision before and keep its connections.
         """
         fleet.accept_change_at("a0")
         await asyncio.sleep(1)
@@ -372,7 +356,7 @@
 
 
 class NewerEntry(Entry):
-    """An entry whose kind of change only a newer release knows."""
+    """An entry with a kind of change that only a newer release knows."""
 
     def encode(self) -> bytes:
         return super().encode().replace(b"put-team", b"put-thing")
@@ -393,11 +377,9 @@
     @settings(max_examples=20)
     @given(FAULT_SEQUENCES)
     def test_all_converge_after_the_last_fault(self, steps: list[tuple[str, int, float]]) -> None:
-        """After any faults all hold the newest revision, and none ever went back.
+        """Partitions, crashes and lost connections in any order must not make a revision decrease.
 
-        Story: data centres are cut off and healed, instances replaced without a word and
-        connections lost in any order while changes go on. Revisions only ever grow at each
-        process, and 8 s after the last fault's end all hold the newest.
+        At most 8 s after the end of the last fault all processes hold the newest revision.
         """
         run_on_virtual_clock(self.run_fault_sequence(steps))
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.protocol`: what goes over the wire, and what is refused there."""
+"""Tests of `shallotworks.protocol`: encoding, handshake, frames, and the input they refuse."""
 
 import asyncio
 import tempfile
@@ -75,29 +75,28 @@
 class CodecTests(unittest.TestCase):
     @parameterized.expand(MESSAGES)
     def test_message_survives_encoding(self, _name: str, message: Message) -> None:
-        """A message read back equals the one written."""
+        """A decoded message equals the encoded one."""
         self.assertEqual(decode(encode(message), limit_bytes=4096).unwrap(), message)
 
     @given(st.binary(max_size=300))
     def test_decoding_any_bytes_does_not_raise(self, data: bytes) -> None:
-        """Random bytes never raise: they read as some message, or are refused as no message."""
+        """Random bytes decode to some message or to a `PROTOCOL` failure, without an exception."""
         self._decode_or_fail(data)
 
     @given(st.sampled_from(MESSAGES), st.integers(0, 300), st.integers(0, 255))
     def test_decoding_damaged_messages_does_not_raise(
         self, case: tuple[str, Message], at: int, value: int
     ) -> None:
-        """A message with one byte changed, or cut short, never raises."""
+        """A message with one byte changed, or truncated, decodes without an exception."""
         data = bytearray(encode(case[1]))
         data[at % len(data)] = value
         self._decode_or_fail(bytes(data))
         self._decode_or_fail(bytes(data[: at % len(data)]))
 
     def test_unpacked_size_is_bounded(self) -> None:
-        """What a message unpacks to is bounded before it is unpacked.
+        """A packed message of 10 KB that unpacks to 10 MB of zeros must not cost that memory.
 
-        Story: a peer sends 600 bytes that unpack to 10 MB of zeros; each such message would
-        cost that memory. The sizes in its header are checked against the frame's bound first.
+        The sizes in its header are checked against the frame's bound before it is unpacked.
         """
         packed = encode(Entries(entries=(bytes(10 * 1024 * 1024),)))
         self.assertLess(len(packed), 64 * 1024)
@@ -122,7 +121,7 @@
     def test_newest_common_version_is_negotiated(
         self, _name: str, ours: tuple[int, int], theirs: tuple[int, int], negotiated: int | None
     ) -> None:
-        """Neighbouring releases meet at the newest version both speak; others are refused."""
+        """Neighbouring releases use the newest version that both support; others are refused."""
         ranges = [VersionRange(lowest=low, highest=high) for low, high in (ours, theirs)]
         if negotiated is not None:
             self.assertEqual(negotiate(*ranges), negotiated)
@@ -147,7 +146,7 @@
         ]
     )
     def test_key_file(self, _name: str, text: str, keys: int) -> None:
-        """A key file holds one key, or two while they are replaced, of 16 bytes at the least."""
+        """A key file contains one key, or two during rotation, of at least 16 bytes each."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "key"
             path.write_text(text, encoding="utf-8")
@@ -191,16 +190,15 @@
         return run_on_virtual_clock(main())
 
     def test_both_ends_receive_the_record_of_the_other(self) -> None:
-        """With the same key each end knows the other's record."""
+        """With a common key each end receives the other's record."""
         for session in self.perform_handshake(KEYS, KEYS):
             assert isinstance(session, Session)
             self.assertEqual(session.member, MEMBER)
 
     def test_wrong_key_is_refused_by_both(self) -> None:
-        """A wrong key is noticed before either end has proved anything to it.
+        """The dialler must reject a listener with another fleet's key before sending its own proof.
 
-        Story: a process of another fleet dials. The dialler sees that the listener's proof is
-        wrong before it gives any of its own, and the listener gets no proof at all.
+        The listener then receives no proof at all.
         """
         dialler, listener = self.perform_handshake(KEYS, FleetKeys(keys=(b"another fleet's key",)))
         assert isinstance(dialler, ShallotworksError)
@@ -208,16 +206,15 @@
         self.assertIsInstance(listener, EOFError)
 
     def test_keys_can_be_rotated(self) -> None:
-        """Processes that hold the old and the new key, in whichever order, accept each other."""
+        """A process with the new and the old key and one with the old key accept each other."""
         new, old = b"the new key 0123456", b"the old key 0123456"
         ends = self.perform_handshake(FleetKeys(keys=(new, old)), FleetKeys(keys=(old,)))
         self.assertTrue(all(isinstance(end, Session) for end in ends))
 
     def test_a_replayed_frame_is_refused(self) -> None:
-        """A repeated frame is refused.
+        """A frame replayed on the path between the ends is refused by its sequence number.
 
-        Story: something between the ends repeats a frame; without a number under the tag an old
-        heartbeat, or old entries, would be taken as new.
+        Without that number under the tag, old heartbeats or entries would be accepted as new.
         """
 
         async def main() -> ErrorKind:
@@ -249,7 +246,7 @@
         ]
     )
     def test_refused_frames(self, _name: str, data: bytes, kind: ErrorKind) -> None:
-        """What is no frame of ours is refused, an oversized one before its body is read."""
+        """Invalid frames are refused, an oversized one before its body is read."""
 
         async def main() -> ErrorKind:
             _, listener_stream = await _connect_pair()
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -1,4 +1,4 @@
-"""Whole-system failures on real processes: kills, freezes, outages, races of operators."""
+"""Whole-system failure tests on real processes: crashes, freezes, outages and operator races."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class SystemCase(unittest.TestCase):
-    """A fleet that serves, callers that ask all of it, and what must hold at the end."""
+    """Base of tests that run a serving fleet under load and check its guarantees to callers."""
 
     def setUp(self) -> None:
         context = running_system()
@@ -34,7 +34,7 @@
         self.entries = self.system.entries
 
     def run_under_load(self, action: Callable[[], None]) -> Ledger:
-        """Let callers ask all entry instances while something happens; returns their ledger."""
+        """Run an action while callers send requests to all entry instances; return their ledger."""
         ports = [entry.callers_port for entry in self.entries]
         callers = Callers(ports=ports, seed=SEED, repeat_unknown=True)
         callers.start()
@@ -47,20 +47,20 @@
         return callers.ledger
 
     def check_guarantees(self, ledger: Ledger, *, unknown_allowed: bool) -> None:
-        """Fail where a promise to a caller was broken."""
+        """Fail if a guarantee to a caller was violated."""
         violations = count_violations(ledger, self.system.workers)
         self.assertEqual(violations.doubled, 0)
         self.assertEqual(violations.cut_off, 0)
         self.assertEqual(violations.foreign, 0)
         self.assertEqual(violations.untrue, 0)
-        # A run whose answer was lost on the way is one whose caller was told so.
+        # If an answer was lost on the way, its caller must have received an unknown outcome.
         self.assertLessEqual(violations.lost, violations.unknown)
         if not unknown_allowed:
             self.assertEqual(ledger.unknown, {})
         self.assertGreater(ledger.answered.total(), 100)
 
     def operator_at(self, entry: Entry) -> DemoOperator:
-        """Give an operator at one entry instance."""
+        """Return an operator connected to one entry instance."""
         context = self.system.operator(entry)
         self.addCleanup(context.__exit__, None, None, None)
         return context.__enter__()
@@ -68,11 +68,9 @@
 
 class EntryFailureTests(SystemCase):
     def test_killed_entry(self) -> None:
-        """A killed entry instance loses no order and doubles none.
+        """A caller repeats a request at another instance after its entry instance was killed.
 
-        Story: a receptionist has sent a booking when the machine of her entry instance fails. She
-        is told nothing, and sends it again under its key, now to another instance. The first one
-        had sent the booking to a worker, or not; it must not be booked twice.
+        The killed instance may have sent it to a worker; it must be neither lost nor run twice.
         """
 
         def kill() -> None:
@@ -83,12 +81,9 @@
         self.check_guarantees(ledger, unknown_allowed=True)
 
     def test_rolling_replacement(self) -> None:
-        """All entry instances are replaced one by one under load, and no request notices.
+        """A rolling replacement of all entry instances under load must not abort a request.
 
-        Story: a new release is rolled out at noon. Each instance is told to stop, answers what it
-        has begun, sends its callers elsewhere and ends; its successor takes the configuration from
-        its peers. A request cut off, or a configuration that is gone, would be the instance's
-        fault.
+        Each successor must load the configuration from its peers instead of serving without one.
         """
         codes: list[int] = []
 
@@ -103,11 +98,9 @@
         self.check_guarantees(ledger, unknown_allowed=False)
 
     def test_stop_waits_for_what_is_in_flight(self) -> None:
-        """A request that runs for longer than the notice of a stop is answered all the same.
+        """A request that runs for longer than the one-second notice of a stop is still answered.
 
-        Story: an instance is told to stop while a coverage model runs for a crew. It is told to
-        callers for a second that it stops; the model takes longer. A stop that did not wait would
-        cut it off, and the crew would not know whether it ran.
+        A stop that did not wait would abort it and leave its outcome unknown to the caller.
         """
         answers: list[int] = []
 
@@ -131,12 +124,9 @@
 
 class StoreOutageTests(SystemCase):
     def test_store_down(self) -> None:
-        """While the store is down, what can be served is served, and nothing is promised falsely.
+        """In a store outage requests without a key are served; keyed ones are refused as not run.
 
-        Story: the platform's store is down. Crews still get their traces. An order with a key
-        can't be claimed, so it is refused, truly as not run. An entry instance that is replaced
-        meanwhile has no store to read, and takes the configuration from its peers. A change is
-        refused; once the store is back it is accepted and in force everywhere within 8 s.
+        A restarted instance loads from peers; a refused change is in force 8 s after recovery.
         """
         served = Ledger()
 
@@ -170,12 +160,9 @@
 
 class PlanFailureTests(SystemCase):
     def test_frozen_conductor(self) -> None:
-        """A conductor that freezes is replaced, and on waking does nothing more.
+        """A conductor that resumes after a freeze, its lease expired and taken over, must not act.
 
-        Story: a night's maintenance runs. The machine of the instance that conducts it freezes for
-        a while; another takes the plan over when the lease lapses. The first wakes in the middle
-        of a step and would cordon or reboot as if nothing had happened: two instances of a pool
-        would be away at once, or one rebooted twice.
+        Continuing its step, it would cordon a second instance of a pool or reboot one twice.
         """
         operator = self.operator_at(self.entries[1])
         budget_monitor = _BudgetMonitor(operator)
@@ -203,7 +190,7 @@
         self.assertEqual([worker.reboots for worker in traces], [1] * len(traces))
 
     def _conductor(self, plan: PlanView) -> Entry:
-        """Wait until one of the instances conducts the plan."""
+        """Wait until an entry instance holds the plan's lease, and return that instance."""
         found: list[Entry] = []
 
         def find_conductor() -> bool:
@@ -218,11 +205,9 @@
         return found[0]
 
     def test_conflicting_plans_of_two_operators(self) -> None:
-        """Of two plans over the same instance one is confirmed; the other is told by whom.
+        """Two operators in two data centres confirm plans over one instance at the same moment.
 
-        Story: Kari drains a rack while Ola, at another data centre, drains an instance in it. Both
-        were shown a plan and confirm in the same moment. Both plans would wait for and release the
-        same instance.
+        Both would drain and release it; the refusal names the confirming operator or a new plan.
         """
         first, second = self.operator_at(self.entries[0]), self.operator_at(self.entries[2])
         rack_drain: Intent = Drain(selection=InRack(data_centre=DATA_CENTRES[0], rack="r1"))
@@ -247,10 +232,9 @@
 
 class LeavingTests(SystemCase):
     def test_leaving_target(self) -> None:
-        """An instance that the platform takes away gets no new work after 3 s, and loses none.
+        """A worker that the platform lists as leaving gets no new request after 3 s.
 
-        Story: the platform marks a worker as leaving in its list. Requests that reach it later
-        would be lost with it; those in flight finish.
+        Requests that reach it later would be lost with it; those in flight must finish.
         """
         leaving = self.system.workers[0]
         listed = [
@@ -278,7 +262,7 @@
 
 
 class _BudgetMonitor:
-    """Looks again and again how many instances of a pool are unavailable by configuration."""
+    """Polls the largest number of instances of one pool that are cordoned at the same time."""
 
     def __init__(self, operator: DemoOperator) -> None:
         self.max_unavailable_seen = 0
@@ -299,7 +283,7 @@
             try:
                 instances = self._operator.instances().instances
             except Exception:
-                # The instance asked may be the one that is frozen.
+                # The entry instance polled may be the frozen one.
                 continue
             for entry in instances:
                 if entry.condition is Condition.CORDONED:
