--- a/src/shallotworks/peers/_dialler.py
+++ b/src/shallotworks/peers/_dialler.py
@@ -25,7 +25,7 @@
 The member whose name sorts first dials at once, so two members seldom dial each other together.
 """
 BACKOFF_RESET_AFTER_S = 5.0
-"""Duration of a connection from which on the redial backoff restarts."""
+"""Shortest duration of a connection that resets the redial backoff."""
 MAX_BACKOFF_DOUBLINGS = 8
 RELAY_QUERY_BASE_WAIT_S = 1.0
 RELAY_QUERY_WAIT_CAP_S = 60.0
--- a/src/shallotworks/peers/_distribution.py
+++ b/src/shallotworks/peers/_distribution.py
@@ -39,8 +39,8 @@
 SNAPSHOT_PART_BYTES = 128 * 1024
 MAX_SNAPSHOT_PARTS = 128
 """Parts accepted for one snapshot from a peer: 16 MB."""
-MIN_SNAPSHOT_GAP_ENTRIES = 512
-"""Missing entries above which a snapshot costs less than the single changes."""
+MAX_GAP_FILLED_WITH_ENTRIES = 512
+"""Missing entries up to which a gap is filled with entries; a snapshot costs less above it."""
 MIN_ANNOUNCE_DELAY_S = 0.2
 MAX_ANNOUNCE_DELAY_S = 0.6
 """Bounds of the random delay before a new revision is announced to a peer that is behind.
@@ -123,14 +123,14 @@
         """
         link.revision = message.revision
         self._newest_known = max(self._newest_known, message.newest_revision, message.revision)
-        held = self._replica.revision()
-        if message.revision > held:
+        held_revision = self._replica.revision()
+        if message.revision > held_revision:
             # A store restored to an older revision looks current to a replica that lags behind,
             # unless the replica has recorded the newer revision before it reads that store.
             self._replica.confirm_newest(message.revision)
             self._request_missing(link)
-        elif message.revision == held and message.newest_age_ms < UNCONFIRMED_AGE_MS:
-            self._replica.confirm_newest(held, age_s=message.newest_age_ms / MS_PER_S)
+        elif message.revision == held_revision and message.newest_age_ms < UNCONFIRMED_AGE_MS:
+            self._replica.confirm_newest(held_revision, age_s=message.newest_age_ms / MS_PER_S)
 
     def on_entries(self, link: Link, message: Entries) -> None:
         """Apply entries; request more if they leave a gap or the peer has more."""
@@ -141,11 +141,11 @@
         if not entries:
             self._pause_requests(link)
             return
-        before = self._replica.revision()
+        revision_before = self._replica.revision()
         link.revision = max(link.revision, entries[-1].revision)
-        held = self._append_entries(link, entries)
-        if link.revision > held:
-            if held == before and entries[0].revision <= before + 1:
+        held_revision = self._append_entries(link, entries)
+        if link.revision > held_revision:
+            if held_revision == revision_before and entries[0].revision <= revision_before + 1:
                 self._pause_requests(link)
             self._request_missing(link)
 
@@ -194,9 +194,13 @@
             return
         self._request_deadline_s = now_s + self._timing.reply_timeout_s
         link = self._preferred_source(link)
-        held = self._replica.revision()
-        use_snapshot = held == 0 or link.revision - held > MIN_SNAPSHOT_GAP_ENTRIES
-        link.send(encode(SnapshotRequest() if use_snapshot else EntriesRequest(after=held)))
+        held_revision = self._replica.revision()
+        use_snapshot = (
+            held_revision == 0 or link.revision - held_revision > MAX_GAP_FILLED_WITH_ENTRIES
+        )
+        link.send(
+            encode(SnapshotRequest() if use_snapshot else EntriesRequest(after=held_revision))
+        )
         link.expect_reply()
         self._metrics.count("peers.gaps.asked")
 
@@ -204,12 +208,12 @@
         if link.same_data_centre:
             return link
         now_s = asyncio.get_running_loop().time()
-        same_data_centre = (
+        local_links = (
             other
             for other in self._links()
             if other.same_data_centre and other.no_requests_before_s <= now_s
         )
-        return next((other for other in same_data_centre if other.revision >= link.revision), link)
+        return next((other for other in local_links if other.revision >= link.revision), link)
 
     def _pause_requests(self, link: Link) -> None:
         """Send a peer no requests for `NO_PROGRESS_PAUSE_S`.
@@ -249,14 +253,14 @@
         except ValidationError:
             self._metrics.count("peers.snapshots.undecodable")
             return
-        before = self._replica.revision()
+        revision_before = self._replica.revision()
         link.revision = max(link.revision, snapshot.state.revision)
-        held = self._replica.install_snapshot(snapshot)
+        held_revision = self._replica.install_snapshot(snapshot)
         self._request_deadline_s = float("-inf")
         link.send_heartbeat_now()
-        if held > before:
+        if held_revision > revision_before:
             self._metrics.count("peers.snapshots.adopted")
-            self._announce(held)
+            self._announce(held_revision)
 
     def _on_entry(self, entry: Entry) -> None:
         """Buffer an entry until the next iteration of the event loop, to batch several entries."""
@@ -268,14 +272,14 @@
         unpushed, self._unpushed = self._unpushed, []
         source = unpushed[-1][1]
         entries = tuple(entry for entry, _ in unpushed)
-        held = entries[-1].revision
+        held_revision = entries[-1].revision
         messages: tuple[bytes, ...] | None = None
         for link in self._links():
             if link is source or not self._should_push(source, link, entries):
                 continue
             messages = messages or _encode_batches(entries)
-            self._push(link, messages, held)
-        self._announce(held)
+            self._push(link, messages, held_revision)
+        self._announce(held_revision)
 
     def _should_push(self, source: Link | None, link: Link, entries: tuple[Entry, ...]) -> bool:
         """Return whether to push entries to a peer that did not request them.
@@ -288,21 +292,21 @@
         if link.revision == UNKNOWN_REVISION:
             return False
         sent = max(link.revision, link.pushed_revision)
-        follows = entries[0].revision - 1 <= sent < entries[-1].revision
-        return follows and (source is None or source.same_data_centre != link.same_data_centre)
+        is_next = entries[0].revision - 1 <= sent < entries[-1].revision
+        return is_next and (source is None or source.same_data_centre != link.same_data_centre)
 
-    def _push(self, link: Link, messages: tuple[bytes, ...], held: int) -> None:
+    def _push(self, link: Link, messages: tuple[bytes, ...], held_revision: int) -> None:
         for data in messages:
             if not link.send(data):
                 self._metrics.count("peers.queue.dropped")
                 return
-        link.pushed_revision = held
+        link.pushed_revision = held_revision
         self._metrics.count("peers.entries.pushed")
         link.expect_reply()
 
-    def _announce(self, held: int) -> None:
+    def _announce(self, held_revision: int) -> None:
         for link in self._links():
-            if link.revision < held:
+            if link.revision < held_revision:
                 delay_s = self._random.uniform(MIN_ANNOUNCE_DELAY_S, MAX_ANNOUNCE_DELAY_S)
                 link.announce_soon(delay_s=delay_s)
 
