--- a/src/shallotworks/requests/_admission.py
+++ b/src/shallotworks/requests/_admission.py
@@ -8,25 +8,25 @@
 from ._loads import ClassLoad
 from ._pool import PoolState
 
-__all__ = ["expected_wait_s", "load_to_shed", "longest_wait_s", "waiting_limit"]
+__all__ = ["expected_wait_s", "load_to_shed", "max_wait_s", "max_waiting_requests"]
 
 
-def waiting_limit(pool: PoolState, limits: DispatchLimits) -> int:
+def max_waiting_requests(pool: PoolState, limits: DispatchLimits) -> int:
     """Return how many requests may wait at a pool."""
     slots = pool.local.capacity + pool.remote.capacity
     return max(limits.waiting_min, limits.waiting_per_slot * slots)
 
 
-def longest_wait_s(load: ClassLoad, *, left_s: float, limits: DispatchLimits) -> float:
+def max_wait_s(load: ClassLoad, *, remaining_s: float, limits: DispatchLimits) -> float:
     """Return how long a request may wait and still be answered in time.
 
     Args:
         load: Its service and class.
-        left_s: Time until its deadline.
+        remaining_s: Time until its deadline.
         limits: Holds the part that it may always wait, so that an estimate that is far off can't
             refuse everything and thereby never be corrected.
     """
-    return max(left_s - load.estimate.slow_s, left_s * limits.min_wait_part)
+    return max(remaining_s - load.estimate.slow_s, remaining_s * limits.min_wait_part)
 
 
 def expected_wait_s(pool: PoolState, load: ClassLoad) -> float:
@@ -52,15 +52,15 @@
     """Return whose last request is refused when one too many arrives; may be the arriving one's.
 
     Long-running requests go before interactive ones, then those of the service that holds and
-    waits for most against its share.
+    waits for highest against its share.
     """
     interactive = arriving.interactive and not any(
         service.long_running.queue.count for service in pool.services.values()
     )
     victim: ClassLoad | None = arriving if arriving.interactive == interactive else None
-    most = arriving.service.excess() if victim else -math.inf
+    highest = arriving.service.demand_per_share() if victim else -math.inf
     for service in pool.services.values():
         load = service.interactive if interactive else service.long_running
-        if load.queue.count and service.excess() > most:
-            victim, most = load, service.excess()
+        if load.queue.count and service.demand_per_share() > highest:
+            victim, highest = load, service.demand_per_share()
     return victim or arriving
--- a/src/shallotworks/requests/_dispatcher.py
+++ b/src/shallotworks/requests/_dispatcher.py
@@ -15,20 +15,20 @@
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import EventKind, Subject, Timeline
 
-from ._admission import expected_wait_s, load_to_shed, longest_wait_s, waiting_limit
+from ._admission import expected_wait_s, load_to_shed, max_wait_s, max_waiting_requests
 from ._fleet_index import UNRANKED, FleetIndex
-from ._grants import GrantLedger, Held
+from ._grants import GrantLedger, HeldSlot
 from ._limits import DispatchLimits
 from ._loads import ClassLoad, TeamLoad
 from ._messages import AttemptOutcome, Grant, Request, RequestClass
 from ._pool import PoolState
 from ._queue import Waiter
 from ._target_selection import PowerOfTwoChoices, TargetSelector
-from ._waiting import WaitingRoom
+from ._waiting import WaitingRequests
 
 __all__ = ["PoolDispatcher"]
 
-MAX_SET_ASIDE = 8
+MAX_SKIPPED_RETRIES = 8
 """Waiting retries that one round may pass over because the free targets are ones they tried."""
 RETRY_AFTER_MIN_S = 0.1
 RETRY_AFTER_NO_TARGET_S = 1.0
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Demand:
+class _RequestLoads:
     """What a request counts against."""
 
     pool: PoolState
@@ -69,10 +69,10 @@
         "_limits",
         "_metrics",
         "_rng",
-        "_room",
         "_selector",
         "_stopping",
         "_timeline",
+        "_waiting_requests",
     )
 
     def __init__(
@@ -102,14 +102,14 @@
         )
         self._selector = selector or PowerOfTwoChoices(rng=rng)
         self._grants = GrantLedger()
-        self._room = WaitingRoom(expire=self._expire)
+        self._waiting_requests = WaitingRequests(on_expired=self._on_expired)
         self._stopping = False
 
     async def acquire(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
         """Wait for a slot at a target that may take this request; see `Dispatcher.acquire`."""
-        at_once = self.try_acquire(request, tried=tried)
-        if at_once is not None:
-            return at_once
+        immediate = self.try_acquire(request, tried=tried)
+        if immediate is not None:
+            return immediate
         return await self.wait(request, tried=tried)
 
     def try_acquire(
@@ -117,15 +117,15 @@
     ) -> Result[Grant, Failure] | None:
         """Return what `acquire` would without waiting; ``None`` where it would have to wait."""
         now_s = self._refresh()
-        found = self._find(request)
-        if not isinstance(found, Success):
-            return Err(found.failure())
-        demand = found.unwrap()
-        pool, load, team = demand.pool, demand.load, demand.team
-        refusal = self._refusal_at_arrival(request, pool, team, tried, now_s)
+        resolved = self._resolve(request)
+        if not isinstance(resolved, Success):
+            return Err(resolved.failure())
+        loads = resolved.unwrap()
+        pool, load, team = loads.pool, loads.load, loads.team
+        refusal = self._admission_refusal(request, pool, team, tried, now_s)
         if refusal is not None:
             return refusal
-        if not self._anyone_before(pool, load) and (team is None or team.has_room):
+        if not self._has_queue_ahead(pool, load) and (team is None or team.has_room):
             held = self._place(request, pool, load, team, tried, now_s)
             if held is not None:
                 return Success(self._grant(request, held, now_s))
@@ -134,13 +134,13 @@
     async def wait(self, request: Request, *, tried: frozenset[str]) -> Result[Grant, Failure]:
         """Wait for a slot, after `try_acquire` has returned ``None``."""
         now_s = self._refresh()
-        found = self._find(request)
-        if not isinstance(found, Success):
-            return Err(found.failure())
-        demand = found.unwrap()
-        return await self._wait(request, demand.pool, demand.load, demand.team, tried, now_s)
+        resolved = self._resolve(request)
+        if not isinstance(resolved, Success):
+            return Err(resolved.failure())
+        loads = resolved.unwrap()
+        return await self._wait(request, loads.pool, loads.load, loads.team, tried, now_s)
 
-    def _find(self, request: Request) -> Result[_Demand, Failure]:
+    def _resolve(self, request: Request) -> Result[_RequestLoads, Failure]:
         service = self._index.services.get(request.service)
         if service is None:
             reason = f"no service {request.service}"
@@ -151,12 +151,12 @@
             return Err(self._refused(request, ErrorKind.NOT_FOUND, reason).failure())
         interactive = request.request_class is RequestClass.INTERACTIVE
         load = service.interactive if interactive else service.long_running
-        return Success(_Demand(pool=self._index.pools[service.pool], load=load, team=team))
+        return Success(_RequestLoads(pool=self._index.pools[service.pool], load=load, team=team))
 
     def release(self, grant: Grant, outcome: AttemptOutcome, *, duration_s: float) -> None:
         """Give the slot back and learn from the outcome; a second release is only counted."""
         now_s = self._refresh()
-        held = self._grants.take_back(grant, now_s=now_s)
+        held = self._grants.release(grant, now_s=now_s)
         if held is None:
             self._metrics.count("dispatch.released-twice")
             return
@@ -167,20 +167,20 @@
                 hold = held.pool.long_running_hold
             hold.observe(duration_s)
         if held.target.usable:
-            held.pool.health.judge(held.target, outcome, now_s=now_s)
-            held.pool.lend(held.target, outcome, now_s=now_s)
+            held.pool.health.record_outcome(held.target, outcome, now_s=now_s)
+            held.pool.adjust_borrowing(held.target, outcome, now_s=now_s)
         if held.probe:
             held.target.probing = False
         if held.team is not None:
             self._unpark(held.team, now_s)
-        self._serve(held.pool, now_s)
+        self._start_waiting_requests(held.pool, now_s)
 
     def cancel(self, request_id: str) -> bool:
         """Take a waiting request out of the queue; says whether it was waiting."""
-        waiter = self._room.find(request_id)
+        waiter = self._waiting_requests.find(request_id)
         if waiter is None:
             return False
-        self._end_wait(waiter, ErrorKind.CANCELLED, "cancelled by the caller")
+        self._refuse_waiter(waiter, ErrorKind.CANCELLED, "cancelled by the caller")
         return True
 
     def set_leaving(self, names: frozenset[str]) -> None:
@@ -194,13 +194,13 @@
 
     def refuse_waiting(self) -> None:
         """Refuse every request that still waits, as not run."""
-        for waiter in self._room.all():
-            self._end_wait(waiter, ErrorKind.STOPPING, "this instance is stopping")
+        for waiter in self._waiting_requests.all():
+            self._refuse_waiter(waiter, ErrorKind.STOPPING, "this instance is stopping")
 
     @property
     def waiting(self) -> int:
         """How many requests wait."""
-        return len(self._room)
+        return len(self._waiting_requests)
 
     @property
     def in_flight(self) -> int:
@@ -217,7 +217,7 @@
             rng=self._rng,
         )
 
-    def _refusal_at_arrival(
+    def _admission_refusal(
         self,
         request: Request,
         pool: PoolState,
@@ -229,7 +229,7 @@
             return self._refused(request, ErrorKind.STOPPING, "this instance is stopping")
         if request.deadline_s <= now_s:
             return self._refused(request, ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
-        if self._room.find(request.request_id) is not None:
+        if self._waiting_requests.find(request.request_id) is not None:
             return self._refused(request, ErrorKind.CONFLICT, "a request with this id waits")
         if not pool.has_targets:
             return self._refused(request, ErrorKind.NO_TARGET, f"no target for {request.service}")
@@ -237,7 +237,7 @@
             return self._refused(request, ErrorKind.OVER_QUOTA, f"team {team.name} is full")
         return None
 
-    def _anyone_before(self, pool: PoolState, load: ClassLoad) -> bool:
+    def _has_queue_ahead(self, pool: PoolState, load: ClassLoad) -> bool:
         if load.interactive:
             return pool.interactive_queued > 0
         return pool.interactive_queued + pool.long_running_queued > 0
@@ -250,8 +250,8 @@
         team: TeamLoad | None,
         tried: frozenset[str],
         now_s: float,
-    ) -> Held | None:
-        pool.advance(now_s)
+    ) -> HeldSlot | None:
+        pool.update_limits(now_s)
         if not pool.may_start(load, now_s):
             return None
         target = pool.place(request, load, tried=tried, now_s=now_s)
@@ -261,9 +261,9 @@
         if probe:
             target.probing = True
             self._metrics.count("targets.probed")
-        return Held(target=target, pool=pool, load=load, team=team, probe=probe)
+        return HeldSlot(target=target, pool=pool, load=load, team=team, probe=probe)
 
-    def _grant(self, request: Request, held: Held, now_s: float) -> Grant:
+    def _grant(self, request: Request, held: HeldSlot, now_s: float) -> Grant:
         grant = self._grants.issue(request.request_id, held, now_s=now_s)
         self._metrics.count(f"dispatch.admitted.{request.request_class.value}")
         subject = Subject(
@@ -283,80 +283,80 @@
         tried: frozenset[str],
         now_s: float,
     ) -> Result[Grant, Failure]:
-        left_s = request.deadline_s - now_s
-        longest_s = longest_wait_s(load, left_s=left_s, limits=self._limits)
+        remaining_s = request.deadline_s - now_s
+        longest_s = max_wait_s(load, remaining_s=remaining_s, limits=self._limits)
         expected_s = expected_wait_s(pool, load)
         if expected_s > longest_s:
             self._metrics.count(f"dispatch.hopeless.{request.request_class.value}")
             reason = "too many wait to answer this in time"
-            after_s = expected_s - longest_s
-            return self._refused(request, ErrorKind.OVERLOADED, reason, after_s)
-        full = len(self._room) >= self._limits.waiting_max
-        if full or pool.waiting >= waiting_limit(pool, self._limits):
+            retry_after_s = expected_s - longest_s
+            return self._refused(request, ErrorKind.OVERLOADED, reason, retry_after_s)
+        full = len(self._waiting_requests) >= self._limits.waiting_max
+        if full or pool.waiting >= max_waiting_requests(pool, self._limits):
             victim = load_to_shed(pool, load)
             self._metrics.count(f"dispatch.shed.{victim.service.name}")
             last = victim.queue.last()
             if victim is load or last is None:
                 reason = "too many wait"
                 return self._refused(request, ErrorKind.OVERLOADED, reason, expected_s)
-            self._end_wait(last, ErrorKind.OVERLOADED, "shed for more urgent work", expected_s)
-        waiter = self._room.enter(
-            request, pool=pool, load=load, team=team, tried=tried, latest_s=now_s + longest_s
+            self._refuse_waiter(last, ErrorKind.OVERLOADED, "shed for more urgent work", expected_s)
+        waiter = self._waiting_requests.add(
+            request, pool=pool, load=load, team=team, tried=tried, expires_at_s=now_s + longest_s
         )
-        self._arm(pool)
-        self._serve(pool, now_s)
-        return await self._answer_of(waiter)
+        self._start_timer(pool)
+        self._start_waiting_requests(pool, now_s)
+        return await self._await_grant(waiter)
 
-    async def _answer_of(self, waiter: Waiter) -> Result[Grant, Failure]:
+    async def _await_grant(self, waiter: Waiter) -> Result[Grant, Failure]:
         try:
-            return await waiter.answer
+            return await waiter.grant_future
         except asyncio.CancelledError:
             # The failure: the task is cancelled after its grant was decided and before it woke;
             # nobody would release that grant and the slot would be lost for good.
-            if waiter.answer.done() and not waiter.answer.cancelled():
-                waiter.answer.result().map(
+            if waiter.grant_future.done() and not waiter.grant_future.cancelled():
+                waiter.grant_future.result().map(
                     lambda grant: self.release(grant, AttemptOutcome.ABANDONED, duration_s=0.0)
                 )
             else:
-                self._room.leave(waiter)
+                self._waiting_requests.remove(waiter)
             raise
 
-    def _end_wait(
-        self, waiter: Waiter, kind: ErrorKind, reason: str, after_s: float = RETRY_AFTER_MIN_S
+    def _refuse_waiter(
+        self, waiter: Waiter, kind: ErrorKind, reason: str, retry_after_s: float = RETRY_AFTER_MIN_S
     ) -> None:
-        self._room.leave(waiter)
-        refused = self._refused(waiter.request, kind, reason, after_s)
-        if not waiter.answer.done():
-            waiter.answer.set_result(refused)
+        self._waiting_requests.remove(waiter)
+        refused = self._refused(waiter.request, kind, reason, retry_after_s)
+        if not waiter.grant_future.done():
+            waiter.grant_future.set_result(refused)
 
-    def _expire(self, waiter: Waiter) -> None:
+    def _on_expired(self, waiter: Waiter) -> None:
         reason = "no slot came free in time to answer by the deadline"
-        self._end_wait(waiter, ErrorKind.DEADLINE_EXCEEDED, reason)
+        self._refuse_waiter(waiter, ErrorKind.DEADLINE_EXCEEDED, reason)
 
-    def _serve(self, pool: PoolState, now_s: float) -> None:
+    def _start_waiting_requests(self, pool: PoolState, now_s: float) -> None:
         """Start waiting requests while the rules and the free slots allow it."""
-        set_aside: list[Waiter] = []
-        while len(set_aside) < MAX_SET_ASIDE:
-            pool.advance(now_s)
+        skipped: list[Waiter] = []
+        while len(skipped) < MAX_SKIPPED_RETRIES:
+            pool.update_limits(now_s)
             load = pool.next_load(now_s)
             waiter = load.queue.first() if load is not None else None
             if waiter is None:
                 break
-            if waiter.answer.done():
+            if waiter.grant_future.done():
                 # Its task was cancelled and has not run since.
-                self._room.leave(waiter)
+                self._waiting_requests.remove(waiter)
                 continue
             if waiter.team is not None and not waiter.team.has_room:
-                self._room.park(waiter, waiter.team)
+                self._waiting_requests.park(waiter, waiter.team)
                 continue
             if not self._start(waiter, now_s):
                 if not waiter.tried:
                     break
                 # Its free targets are ones it tried: others must not wait behind it.
-                self._room.unqueue(waiter)
-                set_aside.append(waiter)
-        for waiter in set_aside:
-            self._room.queue(waiter)
+                self._waiting_requests.unqueue(waiter)
+                skipped.append(waiter)
+        for waiter in skipped:
+            self._waiting_requests.queue(waiter)
 
     def _start(self, waiter: Waiter, now_s: float) -> bool:
         held = self._place(
@@ -364,8 +364,8 @@
         )
         if held is None:
             return False
-        self._room.leave(waiter)
-        waiter.answer.set_result(Success(self._grant(waiter.request, held, now_s)))
+        self._waiting_requests.remove(waiter)
+        waiter.grant_future.set_result(Success(self._grant(waiter.request, held, now_s)))
         return True
 
     def _unpark(self, team: TeamLoad, now_s: float) -> None:
@@ -374,9 +374,9 @@
             waiter = team.parked.first()
             if waiter is None:
                 return
-            self._room.unqueue(waiter)
-            self._room.queue(waiter)
-            self._serve(waiter.pool, now_s)
+            self._waiting_requests.unqueue(waiter)
+            self._waiting_requests.queue(waiter)
+            self._start_waiting_requests(waiter.pool, now_s)
 
     def _refresh(self) -> float:
         """Bring the index up to date with the configuration; returns the time."""
@@ -384,42 +384,46 @@
         if self._index.refresh(now_s):
             for team in self._index.teams.values():
                 self._unpark(team, now_s)
-            for waiter in self._room.all():
-                self._recheck(waiter)
+            for waiter in self._waiting_requests.all():
+                self._refuse_if_removed(waiter)
             for pool in self._index.pools.values():
                 if pool.waiting:
-                    self._serve(pool, now_s)
+                    self._start_waiting_requests(pool, now_s)
         return now_s
 
-    def _recheck(self, waiter: Waiter) -> None:
+    def _refuse_if_removed(self, waiter: Waiter) -> None:
         """Refuse a waiting request whose service or targets are gone."""
         service = self._index.services.get(waiter.request.service)
         if service is None:
-            self._end_wait(waiter, ErrorKind.NOT_FOUND, "the service was removed")
+            self._refuse_waiter(waiter, ErrorKind.NOT_FOUND, "the service was removed")
         elif service is not waiter.load.service or not waiter.pool.has_targets:
             reason = f"no target for {waiter.request.service} any more"
-            self._end_wait(waiter, ErrorKind.NO_TARGET, reason, RETRY_AFTER_NO_TARGET_S)
+            self._refuse_waiter(waiter, ErrorKind.NO_TARGET, reason, RETRY_AFTER_NO_TARGET_S)
 
-    def _arm(self, pool: PoolState) -> None:
+    def _start_timer(self, pool: PoolState) -> None:
         """Look again soon: pauses, slow starts and probes free slots without any call."""
         if not pool.has_timer:
             pool.has_timer = True
             loop = asyncio.get_running_loop()
-            loop.call_later(self._limits.tick_s, self._tick, pool)
+            loop.call_later(self._limits.waiting_check_interval_s, self._on_timer, pool)
 
-    def _tick(self, pool: PoolState) -> None:
+    def _on_timer(self, pool: PoolState) -> None:
         pool.has_timer = False
         now_s = self._refresh()
         if pool.waiting:
-            self._serve(pool, now_s)
+            self._start_waiting_requests(pool, now_s)
         if pool.waiting:
-            self._arm(pool)
+            self._start_timer(pool)
 
     def _refused(
-        self, request: Request, kind: ErrorKind, reason: str, after_s: float = RETRY_AFTER_MIN_S
+        self,
+        request: Request,
+        kind: ErrorKind,
+        reason: str,
+        retry_after_s: float = RETRY_AFTER_MIN_S,
     ) -> Result[Grant, Failure]:
         # Jitter keeps those refused together from coming back together.
-        wait_s = max(after_s, RETRY_AFTER_MIN_S) * self._rng.uniform(0.5, 1.5)
+        jittered_s = max(retry_after_s, RETRY_AFTER_MIN_S) * self._rng.uniform(0.5, 1.5)
         # Whoever answers the caller records the refusal; this may be of a further attempt only.
         self._metrics.count(f"dispatch.refused.{kind.value}")
-        return Err(Failure(kind=kind, reason=reason, retry_after_s=round(wait_s, 3)))
+        return Err(Failure(kind=kind, reason=reason, retry_after_s=round(jittered_s, 3)))
--- a/src/shallotworks/requests/_fleet_index.py
+++ b/src/shallotworks/requests/_fleet_index.py
@@ -15,14 +15,14 @@
 
 __all__ = ["UNRANKED", "FleetIndex"]
 
-REVISION_BEFORE_FIRST = -1
-ASK_ENTRIES_EVERY_S = 0.25
+NO_REVISION = -1
+ENTRY_COUNT_REFRESH_S = 0.25
 UNRANKED = -1
 """Rank of an entry instance that does not know it: it leaves what is left over to nobody."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Division:
+class _SlotDivision:
     """How the slots of a target are divided among the entry instances of a data centre.
 
     Each has its even part, and what is left over goes to some of them by rank, to others at each
@@ -33,7 +33,7 @@
     entries: int
     rank: int
 
-    def part_of(self, instance: Instance) -> int:
+    def slots_of(self, instance: Instance) -> int:
         even, left_over = divmod(instance.slots, self.entries)
         if self.rank == UNRANKED:
             return max(1, even)
@@ -59,18 +59,18 @@
     """
 
     __slots__ = (
-        "_ask_entries_at_s",
         "_config",
         "_data_centre",
         "_division",
         "_entry_rank",
-        "_known",
+        "_indexed_instances",
         "_leaving",
+        "_leaving_changed",
         "_limits",
         "_live_entries",
         "_new_pool",
+        "_refresh_division_at_s",
         "_revision",
-        "_stale",
         "pools",
         "services",
         "teams",
@@ -92,55 +92,55 @@
         self._entry_rank = entry_rank
         self._limits = limits
         self._new_pool = new_pool
-        self._division = _Division(entries=0, rank=0)
-        self._ask_entries_at_s = 0.0
-        self._revision = REVISION_BEFORE_FIRST
-        self._stale = False
+        self._division = _SlotDivision(entries=0, rank=0)
+        self._refresh_division_at_s = 0.0
+        self._revision = NO_REVISION
+        self._leaving_changed = False
         self._leaving: frozenset[str] = frozenset()
-        self._known: dict[str, Instance] = {}
+        self._indexed_instances: dict[str, Instance] = {}
         self.pools: dict[str, PoolState] = {}
         self.services: dict[str, ServiceLoad] = {}
         self.teams: dict[str, TeamLoad] = {}
 
     def set_leaving(self, names: frozenset[str]) -> None:
         """Take the names of instances that are about to leave."""
-        self._stale = self._stale or names != self._leaving
+        self._leaving_changed = self._leaving_changed or names != self._leaving
         self._leaving = names
 
     def refresh(self, now_s: float) -> bool:
         """Follow the configuration; says whether anything may have changed."""
         state = self._config.state()
-        division = self._division_now(now_s)
-        redivided = division != self._division
-        if state.revision == self._revision and not redivided and not self._stale:
+        division = self._current_division(now_s)
+        division_changed = division != self._division
+        if state.revision == self._revision and not division_changed and not self._leaving_changed:
             return False
         # Targets known from the start are taken to be warm; later ones start slowly.
-        first = self._revision == REVISION_BEFORE_FIRST
-        ramp_from_s = now_s - self._limits.slow_start_s if first else now_s
-        everything = self._stale or redivided
+        is_first = self._revision == NO_REVISION
+        ramp_start_s = now_s - self._limits.slow_start_s if is_first else now_s
+        update_all = self._leaving_changed or division_changed
         self._revision = state.revision
         self._division = division
-        self._stale = False
-        self._follow_services(state)
-        self._follow_instances(state, ramp_from_s, everything)
-        self._follow_teams(state)
+        self._leaving_changed = False
+        self._sync_services(state)
+        self._sync_instances(state, ramp_start_s, update_all)
+        self._sync_teams(state)
         self._drop_empty_pools()
         return True
 
-    def _division_now(self, now_s: float) -> _Division:
+    def _current_division(self, now_s: float) -> _SlotDivision:
         """Return the division; who is there is asked now and then, not for every request."""
-        if now_s < self._ask_entries_at_s:
+        if now_s < self._refresh_division_at_s:
             return self._division
-        self._ask_entries_at_s = now_s + ASK_ENTRIES_EVERY_S
-        return _Division(entries=max(1, self._live_entries()), rank=self._entry_rank())
+        self._refresh_division_at_s = now_s + ENTRY_COUNT_REFRESH_S
+        return _SlotDivision(entries=max(1, self._live_entries()), rank=self._entry_rank())
 
-    def _follow_services(self, state: FleetState) -> None:
+    def _sync_services(self, state: FleetState) -> None:
         for name in [name for name in self.services if name not in state.services]:
-            self._forget_service(name)
+            self._remove_service(name)
         for name, service in state.services.items():
             load = self.services.get(name)
             if load is not None and load.pool != service.pool:
-                self._forget_service(name)
+                self._remove_service(name)
                 load = None
             if load is None:
                 self._add_service(service)
@@ -152,37 +152,37 @@
         self.services[service.name] = load
         self._pool(service.pool).services[service.name] = load
 
-    def _forget_service(self, name: str) -> None:
+    def _remove_service(self, name: str) -> None:
         load = self.services.pop(name)
         del self.pools[load.pool].services[name]
 
-    def _follow_instances(self, state: FleetState, ramp_from_s: float, everything: bool) -> None:
-        for name in [name for name in self._known if name not in state.instances]:
-            self.pools[self._known.pop(name).pool].drop(name)
+    def _sync_instances(self, state: FleetState, ramp_start_s: float, update_all: bool) -> None:
+        for name in [name for name in self._indexed_instances if name not in state.instances]:
+            self.pools[self._indexed_instances.pop(name).pool].remove(name)
         for name, record in state.instances.items():
-            known = self._known.get(name)
-            if known is record and not everything:
+            known = self._indexed_instances.get(name)
+            if known is record and not update_all:
                 continue
             if known is not None and _moved(known, record):
-                self.pools[known.pool].drop(name)
-            self._known[name] = record
-            self._put(state, record, ramp_from_s)
+                self.pools[known.pool].remove(name)
+            self._indexed_instances[name] = record
+            self._put_instance(state, record, ramp_start_s)
 
-    def _put(self, state: FleetState, record: Instance, ramp_from_s: float) -> None:
+    def _put_instance(self, state: FleetState, record: Instance, ramp_start_s: float) -> None:
         self._pool(record.pool).put(
             record,
             local=record.data_centre == self._data_centre,
             usable=record.available and record.name not in self._leaving,
-            part=self._division.part_of(record),
-            ramp_from_s=ramp_from_s,
+            own_slots=self._division.slots_of(record),
+            ramp_start_s=ramp_start_s,
         )
 
-    def _follow_teams(self, state: FleetState) -> None:
-        sharers = self._division.entries * max(1, len(state.data_centres))
+    def _sync_teams(self, state: FleetState) -> None:
+        quota_divisor = self._division.entries * max(1, len(state.data_centres))
         for name in [name for name in self.teams if name not in state.teams]:
             del self.teams[name]
         for name, team in state.teams.items():
-            quota = max(min(1, team.quota_slots), team.quota_slots // sharers)
+            quota = max(min(1, team.quota_slots), team.quota_slots // quota_divisor)
             load = self.teams.get(name)
             if load is None:
                 self.teams[name] = TeamLoad(name=name, quota=quota)
--- a/src/shallotworks/requests/_grants.py
+++ b/src/shallotworks/requests/_grants.py
@@ -9,11 +9,11 @@
 from ._pool import PoolState
 from ._targets import TargetState
 
-__all__ = ["GrantLedger", "Held"]
+__all__ = ["GrantLedger", "HeldSlot"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Held:
+class HeldSlot:
     """What a grant holds until it is released.
 
     Args:
@@ -37,31 +37,31 @@
     __slots__ = ("_held", "_next_id")
 
     def __init__(self) -> None:
-        self._held: dict[int, Held] = {}
+        self._held: dict[int, HeldSlot] = {}
         self._next_id = 1
 
     def __len__(self) -> int:
         return len(self._held)
 
-    def issue(self, request_id: str, held: Held, *, now_s: float) -> Grant:
+    def issue(self, request_id: str, held: HeldSlot, *, now_s: float) -> Grant:
         """Count a grant and return it."""
         grant = Grant(grant_id=self._next_id, request_id=request_id, target=held.target.target)
         self._next_id += 1
         self._held[grant.grant_id] = held
-        held.target.group.take(held.target)
-        _count(held, 1, now_s)
+        held.target.group.count_grant(held.target)
+        _add_to_counts(held, 1, now_s)
         return grant
 
-    def take_back(self, grant: Grant, *, now_s: float) -> Held | None:
+    def release(self, grant: Grant, *, now_s: float) -> HeldSlot | None:
         """Uncount a grant; ``None`` where it is not held, since it was taken back before."""
         held = self._held.pop(grant.grant_id, None)
         if held is not None:
-            held.target.group.give_back(held.target)
-            _count(held, -1, now_s)
+            held.target.group.discount_grant(held.target)
+            _add_to_counts(held, -1, now_s)
         return held
 
 
-def _count(held: Held, amount: int, now_s: float) -> None:
+def _add_to_counts(held: HeldSlot, amount: int, now_s: float) -> None:
     held.load.in_flight += amount
     if held.load.interactive:
         held.pool.interactive.add(amount, now_s)
--- a/src/shallotworks/requests/_health.py
+++ b/src/shallotworks/requests/_health.py
@@ -14,13 +14,13 @@
 
 __all__ = ["PoolHealth"]
 
-PROBE_ANY_AFTER_S = 30.0
+NON_IDEMPOTENT_PROBE_DELAY_S = 30.0
 """How long a probe waits for an idempotent request before any request may be it."""
-SELF_CLEARED_PART = 0.5
+SELF_CLEARED_BELOW_PART = 0.5
 MAX_PAUSE_DOUBLINGS = 6
 MAX_PROBE_DOUBLINGS = 6
 
-_SPEAKS_AGAINST = frozenset(
+_FAILURE_OUTCOMES = frozenset(
     {
         AttemptOutcome.TARGET_ERROR,
         AttemptOutcome.NOT_SENT,
@@ -40,23 +40,23 @@
     Args:
         pool: Name of the pool, for the time line.
         limits: How many outcomes, how long, how much of the pool.
-        metrics: Where ejections are counted.
+        metrics: Where ejections are representative.
         timeline: Where they are recorded.
         rng: Source of jitter.
         on_change: Called with each target whose ejection or pause has changed.
 
     Attributes:
         ejected: Targets that take nothing but probes, by name.
-        suspects_self: Whether nearly all targets look bad, so that none is ejected.
+        suspects_self: Whether nearly all targets look failing, so that none is ejected.
     """
 
     __slots__ = (
+        "_by_data_centre",
         "_limits",
         "_metrics",
         "_on_change",
         "_pool",
         "_rng",
-        "_tallies",
         "_timeline",
         "ejected",
         "suspects_self",
@@ -78,55 +78,59 @@
         self._timeline = timeline
         self._rng = rng
         self._on_change = on_change
-        self._tallies: dict[str, _Tally] = {}
+        self._by_data_centre: dict[str, _DataCentreCounts] = {}
         self.ejected: dict[str, TargetState] = {}
         self.suspects_self = False
 
-    def judge(self, target: TargetState, outcome: AttemptOutcome, *, now_s: float) -> None:
+    def record_outcome(self, target: TargetState, outcome: AttemptOutcome, *, now_s: float) -> None:
         """Learn from one attempt's outcome."""
         if outcome is AttemptOutcome.ANSWERED:
-            self._good(target, now_s)
-        elif outcome in _SPEAKS_AGAINST:
-            self._failed(target, now_s)
+            self._on_success(target, now_s)
+        elif outcome in _FAILURE_OUTCOMES:
+            self._on_failure(target, now_s)
         elif outcome is AttemptOutcome.REFUSED:
-            self._refused(target, now_s)
+            self._on_refusal(target, now_s)
 
     def probe_due(self, *, idempotent: bool, now_s: float) -> TargetState | None:
         """Return an ejected target that a request of this kind may probe now."""
         for target in self.ejected.values():
-            due_s = target.probe_at_s if idempotent else target.probe_at_s + PROBE_ANY_AFTER_S
-            if due_s <= now_s and not target.probing and target.in_flight < target.part:
+            due_s = (
+                target.probe_at_s
+                if idempotent
+                else target.probe_at_s + NON_IDEMPOTENT_PROBE_DELAY_S
+            )
+            if due_s <= now_s and not target.probing and target.in_flight < target.own_slots:
                 return target
         return None
 
     def add(self, target: TargetState) -> None:
         """Count a target that became usable."""
-        self._tallies.setdefault(target.instance.data_centre, _Tally()).size += 1
+        self._by_data_centre.setdefault(target.instance.data_centre, _DataCentreCounts()).size += 1
 
     def remove(self, target: TargetState) -> None:
         """Drop all that is known of a target that is no longer usable."""
-        self._set_bad(target, False)
-        self._tally(target).size -= 1
+        self._set_failing(target, False)
+        self._counts_of(target).size -= 1
         self.ejected.pop(target.instance.name, None)
-        target.forget()
+        target.reset()
 
-    def _good(self, target: TargetState, now_s: float) -> None:
+    def _on_success(self, target: TargetState, now_s: float) -> None:
         target.failures = 0
         target.refusals = 0
-        if target.bad:
-            self._set_bad(target, False)
-            self._reconsider_self(now_s)
+        if target.failing:
+            self._set_failing(target, False)
+            self._update_self_suspicion(now_s)
         if target.ejected and target.probing:
             self._restore(target, now_s, "probe answered")
 
-    def _failed(self, target: TargetState, now_s: float) -> None:
+    def _on_failure(self, target: TargetState, now_s: float) -> None:
         target.failures += 1
         if target.ejected:
             self._schedule_probe(target, now_s, failed=target.probing)
         elif target.failures >= self._limits.failures_to_eject:
-            self._turned_bad(target, now_s)
+            self._mark_failing(target, now_s)
 
-    def _refused(self, target: TargetState, now_s: float) -> None:
+    def _on_refusal(self, target: TargetState, now_s: float) -> None:
         # Refusing is how a full target keeps its slots: it is given a short rest, and only one
         # that refuses time after time without an answer in between counts as broken. Those sent
         # before the rest are one refusal together.
@@ -140,11 +144,11 @@
         if target.ejected:
             self._schedule_probe(target, now_s, failed=target.probing)
         elif target.refusals >= self._limits.refusals_to_eject:
-            self._turned_bad(target, now_s)
+            self._mark_failing(target, now_s)
 
-    def _turned_bad(self, target: TargetState, now_s: float) -> None:
-        self._set_bad(target, True)
-        self._reconsider_self(now_s)
+    def _mark_failing(self, target: TargetState, now_s: float) -> None:
+        self._set_failing(target, True)
+        self._update_self_suspicion(now_s)
         if not self.suspects_self and self._may_eject():
             self._eject(target, now_s)
 
@@ -157,11 +161,11 @@
         self._metrics.count("targets.ejected")
         self._record(EventKind.TARGET_EJECTED, target.instance.name, "failed in a row")
 
-    def _restore(self, target: TargetState, ramp_from_s: float, why: str) -> None:
+    def _restore(self, target: TargetState, ramp_start_s: float, why: str) -> None:
         target.ejected = False
         target.failures = 0
         target.refusals = 0
-        target.ramp_from_s = ramp_from_s
+        target.ramp_start_s = ramp_start_s
         del self.ejected[target.instance.name]
         self._on_change(target)
         self._metrics.count("targets.restored")
@@ -174,45 +178,47 @@
         wait_s = min(self._limits.probe_after_s * 2**doublings, self._limits.probe_after_max_s)
         target.probe_at_s = now_s + self._rng.uniform(wait_s / 2, wait_s)
 
-    def _set_bad(self, target: TargetState, bad: bool) -> None:
-        self._tally(target).bad += int(bad) - int(target.bad)
-        target.bad = bad
+    def _set_failing(self, target: TargetState, failing: bool) -> None:
+        self._counts_of(target).failing += int(failing) - int(target.failing)
+        target.failing = failing
 
-    def _tally(self, target: TargetState) -> _Tally:
-        return self._tallies[target.instance.data_centre]
+    def _counts_of(self, target: TargetState) -> _DataCentreCounts:
+        return self._by_data_centre[target.instance.data_centre]
 
     def _may_eject(self) -> bool:
-        counted = self._counted()
-        size = sum(self._tallies[name].size for name in counted)
+        representative = self._representative_data_centres()
+        size = sum(self._by_data_centre[name].size for name in representative)
         ejected = sum(
-            1 for target in self.ejected.values() if target.instance.data_centre in counted
+            1 for target in self.ejected.values() if target.instance.data_centre in representative
         )
         allowed = max(1, int(size * self._limits.max_ejected_part)) if size > 1 else 0
         return ejected < allowed
 
-    def _counted(self) -> Collection[str]:
+    def _representative_data_centres(self) -> Collection[str]:
         """Return the data centres whose targets stand for the pool.
 
-        One in which every target looks bad is cut off from here rather than broken. It neither
+        One in which every target looks failing is cut off from here rather than broken. It neither
         uses up the part that may be ejected nor makes this process suspect itself, as long as
         targets elsewhere look good.
         """
-        seen = [name for name, tally in self._tallies.items() if tally.bad < tally.size]
-        return seen or self._tallies.keys()
+        seen = [
+            name for name, counts in self._by_data_centre.items() if counts.failing < counts.size
+        ]
+        return seen or self._by_data_centre.keys()
 
-    def _reconsider_self(self, now_s: float) -> None:
-        """Suspect this process when nearly all targets look bad, until enough answer again.
+    def _update_self_suspicion(self, now_s: float) -> None:
+        """Suspect this process when nearly all targets look failing, until enough answer again.
 
         The failure: this process's own link or memory is at fault and every target seems broken.
         Ejecting them would refuse what could be served and hide the cause, so all are kept.
         """
-        counted = self._counted()
-        size = sum(self._tallies[name].size for name in counted)
-        bad = sum(self._tallies[name].bad for name in counted)
+        representative = self._representative_data_centres()
+        size = sum(self._by_data_centre[name].size for name in representative)
+        failing = sum(self._by_data_centre[name].failing for name in representative)
         if not self.suspects_self:
-            if size > 1 and bad >= self._limits.suspect_self_part * size:
+            if size > 1 and failing >= self._limits.suspect_self_part * size:
                 self._suspect_self(now_s)
-        elif bad < SELF_CLEARED_PART * size:
+        elif failing < SELF_CLEARED_BELOW_PART * size:
             self.suspects_self = False
             self._metrics.count("targets.self-cleared")
             self._record(EventKind.TARGET_RESTORED, "", "no longer suspects this process")
@@ -229,11 +235,11 @@
         self._timeline.record(kind, subject=Subject(instance=instance), detail=detail)
 
 
-class _Tally:
-    """Usable targets in one data centre, and how many of them look bad."""
+class _DataCentreCounts:
+    """Usable targets in one data centre, and how many of them look failing."""
 
-    __slots__ = ("bad", "size")
+    __slots__ = ("failing", "size")
 
     def __init__(self) -> None:
         self.size = 0
-        self.bad = 0
+        self.failing = 0
--- a/src/shallotworks/requests/_idempotency.py
+++ b/src/shallotworks/requests/_idempotency.py
@@ -27,11 +27,11 @@
 
 __all__ = ["IdempotencyLimits", "StoreIdempotencyGuard"]
 
-CLAIM_TRIES = 3
+MAX_CLAIM_ATTEMPTS = 3
 """Rounds of creating and reading before a claim is given up as not made."""
 RETRY_AFTER_S = 1.0
-OTHER_REQUEST = "another request was sent under this idempotency key"
-END_UNKNOWN = "the key's first run was sent and its end is not known"
+DIFFERENT_REQUEST = "another request was sent under this idempotency key"
+OUTCOME_NOT_KNOWN = "the key's first run was sent and its end is not known"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -79,7 +79,6 @@
         "_is_live",
         "_lease_id",
         "_lease_lock",
-        "_lease_until_s",
         "_ledger",
         "_limits",
         "_metrics",
@@ -87,6 +86,7 @@
         "_process",
         "_regressed_at_s",
         "_store",
+        "_use_lease_until_s",
     )
 
     def __init__(
@@ -110,7 +110,7 @@
         self._regressed_at_s: float | None = None
         self._lease_lock = asyncio.Lock()
         self._lease_id = ""
-        self._lease_until_s = 0.0
+        self._use_lease_until_s = 0.0
 
     async def claim(self, request: Request) -> Result[Claim, Failure]:
         """Claim the key before the first byte is sent; see `IdempotencyGuard.claim`.
@@ -126,15 +126,15 @@
             claim_id=self._new_id(),
             owner=self._process,
         )
-        outcome = self._answer_not_yet_stored(request, record)
+        outcome = self._unwritten_answer(request, record)
         if outcome is None:
-            outcome = await self._claim_in_time(request, record)
-        self._metrics.count(f"once.{_name_of(outcome)}")
+            outcome = await self._claim_by_deadline(request, record)
+        self._metrics.count(f"once.{_metric_name_of(outcome)}")
         return outcome
 
     async def complete_claim(self, claim: Claim, response: Response) -> None:
         """Store the answer of the run; kept for later where the store can't be reached."""
-        held = self._held(claim)
+        held = self._held_claim(claim)
         if held is None:
             return
         fits = len(response.body) <= self._limits.answer_max_bytes
@@ -144,18 +144,20 @@
             answer=StoredAnswer.of(response) if fits else None,
             answer_digest=hashlib.sha256(response.body).hexdigest(),
         )
-        await self._ledger.end(claim.key, done)
+        await self._ledger.finish(claim.key, done)
 
     async def mark_outcome_unknown(self, claim: Claim) -> None:
         """Note that the request was sent under this claim and nobody knows how it ended."""
-        held = self._held(claim)
+        held = self._held_claim(claim)
         if held is not None:
-            await self._ledger.end(claim.key, replace(held.record, state=IdempotencyState.UNKNOWN))
+            await self._ledger.finish(
+                claim.key, replace(held.record, state=IdempotencyState.UNKNOWN)
+            )
 
     async def release_claim(self, claim: Claim) -> None:
         """Free the key: nothing ran under this claim, for certain."""
-        if self._held(claim) is not None:
-            await self._ledger.end(claim.key, None)
+        if self._held_claim(claim) is not None:
+            await self._ledger.finish(claim.key, None)
 
     async def run(self) -> None:
         """Repeat writes that failed and end claims that nobody ended, until cancelled."""
@@ -165,34 +167,34 @@
 
     async def reconcile(self) -> None:
         """Do one round of what `run` does."""
-        await self._ledger.repeat()
-        latest_s = asyncio.get_running_loop().time() - self._limits.overdue_s
-        for key in self._ledger.overdue(latest_s):
-            held = self._ledger.held(key)
+        await self._ledger.retry_pending_writes()
+        overdue_before_s = asyncio.get_running_loop().time() - self._limits.overdue_s
+        for key in self._ledger.overdue_keys(overdue_before_s):
+            held = self._ledger.held_claim(key)
             if held is not None:
                 self._metrics.count("once.overdue")
-                await self._ledger.end(key, replace(held.record, state=IdempotencyState.UNKNOWN))
+                await self._ledger.finish(key, replace(held.record, state=IdempotencyState.UNKNOWN))
 
-    def _held(self, claim: Claim) -> HeldClaim | None:
-        held = self._ledger.held(claim.key)
+    def _held_claim(self, claim: Claim) -> HeldClaim | None:
+        held = self._ledger.held_claim(claim.key)
         return held if held is not None and held.version == claim.version else None
 
-    def _answer_not_yet_stored(
-        self, request: Request, mine: IdempotencyRecord
+    def _unwritten_answer(
+        self, request: Request, new_record: IdempotencyRecord
     ) -> Result[Claim, Failure] | None:
         """Return the first run's answer, where it ran here and the store does not have it yet."""
-        ending = self._ledger.ending(key_of(request))
+        pending_write = self._ledger.pending_write(key_of(request))
         if (
-            ending is None
-            or ending.record is None
-            or ending.record.state is not IdempotencyState.DONE
+            pending_write is None
+            or pending_write.record is None
+            or pending_write.record.state is not IdempotencyState.DONE
         ):
             return None
-        if ending.record.request_digest != mine.request_digest:
-            return _refuse(ErrorKind.CONFLICT, OTHER_REQUEST)
-        return _stored(key_of(request), 0, ending.record)
+        if pending_write.record.request_digest != new_record.request_digest:
+            return _refuse(ErrorKind.CONFLICT, DIFFERENT_REQUEST)
+        return _stored_answer(key_of(request), 0, pending_write.record)
 
-    async def _claim_in_time(
+    async def _claim_by_deadline(
         self, request: Request, record: IdempotencyRecord
     ) -> Result[Claim, Failure]:
         """Claim by the request's deadline.
@@ -205,86 +207,96 @@
             async with asyncio.timeout_at(request.deadline_s):
                 return await self._create_or_read(request, record)
         except TimeoutError:
-            self._ledger.end_unheld(key_of(request), record.claim_id)
+            self._ledger.delete_unheld(key_of(request), record.claim_id)
             reason = "the store did not answer by the deadline"
-            return _not_claimed(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason))
+            return _store_unavailable(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason))
         except asyncio.CancelledError:
-            self._ledger.end_unheld(key_of(request), record.claim_id)
+            self._ledger.delete_unheld(key_of(request), record.claim_id)
             raise
 
     async def _create_or_read(
         self, request: Request, record: IdempotencyRecord
     ) -> Result[Claim, Failure]:
         key = key_of(request)
-        floor = self._highest_version
-        for _ in range(CLAIM_TRIES):
-            lease = await self._lease()
-            if not isinstance(lease, Success):
-                return _not_claimed(lease.failure())
-            created = await self._store.create(key, record.encode(), lease_id=lease.unwrap())
+        last_seen_version = self._highest_version
+        for _ in range(MAX_CLAIM_ATTEMPTS):
+            lease_result = await self._current_lease_id()
+            if not isinstance(lease_result, Success):
+                return _store_unavailable(lease_result.failure())
+            created = await self._store.create(key, record.encode(), lease_id=lease_result.unwrap())
             if isinstance(created, Success):
-                return self._claimed(request, record, created.unwrap(), floor)
+                return self._accept_claim(request, record, created.unwrap(), last_seen_version)
             kind = created.failure().kind
             if kind is ErrorKind.LEASE_LOST:
-                self._lease_until_s = 0.0
+                self._use_lease_until_s = 0.0
                 continue
             if kind not in (ErrorKind.CONFLICT, ErrorKind.OUTCOME_UNKNOWN):
-                return _not_claimed(created.failure())
+                return _store_unavailable(created.failure())
             read = await self._store.get(key)
             if not isinstance(read, Success):
-                self._ledger.end_unheld(key, record.claim_id)
-                return _not_claimed(read.failure())
+                self._ledger.delete_unheld(key, record.claim_id)
+                return _store_unavailable(read.failure())
             present = read.unwrap()
             if present is not None:
-                return await self._judge(request, record, present, floor)
-        self._ledger.end_unheld(key, record.claim_id)
+                return await self._decide_on_record(request, record, present, last_seen_version)
+        self._ledger.delete_unheld(key, record.claim_id)
         reason = "the store contradicts itself about this key"
-        return _not_claimed(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason))
+        return _store_unavailable(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason))
 
-    async def _judge(
-        self, request: Request, mine: IdempotencyRecord, present: Versioned, floor: int
+    async def _decide_on_record(
+        self,
+        request: Request,
+        new_record: IdempotencyRecord,
+        present: Versioned,
+        last_seen_version: int,
     ) -> Result[Claim, Failure]:
         """Say what a record that stands there means for a request that wants its key."""
         try:
             record = IdempotencyRecord.decode(present.value)
         except ValidationError:
             return _refuse(ErrorKind.OUTCOME_UNKNOWN, "the record of this key can't be read")
-        if record.claim_id == mine.claim_id:
+        if record.claim_id == new_record.claim_id:
             # The answer to our own create was lost after it had taken effect.
-            return self._claimed(request, mine, present.version, floor)
-        if record.request_digest != mine.request_digest:
-            return _refuse(ErrorKind.CONFLICT, OTHER_REQUEST)
+            return self._accept_claim(request, new_record, present.version, last_seen_version)
+        if record.request_digest != new_record.request_digest:
+            return _refuse(ErrorKind.CONFLICT, DIFFERENT_REQUEST)
         if record.state is IdempotencyState.DONE:
-            return _stored(present.key, present.version, record)
+            return _stored_answer(present.key, present.version, record)
         if record.state is IdempotencyState.UNKNOWN:
-            return _refuse(ErrorKind.OUTCOME_UNKNOWN, END_UNKNOWN)
+            return _refuse(ErrorKind.OUTCOME_UNKNOWN, OUTCOME_NOT_KNOWN)
         if record.owner == self._process:
-            return await self._judge_own(request, mine, present, record, floor)
+            return await self._decide_on_own_record(
+                request, new_record, present, record, last_seen_version
+            )
         if self._is_live(record.owner):
             return _refuse(ErrorKind.IN_PROGRESS, f"{record.owner} is running it")
-        return _refuse(ErrorKind.OUTCOME_UNKNOWN, END_UNKNOWN)
+        return _refuse(ErrorKind.OUTCOME_UNKNOWN, OUTCOME_NOT_KNOWN)
 
-    async def _judge_own(
+    async def _decide_on_own_record(
         self,
         request: Request,
-        mine: IdempotencyRecord,
+        new_record: IdempotencyRecord,
         present: Versioned,
         record: IdempotencyRecord,
-        floor: int,
+        last_seen_version: int,
     ) -> Result[Claim, Failure]:
         """Judge a claim of this very process, which knows more of it than the store does."""
-        held = self._ledger.held(present.key)
+        held = self._ledger.held_claim(present.key)
         if held is not None and held.record.claim_id == record.claim_id:
             return _refuse(ErrorKind.IN_PROGRESS, "this instance is running it")
-        ending = self._ledger.ending(present.key)
-        if ending is None or record.claim_id not in ending.claim_ids:
-            return _refuse(ErrorKind.OUTCOME_UNKNOWN, END_UNKNOWN)
-        if ending.record is None:
-            return await self._take_over(request, mine, present, floor)
-        return _refuse(ErrorKind.OUTCOME_UNKNOWN, END_UNKNOWN)
+        pending_write = self._ledger.pending_write(present.key)
+        if pending_write is None or record.claim_id not in pending_write.claim_ids:
+            return _refuse(ErrorKind.OUTCOME_UNKNOWN, OUTCOME_NOT_KNOWN)
+        if pending_write.record is None:
+            return await self._take_over(request, new_record, present, last_seen_version)
+        return _refuse(ErrorKind.OUTCOME_UNKNOWN, OUTCOME_NOT_KNOWN)
 
     async def _take_over(
-        self, request: Request, mine: IdempotencyRecord, present: Versioned, floor: int
+        self,
+        request: Request,
+        new_record: IdempotencyRecord,
+        present: Versioned,
+        last_seen_version: int,
     ) -> Result[Claim, Failure]:
         """Claim a key whose record is only waiting to be deleted, since nothing ran under it.
 
@@ -293,30 +305,30 @@
         proves that the record still stands.
         """
         swapped = await self._store.compare_and_swap(
-            present.key, mine.encode(), version=present.version
+            present.key, new_record.encode(), version=present.version
         )
         if isinstance(swapped, Success):
-            self._ledger.drop_ending(present.key)
-            return self._claimed(request, mine, swapped.unwrap(), floor)
+            self._ledger.discard_pending_write(present.key)
+            return self._accept_claim(request, new_record, swapped.unwrap(), last_seen_version)
         if swapped.failure().kind is ErrorKind.CONFLICT:
             return _refuse(ErrorKind.IN_PROGRESS, "another request holds the key")
-        self._ledger.end_unheld(present.key, mine.claim_id)
-        return _not_claimed(swapped.failure())
+        self._ledger.delete_unheld(present.key, new_record.claim_id)
+        return _store_unavailable(swapped.failure())
 
-    def _claimed(
-        self, request: Request, record: IdempotencyRecord, version: int, floor: int
+    def _accept_claim(
+        self, request: Request, record: IdempotencyRecord, version: int, last_seen_version: int
     ) -> Result[Claim, Failure]:
         key = key_of(request)
-        if version <= floor and not self._is_trusted_again(version):
-            self._ledger.end_unheld(key, record.claim_id)
+        if version <= last_seen_version and not self._is_regression_over(version):
+            self._ledger.delete_unheld(key, record.claim_id)
             reason = "the store has gone back; it may have forgotten that this key ran"
             return _refuse(ErrorKind.STORE_REGRESSED, reason)
         self._highest_version = max(self._highest_version, version)
         held = HeldClaim(record=record, version=version, deadline_s=request.deadline_s)
-        self._ledger.hold(key, held)
+        self._ledger.add_held(key, held)
         return Success(Claim(key=key, version=version))
 
-    def _is_trusted_again(self, version: int) -> bool:
+    def _is_regression_over(self, version: int) -> bool:
         """Whether a store that has gone back has been back for a whole window.
 
         The failure: the store returns empty or from an older copy and has forgotten which keys
@@ -334,23 +346,23 @@
         self._highest_version = version
         return True
 
-    async def _lease(self) -> Result[str, Failure]:
+    async def _current_lease_id(self) -> Result[str, Failure]:
         """Return the lease that ends the records made now, one for many of them."""
         # Requests that come at once wait for one grant rather than each asking for their own.
         async with self._lease_lock:
             now_s = asyncio.get_running_loop().time()
-            if now_s < self._lease_until_s:
+            if now_s < self._use_lease_until_s:
                 return Success(self._lease_id)
             ttl_s = self._limits.window_s + self._limits.lease_every_s
             granted = await self._store.grant_lease(ttl_s=ttl_s)
             if not isinstance(granted, Success):
                 return Err(granted.failure())
             self._lease_id = granted.unwrap().lease_id
-            self._lease_until_s = now_s + self._limits.lease_every_s
+            self._use_lease_until_s = now_s + self._limits.lease_every_s
             return Success(self._lease_id)
 
 
-def _stored(key: str, version: int, record: IdempotencyRecord) -> Result[Claim, Failure]:
+def _stored_answer(key: str, version: int, record: IdempotencyRecord) -> Result[Claim, Failure]:
     if record.answer is None:
         reason = "it ran, and its answer was too large to keep"
         return _refuse(ErrorKind.OUTCOME_UNKNOWN, reason)
@@ -358,7 +370,7 @@
     return Success(Claim(key=key, version=version, stored=response))
 
 
-def _not_claimed(failure: Failure) -> Result[Claim, Failure]:
+def _store_unavailable(failure: Failure) -> Result[Claim, Failure]:
     """Say that the key could not be claimed, whatever the store's own word was."""
     return _refuse(ErrorKind.STORE_UNAVAILABLE, f"the key was not claimed: {failure.reason}")
 
@@ -367,7 +379,7 @@
     return Err(Failure(kind=kind, reason=reason, retry_after_s=RETRY_AFTER_S))
 
 
-def _name_of(outcome: Result[Claim, Failure]) -> str:
+def _metric_name_of(outcome: Result[Claim, Failure]) -> str:
     if not isinstance(outcome, Success):
         return f"refused.{outcome.failure().kind.value}"
     return "claimed" if outcome.unwrap().stored is None else "answered-again"
--- a/src/shallotworks/requests/_idempotency_record.py
+++ b/src/shallotworks/requests/_idempotency_record.py
@@ -13,7 +13,7 @@
 
 __all__ = ["StoredAnswer", "IdempotencyRecord", "IdempotencyState", "digest_of", "key_of"]
 
-PREFIX = "once"
+KEY_PREFIX = "once"
 NO_TEAM = "-"
 
 
@@ -87,8 +87,8 @@
 
 def key_of(request: Request) -> str:
     """Return the key of a request's record in the platform's service."""
-    hashed = hashlib.sha256(request.idempotency_key.encode()).hexdigest()
-    return f"{PREFIX}/{request.team or NO_TEAM}/{request.service}/{hashed}"
+    key_digest = hashlib.sha256(request.idempotency_key.encode()).hexdigest()
+    return f"{KEY_PREFIX}/{request.team or NO_TEAM}/{request.service}/{key_digest}"
 
 
 def digest_of(request: Request) -> str:
--- a/src/shallotworks/requests/_limits.py
+++ b/src/shallotworks/requests/_limits.py
@@ -16,7 +16,7 @@
             at least one slot, however much interactive work waits.
         reserve_factor: Slots that long-running work leaves to interactive work beyond those that
             this holds on average, as a multiple of the square root of the average; at least one.
-        level_over_s: Time over which that average is taken.
+        interactive_mean_time_constant_s: Time over which that average is taken.
         waiting_per_slot: Requests that may wait per usable slot of a pool.
         waiting_min: Requests that may wait at a pool, however few slots it has.
         waiting_max: Requests that may wait in this process, over all pools.
@@ -32,12 +32,13 @@
         suspect_self_part: Part of a pool that must look bad for this process to suspect itself.
         probe_after_s: Time after an ejection until the first probe; doubles with each failure.
         probe_after_max_s: Longest time between probes.
-        tick_s: How often a pool with waiting requests looks for slots that time has freed.
+        waiting_check_interval_s: How often a pool with waiting requests checks for slots
+            that became free without a release, such as after a pause or during a slow start.
     """
 
     long_running_min_part: float = 0.05
     reserve_factor: float = 0.35
-    level_over_s: float = 5.0
+    interactive_mean_time_constant_s: float = 5.0
     waiting_per_slot: int = 16
     waiting_min: int = 64
     waiting_max: int = 100_000
@@ -52,7 +53,7 @@
     suspect_self_part: float = 0.8
     probe_after_s: float = 5.0
     probe_after_max_s: float = 120.0
-    tick_s: float = 0.1
+    waiting_check_interval_s: float = 0.1
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/shallotworks/requests/_loads.py
+++ b/src/shallotworks/requests/_loads.py
@@ -7,7 +7,7 @@
 
 __all__ = ["ClassLoad", "ServiceLoad", "TeamLoad"]
 
-LEAST_SHARE = 0.001
+MIN_SHARE = 0.001
 """Weight of a service that is owed nothing, so that it is served when nobody else waits."""
 
 
@@ -33,7 +33,7 @@
         self.in_flight = 0
         self.estimate = DurationEstimate()
 
-    def fill(self) -> float:
+    def held_per_share(self) -> float:
         """Return what the service holds against its share; the least filled goes first.
 
         What its own long-running work holds does not count against a service's interactive work.
@@ -64,14 +64,14 @@
 
     def set_share(self, share: float) -> None:
         """Take the configured share."""
-        self.share = max(share, LEAST_SHARE)
+        self.share = max(share, MIN_SHARE)
 
     @property
     def in_flight(self) -> int:
         """Slots it holds."""
         return self.interactive.in_flight + self.long_running.in_flight
 
-    def excess(self) -> float:
+    def demand_per_share(self) -> float:
         """Return what it holds and waits for against its share; the most filled is shed first."""
         waiting = self.interactive.waiting + self.long_running.waiting
         return (self.in_flight + waiting) / self.share
--- a/src/shallotworks/requests/_pool.py
+++ b/src/shallotworks/requests/_pool.py
@@ -9,7 +9,7 @@
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import Timeline
 
-from ._estimate import DurationEstimate, MovingLevel
+from ._estimate import DurationEstimate, EwmaCount
 from ._health import PoolHealth
 from ._limits import DispatchLimits
 from ._loads import ClassLoad, ServiceLoad
@@ -19,7 +19,7 @@
 
 __all__ = ["PoolState"]
 
-_NOTHING_TRIED: frozenset[str] = frozenset()
+_NO_INSTANCES: frozenset[str] = frozenset()
 
 
 class PoolState:
@@ -44,7 +44,7 @@
 
     __slots__ = (
         "_limits",
-        "_moving",
+        "_limits_to_update",
         "_rng",
         "_selector",
         "has_timer",
@@ -78,7 +78,7 @@
         self._selector = selector
         self._rng = rng
         # Kept in order, so that the same events lead to the same choices on every run.
-        self._moving: dict[TargetState, None] = {}
+        self._limits_to_update: dict[TargetState, None] = {}
         self.local = TargetGroup()
         self.remote = TargetGroup()
         self.targets: dict[str, TargetState] = {}
@@ -89,11 +89,11 @@
             metrics=metrics,
             timeline=timeline,
             rng=rng,
-            on_change=self._follow,
+            on_change=self._schedule_limit_update,
         )
         self.interactive_hold = DurationEstimate()
         self.long_running_hold = DurationEstimate()
-        self.interactive = MovingLevel(over_s=limits.level_over_s)
+        self.interactive = EwmaCount(time_constant_s=limits.interactive_mean_time_constant_s)
         self.long_running_in_flight = 0
         self.interactive_queued = 0
         self.long_running_queued = 0
@@ -106,14 +106,14 @@
         return bool(self.local.targets or self.remote.targets)
 
     @property
-    def serving(self) -> TargetGroup:
+    def serving_group(self) -> TargetGroup:
         """The group that long-running work uses: the local one while it serves at all."""
         if self.local.targets and not self.local.all_ejected():
             return self.local
         return self.remote
 
     def put(
-        self, instance: Instance, *, local: bool, usable: bool, part: int, ramp_from_s: float
+        self, instance: Instance, *, local: bool, usable: bool, own_slots: int, ramp_start_s: float
     ) -> None:
         """Add a target or take its new record.
 
@@ -121,8 +121,8 @@
             instance: The record.
             local: Whether it stands in this process's data centre.
             usable: Whether it may take new work.
-            part: This process's part of its slots.
-            ramp_from_s: Since when its slots grow, if it becomes usable by this.
+            own_slots: This process's part of its slots.
+            ramp_start_s: Since when its slots grow, if it becomes usable by this.
         """
         target = self.targets.get(instance.name)
         if target is None:
@@ -131,13 +131,13 @@
             self.targets[instance.name] = target
         if target.instance.address != instance.address:
             # Another machine under an old name must not inherit a judgement.
-            self._set_usable(target, False, ramp_from_s)
-        self._set_usable(target, usable, ramp_from_s)
-        target.describe(instance)
-        target.part = part
-        self._follow(target)
+            self._set_usable(target, False, ramp_start_s)
+        self._set_usable(target, usable, ramp_start_s)
+        target.set_instance(instance)
+        target.own_slots = own_slots
+        self._schedule_limit_update(target)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Let a target go; grants at it can still be released.
 
         What is in flight does not follow it into another pool: a move comes after its drain, and
@@ -146,16 +146,16 @@
         target = self.targets.pop(name)
         self._set_usable(target, False, 0.0)
 
-    def advance(self, now_s: float) -> None:
+    def update_limits(self, now_s: float) -> None:
         """Bring the limits of targets that change with time, or have been judged, up to date."""
-        if not self._moving:
+        if not self._limits_to_update:
             return
         slow_start_s = self._limits.slow_start_s
-        for target in list(self._moving):
+        for target in list(self._limits_to_update):
             limit = target.limit_at(now_s, slow_start_s=slow_start_s)
             target.group.set_limit(target, limit)
-            if target.is_settled(now_s, slow_start_s=slow_start_s):
-                self._moving.pop(target, None)
+            if target.has_final_limit(now_s, slow_start_s=slow_start_s):
+                self._limits_to_update.pop(target, None)
 
     def count_queued(self, load: ClassLoad, amount: int) -> None:
         """Count requests that entered or left the queue of a service."""
@@ -184,7 +184,9 @@
         """Return the slots that long-running work may always hold."""
         return max(1, int(self._limits.long_running_min_part * group.own_capacity))
 
-    def lend(self, target: TargetState, outcome: AttemptOutcome, *, now_s: float) -> None:
+    def adjust_borrowing(
+        self, target: TargetState, outcome: AttemptOutcome, *, now_s: float
+    ) -> None:
         """Use slots that the other entry instances leave idle, until the target refuses one.
 
         The failure: the callers happen to reach this process rather than the others, its parts of
@@ -194,17 +196,19 @@
         when nobody waits or the target refuses.
         """
         if outcome is AttemptOutcome.REFUSED:
-            target.borrow_from_s = now_s + self._limits.borrow_pause_s * self._rng.uniform(0.5, 1.5)
+            target.may_borrow_from_s = now_s + self._limits.borrow_pause_s * self._rng.uniform(
+                0.5, 1.5
+            )
             borrowed = 0
         elif not self.interactive_queued:
             borrowed = max(0, target.borrowed - 1)
-        elif now_s >= target.borrow_from_s and target.in_flight >= target.limit - 1:
-            borrowed = min(target.borrowed + 1, max(0, target.instance.slots - target.part))
+        elif now_s >= target.may_borrow_from_s and target.in_flight >= target.limit - 1:
+            borrowed = min(target.borrowed + 1, max(0, target.instance.slots - target.own_slots))
         else:
             return
         if borrowed != target.borrowed:
             target.group.set_borrowed(target, borrowed)
-            self._follow(target)
+            self._schedule_limit_update(target)
 
     def place(
         self, request: Request, load: ClassLoad, *, tried: frozenset[str], now_s: float
@@ -215,9 +219,9 @@
             if probe is not None:
                 return probe
         if tried and self._all_tried(tried):
-            tried = _NOTHING_TRIED
+            tried = _NO_INSTANCES
         if not load.interactive:
-            return self._selector.choose(self.serving.free_targets, tried=tried)
+            return self._selector.choose(self.serving_group.free_targets, tried=tried)
         target = None
         if self.local.free_targets:
             target = self._selector.choose(self.local.free_targets, tried=tried)
@@ -233,28 +237,28 @@
         against its share goes first, so that a share that was lent comes back as slots free.
         """
         if self.long_running_queued:
-            group = self.serving
+            group = self.serving_group
             below_min = self.long_running_in_flight < self.long_running_min(group)
             if below_min and group.free:
-                return self._least_filled(interactive=False)
+                return self._least_held_per_share(interactive=False)
         if self.interactive_queued:
-            return self._least_filled(interactive=True)
+            return self._least_held_per_share(interactive=True)
         if self.long_running_queued and self._long_running_may_start(now_s):
-            return self._least_filled(interactive=False)
+            return self._least_held_per_share(interactive=False)
         return None
 
     def _long_running_may_start(self, now_s: float) -> bool:
-        group = self.serving
+        group = self.serving_group
         return group.free > 0 and self.long_running_in_flight < self.long_running_max(group, now_s)
 
-    def _follow(self, target: TargetState) -> None:
-        self._moving[target] = None
+    def _schedule_limit_update(self, target: TargetState) -> None:
+        self._limits_to_update[target] = None
 
-    def _least_filled(self, *, interactive: bool) -> ClassLoad | None:
+    def _least_held_per_share(self, *, interactive: bool) -> ClassLoad | None:
         best: ClassLoad | None = None
         for service in self.services.values():
             load = service.interactive if interactive else service.long_running
-            if load.queue.count and (best is None or load.fill() < best.fill()):
+            if load.queue.count and (best is None or load.held_per_share() < best.held_per_share()):
                 best = load
         return best
 
@@ -264,19 +268,19 @@
             name in tried for name in self.remote.targets
         )
 
-    def _set_usable(self, target: TargetState, usable: bool, ramp_from_s: float) -> None:
+    def _set_usable(self, target: TargetState, usable: bool, ramp_start_s: float) -> None:
         if usable == target.usable:
             return
         target.usable = usable
         name = target.instance.name
         if usable:
-            target.ramp_from_s = ramp_from_s
+            target.ramp_start_s = ramp_start_s
             target.group.targets[name] = target
             self.health.add(target)
-            self._follow(target)
+            self._schedule_limit_update(target)
         else:
             del target.group.targets[name]
             target.group.set_borrowed(target, 0)
             self.health.remove(target)
-            self._moving.pop(target, None)
+            self._limits_to_update.pop(target, None)
             target.group.set_limit(target, 0)
--- a/src/shallotworks/requests/_queue.py
+++ b/src/shallotworks/requests/_queue.py
@@ -18,10 +18,10 @@
 
 __all__ = ["WaitQueue", "Waiter"]
 
-COMPACT_SLACK = 64
+MAX_EXTRA_STALE_ENTRIES = 64
 
-_Entry = tuple[float, int, int, "Waiter"]
-"""Deadline and number (both negated in the heap of the last), ticket, waiter; compared in C."""
+_HeapEntry = tuple[float, int, int, "Waiter"]
+"""Deadline and number (both negated in the heap of the last), generation, waiter; compared in C."""
 
 
 class Waiter:
@@ -34,21 +34,21 @@
         pool: The pool it waits at.
         load: Its service and class.
         team: Its team, if it has one.
-        answer: Resolved with the grant or the refusal.
+        grant_future: Resolved with the grant or the refusal.
         timer: Fires at the last moment at which it may be started.
         queue: The queue it stands in.
-        ticket: Its number there; changes when it leaves, so that a queue knows what is left over.
+        generation: Number of times it has left a queue; older heap entries are stale.
     """
 
     __slots__ = (
-        "answer",
+        "generation",
+        "grant_future",
         "load",
         "pool",
         "queue",
         "request",
         "sequence",
         "team",
-        "ticket",
         "timer",
         "tried",
     )
@@ -62,7 +62,7 @@
         pool: PoolState,
         load: ClassLoad,
         team: TeamLoad | None,
-        answer: asyncio.Future[Result[Grant, Failure]],
+        grant_future: asyncio.Future[Result[Grant, Failure]],
     ) -> None:
         self.request = request
         self.tried = tried
@@ -70,10 +70,10 @@
         self.pool = pool
         self.load = load
         self.team = team
-        self.answer = answer
+        self.grant_future = grant_future
         self.timer: asyncio.TimerHandle | None = None
         self.queue: WaitQueue | None = None
-        self.ticket = 0
+        self.generation = 0
 
 
 class WaitQueue:
@@ -89,15 +89,15 @@
     __slots__ = ("_first", "_last", "count")
 
     def __init__(self) -> None:
-        self._first: list[_Entry] = []
-        self._last: list[_Entry] = []
+        self._first: list[_HeapEntry] = []
+        self._last: list[_HeapEntry] = []
         self.count = 0
 
     def add(self, waiter: Waiter) -> None:
         """Add a waiter that stands in no queue."""
         deadline_s = waiter.request.deadline_s
-        heapq.heappush(self._first, (deadline_s, waiter.sequence, waiter.ticket, waiter))
-        heapq.heappush(self._last, (-deadline_s, -waiter.sequence, waiter.ticket, waiter))
+        heapq.heappush(self._first, (deadline_s, waiter.sequence, waiter.generation, waiter))
+        heapq.heappush(self._last, (-deadline_s, -waiter.sequence, waiter.generation, waiter))
         waiter.queue = self
         self.count += 1
 
@@ -111,22 +111,22 @@
 
     def remove(self, waiter: Waiter) -> None:
         """Let a waiter that stands here leave."""
-        waiter.ticket += 1
+        waiter.generation += 1
         waiter.queue = None
         self.count -= 1
-        if len(self._first) > 2 * self.count + COMPACT_SLACK:
+        if len(self._first) > 2 * self.count + MAX_EXTRA_STALE_ENTRIES:
             self._first = _compacted(self._first)
-        if len(self._last) > 2 * self.count + COMPACT_SLACK:
+        if len(self._last) > 2 * self.count + MAX_EXTRA_STALE_ENTRIES:
             self._last = _compacted(self._last)
 
 
-def _head(heap: list[_Entry]) -> Waiter | None:
-    while heap and heap[0][2] != heap[0][3].ticket:
+def _head(heap: list[_HeapEntry]) -> Waiter | None:
+    while heap and heap[0][2] != heap[0][3].generation:
         heapq.heappop(heap)
     return heap[0][3] if heap else None
 
 
-def _compacted(heap: list[_Entry]) -> list[_Entry]:
-    kept = [entry for entry in heap if entry[2] == entry[3].ticket]
+def _compacted(heap: list[_HeapEntry]) -> list[_HeapEntry]:
+    kept = [entry for entry in heap if entry[2] == entry[3].generation]
     heapq.heapify(kept)
     return kept
--- a/src/shallotworks/requests/_relay.py
+++ b/src/shallotworks/requests/_relay.py
@@ -15,17 +15,17 @@
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import EventKind, Subject, Timeline
 
-from ._hop import HopTimeoutError, LoopHop
+from ._loop_call_queue import LoopCallQueue, LoopCallTimeoutError
 from ._messages import AttemptOutcome, Grant, Request, RequestClass, Response
 from ._protocols import Dispatcher, IdempotencyGuard, RetryPolicy
-from ._steps import Attempt, EndedAttempt, NextStep, Past
+from ._steps import Attempt, AttemptHistory, EndedAttempt, NextStep
 from ._target_client import AttemptResult, TargetClient
 
 __all__ = ["Relay"]
 
 RETRY_AFTER_S = 1.0
-SETTLE_WAIT_S = 0.25
-HOP_GRACE_S = 2.0
+RECORD_WRITE_WAIT_S = 0.25
+LOOP_ANSWER_GRACE_S = 2.0
 """How long past its deadline a caller's thread waits for the loop's own final answer."""
 
 
@@ -47,14 +47,14 @@
     """
 
     __slots__ = (
-        "_background",
+        "_background_tasks",
         "_dispatcher",
-        "_hops",
         "_idempotency_guard",
         "_in_flight",
-        "_long_running",
+        "_long_running_ids",
         "_long_running_limit",
         "_loop",
+        "_loop_calls",
         "_metrics",
         "_retry_policy",
         "_stopping",
@@ -75,9 +75,9 @@
         long_running_limit: int,
     ) -> None:
         self._long_running_limit = long_running_limit
-        self._long_running: set[str] = set()
+        self._long_running_ids: set[str] = set()
         self._loop = loop
-        self._hops = LoopHop(loop=loop, expects_more=lambda: self._in_flight > 0)
+        self._loop_calls = LoopCallQueue(loop=loop, expects_deferred=lambda: self._in_flight > 0)
         self._dispatcher = dispatcher
         self._retry_policy = retry_policy
         self._idempotency_guard = idempotency_guard
@@ -85,7 +85,7 @@
         self._metrics = metrics
         self._timeline = timeline
         self._in_flight = 0
-        self._background: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self._stopping = False
 
     def handle(self, request: Request) -> Result[Response, Failure]:
@@ -101,9 +101,9 @@
         finish = partial(self._finish, request, answer, duration_s, last)
         # Where nobody waits for the slot, the next request's hop brings this along.
         if last is not None and self._dispatcher.waiting == 0:
-            self._hops.leave(finish)
+            self._loop_calls.defer(finish)
         else:
-            self._hops.post(finish)
+            self._loop_calls.post(finish)
         return answer
 
     @property
@@ -121,66 +121,71 @@
         The failure: an instance that stops has given its caller an answer whose record waits for a
         slow store; ended now, a repeat of that key would be told that its outcome is unknown.
         """
-        if self._background:
-            await asyncio.wait(tuple(self._background), timeout=timeout_s)
+        if self._background_tasks:
+            await asyncio.wait(tuple(self._background_tasks), timeout=timeout_s)
 
     def _answer(self, request: Request) -> tuple[Result[Response, Failure], EndedAttempt | None]:
         """Return the final answer, and the last attempt where its slot is still to be released."""
-        step = self._hop(
-            partial(self._begin_later, request), request, at_once=partial(self._begin_now, request)
+        step = self._run_decision(
+            partial(self._start_waiting, request),
+            request,
+            fast_path=partial(self._start_without_waiting, request),
         )
         while isinstance(step, Success):
-            reached = step.unwrap()
-            if isinstance(reached, Response):
-                return Success(reached), None
-            ended = self._attempt(reached, request)
+            decided = step.unwrap()
+            if isinstance(decided, Response):
+                return Success(decided), None
+            ended = self._attempt(decided, request)
             response = ended.result.response
             answered = ended.result.outcome is AttemptOutcome.ANSWERED
-            if answered and response is not None and reached.past.claim is None:
+            if answered and response is not None and decided.history.claim is None:
                 return Success(response), ended
-            step = self._hop(partial(self._after, ended, request), request)
+            step = self._run_decision(partial(self._decide_after_attempt, ended, request), request)
         return Err(step.failure()), None
 
     def _attempt(self, attempt: Attempt, request: Request) -> EndedAttempt:
         started_s = time.monotonic()
-        left_s = request.deadline_s - self._loop.time()
+        remaining_s = request.deadline_s - self._loop.time()
         result = self._target_client.send(
-            attempt.grant.target, request, attempt=attempt.past.attempts + 1, timeout_s=left_s
+            attempt.grant.target,
+            request,
+            attempt=attempt.history.attempts + 1,
+            timeout_s=remaining_s,
         )
         return EndedAttempt(attempt=attempt, result=result, duration_s=time.monotonic() - started_s)
 
-    def _hop(
+    def _run_decision(
         self,
         decision: Callable[[], Coroutine[Any, Any, NextStep]],
         request: Request,
         *,
-        at_once: Callable[[], NextStep | None] = lambda: None,
+        fast_path: Callable[[], NextStep | None] = lambda: None,
     ) -> NextStep:
         """Take one decision on the loop and wait for it.
 
         The decision ends by itself at the request's deadline. Should the loop be stuck past that,
         the caller still gets a final answer, and it says that the outcome is not known.
         """
-        left_s = max(0.0, request.deadline_s - self._loop.time())
+        remaining_s = max(0.0, request.deadline_s - self._loop.time())
         try:
-            return self._hops.call(
+            return self._loop_calls.call(
                 decision,
-                timeout_s=left_s + HOP_GRACE_S,
-                on_unclaimed=self._give_back,
-                at_once=at_once,
+                timeout_s=remaining_s + LOOP_ANSWER_GRACE_S,
+                on_unclaimed=self._release_unclaimed,
+                fast_path=fast_path,
             )
-        except HopTimeoutError:
+        except LoopCallTimeoutError:
             return _fail(ErrorKind.OUTCOME_UNKNOWN, "no decision was taken within the deadline")
 
-    def _give_back(self, step: NextStep) -> None:
+    def _release_unclaimed(self, step: NextStep) -> None:
         """Release the slot of an attempt that nobody will make."""
-        reached = step.value_or(None)
-        if isinstance(reached, Attempt):
+        decided = step.value_or(None)
+        if isinstance(decided, Attempt):
             result = AttemptResult(outcome=AttemptOutcome.ABANDONED)
-            self._release(EndedAttempt(attempt=reached, result=result, duration_s=0.0))
+            self._release(EndedAttempt(attempt=decided, result=result, duration_s=0.0))
 
-    def _begin_now(self, request: Request) -> NextStep | None:
-        """Decide without waiting; ``None`` where `_begin_later` has to go on."""
+    def _start_without_waiting(self, request: Request) -> NextStep | None:
+        """Decide without waiting; ``None`` where `_start_waiting` has to go on."""
         refusal = self._refusal(request)
         if refusal is not None:
             return refusal
@@ -190,13 +195,13 @@
         granted = self._dispatcher.try_acquire(request, tried=frozenset())
         if granted is None:
             return None
-        return granted.map(partial(self._next_attempt, request, Past()))
+        return granted.map(partial(self._next_attempt, request, AttemptHistory()))
 
-    async def _begin_later(self, request: Request) -> NextStep:
-        """Go on where `_begin_now` has returned ``None``."""
+    async def _start_waiting(self, request: Request) -> NextStep:
+        """Go on where `_start_without_waiting` has returned ``None``."""
         if not _needs_claim(request):
             granted = await self._dispatcher.wait(request, tried=frozenset())
-            return granted.map(partial(self._next_attempt, request, Past()))
+            return granted.map(partial(self._next_attempt, request, AttemptHistory()))
         claimed = await self._idempotency_guard.claim(request)
         if not isinstance(claimed, Success):
             return Err(claimed.failure())
@@ -204,7 +209,7 @@
         if claim.stored is not None:
             return Success(claim.stored)
         self._retry_policy.count_first_attempt(request)
-        return await self._acquire(request, Past(claim=claim))
+        return await self._acquire(request, AttemptHistory(claim=claim))
 
     def _refusal(self, request: Request) -> NextStep | None:
         if self._stopping:
@@ -214,41 +219,41 @@
         # Each request holds a thread from its arrival to its answer. Long-running ones that wait
         # would in time hold all of them, and an interactive one would find no thread to be admitted
         # by, though slots are free for it.
-        if len(self._long_running) >= self._long_running_limit:
+        if len(self._long_running_ids) >= self._long_running_limit:
             reason = "too many long-running requests are here already"
             return _fail(ErrorKind.OVERLOADED, reason, retry_after_s=RETRY_AFTER_S)
-        self._long_running.add(request.request_id)
+        self._long_running_ids.add(request.request_id)
         return None
 
-    async def _acquire(self, request: Request, past: Past) -> NextStep:
-        granted = await self._dispatcher.acquire(request, tried=past.tried)
+    async def _acquire(self, request: Request, history: AttemptHistory) -> NextStep:
+        granted = await self._dispatcher.acquire(request, tried=history.tried)
         if isinstance(granted, Success):
-            return Success(self._next_attempt(request, past, granted.unwrap()))
+            return Success(self._next_attempt(request, history, granted.unwrap()))
         failure = granted.failure()
-        if past.claim is not None:
-            await self._idempotency_guard.release_claim(past.claim)
-        return _unknown(failure) if past.may_have_run else Err(failure)
+        if history.claim is not None:
+            await self._idempotency_guard.release_claim(history.claim)
+        return _outcome_unknown(failure) if history.may_have_run else Err(failure)
 
-    def _next_attempt(self, request: Request, past: Past, grant: Grant) -> Attempt:
+    def _next_attempt(self, request: Request, history: AttemptHistory, grant: Grant) -> Attempt:
         self._in_flight += 1
         instance = grant.target.instance
-        detail = f"attempt {past.attempts + 1}"
+        detail = f"attempt {history.attempts + 1}"
         self._record(EventKind.SENT, request, instance=instance, detail=detail)
-        return Attempt(grant=grant, past=past)
+        return Attempt(grant=grant, history=history)
 
-    async def _after(self, ended: EndedAttempt, request: Request) -> NextStep:
-        past, result = ended.past, ended.result
+    async def _decide_after_attempt(self, ended: EndedAttempt, request: Request) -> NextStep:
+        history, result = ended.history, ended.result
         self._release(ended)
         if result.outcome is AttemptOutcome.TIMED_OUT:
             instance = ended.attempt.grant.target.instance
             self._record(EventKind.CONNECTION_SUSPECT, request, instance=instance)
         if result.outcome is AttemptOutcome.ANSWERED and result.response is not None:
-            return await self._settle(past, result.response)
+            return await self._complete(history, result.response)
         delay_s = self._retry_policy.next_delay_s(
-            request, attempts=past.attempts, outcome=result.outcome
+            request, attempts=history.attempts, outcome=result.outcome
         )
         if delay_s is None or self._loop.time() + delay_s >= request.deadline_s:
-            return await self._give_up(past, result)
+            return await self._end_unanswered(history, result)
         self._record(
             EventKind.RETRIED,
             request,
@@ -256,45 +261,45 @@
             detail=f"{result.outcome.value}: {result.detail}",
         )
         await asyncio.sleep(delay_s)
-        return await self._acquire(request, past)
+        return await self._acquire(request, history)
 
-    async def _settle(self, past: Past, response: Response) -> NextStep:
+    async def _complete(self, history: AttemptHistory, response: Response) -> NextStep:
         """Store the answer under its claim, and hand it on.
 
         The failure: the store is slow, and an answer that is here waits for a record that does not
         change it, until its deadline has passed and it is told as unknown. A short wait lets a
         repeat find the answer; beyond it the record is written while the caller has its answer.
         """
-        if past.claim is not None:
-            settling = self._in_background(
-                self._idempotency_guard.complete_claim(past.claim, response)
+        if history.claim is not None:
+            record_write = self._start_background_task(
+                self._idempotency_guard.complete_claim(history.claim, response)
             )
-            await asyncio.wait((settling,), timeout=SETTLE_WAIT_S)
+            await asyncio.wait((record_write,), timeout=RECORD_WRITE_WAIT_S)
         return Success(response)
 
-    async def _give_up(self, past: Past, result: AttemptResult) -> NextStep:
-        if not past.may_have_run:
-            if past.claim is not None:
-                await self._idempotency_guard.release_claim(past.claim)
+    async def _end_unanswered(self, history: AttemptHistory, result: AttemptResult) -> NextStep:
+        if not history.may_have_run:
+            if history.claim is not None:
+                await self._idempotency_guard.release_claim(history.claim)
             return _fail(ErrorKind.NO_TARGET, result.detail, retry_after_s=RETRY_AFTER_S)
         if result.outcome is AttemptOutcome.TARGET_ERROR and result.response is not None:
             # The target's own whole answer, even one that tells of a fault, is the caller's.
-            return await self._settle(past, result.response)
-        if past.claim is not None:
+            return await self._complete(history, result.response)
+        if history.claim is not None:
             # The caller need not wait for a note that leaves its answer as it is.
-            self._in_background(self._idempotency_guard.mark_outcome_unknown(past.claim))
+            self._start_background_task(self._idempotency_guard.mark_outcome_unknown(history.claim))
         if result.outcome.known_not_run:
             refusal = Failure(
                 kind=ErrorKind.NO_TARGET, reason=result.detail, retry_after_s=RETRY_AFTER_S
             )
-            return _unknown(refusal)
+            return _outcome_unknown(refusal)
         reason = f"{result.outcome.value}: {result.detail}"
         return _fail(ErrorKind.OUTCOME_UNKNOWN, reason, retry_after_s=RETRY_AFTER_S)
 
-    def _in_background(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def _start_background_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = self._loop.create_task(work)
-        self._background.add(task)
-        task.add_done_callback(self._background.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
         return task
 
     def _finish(
@@ -306,8 +311,8 @@
     ) -> None:
         if last is not None:
             self._release(last)
-        self._long_running.discard(request.request_id)
-        self._account(request, answer, duration_s)
+        self._long_running_ids.discard(request.request_id)
+        self._record_answer(request, answer, duration_s)
 
     def _release(self, ended: EndedAttempt) -> None:
         grant, outcome = ended.attempt.grant, ended.result.outcome
@@ -315,7 +320,7 @@
         self._metrics.count(f"attempts.{outcome.value}")
         self._dispatcher.release(grant, outcome, duration_s=ended.duration_s)
 
-    def _account(
+    def _record_answer(
         self, request: Request, answer: Result[Response, Failure], duration_s: float
     ) -> None:
         name = f"{request.request_class.value}.{request.service}"
@@ -349,7 +354,7 @@
     return bool(request.idempotency_key) and not request.idempotent
 
 
-def _unknown(failure: Failure) -> NextStep:
+def _outcome_unknown(failure: Failure) -> NextStep:
     """Answer for a request whose earlier attempt may have run and whose last surely did not."""
     reason = f"an earlier attempt may have run; then {failure}"
     return _fail(ErrorKind.OUTCOME_UNKNOWN, reason, retry_after_s=failure.retry_after_s)
--- a/src/shallotworks/requests/_retry.py
+++ b/src/shallotworks/requests/_retry.py
@@ -12,7 +12,7 @@
 
 __all__ = ["BudgetedRetryPolicy"]
 
-_FINAL = frozenset({AttemptOutcome.ANSWERED, AttemptOutcome.ABANDONED})
+_NEVER_RETRIED = frozenset({AttemptOutcome.ANSWERED, AttemptOutcome.ABANDONED})
 
 
 class BudgetedRetryPolicy:
@@ -29,17 +29,17 @@
         rng: Source of the jitter.
     """
 
-    __slots__ = ("_budgets", "_limits", "_metrics", "_rng")
+    __slots__ = ("_buckets", "_limits", "_metrics", "_rng")
 
     def __init__(self, *, limits: RetryLimits, metrics: Metrics, rng: random.Random) -> None:
         self._limits = limits
         self._metrics = metrics
         self._rng = rng
-        self._budgets: dict[str, _Budget] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def count_first_attempt(self, request: Request) -> None:
         """Count a request's first attempt, a part of which retries may add."""
-        self._budget(request.service).earn(self._limits.retry_ratio)
+        self._bucket(request.service).add(self._limits.retry_ratio)
 
     def next_delay_s(
         self, request: Request, *, attempts: int, outcome: AttemptOutcome
@@ -51,7 +51,7 @@
             attempts: Attempts made so far.
             outcome: How the last one ended.
         """
-        if outcome in _FINAL or attempts >= self._limits.max_attempts:
+        if outcome in _NEVER_RETRIED or attempts >= self._limits.max_attempts:
             return None
         if not (request.idempotent or outcome.known_not_run):
             # A target may have run it: another attempt could run it twice.
@@ -60,7 +60,7 @@
         if asyncio.get_running_loop().time() + delay_s >= request.deadline_s:
             self._metrics.count("retries.denied.deadline")
             return None
-        if not self._budget(request.service).spend():
+        if not self._bucket(request.service).try_take():
             self._metrics.count(f"retries.denied.budget.{request.service}")
             return None
         self._metrics.count(f"retries.allowed.{request.service}")
@@ -70,35 +70,35 @@
         longest_s = self._limits.backoff_base_s * 2 ** (attempts - 1)
         return self._rng.uniform(0.0, min(longest_s, self._limits.backoff_max_s))
 
-    def _budget(self, service: str) -> _Budget:
-        budget = self._budgets.get(service)
-        if budget is None:
-            budget = _Budget(limits=self._limits)
-            self._budgets[service] = budget
-        return budget
+    def _bucket(self, service: str) -> _TokenBucket:
+        bucket = self._buckets.get(service)
+        if bucket is None:
+            bucket = _TokenBucket(limits=self._limits)
+            self._buckets[service] = bucket
+        return bucket
 
 
-class _Budget:
+class _TokenBucket:
     """The retries that one service has left."""
 
-    __slots__ = ("_at_s", "_burst", "_left", "_min_retries_per_s")
+    __slots__ = ("_burst", "_min_retries_per_s", "_refilled_at_s", "_tokens")
 
     def __init__(self, *, limits: RetryLimits) -> None:
         self._burst = limits.burst
         self._min_retries_per_s = limits.min_retries_per_s
-        self._left = limits.burst
-        self._at_s = asyncio.get_running_loop().time()
+        self._tokens = limits.burst
+        self._refilled_at_s = asyncio.get_running_loop().time()
 
-    def earn(self, amount: float) -> None:
+    def add(self, amount: float) -> None:
         """Add to what is left, up to the burst."""
-        self._left = min(self._burst, self._left + amount)
+        self._tokens = min(self._burst, self._tokens + amount)
 
-    def spend(self) -> bool:
+    def try_take(self) -> bool:
         """Take one retry, if one is left."""
         now_s = asyncio.get_running_loop().time()
-        self.earn((now_s - self._at_s) * self._min_retries_per_s)
-        self._at_s = now_s
-        if self._left < 1.0:
+        self.add((now_s - self._refilled_at_s) * self._min_retries_per_s)
+        self._refilled_at_s = now_s
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
--- a/src/shallotworks/requests/_steps.py
+++ b/src/shallotworks/requests/_steps.py
@@ -11,11 +11,11 @@
 from ._messages import Claim, Grant, Response
 from ._target_client import AttemptResult
 
-__all__ = ["Attempt", "EndedAttempt", "NextStep", "Past"]
+__all__ = ["Attempt", "EndedAttempt", "NextStep", "AttemptHistory"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Past:
+class AttemptHistory:
     """What came of a request before its next attempt.
 
     Args:
@@ -37,11 +37,11 @@
 
     Args:
         grant: The target, and the slot of it that is held.
-        past: What came of the request before.
+        history: What came of the request before.
     """
 
     grant: Grant
-    past: Past
+    history: AttemptHistory
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -59,11 +59,11 @@
     duration_s: float
 
     @property
-    def past(self) -> Past:
+    def history(self) -> AttemptHistory:
         """What came of the request up to now."""
-        before = self.attempt.past
+        before = self.attempt.history
         known_not_run = self.result.outcome.known_not_run
-        return Past(
+        return AttemptHistory(
             claim=before.claim,
             tried=before.tried | {self.attempt.grant.target.instance},
             attempts=before.attempts + 1,
--- a/src/shallotworks/requests/_target_client.py
+++ b/src/shallotworks/requests/_target_client.py
@@ -19,11 +19,11 @@
 
 __all__ = ["AttemptResult", "TargetClient", "TargetClientLimits", "HttpTargetClient"]
 
-READ_CHUNK_BYTES = 64 * 1024
-SERVER_ERROR = 500
-REARM_S = 0.05
+READ_CHUNK_MAX_BYTES = 64 * 1024
+SERVER_ERROR_STATUS = 500
+TIMEOUT_REARM_INTERVAL_S = 0.05
 """How much later than its time an attempt may end at a target that drips."""
-UNCHECKED_IDLE_S = 0.1
+UNCHECKED_IDLE_AGE_S = 0.1
 """Idle time up to which a connection for an idempotent request is not looked at before use."""
 
 _SOCKET_OPTIONS: list[tuple[int, int, int | bytes]] = [
@@ -46,7 +46,7 @@
         connect_timeout_s: Longest wait for a connection.
         attempt_timeout_s: Longest attempt, from the first byte out to the last byte in.
         idle_connection_age_s: A connection idle for longer is not used again.
-        unsafe_idle_age_s: The same for a non-idempotent request: the target may be closing an
+        non_idempotent_idle_age_s: The same for a non-idempotent request: the target may close an
             idle connection just as a request is sent, and such a request can't be sent again.
         idle_connections: Idle connections kept to each target.
         answer_limit_bytes: Longest answer taken.
@@ -55,7 +55,7 @@
     connect_timeout_s: float = 1.0
     attempt_timeout_s: float = 10.0
     idle_connection_age_s: float = 5.0
-    unsafe_idle_age_s: float = 1.0
+    non_idempotent_idle_age_s: float = 1.0
     idle_connections: int = 64
     answer_limit_bytes: int = 8 * 1024 * 1024
 
@@ -90,13 +90,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Idle:
+class _IdleConnection:
     connection: HTTPConnection
-    since_s: float
+    idle_since_s: float
     generation: int
 
 
-class _Path:
+class _ConnectionPool:
     """The idle connections to one target, newest last.
 
     Callers' threads take and give back without a lock: appending to a deque and popping from it
@@ -113,9 +113,9 @@
 
     def __init__(self) -> None:
         self.generation = 0
-        self.idle: deque[_Idle] = deque()
+        self.idle: deque[_IdleConnection] = deque()
 
-    def pop(self) -> _Idle | None:
+    def pop(self) -> _IdleConnection | None:
         """Return the connection that was used last; ``None`` where none is idle."""
         try:
             return self.idle.pop()
@@ -135,65 +135,67 @@
         limits: Bounds on one attempt.
     """
 
-    __slots__ = ("_limits", "_paths")
+    __slots__ = ("_limits", "_pools")
 
     def __init__(self, *, limits: TargetClientLimits) -> None:
         self._limits = limits
-        self._paths: dict[str, _Path] = {}
+        self._pools: dict[str, _ConnectionPool] = {}
 
     def send(
         self, target: Target, request: Request, *, attempt: int, timeout_s: float
     ) -> AttemptResult:
         """Make one attempt and wait for its end, `timeout_s` at the most."""
-        end_s = time.monotonic() + min(timeout_s, self._limits.attempt_timeout_s)
-        path = self._paths.setdefault(target.address, _Path())
-        generation = path.generation
-        connection = self._take(path, idempotent=request.idempotent) or self._open(
-            target.address, end_s
+        ends_at_s = time.monotonic() + min(timeout_s, self._limits.attempt_timeout_s)
+        pool = self._pools.setdefault(target.address, _ConnectionPool())
+        generation = pool.generation
+        connection = self._take_idle(pool, idempotent=request.idempotent) or self._open(
+            target.address, ends_at_s
         )
         if connection is None:
             return AttemptResult(
                 outcome=AttemptOutcome.NOT_SENT, detail=f"can't connect to {target.address}"
             )
-        result, reusable = self._converse(connection, request, attempt, end_s)
+        result, reusable = self._exchange(connection, request, attempt, ends_at_s)
         if reusable:
-            self._give_back(path, connection, generation)
+            self._return_connection(pool, connection, generation)
         else:
             connection.close()
         if result.outcome is AttemptOutcome.TIMED_OUT:
-            path.generation += 1
-            path.drop_all()
+            pool.generation += 1
+            pool.drop_all()
         return result
 
     def close(self) -> None:
         """Close all idle connections."""
-        self.forget(frozenset(self._paths))
+        self.forget(frozenset(self._pools))
 
     def forget(self, addresses: frozenset[str]) -> None:
         """Close the idle connections to targets that are gone."""
         for address in addresses:
-            path = self._paths.pop(address, None)
-            if path is not None:
-                path.drop_all()
+            pool = self._pools.pop(address, None)
+            if pool is not None:
+                pool.drop_all()
 
-    def _take(self, path: _Path, *, idempotent: bool) -> HTTPConnection | None:
-        max_idle_s = self._limits.unsafe_idle_age_s
+    def _take_idle(self, pool: _ConnectionPool, *, idempotent: bool) -> HTTPConnection | None:
+        max_idle_s = self._limits.non_idempotent_idle_age_s
         if idempotent:
             max_idle_s = self._limits.idle_connection_age_s
         now_s = time.monotonic()
         while True:
-            entry = path.pop()
+            entry = pool.pop()
             if entry is None:
                 return None
-            usable = entry.generation == path.generation and entry.since_s >= now_s - max_idle_s
-            fresh = idempotent and entry.since_s >= now_s - UNCHECKED_IDLE_S
+            usable = (
+                entry.generation == pool.generation and entry.idle_since_s >= now_s - max_idle_s
+            )
+            fresh = idempotent and entry.idle_since_s >= now_s - UNCHECKED_IDLE_AGE_S
             if usable and (fresh or entry.connection.is_connected):
                 return entry.connection
             entry.connection.close()
 
-    def _open(self, address: str, end_s: float) -> HTTPConnection | None:
+    def _open(self, address: str, ends_at_s: float) -> HTTPConnection | None:
         host, _, port = address.rpartition(":")
-        timeout_s = min(self._limits.connect_timeout_s, end_s - time.monotonic())
+        timeout_s = min(self._limits.connect_timeout_s, ends_at_s - time.monotonic())
         if timeout_s <= 0:
             return None
         connection = HTTPConnection(
@@ -206,49 +208,51 @@
             return None
         return connection
 
-    def _converse(
-        self, connection: HTTPConnection, request: Request, attempt: int, end_s: float
+    def _exchange(
+        self, connection: HTTPConnection, request: Request, attempt: int, ends_at_s: float
     ) -> tuple[AttemptResult, bool]:
         """Send and read; returns the result and whether the connection can be used again."""
         try:
-            _limit_wait(connection, end_s)
+            _set_read_timeout(connection, ends_at_s)
             connection.request(
                 request.method,
                 request.path,
                 body=request.body or None,
-                headers=_headers_out(request, attempt),
+                headers=_request_headers(request, attempt),
                 preload_content=False,
                 decode_content=False,
             )
             answer = connection.getresponse()
-            body = self._read_whole(connection, answer, end_s)
+            body = self._read_whole(connection, answer, ends_at_s)
         except TimeoutError as error:
-            return _ended(AttemptOutcome.TIMED_OUT, error), False
+            return _failed_result(AttemptOutcome.TIMED_OUT, error), False
         except (HTTPError, HTTPException, OSError, ValueError) as error:
             outcome = AttemptOutcome.BROKEN
-            if time.monotonic() >= end_s:
+            if time.monotonic() >= ends_at_s:
                 outcome = AttemptOutcome.TIMED_OUT
-            return _ended(outcome, error), False
-        return self._judge(answer, body, request, attempt)
+            return _failed_result(outcome, error), False
+        return self._validate_answer(answer, body, request, attempt)
 
-    def _read_whole(self, connection: HTTPConnection, answer: HTTPResponse, end_s: float) -> bytes:
+    def _read_whole(
+        self, connection: HTTPConnection, answer: HTTPResponse, ends_at_s: float
+    ) -> bytes:
         """Read the body to its stated end.
 
         Raises:
             ValueError: Its end can't be told from a cut, or it is too long.
         """
-        framed = "Content-Length" in answer.headers or answer.chunked
-        if not framed:
+        has_stated_end = "Content-Length" in answer.headers or answer.chunked
+        if not has_stated_end:
             raise ValueError("the answer states neither length nor chunks")
         chunks: list[bytes] = []
         total_bytes = 0
         # Each read has its own socket timeout, so a target that drips bytes would never end without
         # the deadline being set anew; not for each read, since that costs a system call.
-        rearm_at_s = time.monotonic() + REARM_S
+        rearm_at_s = time.monotonic() + TIMEOUT_REARM_INTERVAL_S
         while True:
             if time.monotonic() > rearm_at_s:
-                rearm_at_s = _limit_wait(connection, end_s)
-            chunk = answer.read1(READ_CHUNK_BYTES)
+                rearm_at_s = _set_read_timeout(connection, ends_at_s)
+            chunk = answer.read1(READ_CHUNK_MAX_BYTES)
             if not chunk:
                 return b"".join(chunks)
             chunks.append(chunk)
@@ -256,7 +260,7 @@
             if total_bytes > self._limits.answer_limit_bytes:
                 raise ValueError("the answer is longer than allowed")
 
-    def _judge(
+    def _validate_answer(
         self, answer: HTTPResponse, body: bytes, request: Request, attempt: int
     ) -> tuple[AttemptResult, bool]:
         """Accept only an answer that echoes this request's id and attempt.
@@ -273,43 +277,49 @@
         if answer.headers.get(RAN) == "no":
             return AttemptResult(outcome=AttemptOutcome.REFUSED, detail="refused"), reusable
         outcome = AttemptOutcome.ANSWERED
-        if answer.status >= SERVER_ERROR:
+        if answer.status >= SERVER_ERROR_STATUS:
             outcome = AttemptOutcome.TARGET_ERROR
-        response = Response(status=answer.status, headers=_headers_back(answer.headers), body=body)
+        response = Response(
+            status=answer.status, headers=_response_headers(answer.headers), body=body
+        )
         return AttemptResult(outcome=outcome, response=response), reusable
 
-    def _give_back(self, path: _Path, connection: HTTPConnection, generation: int) -> None:
-        if path.generation != generation or len(path.idle) >= self._limits.idle_connections:
+    def _return_connection(
+        self, pool: _ConnectionPool, connection: HTTPConnection, generation: int
+    ) -> None:
+        if pool.generation != generation or len(pool.idle) >= self._limits.idle_connections:
             connection.close()
             return
-        path.idle.append(
-            _Idle(connection=connection, since_s=time.monotonic(), generation=generation)
+        pool.idle.append(
+            _IdleConnection(
+                connection=connection, idle_since_s=time.monotonic(), generation=generation
+            )
         )
 
 
-def _limit_wait(connection: HTTPConnection, end_s: float) -> float:
+def _set_read_timeout(connection: HTTPConnection, ends_at_s: float) -> float:
     """Let the next reads wait until the attempt's end; returns when to look again."""
     now_s = time.monotonic()
-    left_s = end_s - now_s
-    if left_s <= 0:
+    remaining_s = ends_at_s - now_s
+    if remaining_s <= 0:
         raise TimeoutError("the attempt's time is over")
-    connection.timeout = left_s
+    connection.timeout = remaining_s
     if connection.sock is not None:
-        connection.sock.settimeout(left_s)
-    return now_s + REARM_S
+        connection.sock.settimeout(remaining_s)
+    return now_s + TIMEOUT_REARM_INTERVAL_S
 
 
-def _ended(outcome: AttemptOutcome, error: Exception) -> AttemptResult:
+def _failed_result(outcome: AttemptOutcome, error: Exception) -> AttemptResult:
     return AttemptResult(outcome=outcome, detail=f"{type(error).__name__}: {error}")
 
 
-def _headers_out(request: Request, attempt: int) -> dict[str, str]:
+def _request_headers(request: Request, attempt: int) -> dict[str, str]:
     headers = dict(request.headers)
     headers[REQUEST_ID] = request.request_id
     headers[ATTEMPT] = str(attempt)
     return headers
 
 
-def _headers_back(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
+def _response_headers(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
     dropped = HOP_BY_HOP | {REQUEST_ID.lower(), ATTEMPT.lower()}
     return tuple((name, value) for name, value in headers.items() if name.lower() not in dropped)
--- a/src/shallotworks/requests/_target_selection.py
+++ b/src/shallotworks/requests/_target_selection.py
@@ -11,7 +11,7 @@
 __all__ = ["TargetSelector", "PowerOfTwoChoices"]
 
 SAMPLES = 2
-TRIES = 4
+MAX_DRAWS = 4
 
 
 class TargetSelector(Protocol):
@@ -47,7 +47,7 @@
         if first is None:
             return None
         second = self._draw(free_targets, tried)
-        if second is None or rank(first) <= rank(second):
+        if second is None or load_rank(first) <= load_rank(second):
             return first
         return second
 
@@ -57,22 +57,22 @@
         count = len(free_targets)
         if not count:
             return None
-        for _ in range(TRIES):
+        for _ in range(MAX_DRAWS):
             target = free_targets[int(self._rng.random() * count)]
             if target.instance.name not in tried:
                 return target
-        return untried(free_targets, tried)
+        return first_untried(free_targets, tried)
 
 
-def rank(target: TargetState) -> tuple[bool, float]:
+def load_rank(target: TargetState) -> tuple[bool, float]:
     """Return by what two targets are compared; the lower is taken.
 
     A target that looks bad and may not be ejected, since too many are, comes after all others:
     failing at once, it would otherwise always be the emptiest.
     """
-    return target.bad, target.in_flight / target.limit
+    return target.failing, target.in_flight / target.limit
 
 
-def untried(free_targets: Sequence[TargetState], tried: frozenset[str]) -> TargetState | None:
+def first_untried(free_targets: Sequence[TargetState], tried: frozenset[str]) -> TargetState | None:
     """Return the first target that was not tried."""
     return next((entry for entry in free_targets if entry.instance.name not in tried), None)
--- a/src/shallotworks/requests/_targets.py
+++ b/src/shallotworks/requests/_targets.py
@@ -20,15 +20,15 @@
         instance: The configured record.
         target: The same as a grant carries it.
         group: The group it is counted in.
-        part: This process's part of the target's slots.
+        own_slots: This process's part of the target's slots.
         borrowed: Slots beyond its part that it uses until the target refuses one.
-        borrow_from_s: From when it may borrow again.
+        may_borrow_from_s: From when it may borrow again.
         in_flight: Grants held at it.
         usable: Whether the configuration and the platform's list let it take new work.
-        ramp_from_s: Since when its slots grow to their full number.
+        ramp_start_s: Since when its slots grow to their full number.
         paused_until_s: Until when it takes nothing, after a refusal.
         ejected: Whether it takes nothing but probes.
-        bad: Whether its last outcomes speak against it, ejected or not.
+        failing: Whether its last outcomes speak against it, ejected or not.
         failures: Failures in a row.
         refusals: Refusals in a row.
         probe_at_s: When the next probe is due.
@@ -36,27 +36,27 @@
         probing: Whether a probe is in flight.
         limit: Grants it may hold now.
         free: Grants it may take now.
-        position: Where it stands in its group's list of free targets; -1 for nowhere.
+        free_index: Where it stands in its group's list of free targets; -1 for nowhere.
     """
 
     __slots__ = (
-        "bad",
-        "borrow_from_s",
         "borrowed",
         "ejected",
+        "failing",
         "failures",
         "free",
+        "free_index",
         "group",
         "in_flight",
         "instance",
         "limit",
-        "part",
+        "may_borrow_from_s",
+        "own_slots",
         "paused_until_s",
-        "position",
         "probe_at_s",
         "probes_failed",
         "probing",
-        "ramp_from_s",
+        "ramp_start_s",
         "refusals",
         "target",
         "usable",
@@ -65,15 +65,15 @@
     def __init__(self, *, instance: Instance, group: TargetGroup) -> None:
         self.group = group
         self.in_flight = 0
-        self.part = 0
+        self.own_slots = 0
         self.limit = 0
         self.free = 0
-        self.position = -1
+        self.free_index = -1
         self.usable = False
-        self.describe(instance)
-        self.forget()
+        self.set_instance(instance)
+        self.reset()
 
-    def describe(self, instance: Instance) -> None:
+    def set_instance(self, instance: Instance) -> None:
         """Take a new configured record."""
         self.instance = instance
         self.target = Target(
@@ -82,32 +82,32 @@
             data_centre=instance.data_centre,
         )
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget all outcomes, as of a target never met."""
-        self.ramp_from_s = NEVER_S
+        self.ramp_start_s = NEVER_S
         self.borrowed = 0
-        self.borrow_from_s = NEVER_S
+        self.may_borrow_from_s = NEVER_S
         self.paused_until_s = NEVER_S
         self.ejected = False
-        self.bad = False
+        self.failing = False
         self.failures = 0
         self.refusals = 0
         self.probe_at_s = math.inf
         self.probes_failed = 0
         self.probing = False
 
-    def is_settled(self, now_s: float, *, slow_start_s: float) -> bool:
+    def has_final_limit(self, now_s: float, *, slow_start_s: float) -> bool:
         """Whether its limit no longer changes as time passes."""
-        return now_s >= self.paused_until_s and now_s >= self.ramp_from_s + slow_start_s
+        return now_s >= self.paused_until_s and now_s >= self.ramp_start_s + slow_start_s
 
     def limit_at(self, now_s: float, *, slow_start_s: float) -> int:
         """Return how many grants it may hold at a time."""
         if not self.usable or self.ejected or now_s < self.paused_until_s:
             return 0
-        age_s = now_s - self.ramp_from_s
+        age_s = now_s - self.ramp_start_s
         if age_s >= slow_start_s:
-            return self.part + self.borrowed
-        return max(1, math.ceil(self.part * age_s / slow_start_s))
+            return self.own_slots + self.borrowed
+        return max(1, math.ceil(self.own_slots * age_s / slow_start_s))
 
 
 class TargetGroup:
@@ -146,12 +146,12 @@
         target.limit = limit
         self._recount(target)
 
-    def take(self, target: TargetState) -> None:
+    def count_grant(self, target: TargetState) -> None:
         """Count one more grant."""
         target.in_flight += 1
         self._recount(target)
 
-    def give_back(self, target: TargetState) -> None:
+    def discount_grant(self, target: TargetState) -> None:
         """Count one grant less."""
         target.in_flight -= 1
         self._recount(target)
@@ -165,12 +165,12 @@
         free = max(0, target.limit - target.in_flight)
         self.free += free - target.free
         target.free = free
-        if free and target.position < 0:
-            target.position = len(self.free_targets)
+        if free and target.free_index < 0:
+            target.free_index = len(self.free_targets)
             self.free_targets.append(target)
-        elif not free and target.position >= 0:
+        elif not free and target.free_index >= 0:
             last = self.free_targets.pop()
             if last is not target:
-                self.free_targets[target.position] = last
-                last.position = target.position
-            target.position = -1
+                self.free_targets[target.free_index] = last
+                last.free_index = target.free_index
+            target.free_index = -1
--- a/src/shallotworks/requests/_waiting.py
+++ b/src/shallotworks/requests/_waiting.py
@@ -10,20 +10,20 @@
 from ._pool import PoolState
 from ._queue import Waiter
 
-__all__ = ["WaitingRoom"]
+__all__ = ["WaitingRequests"]
 
 
-class WaitingRoom:
+class WaitingRequests:
     """Knows every waiting request by its id, and keeps the counts that each is part of.
 
     Args:
-        expire: Called with a waiter at the last moment at which it could be started.
+        on_expired: Called with a waiter at the last moment at which it could be started.
     """
 
-    __slots__ = ("_expire", "_next_sequence", "_waiters")
+    __slots__ = ("_next_sequence", "_on_expired", "_waiters")
 
-    def __init__(self, *, expire: Callable[[Waiter], None]) -> None:
-        self._expire = expire
+    def __init__(self, *, on_expired: Callable[[Waiter], None]) -> None:
+        self._on_expired = on_expired
         self._waiters: dict[str, Waiter] = {}
         self._next_sequence = 1
 
@@ -38,7 +38,7 @@
         """Return every waiter, in order of arrival."""
         return list(self._waiters.values())
 
-    def enter(
+    def add(
         self,
         request: Request,
         *,
@@ -46,7 +46,7 @@
         load: ClassLoad,
         team: TeamLoad | None,
         tried: frozenset[str],
-        latest_s: float,
+        expires_at_s: float,
     ) -> Waiter:
         """Let a request wait until a time at the latest."""
         loop = asyncio.get_running_loop()
@@ -57,11 +57,11 @@
             pool=pool,
             load=load,
             team=team,
-            answer=loop.create_future(),
+            grant_future=loop.create_future(),
         )
         self._next_sequence += 1
         self._waiters[request.request_id] = waiter
-        waiter.timer = loop.call_at(latest_s, self._expire, waiter)
+        waiter.timer = loop.call_at(expires_at_s, self._on_expired, waiter)
         pool.waiting += 1
         load.waiting += 1
         if team is not None:
@@ -72,7 +72,7 @@
             self.queue(waiter)
         return waiter
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove(self, waiter: Waiter) -> None:
         """Let a request wait no more; without effect where it has left."""
         if self._waiters.get(waiter.request.request_id) is not waiter:
             return
--- a/tests/test_dispatch_history.py
+++ b/tests/test_dispatch_history.py
@@ -54,7 +54,7 @@
 )
 
 
-class History:
+class DispatchHistory:
     """Runs drawn steps against one dispatcher and checks what must always hold."""
 
     def __init__(self, case: unittest.TestCase) -> None:
@@ -181,7 +181,7 @@
         self.case.assertEqual(self.harness.dispatcher.in_flight, 0)
 
 
-class HistoryTests(unittest.TestCase):
+class DispatchHistoryTests(unittest.TestCase):
     @settings(max_examples=150)
     @given(steps=STEPS)
     def test_any_history(self, steps: list[tuple]) -> None:
@@ -192,6 +192,6 @@
         """
 
         async def scenario() -> None:
-            await History(self).run(steps)
+            await DispatchHistory(self).run(steps)
 
         run_on_virtual_clock(scenario)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -19,7 +19,7 @@
 
 
 class AdmissionTests(unittest.TestCase):
-    def test_grants_up_to_the_slots_and_no_further(self) -> None:
+    def test_grants_no_more_than_the_slots(self) -> None:
         """As many grants as there are slots are given; the next waits for a release."""
 
         async def scenario() -> None:
@@ -52,7 +52,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_idle_part_of_other_entries_is_used(self) -> None:
+    def test_idle_slots_of_other_entry_instances_are_borrowed(self) -> None:
         """Interactive work goes beyond its part while the targets allow, and back when they don't.
 
         The balancer's connections all end at one of two entry instances. Its half of the slots is
@@ -65,13 +65,13 @@
             await settle()
             seen = []
             for outcome in [AttemptOutcome.ANSWERED] * 4 + [AttemptOutcome.REFUSED]:
-                seen.append(len(_running(tasks)))
-                for task in _running(tasks):
+                seen.append(len(_granted_tasks(tasks)))
+                for task in _granted_tasks(tasks):
                     tasks.remove(task)
                     harness.dispatcher.release(task.result().unwrap(), outcome, duration_s=0.0)
                 await settle()
             await asyncio.sleep(0.3)
-            seen.append(len(_running(tasks)))
+            seen.append(len(_granted_tasks(tasks)))
             self.assertEqual((seen[0], max(seen), seen[-1]), (4, 8, 4))
 
         run_on_virtual_clock(scenario)
@@ -89,7 +89,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_stopping(self) -> None:
+    def test_stopping_instance_admits_only_waiting_requests_and_retries(self) -> None:
         """After the stop nothing new is admitted; waiting requests and retries are."""
 
         async def scenario() -> None:
@@ -113,7 +113,7 @@
 
 
 class ClassTests(unittest.TestCase):
-    def test_interactive_goes_ahead(self) -> None:
+    def test_free_slot_goes_to_interactive_work_first(self) -> None:
         """A slot that comes free goes to interactive work, however long others have waited."""
 
         async def scenario() -> None:
@@ -130,7 +130,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_long_running_leaves_room(self) -> None:
+    def test_long_running_work_leaves_a_slot_to_interactive_work(self) -> None:
         """Long-running work alone fills all slots but one, which an interactive arrival finds."""
 
         async def scenario() -> None:
@@ -138,11 +138,11 @@
             tasks = [harness.start(request_class=LONG_RUNNING) for _ in range(30)]
             await settle()
             self.assertEqual(sum(map(granted, tasks)), 15)
-            self.assertTrue(granted(await _ended(harness.start())))
+            self.assertTrue(granted(await _wait_done(harness.start())))
 
         run_on_virtual_clock(scenario)
 
-    def test_long_running_progresses(self) -> None:
+    def test_long_running_work_keeps_its_minimum_of_slots(self) -> None:
         """A stated minimum of slots goes to long-running work while interactive work floods.
 
         A salon's clients fill every slot all evening. Without a minimum the nightly reconciliation
@@ -169,7 +169,7 @@
 
 
 class ShareTests(unittest.TestCase):
-    def test_unused_share_is_lent_and_taken_back(self) -> None:
+    def test_unused_share_is_used_by_others_and_returned(self) -> None:
         """A service uses what others leave; when they want it, it comes back as slots free."""
 
         async def scenario() -> None:
@@ -179,7 +179,9 @@
             for grant in lent:
                 harness.done(grant)
                 await settle()
-            names = Counter("parts" if task in tasks[:8] else "trace" for task in _running(tasks))
+            names = Counter(
+                "parts" if task in tasks[:8] else "trace" for task in _granted_tasks(tasks)
+            )
             self.assertEqual(names, {"trace": 6, "parts": 2})
 
         run_on_virtual_clock(scenario)
@@ -201,7 +203,9 @@
             harness.done(tasks[0].result().unwrap())
             await settle()
             self.assertEqual([granted(task) for task in tasks[2:4]], [True, False])
-            self.assertIs(kind_of(await _ended(harness.start(team="none"))), ErrorKind.OVER_QUOTA)
+            self.assertIs(
+                kind_of(await _wait_done(harness.start(team="none"))), ErrorKind.OVER_QUOTA
+            )
 
         run_on_virtual_clock(scenario)
 
@@ -225,7 +229,7 @@
 
 
 class OverloadTests(unittest.TestCase):
-    def test_order_of_shedding(self) -> None:
+    def test_long_running_then_over_share_requests_are_shed_first(self) -> None:
         """Long-running requests are shed first, then those of the service most over its share.
 
         A pool is flooded. Refusing whoever comes last would refuse a technician's fault trace
@@ -254,7 +258,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_bound_over_all_pools(self) -> None:
+    def test_waiting_limit_holds_over_all_pools(self) -> None:
         """No more requests wait in one process than stated, whatever its pools would allow."""
 
         async def scenario() -> None:
@@ -268,7 +272,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_hopeless_requests_are_refused_at_once(self) -> None:
+    def test_requests_that_would_miss_their_deadline_are_refused_on_arrival(self) -> None:
         """What can't be answered by its deadline is told so on arrival, not at the deadline."""
 
         async def scenario() -> None:
@@ -305,7 +309,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_estimates_far_off_are_corrected(self) -> None:
+    def test_wrong_duration_estimates_are_corrected(self) -> None:
         """Estimates that say "never in time" don't refuse for ever: free slots are always used."""
 
         async def scenario() -> None:
@@ -324,7 +328,7 @@
 
 
 class CancelTests(unittest.TestCase):
-    def test_wave_of_cancellations(self) -> None:
+    def test_burst_of_cancellations_frees_the_queue(self) -> None:
         """Thousands of cancellations free the queue at once and hold nobody up.
 
         An operator cancels a night's jobs: every request that waits is cancelled in one burst, and
@@ -352,7 +356,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_task_cancelled_with_its_grant_decided(self) -> None:
+    def test_grant_of_a_cancelled_task_is_released(self) -> None:
         """A slot given to a task that is cancelled before it wakes comes back.
 
         A caller hangs up in the instant in which its turn comes. The grant is decided, nobody
@@ -414,7 +418,7 @@
             limits = DispatchLimits(slow_start_s=8.0)
             harness = make_harness(fleet(instances(1)), limits=limits)
             harness.config.set_instances(["w0"], healthy=False)
-            self.assertIs(kind_of(await _ended(harness.start())), ErrorKind.NO_TARGET)
+            self.assertIs(kind_of(await _wait_done(harness.start())), ErrorKind.NO_TARGET)
             harness.config.set_instances(["w0"], healthy=True)
             tasks = [harness.start(within_s=100) for _ in range(9)]
             await settle()
@@ -430,7 +434,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_other_data_centres_help_when_the_local_part_is_full(self) -> None:
+    def test_interactive_work_spills_over_to_other_data_centres(self) -> None:
         """Interactive work spills over when no local slot is free; long-running work does not."""
 
         async def scenario() -> None:
@@ -452,10 +456,10 @@
         run_on_virtual_clock(scenario)
 
 
-async def _ended(task: asyncio.Task) -> asyncio.Task:
+async def _wait_done(task: asyncio.Task) -> asyncio.Task:
     await asyncio.wait([task])
     return task
 
 
-def _running(tasks: list[asyncio.Task]) -> list[asyncio.Task]:
+def _granted_tasks(tasks: list[asyncio.Task]) -> list[asyncio.Task]:
     return [task for task in tasks if granted(task)]
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -37,7 +37,7 @@
 
 class EjectionTests(unittest.TestCase):
     @parameterized.expand([("error", ERROR), ("broken", AttemptOutcome.BROKEN)])
-    def test_target_that_fails_at_once_looks_idle(self, _name: str, outcome: object) -> None:
+    def test_target_that_fails_fast_is_ejected(self, _name: str, outcome: object) -> None:
         """A target that fails everything gets three requests, however idle it looks.
 
         One worker of eight lost its disk and answers each request with an error within a
@@ -55,7 +55,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_probes_bring_it_back(self) -> None:
+    def test_successful_probe_restores_an_ejected_target(self) -> None:
         """One request at a time probes an ejected target, ever more rarely, until one succeeds."""
 
         async def scenario() -> None:
@@ -92,7 +92,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_no_more_than_the_set_part(self) -> None:
+    def test_ejections_stay_within_the_maximum_part(self) -> None:
         """Of eight targets of which five fail, four are ejected and the fifth stays in service."""
 
         async def scenario() -> None:
@@ -107,7 +107,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_all_look_bad(self) -> None:
+    def test_no_ejection_when_nearly_all_targets_fail(self) -> None:
         """When nearly all look bad, none is ejected, and it is said; it ends when they answer.
 
         This instance's own network card drops every second packet. To it every target looks
@@ -132,7 +132,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_other_data_centres_are_cut_off(self) -> None:
+    def test_unreachable_data_centre_does_not_count_against_local_targets(self) -> None:
         """Targets of a data centre that is cut off are all ejected, and count against nothing.
 
         The link to the other data centre is cut: its six targets all time out. The two local ones
@@ -161,7 +161,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_refusals_rest_a_target_briefly(self) -> None:
+    def test_refusal_pauses_a_target_without_ejecting_it(self) -> None:
         """A full target is left alone for an instant and is no outlier; one that only refuses is.
 
         Another data centre's entries filled its slots: it refuses, truthfully. Treating that like a
@@ -183,7 +183,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_replaced_under_its_old_name(self) -> None:
+    def test_replaced_machine_starts_without_the_old_ejection(self) -> None:
         """Another machine under an ejected name starts without that judgement."""
 
         async def scenario() -> None:
@@ -196,8 +196,8 @@
         run_on_virtual_clock(scenario)
 
 
-class ChoiceTests(unittest.TestCase):
-    def test_retry_goes_elsewhere(self) -> None:
+class TargetSelectionTests(unittest.TestCase):
+    def test_retry_waits_for_an_untried_target(self) -> None:
         """A retry waits for a target it has not tried rather than take the free one it has.
 
         The broken target is the one with free slots. A retry that takes it fails again and spends
@@ -220,7 +220,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_all_tried(self) -> None:
+    def test_any_target_is_taken_when_all_were_tried(self) -> None:
         """Where every target was tried, any will do."""
 
         async def scenario() -> None:
@@ -231,7 +231,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_processes_do_not_herd(self) -> None:
+    def test_processes_spread_over_idle_targets(self) -> None:
         """Six processes that don't see each other's load fill idle targets about evenly.
 
         Each takes the emptiest target it knows; with ties broken alike they would all take the
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -15,11 +15,11 @@
 from tests.dispatch_fakes import make_request, run_on_virtual_clock
 
 DAY_S = 86_400.0
-ORDERED = Response(status=201, headers=(("x", "1"),), body=b"two tubes")
+ORDER_RESPONSE = Response(status=201, headers=(("x", "1"),), body=b"two tubes")
 
 
 @dataclass(slots=True, kw_only=True)
-class Site:
+class SharedStore:
     """A store and the processes that use it."""
 
     store: MemoryStore = field(default_factory=MemoryStore)
@@ -38,7 +38,7 @@
         )
 
 
-def order(body: bytes = b"order") -> Request:
+def make_order(body: bytes = b"order") -> Request:
     return make_request(
         "r",
         "parts",
@@ -50,25 +50,25 @@
     )
 
 
-async def warm_up(guard: StoreIdempotencyGuard) -> None:
+async def claim_other_key(guard: StoreIdempotencyGuard) -> None:
     """Claim another key, so that the process has its lease and the next claim is one write."""
     await guard.claim(make_request("r0", "parts", key="warm", idempotent=False))
 
 
 async def claim_while_store_goes_down(
-    site: Site, guard: StoreIdempotencyGuard
+    shared: SharedStore, guard: StoreIdempotencyGuard
 ) -> Result[Claim, Failure]:
     """Claim the key; the answer is lost and the store is down until the claim has ended."""
-    site.store.set_faults(StoreFaults(delay_s=1.0, lost_answers=1))
-    claiming = asyncio.create_task(guard.claim(order()))
+    shared.store.set_faults(StoreFaults(delay_s=1.0, lost_answers=1))
+    claiming = asyncio.create_task(guard.claim(make_order()))
     await asyncio.sleep(0.75)
-    site.store.set_faults(StoreFaults(down=True))
+    shared.store.set_faults(StoreFaults(down=True))
     outcome = await claiming
-    site.store.set_faults(StoreFaults())
+    shared.store.set_faults(StoreFaults())
     return outcome
 
 
-def is_claim_to_run(outcome: Result[Claim, Failure]) -> bool:
+def may_run(outcome: Result[Claim, Failure]) -> bool:
     return isinstance(outcome, Success) and outcome.unwrap().stored is None
 
 
@@ -85,15 +85,15 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            first, second = site.process("e1"), site.process("e2")
-            claim = (await first.claim(order())).unwrap()
-            await first.complete_claim(claim, ORDERED)
+            shared = SharedStore()
+            first, second = shared.process("e1"), shared.process("e2")
+            claim = (await first.claim(make_order())).unwrap()
+            await first.complete_claim(claim, ORDER_RESPONSE)
             self.assertEqual(
-                site.store.calls, {"grant_lease": 1, "create": 1, "swap": 1}, "calls of one run"
+                shared.store.calls, {"grant_lease": 1, "create": 1, "swap": 1}, "calls of one run"
             )
-            again = (await second.claim(order())).unwrap()
-            self.assertEqual(again.stored, ORDERED)
+            again = (await second.claim(make_order())).unwrap()
+            self.assertEqual(again.stored, ORDER_RESPONSE)
 
         run_on_virtual_clock(scenario)
 
@@ -101,10 +101,10 @@
         """Of many claims at the same moment through two instances, one may run."""
 
         async def scenario() -> None:
-            site = Site()
-            guards = [site.process("e1"), site.process("e2")]
-            outcomes = await asyncio.gather(*(guards[n % 2].claim(order()) for n in range(20)))
-            self.assertEqual(sum(map(is_claim_to_run, outcomes)), 1)
+            shared = SharedStore()
+            guards = [shared.process("e1"), shared.process("e2")]
+            outcomes = await asyncio.gather(*(guards[n % 2].claim(make_order()) for n in range(20)))
+            self.assertEqual(sum(map(may_run, outcomes)), 1)
             others = {kind_of(o) for o in outcomes if not isinstance(o, Success)}
             self.assertEqual(others, {ErrorKind.IN_PROGRESS})
 
@@ -114,14 +114,14 @@
         """A key that comes with another body is a conflict, and nothing runs."""
 
         async def scenario() -> None:
-            site = Site()
-            guard = site.process("e1")
-            await guard.claim(order())
-            self.assertIs(kind_of(await guard.claim(order(b"other"))), ErrorKind.CONFLICT)
+            shared = SharedStore()
+            guard = shared.process("e1")
+            await guard.claim(make_order())
+            self.assertIs(kind_of(await guard.claim(make_order(b"other"))), ErrorKind.CONFLICT)
 
         run_on_virtual_clock(scenario)
 
-    def test_lost_answer_to_the_claim(self) -> None:
+    def test_claim_whose_acknowledgement_was_lost_holds(self) -> None:
         """The claim holds: the process finds its own id in the record.
 
         The store takes the write and its answer is lost. Taking that for a failure would refuse
@@ -129,20 +129,20 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            site.store.set_faults(StoreFaults(lost_answers=0))
-            guard = site.process("e1")
-            await warm_up(guard)
-            site.store.set_faults(StoreFaults(lost_answers=1))
-            claim = await guard.claim(order())
-            self.assertTrue(is_claim_to_run(claim))
-            await guard.complete_claim(claim.unwrap(), ORDERED)
-            self.assertEqual((await guard.claim(order())).unwrap().stored, ORDERED)
+            shared = SharedStore()
+            shared.store.set_faults(StoreFaults(lost_answers=0))
+            guard = shared.process("e1")
+            await claim_other_key(guard)
+            shared.store.set_faults(StoreFaults(lost_answers=1))
+            claim = await guard.claim(make_order())
+            self.assertTrue(may_run(claim))
+            await guard.complete_claim(claim.unwrap(), ORDER_RESPONSE)
+            self.assertEqual((await guard.claim(make_order())).unwrap().stored, ORDER_RESPONSE)
 
         run_on_virtual_clock(scenario)
 
     @parameterized.expand([("running", None), ("marked", "mark_outcome_unknown")])
-    def test_owner_died(self, _name: str, last_act: str | None) -> None:
+    def test_key_of_a_dead_owner_never_runs_again(self, _name: str, last_act: str | None) -> None:
         """The key answers "outcome unknown" for ever after, and never runs again.
 
         An instance sends a parts order and is replaced before the answer. The crew sends it again
@@ -150,36 +150,36 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            first, second = site.process("e1"), site.process("e2")
-            claim = (await first.claim(order())).unwrap()
-            self.assertIs(kind_of(await second.claim(order())), ErrorKind.IN_PROGRESS)
+            shared = SharedStore()
+            first, second = shared.process("e1"), shared.process("e2")
+            claim = (await first.claim(make_order())).unwrap()
+            self.assertIs(kind_of(await second.claim(make_order())), ErrorKind.IN_PROGRESS)
             if last_act:
                 await getattr(first, last_act)(claim)
-            site.live.discard("e1")
+            shared.live.discard("e1")
             for _ in range(3):
-                kind = kind_of(await second.claim(order()))
+                kind = kind_of(await second.claim(make_order()))
                 self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
                 await asyncio.sleep(DAY_S / 4)
 
         run_on_virtual_clock(scenario)
 
-    def test_store_is_down(self) -> None:
+    def test_claim_is_refused_while_the_store_is_down(self) -> None:
         """A claim is refused as not run, and once the store is back the key may run."""
 
         async def scenario() -> None:
-            site = Site()
-            guard = site.process("e1")
-            site.store.set_faults(StoreFaults(down=True))
-            kind = kind_of(await guard.claim(order()))
+            shared = SharedStore()
+            guard = shared.process("e1")
+            shared.store.set_faults(StoreFaults(down=True))
+            kind = kind_of(await guard.claim(make_order()))
             self.assertIs(kind, ErrorKind.STORE_UNAVAILABLE)
             self.assertIs(attributes_of(kind).ran, Ran.NO)
-            site.store.set_faults(StoreFaults())
-            self.assertTrue(is_claim_to_run(await guard.claim(order())))
+            shared.store.set_faults(StoreFaults())
+            self.assertTrue(may_run(await guard.claim(make_order())))
 
         run_on_virtual_clock(scenario)
 
-    def test_store_goes_down_with_the_answer_to_the_claim(self) -> None:
+    def test_claim_written_before_the_store_went_down_does_not_block_the_key(self) -> None:
         """The request is refused as not run, and that stays true: the key may run later, once.
 
         The write takes effect, its answer is lost, and the store is down before it can be read. The
@@ -187,18 +187,18 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            first, second = site.process("e1"), site.process("e2")
-            await warm_up(first)
-            lost = await claim_while_store_goes_down(site, first)
+            shared = SharedStore()
+            first, second = shared.process("e1"), shared.process("e2")
+            await claim_other_key(first)
+            lost = await claim_while_store_goes_down(shared, first)
             self.assertIs(kind_of(lost), ErrorKind.STORE_UNAVAILABLE)
             await first.reconcile()
-            outcomes = await asyncio.gather(first.claim(order()), second.claim(order()))
-            self.assertEqual(sum(map(is_claim_to_run, outcomes)), 1)
+            outcomes = await asyncio.gather(first.claim(make_order()), second.claim(make_order()))
+            self.assertEqual(sum(map(may_run, outcomes)), 1)
 
         run_on_virtual_clock(scenario)
 
-    def test_leftover_that_only_a_stale_read_shows(self) -> None:
+    def test_stale_read_does_not_take_a_key_from_its_new_holder(self) -> None:
         """A key that another process holds by now is not taken over.
 
         A process frees its key, the answer to the deletion is lost, and another process claims it
@@ -206,18 +206,18 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            first, second = site.process("e1"), site.process("e2")
-            claim = (await first.claim(order())).unwrap()
-            await warm_up(second)
-            site.store.set_faults(StoreFaults(stale=True, lost_answers=1))
+            shared = SharedStore()
+            first, second = shared.process("e1"), shared.process("e2")
+            claim = (await first.claim(make_order())).unwrap()
+            await claim_other_key(second)
+            shared.store.set_faults(StoreFaults(stale=True, lost_answers=1))
             await first.release_claim(claim)
-            self.assertTrue(is_claim_to_run(await second.claim(order())))
-            self.assertIs(kind_of(await first.claim(order())), ErrorKind.IN_PROGRESS)
+            self.assertTrue(may_run(await second.claim(make_order())))
+            self.assertIs(kind_of(await first.claim(make_order())), ErrorKind.IN_PROGRESS)
 
         run_on_virtual_clock(scenario)
 
-    def test_own_leftover_is_taken_over(self) -> None:
+    def test_process_takes_over_its_own_unused_record(self) -> None:
         """A process that left a record behind may run its key itself, before it has tidied up.
 
         The answer to the claim was lost and the store went down. Other keys were claimed since, so
@@ -225,14 +225,14 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            guard = site.process("e1")
-            await warm_up(guard)
-            lost = await claim_while_store_goes_down(site, guard)
+            shared = SharedStore()
+            guard = shared.process("e1")
+            await claim_other_key(guard)
+            lost = await claim_while_store_goes_down(shared, guard)
             self.assertIs(kind_of(lost), ErrorKind.STORE_UNAVAILABLE)
             await guard.claim(make_request("r1", "parts", key="other", idempotent=False))
-            self.assertTrue(is_claim_to_run(await guard.claim(order())))
-            self.assertIs(kind_of(await guard.claim(order())), ErrorKind.IN_PROGRESS)
+            self.assertTrue(may_run(await guard.claim(make_order())))
+            self.assertIs(kind_of(await guard.claim(make_order())), ErrorKind.IN_PROGRESS)
 
         run_on_virtual_clock(scenario)
 
@@ -253,11 +253,11 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            first, second = site.process("e1"), site.process("e2")
-            await warm_up(first)
-            site.store.set_faults(StoreFaults(delay_s=delay_s))
-            claiming = asyncio.create_task(first.claim(order()))
+            shared = SharedStore()
+            first, second = shared.process("e1"), shared.process("e2")
+            await claim_other_key(first)
+            shared.store.set_faults(StoreFaults(delay_s=delay_s))
+            claiming = asyncio.create_task(first.claim(make_order()))
             await asyncio.sleep(9.9)
             if how == "hang up":
                 claiming.cancel()
@@ -265,13 +265,13 @@
             self.assertTrue(claiming.done())
             if how == "deadline":
                 self.assertIs(kind_of(await claiming), ErrorKind.STORE_UNAVAILABLE)
-            site.store.set_faults(StoreFaults())
+            shared.store.set_faults(StoreFaults())
             await first.reconcile()
-            self.assertTrue(is_claim_to_run(await second.claim(order())))
+            self.assertTrue(may_run(await second.claim(make_order())))
 
         run_on_virtual_clock(scenario)
 
-    def test_late_tidying_spares_the_next_claim(self) -> None:
+    def test_late_deletion_spares_the_next_claim(self) -> None:
         """A claim that never took effect is not tidied away from under the next one.
 
         The first process's create is lost without effect, which it can't tell. By the time it
@@ -280,16 +280,16 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            first, second, third = (site.process(name) for name in ("e1", "e2", "e3"))
-            await warm_up(first)
-            before = site.store.version
-            lost = await claim_while_store_goes_down(site, first)
+            shared = SharedStore()
+            first, second, third = (shared.process(name) for name in ("e1", "e2", "e3"))
+            await claim_other_key(first)
+            before = shared.store.version
+            lost = await claim_while_store_goes_down(shared, first)
             self.assertIs(kind_of(lost), ErrorKind.STORE_UNAVAILABLE)
-            site.store.roll_back_to(before)
-            self.assertTrue(is_claim_to_run(await second.claim(order())))
+            shared.store.roll_back_to(before)
+            self.assertTrue(may_run(await second.claim(make_order())))
             await first.reconcile()
-            self.assertIs(kind_of(await third.claim(order())), ErrorKind.IN_PROGRESS)
+            self.assertIs(kind_of(await third.claim(make_order())), ErrorKind.IN_PROGRESS)
 
         run_on_virtual_clock(scenario)
 
@@ -300,22 +300,22 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            first, second = site.process("e1"), site.process("e2")
-            claim = (await first.claim(order())).unwrap()
-            site.store.set_faults(StoreFaults(down=True))
-            await first.complete_claim(claim, ORDERED)
-            self.assertEqual((await first.claim(order())).unwrap().stored, ORDERED)
-            self.assertIs(kind_of(await first.claim(order(b"other"))), ErrorKind.CONFLICT)
-            site.store.set_faults(StoreFaults())
-            self.assertEqual((await first.claim(order())).unwrap().stored, ORDERED)
-            self.assertIs(kind_of(await second.claim(order())), ErrorKind.IN_PROGRESS)
+            shared = SharedStore()
+            first, second = shared.process("e1"), shared.process("e2")
+            claim = (await first.claim(make_order())).unwrap()
+            shared.store.set_faults(StoreFaults(down=True))
+            await first.complete_claim(claim, ORDER_RESPONSE)
+            self.assertEqual((await first.claim(make_order())).unwrap().stored, ORDER_RESPONSE)
+            self.assertIs(kind_of(await first.claim(make_order(b"other"))), ErrorKind.CONFLICT)
+            shared.store.set_faults(StoreFaults())
+            self.assertEqual((await first.claim(make_order())).unwrap().stored, ORDER_RESPONSE)
+            self.assertIs(kind_of(await second.claim(make_order())), ErrorKind.IN_PROGRESS)
             await first.reconcile()
-            self.assertEqual((await second.claim(order())).unwrap().stored, ORDERED)
+            self.assertEqual((await second.claim(make_order())).unwrap().stored, ORDER_RESPONSE)
 
         run_on_virtual_clock(scenario)
 
-    def test_store_is_down_when_the_end_gets_lost(self) -> None:
+    def test_unknown_outcome_is_kept_while_the_store_is_down(self) -> None:
         """A key whose run has no known end stays so, also while only this process knows of it.
 
         The target went silent with the order and the store is down, so that the record still says
@@ -323,26 +323,26 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            guard = site.process("e1")
-            claim = (await guard.claim(order())).unwrap()
-            site.store.set_faults(StoreFaults(down=True))
+            shared = SharedStore()
+            guard = shared.process("e1")
+            claim = (await guard.claim(make_order())).unwrap()
+            shared.store.set_faults(StoreFaults(down=True))
             await guard.mark_outcome_unknown(claim)
-            site.store.set_faults(StoreFaults())
-            self.assertIs(kind_of(await guard.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
+            shared.store.set_faults(StoreFaults())
+            self.assertIs(kind_of(await guard.claim(make_order())), ErrorKind.OUTCOME_UNKNOWN)
             await guard.reconcile()
-            self.assertIs(kind_of(await guard.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
+            self.assertIs(kind_of(await guard.claim(make_order())), ErrorKind.OUTCOME_UNKNOWN)
 
         run_on_virtual_clock(scenario)
 
-    def test_abandoned_key_is_free(self) -> None:
+    def test_released_key_may_be_claimed_again(self) -> None:
         """A claim under which surely nothing ran leaves the key to the next, whoever that is."""
 
         async def scenario() -> None:
-            site = Site()
-            first, second = site.process("e1"), site.process("e2")
-            await first.release_claim((await first.claim(order())).unwrap())
-            self.assertTrue(is_claim_to_run(await second.claim(order())))
+            shared = SharedStore()
+            first, second = shared.process("e1"), shared.process("e2")
+            await first.release_claim((await first.claim(make_order())).unwrap())
+            self.assertTrue(may_run(await second.claim(make_order())))
 
         run_on_virtual_clock(scenario)
 
@@ -350,11 +350,11 @@
         """A repeat of a request with an answer over the bound says so and does not run."""
 
         async def scenario() -> None:
-            site = Site()
-            guard = site.process("e1")
-            claim = (await guard.claim(order())).unwrap()
+            shared = SharedStore()
+            guard = shared.process("e1")
+            claim = (await guard.claim(make_order())).unwrap()
             await guard.complete_claim(claim, Response(status=200, headers=(), body=b"x" * 101))
-            self.assertIs(kind_of(await guard.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
+            self.assertIs(kind_of(await guard.claim(make_order())), ErrorKind.OUTCOME_UNKNOWN)
 
         run_on_virtual_clock(scenario)
 
@@ -362,17 +362,17 @@
         """A key is kept for the whole window and gone soon after, without a sweep."""
 
         async def scenario() -> None:
-            site = Site()
-            guard = site.process("e1")
-            await guard.complete_claim((await guard.claim(order())).unwrap(), ORDERED)
+            shared = SharedStore()
+            guard = shared.process("e1")
+            await guard.complete_claim((await guard.claim(make_order())).unwrap(), ORDER_RESPONSE)
             await asyncio.sleep(DAY_S)
-            self.assertEqual((await guard.claim(order())).unwrap().stored, ORDERED)
+            self.assertEqual((await guard.claim(make_order())).unwrap().stored, ORDER_RESPONSE)
             await asyncio.sleep(3_700)
-            self.assertTrue(is_claim_to_run(await guard.claim(order())))
+            self.assertTrue(may_run(await guard.claim(make_order())))
 
         run_on_virtual_clock(scenario)
 
-    def test_store_that_went_back_is_not_trusted(self) -> None:
+    def test_regressed_store_is_not_trusted_for_one_window(self) -> None:
         """Claims are refused as not run until a window has passed.
 
         The store is restored from a copy made before the order; its record is gone, and the crew
@@ -380,25 +380,25 @@
         """
 
         async def scenario() -> None:
-            site = Site()
-            guard = site.process("e1")
-            await guard.complete_claim((await guard.claim(order())).unwrap(), ORDERED)
-            site.store.wipe()
-            self.assertIs(kind_of(await guard.claim(order())), ErrorKind.STORE_REGRESSED)
+            shared = SharedStore()
+            guard = shared.process("e1")
+            await guard.complete_claim((await guard.claim(make_order())).unwrap(), ORDER_RESPONSE)
+            shared.store.wipe()
+            self.assertIs(kind_of(await guard.claim(make_order())), ErrorKind.STORE_REGRESSED)
             await asyncio.sleep(DAY_S + 1)
-            self.assertTrue(is_claim_to_run(await guard.claim(order())))
+            self.assertTrue(may_run(await guard.claim(make_order())))
 
         run_on_virtual_clock(scenario)
 
-    def test_claim_that_nobody_ends(self) -> None:
+    def test_overdue_claim_is_marked_unknown(self) -> None:
         """A claim whose request ended without a word is marked unknown after its deadline."""
 
         async def scenario() -> None:
-            site = Site()
-            first, second = site.process("e1"), site.process("e2")
-            await first.claim(order())
+            shared = SharedStore()
+            first, second = shared.process("e1"), shared.process("e2")
+            await first.claim(make_order())
             await asyncio.sleep(60)
             await first.reconcile()
-            self.assertIs(kind_of(await second.claim(order())), ErrorKind.OUTCOME_UNKNOWN)
+            self.assertIs(kind_of(await second.claim(make_order())), ErrorKind.OUTCOME_UNKNOWN)
 
         run_on_virtual_clock(scenario)
--- a/tests/test_idempotency_history.py
+++ b/tests/test_idempotency_history.py
@@ -105,15 +105,15 @@
         if how == "complete_claim":
             self.ran = True
             self.answer = Response(status=200, headers=(), body=str(next(self.numbers)).encode())
-            self.later(guard.complete_claim(claim, self.answer))
+            self.run_in_background(guard.complete_claim(claim, self.answer))
         elif how == "release_claim":
-            self.later(guard.release_claim(claim))
+            self.run_in_background(guard.release_claim(claim))
         else:
             self.ran = True
-            self.later(guard.mark_outcome_unknown(claim))
+            self.run_in_background(guard.mark_outcome_unknown(claim))
 
     def reconcile(self, which: int) -> None:
-        self.later(self.guards[which].reconcile())
+        self.run_in_background(self.guards[which].reconcile())
 
     def replace(self, which: int) -> None:
         """The process dies; what it was running may have run."""
@@ -129,7 +129,7 @@
     def faults(self, faults: dict) -> None:
         self.store.set_faults(StoreFaults(**faults))
 
-    def later(self, work: object) -> None:
+    def run_in_background(self, work: object) -> None:
         self.background.append(asyncio.create_task(work))  # type: ignore[arg-type]
 
     def collect(self) -> None:
@@ -137,9 +137,9 @@
         self.claiming = [entry for entry in self.claiming if not entry[1].done()]
         for guard, task in done:
             if not task.cancelled():
-                self.judge(guard, task)
+                self.check_claim(guard, task)
 
-    def judge(self, guard: StoreIdempotencyGuard, task: asyncio.Task) -> None:
+    def check_claim(self, guard: StoreIdempotencyGuard, task: asyncio.Task) -> None:
         outcome = task.result()
         if not isinstance(outcome, Success):
             return
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -95,8 +95,8 @@
 
     def wait_released(self) -> None:
         """Wait until the loop has seen every release."""
-        ends_at_s = time.monotonic() + 5
-        while self.dispatcher.open_grants and time.monotonic() < ends_at_s:
+        wait_until_s = time.monotonic() + 5
+        while self.dispatcher.open_grants and time.monotonic() < wait_until_s:
             time.sleep(0.005)
         self.assertEqual(self.dispatcher.open_grants, 0)
 
@@ -108,7 +108,7 @@
         self.assertEqual(answer.status, 200)
         self.assertIn(hashlib.sha256(b"sweep").hexdigest(), answer.data.decode())
 
-    def test_each_of_many_callers_receives_its_own(self) -> None:
+    def test_each_concurrent_caller_receives_its_own_answer(self) -> None:
         """Under concurrency every answer holds the digest of its own request's body."""
 
         def ask(number: int) -> bool:
@@ -121,7 +121,7 @@
         self.wait_released()
         self.assertEqual(self.dispatcher.open_grants, 0)
 
-    def test_last_request_gives_its_slot_back(self) -> None:
+    def test_last_request_releases_its_slot(self) -> None:
         """A slot is free soon after the answer, though no further request comes."""
         for _ in range(3):
             self.assertEqual(self.send().status, 200)
@@ -211,7 +211,7 @@
         self.assertEqual((answer.status, answer.json()["ran"]), (504, "unknown"))
         self.assertEqual(self.runs(), 1)
 
-    def test_unknown_end_is_noted_and_told_at_once(self) -> None:
+    def test_unknown_outcome_is_recorded_without_delaying_the_answer(self) -> None:
         """A key whose end is not known is noted as such, and the caller does not wait for that.
 
         Story: an order is sent and its answer is cut short. The caller is told that the outcome is
@@ -227,7 +227,7 @@
         self.assertEqual((answer.status, answer.json()["ran"]), (504, "unknown"))
         self.assertEqual(self.idempotency_guard.unknown, {"order-1"})
 
-    def test_unsafe_request_moves_on_where_it_was_surely_not_run(self) -> None:
+    def test_unsafe_request_is_retried_after_a_refusal(self) -> None:
         """A refusal by the target is certain, so the request may go to the next."""
         self.workers[0].set_faults(WorkerFaults(fault=WorkerFault.REFUSE))
         for _ in range(2):
@@ -236,7 +236,9 @@
         self.assertEqual(self.runs(), 2)
 
     @parameterized.expand([("refused", 2), ("no slot", 3)])
-    def test_refusal_after_a_run_is_not_told_as_not_run(self, _name: str, attempts: int) -> None:
+    def test_refusal_after_a_possible_run_is_reported_as_unknown(
+        self, _name: str, attempts: int
+    ) -> None:
         """Where an earlier attempt may have run, a refused last one is told as unknown.
 
         Story: a sweep is run at one worker, whose answer is cut short. The retry at the other is
@@ -253,7 +255,7 @@
             self.assertEqual((answer.status, answer.json()["ran"]), (504, "unknown"))
             self.assertEqual(self.runs(), number + 1)
 
-    def test_silent_connections_are_left_together(self) -> None:
+    def test_all_idle_connections_are_dropped_after_a_timeout(self) -> None:
         """After one request times out, no old connection to that target is used again.
 
         Story: a device between the instance and a worker forgets all connections; nothing is
@@ -272,7 +274,7 @@
 
 
 class CrashedWorkerTests(RelayCase):
-    def test_crash_cuts_the_connection(self) -> None:
+    def test_crashed_worker_closes_the_connection(self) -> None:
         """A request to a worker that is down breaks off without an answer, and runs elsewhere."""
         self.workers[0].crash()
         answer = self.send()
@@ -298,7 +300,7 @@
         self.assertEqual(answer.status, 200)
         self.assertLess(time.monotonic() - started_s, 1.4)
 
-    def test_stop_waits_for_records(self) -> None:
+    def test_stop_waits_for_record_writes(self) -> None:
         """A stop waits for the record of an answer that was handed on before it was written.
 
         Story: an instance is replaced while the store is slow. It has answered an order whose
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -13,7 +13,7 @@
 LIMITS = RetryLimits(max_attempts=3, retry_ratio=0.1, min_retries_per_s=0.5, burst=4.0)
 
 
-def policy() -> BudgetedRetryPolicy:
+def make_policy() -> BudgetedRetryPolicy:
     return BudgetedRetryPolicy(limits=LIMITS, metrics=Metrics(), rng=random.Random(1))
 
 
@@ -39,12 +39,12 @@
 
         async def scenario() -> None:
             request = make_request("r", "trace", idempotent=idempotent)
-            delay_s = policy().next_delay_s(request, attempts=1, outcome=outcome)
+            delay_s = make_policy().next_delay_s(request, attempts=1, outcome=outcome)
             self.assertEqual(delay_s is not None, retried)
 
         run_on_virtual_clock(scenario)
 
-    def test_storm(self) -> None:
+    def test_retries_stay_within_the_budget_when_every_attempt_fails(self) -> None:
         """Retries stay a tenth of first attempts though every attempt fails.
 
         A third of the targets fail. Each failed request is tried again, fails again at the next,
@@ -52,7 +52,7 @@
         """
 
         async def scenario() -> None:
-            retries = policy()
+            retries = make_policy()
             allowed = 0
             for number in range(1_000):
                 request = make_request(f"r{number}", "trace", deadline_s=1e9)
@@ -67,11 +67,11 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_floor_deadline_and_attempts(self) -> None:
+    def test_minimum_rate_deadline_and_attempt_limit(self) -> None:
         """A quiet service may still retry; never past the deadline or the number of attempts."""
 
         async def scenario() -> None:
-            retries = policy()
+            retries = make_policy()
             request = make_request("r", "trace", deadline_s=1e9)
             broken = AttemptOutcome.BROKEN
 
@@ -88,7 +88,7 @@
 
         run_on_virtual_clock(scenario)
 
-    def test_jitter(self) -> None:
+    def test_delays_are_jittered_over_the_whole_backoff(self) -> None:
         """Delays are spread over the whole backoff: failed requests do not return together."""
 
         async def scenario() -> None:
