--- a/src/shallotworks/requests/_pool.py
+++ b/src/shallotworks/requests/_pool.py
@@ -121,8 +121,8 @@
             instance: The configuration record.
             local: Whether the target is in this process's data centre.
             usable: Whether the target may serve new requests.
-            own_slots: This process's part of its slots.
-            ramp_start_s: Since when its slots grow, if it becomes usable by this.
+            own_slots: Slots of the target that this process may use without borrowing.
+            ramp_start_s: Start of the slow start in event loop time, if the target becomes usable.
         """
         target = self.targets.get(instance.name)
         if target is None:
--- a/src/shallotworks/requests/_targets.py
+++ b/src/shallotworks/requests/_targets.py
@@ -20,7 +20,7 @@
         instance: The configuration record.
         target: The target as included in a grant.
         group: The group that counts its slots.
-        own_slots: This process's part of the target's slots.
+        own_slots: Slots of the target that this process may use without borrowing.
         borrowed: Slots beyond its own that this process uses until the target refuses a request.
         may_borrow_from_s: Event loop time from which this process may borrow slots again.
         in_flight: Number of grants held at the target.
--- a/tests/dispatch_fakes.py
+++ b/tests/dispatch_fakes.py
@@ -1,4 +1,4 @@
-"""A small fleet, requests to it and a stopped clock, for tests and measurements of dispatch."""
+"""A small fleet, requests and a virtual clock, for tests and benchmarks of dispatch."""
 
 import asyncio
 import random
@@ -29,8 +29,8 @@
 
 
 def run_on_virtual_clock(main: Callable[[], Awaitable[_Value]]) -> _Value:
-    """Run a coroutine on a loop whose clock jumps to the next timer."""
-    # Nothing but timers moves here, so that no empty rounds are needed before each jump.
+    """Run a coroutine on an event loop whose clock jumps to the next timer."""
+    # No other threads or sockets are involved, so the clock may jump without idle loop iterations.
     with asyncio.Runner(loop_factory=lambda: looptime.new_event_loop(noop_cycles=0)) as runner:
         return runner.run(_awaited(main))
 
@@ -55,12 +55,12 @@
         raise NotImplementedError
 
     def put(self, **records: object) -> None:
-        """Put records by name, and move to the next revision."""
+        """Put records by name and increment the revision."""
         changed = {key: {**getattr(self._state, key), **value} for key, value in records.items()}
         self._state = replace(self._state, revision=self._state.revision + 1, **changed)
 
     def set_instances(self, names: list[str], **facts: object) -> None:
-        """Change facts of some instances."""
+        """Change fields of some instances."""
         known = self._state.instances
         self.put(instances={name: replace(known[name], **facts) for name in names})
 
@@ -92,7 +92,7 @@
     shares: dict[str, float] | None = None,
     quotas: dict[str, int] | None = None,
 ) -> FleetState:
-    """Return a fleet of one data centre's worth of pools, with services and teams."""
+    """Return a fleet of one data centre with pools, services and teams."""
     pools = {entry.pool for entry in members.values()} | {"pool"}
     shares = shares or {"trace": 1.0}
     return FleetState(
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class DispatchHarness:
-    """A dispatcher over a small fleet."""
+    """A dispatcher over a small fleet, with its configuration, metrics and timeline."""
 
     config: SettableConfig
     dispatcher: PoolDispatcher
@@ -140,27 +140,27 @@
         )
 
     def start(self, *args: str, **kwargs: object) -> "asyncio.Task[Result[Grant, Failure]]":
-        """Ask for a slot for a new request, in a task of its own."""
+        """Request a slot for a new request in a separate task."""
         return self.ask(self.request(*args, **kwargs))  # type: ignore[arg-type]
 
     def ask(
         self, request: Request, tried: frozenset[str] = frozenset()
     ) -> "asyncio.Task[Result[Grant, Failure]]":
-        """Ask for a slot for a request, in a task of its own."""
+        """Request a slot for a request in a separate task."""
         return asyncio.create_task(self.dispatcher.acquire(request, tried=tried))
 
     async def grant(self, *args: str, **kwargs: object) -> Grant:
-        """Return the grant for a new request, which must be given."""
+        """Return the grant for a new request; fails if it is refused."""
         return (await self.start(*args, **kwargs)).unwrap()
 
     async def attempt(self, outcome: AttemptOutcome, duration_s: float = 0.0) -> str:
-        """Make one attempt with this outcome; returns the instance it went to."""
+        """Make one attempt with this outcome and return the instance that it used."""
         grant = await self.grant()
         self.dispatcher.release(grant, outcome, duration_s=duration_s)
         return grant.target.instance
 
     def done(self, grant: Grant, duration_s: float = 0.05) -> None:
-        """Give a slot back after an answer."""
+        """Release a grant after an answer."""
         self.dispatcher.release(grant, AttemptOutcome.ANSWERED, duration_s=duration_s)
 
 
@@ -222,16 +222,16 @@
 
 
 async def settle() -> None:
-    """Let every task that can run do so, without time passing."""
+    """Let every ready task run without advancing the clock."""
     for _ in range(5):
         await asyncio.sleep(0)
 
 
 def granted(task: "asyncio.Task[Result[Grant, Failure]]") -> bool:
-    """Whether a task has ended with a grant."""
+    """Whether a task has finished with a grant."""
     return task.done() and isinstance(task.result(), Success)
 
 
 def kind_of(task: "asyncio.Task[Result[Grant, Failure]]") -> ErrorKind:
-    """Return the error kind that a task has ended with."""
+    """Return the error kind with which a task has finished."""
     return task.result().failure().kind
--- a/tests/test_dispatch_history.py
+++ b/tests/test_dispatch_history.py
@@ -1,4 +1,4 @@
-"""Histories of concurrent requests with drawn faults, checked after each step."""
+"""Property tests of the dispatcher: random steps with faults, checked after each step."""
 
 import asyncio
 import unittest
@@ -55,7 +55,7 @@
 
 
 class DispatchHistory:
-    """Runs drawn steps against one dispatcher and checks what must always hold."""
+    """Runs drawn steps against one dispatcher and checks its invariants after each."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         self.case = case
@@ -125,7 +125,7 @@
         }
         drained = all(grant.target.instance != name for grant in self.held.values())
         if what in ("moved", "back") and not drained:
-            return  # A plan moves an instance only once it is drained.
+            return  # A plan moves an instance only after it is drained.
         if what in facts:
             self.harness.config.set_instances([name], **facts[what])
         else:
@@ -168,7 +168,7 @@
         self.case.assertEqual(self.harness.dispatcher.waiting, len(self.tasks), "lost in the queue")
 
     async def finish(self) -> None:
-        """Let all targets work: every request gets its answer and every slot comes back."""
+        """Release every grant: each request gets its answer and every slot becomes free."""
         while self.held or self.tasks:
             for number in list(self.held):
                 grant = self.held.pop(number)
@@ -185,10 +185,9 @@
     @settings(max_examples=150)
     @given(steps=STEPS)
     def test_any_history(self, steps: list[tuple]) -> None:
-        """Never over slots or quota, nothing new at a barred target, one final answer each.
+        """Slots and quotas hold, barred targets get nothing, each request gets one answer.
 
-        Callers, faults, cancellations, drains, moves between pools and changes in the number of
-        entry instances in any order.
+        Drawn steps: calls, faults, cancellations, drains, moves and changes of the entry count.
         """
 
         async def scenario() -> None:
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -20,7 +20,7 @@
 
 class AdmissionTests(unittest.TestCase):
     def test_grants_no_more_than_the_slots(self) -> None:
-        """As many grants as there are slots are given; the next waits for a release."""
+        """A request beyond the slots waits until another one is released."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(2, slots=2)))
@@ -39,7 +39,7 @@
         run_on_virtual_clock(scenario)
 
     def test_entries_divide_the_slots_exactly(self) -> None:
-        """Entry instances that agree on their ranks hold all slots together, and none twice."""
+        """Entry instances that agree on their ranks use all slots together and none twice."""
 
         async def scenario() -> None:
             held: Counter[str] = Counter()
@@ -53,10 +53,9 @@
         run_on_virtual_clock(scenario)
 
     def test_idle_slots_of_other_entry_instances_are_borrowed(self) -> None:
-        """Interactive work goes beyond its part while the targets allow, and back when they don't.
+        """Requests are not refused while slots of other entry instances are idle.
 
-        The balancer's connections all end at one of two entry instances. Its half of the slots is
-        full and requests are refused, while the other half idles and nobody says so.
+        Borrowed slots are returned when the target refuses a request.
         """
 
         async def scenario() -> None:
@@ -77,7 +76,7 @@
         run_on_virtual_clock(scenario)
 
     def test_unknown_names_are_refused(self) -> None:
-        """A service or team that does not exist is NOT_FOUND; an empty pool is NO_TARGET."""
+        """An unknown service or team is NOT_FOUND; a service without targets is NO_TARGET."""
 
         async def scenario() -> None:
             harness = make_harness(fleet({}))
@@ -90,7 +89,7 @@
         run_on_virtual_clock(scenario)
 
     def test_stopping_instance_admits_only_waiting_requests_and_retries(self) -> None:
-        """After the stop nothing new is admitted; waiting requests and retries are."""
+        """A stopping dispatcher refuses new requests but not waiting ones or retries."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(1, slots=1)))
@@ -114,7 +113,7 @@
 
 class ClassTests(unittest.TestCase):
     def test_free_slot_goes_to_interactive_work_first(self) -> None:
-        """A slot that comes free goes to interactive work, however long others have waited."""
+        """Long-running requests that waited longer don't delay an interactive one."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(1, slots=4)))
@@ -131,7 +130,7 @@
         run_on_virtual_clock(scenario)
 
     def test_long_running_work_leaves_a_slot_to_interactive_work(self) -> None:
-        """Long-running work alone fills all slots but one, which an interactive arrival finds."""
+        """Long-running work must not take the last slot from an interactive request."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(2)))
@@ -143,11 +142,7 @@
         run_on_virtual_clock(scenario)
 
     def test_long_running_work_keeps_its_minimum_of_slots(self) -> None:
-        """A stated minimum of slots goes to long-running work while interactive work floods.
-
-        A salon's clients fill every slot all evening. Without a minimum the nightly reconciliation
-        would not start until they sleep, and would miss the opening.
-        """
+        """Long-running work must not starve under a flood of interactive requests."""
 
         async def scenario() -> None:
             limits = DispatchLimits(long_running_min_part=0.25, waiting_min=10_000)
@@ -170,7 +165,7 @@
 
 class ShareTests(unittest.TestCase):
     def test_unused_share_is_used_by_others_and_returned(self) -> None:
-        """A service uses what others leave; when they want it, it comes back as slots free."""
+        """A service uses slots of an unused share, and they return as slots become free."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(1), shares={"trace": 0.75, "parts": 0.25}))
@@ -187,7 +182,7 @@
         run_on_virtual_clock(scenario)
 
     def test_team_quota(self) -> None:
-        """A team holds its quota at the most, waits a little above it, and is then refused."""
+        """A team holds at most its quota, queues a bounded number and is then refused."""
 
         async def scenario() -> None:
             limits = DispatchLimits(team_waiting_per_slot=2)
@@ -210,7 +205,7 @@
         run_on_virtual_clock(scenario)
 
     def test_team_quota_when_slots_free_at_once(self) -> None:
-        """Requests that queued while their team had room still start within its quota only."""
+        """Requests queued while their team was below its quota start only within the quota."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(1, slots=4), quotas={"crew": 1}))
@@ -230,10 +225,9 @@
 
 class OverloadTests(unittest.TestCase):
     def test_long_running_then_over_share_requests_are_shed_first(self) -> None:
-        """Long-running requests are shed first, then those of the service most over its share.
+        """Overload must not shed whichever request arrives last.
 
-        A pool is flooded. Refusing whoever comes last would refuse a technician's fault trace
-        while a thousand archive jobs stand in line.
+        Long-running requests go first, then those of the service most over its share.
         """
 
         async def scenario() -> None:
@@ -259,7 +253,7 @@
         run_on_virtual_clock(scenario)
 
     def test_waiting_limit_holds_over_all_pools(self) -> None:
-        """No more requests wait in one process than stated, whatever its pools would allow."""
+        """No more than `waiting_max` requests wait in one process, whatever each pool allows."""
 
         async def scenario() -> None:
             harness = make_harness(
@@ -273,7 +267,7 @@
         run_on_virtual_clock(scenario)
 
     def test_requests_that_would_miss_their_deadline_are_refused_on_arrival(self) -> None:
-        """What can't be answered by its deadline is told so on arrival, not at the deadline."""
+        """A request that would miss its deadline is refused on arrival, not at the deadline."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(1, slots=1)))
@@ -292,7 +286,7 @@
         run_on_virtual_clock(scenario)
 
     def test_short_deadline_may_wait_a_part_of_it(self) -> None:
-        """A deadline below the usual duration is no reason to refuse: this one may be quick."""
+        """A deadline below the usual duration alone is no reason to refuse a request."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(8)))
@@ -310,7 +304,7 @@
         run_on_virtual_clock(scenario)
 
     def test_wrong_duration_estimates_are_corrected(self) -> None:
-        """Estimates that say "never in time" don't refuse for ever: free slots are always used."""
+        """Estimates that are far too long must not refuse requests while slots become free."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(1, slots=1)))
@@ -329,11 +323,7 @@
 
 class CancelTests(unittest.TestCase):
     def test_burst_of_cancellations_frees_the_queue(self) -> None:
-        """Thousands of cancellations free the queue at once and hold nobody up.
-
-        An operator cancels a night's jobs: every request that waits is cancelled in one burst, and
-        the next interactive request must not pay for what they leave behind.
-        """
+        """Queue entries left by thousands of cancellations must not delay the next request."""
 
         async def scenario() -> None:
             limits = DispatchLimits(waiting_min=10_000)
@@ -357,11 +347,7 @@
         run_on_virtual_clock(scenario)
 
     def test_grant_of_a_cancelled_task_is_released(self) -> None:
-        """A slot given to a task that is cancelled before it wakes comes back.
-
-        A caller hangs up in the instant in which its turn comes. The grant is decided, nobody
-        receives it, and without care one slot is lost for good with every such instant.
-        """
+        """A task cancelled between its grant and its resumption must not leak the slot."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(1, slots=1)))
@@ -381,7 +367,7 @@
 
 class LeavingTests(unittest.TestCase):
     def test_cordoned_and_leaving_targets_get_nothing_new(self) -> None:
-        """From the moment the state or the list says so, only the other target is used."""
+        """Targets that are cordoned or about to leave get no new requests."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(3)))
@@ -398,7 +384,7 @@
         run_on_virtual_clock(scenario)
 
     def test_last_target_leaves_while_requests_wait(self) -> None:
-        """Waiting requests are told at once that there is no target, not at their deadline."""
+        """Waiting requests are refused when the last target is gone, not at their deadline."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(1, slots=1)))
@@ -412,7 +398,7 @@
         run_on_virtual_clock(scenario)
 
     def test_returning_target_starts_slowly(self) -> None:
-        """A target that comes back is given its slots one by one over the slow start."""
+        """A target that returns gets its slots gradually over the slow start."""
 
         async def scenario() -> None:
             limits = DispatchLimits(slow_start_s=8.0)
@@ -435,7 +421,10 @@
         run_on_virtual_clock(scenario)
 
     def test_interactive_work_spills_over_to_other_data_centres(self) -> None:
-        """Interactive work spills over when no local slot is free; long-running work does not."""
+        """Without a free local slot, interactive requests use other data centres.
+
+        Long-running requests wait as long as a local target serves.
+        """
 
         async def scenario() -> None:
             members = instances(1, slots=2)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Tests of ejection, probing and the choice of target, through `PoolDispatcher`."""
+"""Tests of ejection, probing and target selection through `PoolDispatcher`."""
 
 import asyncio
 import unittest
@@ -25,7 +25,7 @@
 async def attempts(
     harness: DispatchHarness, count: int, bad: set[str], outcome: AttemptOutcome
 ) -> Counter:
-    """Make attempts one after another, which fail at some targets; count where they went."""
+    """Make attempts one after another that fail at the `bad` targets; count attempts per target."""
     seen: Counter[str] = Counter()
     for _ in range(count):
         grant = await harness.grant(within_s=1000)
@@ -38,10 +38,9 @@
 class EjectionTests(unittest.TestCase):
     @parameterized.expand([("error", ERROR), ("broken", AttemptOutcome.BROKEN)])
     def test_target_that_fails_fast_is_ejected(self, _name: str, outcome: object) -> None:
-        """A target that fails everything gets three requests, however idle it looks.
+        """A target that fails at once always has free slots and would attract most requests.
 
-        One worker of eight lost its disk and answers each request with an error within a
-        millisecond. It always has free slots, so every rule that looks at load sends it more.
+        It is ejected after three of them.
         """
 
         async def scenario() -> None:
@@ -56,7 +55,7 @@
         run_on_virtual_clock(scenario)
 
     def test_successful_probe_restores_an_ejected_target(self) -> None:
-        """One request at a time probes an ejected target, ever more rarely, until one succeeds."""
+        """An ejected target gets single probes at growing intervals until one succeeds."""
 
         async def scenario() -> None:
             limits = DispatchLimits(probe_after_s=4.0, slow_start_s=8.0)
@@ -80,7 +79,7 @@
         run_on_virtual_clock(scenario)
 
     def test_non_idempotent_requests_do_not_probe(self) -> None:
-        """A booking is not spent on a probe while an idempotent request may come instead."""
+        """A non-idempotent request does not probe while an idempotent one may come instead."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(2)))
@@ -101,17 +100,18 @@
             await attempts(harness, 200, bad, ERROR)
             self.assertEqual(harness.metrics.counters()["targets.ejected"], 4)
             later = await attempts(harness, 400, bad, ERROR)
-            self.assertLess(sum(later[name] for name in bad), 60, "it must not look the emptiest")
+            self.assertLess(
+                sum(later[name] for name in bad), 60, "it must not rank as least loaded"
+            )
             held = [await harness.grant() for _ in range(32)]
             self.assertEqual(len({grant.target.instance for grant in held}), 4)
 
         run_on_virtual_clock(scenario)
 
     def test_no_ejection_when_nearly_all_targets_fail(self) -> None:
-        """When nearly all look bad, none is ejected, and it is said; it ends when they answer.
+        """A fault of this process makes all targets look broken; ejecting them would leave none.
 
-        This instance's own network card drops every second packet. To it every target looks
-        broken, and ejecting them one by one would end with nothing left to send to.
+        The suspicion is recorded and ends when targets answer again.
         """
 
         async def scenario() -> None:
@@ -133,10 +133,9 @@
         run_on_virtual_clock(scenario)
 
     def test_unreachable_data_centre_does_not_count_against_local_targets(self) -> None:
-        """Targets of a data centre that is cut off are all ejected, and count against nothing.
+        """The ejected targets of an unreachable data centre don't use up the ejection limit.
 
-        The link to the other data centre is cut: its six targets all time out. The two local ones
-        work, so this process is not at fault, and a local one that breaks must still be ejected.
+        A local target that breaks meanwhile is still ejected.
         """
 
         async def scenario() -> None:
@@ -162,10 +161,9 @@
         run_on_virtual_clock(scenario)
 
     def test_refusal_pauses_a_target_without_ejecting_it(self) -> None:
-        """A full target is left alone for an instant and is no outlier; one that only refuses is.
+        """Ejecting full targets for refusals would remove healthy slots under load.
 
-        Another data centre's entries filled its slots: it refuses, truthfully. Treating that like a
-        failure would eject healthy targets exactly when all slots are needed.
+        Only a target that refuses every time is ejected.
         """
 
         async def scenario() -> None:
@@ -184,7 +182,7 @@
         run_on_virtual_clock(scenario)
 
     def test_replaced_machine_starts_without_the_old_ejection(self) -> None:
-        """Another machine under an ejected name starts without that judgement."""
+        """A different machine under an ejected target's name is not ejected."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(2)))
@@ -198,10 +196,9 @@
 
 class TargetSelectionTests(unittest.TestCase):
     def test_retry_waits_for_an_untried_target(self) -> None:
-        """A retry waits for a target it has not tried rather than take the free one it has.
+        """A retry that took the free target it already tried would fail again.
 
-        The broken target is the one with free slots. A retry that takes it fails again and spends
-        the budget; others must meanwhile not wait behind the retry.
+        It waits for another target, and other requests don't wait behind it.
         """
 
         async def scenario() -> None:
@@ -221,7 +218,7 @@
         run_on_virtual_clock(scenario)
 
     def test_any_target_is_taken_when_all_were_tried(self) -> None:
-        """Where every target was tried, any will do."""
+        """A request that tried every target is still granted a slot."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(2)))
@@ -232,11 +229,7 @@
         run_on_virtual_clock(scenario)
 
     def test_processes_spread_over_idle_targets(self) -> None:
-        """Six processes that don't see each other's load fill idle targets about evenly.
-
-        Each takes the emptiest target it knows; with ties broken alike they would all take the
-        same one, which then has 6 requests while its neighbours idle.
-        """
+        """Processes that don't see each other's load must not all choose the same idle target."""
 
         async def scenario() -> None:
             seen: Counter[str] = Counter()
@@ -248,7 +241,7 @@
         run_on_virtual_clock(scenario)
 
     def test_events_name_the_instance(self) -> None:
-        """Ejections are on the time line with the instance, for operators."""
+        """Timeline events of ejections name the instance."""
 
         async def scenario() -> None:
             harness = make_harness(fleet(instances(3)))
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.requests.StoreIdempotencyGuard`: one run per key, whatever fails."""
+"""Tests of `shallotworks.requests.StoreIdempotencyGuard`: at most one run per key."""
 
 import asyncio
 import itertools
@@ -58,7 +58,7 @@
 async def claim_while_store_goes_down(
     shared: SharedStore, guard: StoreIdempotencyGuard
 ) -> Result[Claim, Failure]:
-    """Claim the key; the answer is lost and the store is down until the claim has ended."""
+    """Claim the key; its acknowledgement is lost and the store is down until the claim fails."""
     shared.store.set_faults(StoreFaults(delay_s=1.0, lost_answers=1))
     claiming = asyncio.create_task(guard.claim(make_order()))
     await asyncio.sleep(0.75)
@@ -78,10 +78,9 @@
 
 class IdempotencyTests(unittest.TestCase):
     def test_answered_key_gives_the_first_answer_anywhere(self) -> None:
-        """The key of an answered request gives that answer, through whichever instance.
+        """A repeat through another instance gets the first answer and does not run.
 
-        A receptionist's phone loses the answer to a booking and sends it again; the balancer picks
-        another instance. Two calls to the store for the first, two for the repeat.
+        The first run costs a create and a swap besides the lease.
         """
 
         async def scenario() -> None:
@@ -98,7 +97,7 @@
         run_on_virtual_clock(scenario)
 
     def test_same_key_at_once_runs_once(self) -> None:
-        """Of many claims at the same moment through two instances, one may run."""
+        """Of concurrent claims through two instances, exactly one may run."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -111,7 +110,7 @@
         run_on_virtual_clock(scenario)
 
     def test_different_request_under_the_key_is_refused(self) -> None:
-        """A key that comes with another body is a conflict, and nothing runs."""
+        """A key that is used with a different body is a conflict, and nothing runs."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -122,10 +121,9 @@
         run_on_virtual_clock(scenario)
 
     def test_claim_whose_acknowledgement_was_lost_holds(self) -> None:
-        """The claim holds: the process finds its own id in the record.
+        """A create whose acknowledgement was lost holds: the record has the claim's own id.
 
-        The store takes the write and its answer is lost. Taking that for a failure would refuse
-        a request that may run; taking it for success without looking could let two run.
+        Assuming failure would refuse a valid run; assuming success could allow two.
         """
 
         async def scenario() -> None:
@@ -143,11 +141,7 @@
 
     @parameterized.expand([("running", None), ("marked", "mark_outcome_unknown")])
     def test_key_of_a_dead_owner_never_runs_again(self, _name: str, last_act: str | None) -> None:
-        """The key answers "outcome unknown" for ever after, and never runs again.
-
-        An instance sends a parts order and is replaced before the answer. The crew sends it again
-        through another instance, which can't know whether the tubes are ordered.
-        """
+        """After the owner died, its request may have run; the key stays at unknown outcome."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -165,7 +159,7 @@
         run_on_virtual_clock(scenario)
 
     def test_claim_is_refused_while_the_store_is_down(self) -> None:
-        """A claim is refused as not run, and once the store is back the key may run."""
+        """Without the store a claim is refused as not run; afterwards the key may run."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -180,11 +174,7 @@
         run_on_virtual_clock(scenario)
 
     def test_claim_written_before_the_store_went_down_does_not_block_the_key(self) -> None:
-        """The request is refused as not run, and that stays true: the key may run later, once.
-
-        The write takes effect, its answer is lost, and the store is down before it can be read. The
-        record left behind belongs to nobody and must not block the key.
-        """
+        """A refused claim whose record was written must not block the key from one later run."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -199,11 +189,7 @@
         run_on_virtual_clock(scenario)
 
     def test_stale_read_does_not_take_a_key_from_its_new_holder(self) -> None:
-        """A key that another process holds by now is not taken over.
-
-        A process frees its key, the answer to the deletion is lost, and another process claims it
-        and runs. After a failover reads are old: to the first its own record seems to stand.
-        """
+        """A stale read of its own deleted record must not let a process take over the key."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -218,10 +204,9 @@
         run_on_virtual_clock(scenario)
 
     def test_process_takes_over_its_own_unused_record(self) -> None:
-        """A process that left a record behind may run its key itself, before it has tidied up.
+        """A process may claim a key again whose unused record it has not deleted yet.
 
-        The answer to the claim was lost and the store went down. Other keys were claimed since, so
-        the record left behind is older than the newest write this process has seen.
+        That record is older than the newest version that the process has seen.
         """
 
         async def scenario() -> None:
@@ -246,10 +231,9 @@
     def test_store_is_slower_than_the_caller_waits(
         self, _name: str, how: str, delay_s: float
     ) -> None:
-        """The request is refused as not run in time, and its key is free again soon.
+        """A claim that outlasts its caller's wait is refused as not run.
 
-        The store takes half a minute. The caller's deadline passes, or the caller hangs up, while
-        the claim is under way, before or after the write has taken effect.
+        The key becomes free again whether or not the create took effect.
         """
 
         async def scenario() -> None:
@@ -272,11 +256,9 @@
         run_on_virtual_clock(scenario)
 
     def test_late_deletion_spares_the_next_claim(self) -> None:
-        """A claim that never took effect is not tidied away from under the next one.
+        """The pending deletion of a create without effect must not delete the next claim.
 
-        The first process's create is lost without effect, which it can't tell. By the time it
-        tidies up, a second process holds the key and is running; deleting that record would let a
-        third run it again.
+        Otherwise a third process could run the request again.
         """
 
         async def scenario() -> None:
@@ -294,10 +276,7 @@
         run_on_virtual_clock(scenario)
 
     def test_store_is_down_when_the_run_ends(self) -> None:
-        """The caller's repeat gets the answer from the process that has it, later from any.
-
-        The order ran; storing its answer fails. Until the store is back only this process knows.
-        """
+        """An answer not stored yet is returned by the process that has it, later by any."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -316,11 +295,7 @@
         run_on_virtual_clock(scenario)
 
     def test_unknown_outcome_is_kept_while_the_store_is_down(self) -> None:
-        """A key whose run has no known end stays so, also while only this process knows of it.
-
-        The target went silent with the order and the store is down, so that the record still says
-        "claimed". Nothing may take that for a claim under which nothing ran.
-        """
+        """A run of unknown outcome whose record still says "claimed" must not count as not run."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -336,7 +311,7 @@
         run_on_virtual_clock(scenario)
 
     def test_released_key_may_be_claimed_again(self) -> None:
-        """A claim under which surely nothing ran leaves the key to the next, whoever that is."""
+        """A key whose request is known not to have run may be claimed by any process."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -347,7 +322,7 @@
         run_on_virtual_clock(scenario)
 
     def test_large_answer_is_not_kept(self) -> None:
-        """A repeat of a request with an answer over the bound says so and does not run."""
+        """A repeat of a request whose answer exceeds the size limit is refused and does not run."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -359,7 +334,7 @@
         run_on_virtual_clock(scenario)
 
     def test_records_end_with_the_window(self) -> None:
-        """A key is kept for the whole window and gone soon after, without a sweep."""
+        """A key is kept for the whole window and expires with its lease soon after."""
 
         async def scenario() -> None:
             shared = SharedStore()
@@ -373,10 +348,9 @@
         run_on_virtual_clock(scenario)
 
     def test_regressed_store_is_not_trusted_for_one_window(self) -> None:
-        """Claims are refused as not run until a window has passed.
+        """A store restored from an older copy has lost records; a request could run twice.
 
-        The store is restored from a copy made before the order; its record is gone, and the crew
-        sends the order again. A claim would succeed and order two more tubes.
+        Claims are refused as not run until a whole window has passed.
         """
 
         async def scenario() -> None:
@@ -391,7 +365,7 @@
         run_on_virtual_clock(scenario)
 
     def test_overdue_claim_is_marked_unknown(self) -> None:
-        """A claim whose request ended without a word is marked unknown after its deadline."""
+        """A claim that is never finished is marked unknown some time after its deadline."""
 
         async def scenario() -> None:
             shared = SharedStore()
--- a/tests/test_idempotency_history.py
+++ b/tests/test_idempotency_history.py
@@ -1,4 +1,4 @@
-"""Histories of one idempotency key under drawn faults of the store and of the processes."""
+"""Property tests of one idempotency key under random faults of the store and the processes."""
 
 import asyncio
 import itertools
@@ -43,7 +43,7 @@
 
 
 class KeyHistory:
-    """Runs drawn steps against one key and checks that it runs once at the most."""
+    """Runs drawn steps against one key and checks that its request runs at most once."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         self.case = case
@@ -116,7 +116,7 @@
         self.run_in_background(self.guards[which].reconcile())
 
     def replace(self, which: int) -> None:
-        """The process dies; what it was running may have run."""
+        """Replace a process that died; a request that it was running may have run."""
         self.live.discard(self.names[which])
         if self.holder is not None and self.holder[0] is self.guards[which]:
             self.ran = True
@@ -147,8 +147,8 @@
         if claim.stored is not None:
             self.case.assertEqual(claim.stored, self.answer, "not the first run's answer")
             return
-        self.case.assertFalse(self.ran, "the key has run and may run again")
-        self.case.assertIsNone(self.holder, "two hold the key at once")
+        self.case.assertFalse(self.ran, "a key that has run was claimed again")
+        self.case.assertIsNone(self.holder, "two processes hold the key at once")
         self.holder = (guard, claim)
 
 
@@ -156,10 +156,9 @@
     @settings(max_examples=300)
     @given(steps=STEPS)
     def test_any_history(self, steps: list[tuple]) -> None:
-        """A key is held by one at a time and runs once at the most; repeats get that answer.
+        """A key has one holder at a time, runs at most once, and repeats get its answer.
 
-        Claims through three processes, which hang up, die and are replaced, while the store is
-        down, slow, stale, or loses the answers to writes that took effect.
+        Processes are replaced while the store is down, slow, stale or loses answers.
         """
 
         async def scenario() -> None:
--- a/tests/test_loop_call_queue.py
+++ b/tests/test_loop_call_queue.py
@@ -1,4 +1,4 @@
-"""Tests of the way from a caller's thread into the event loop and back."""
+"""Tests of calls from threads into the event loop."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LoopCallQueueTests(unittest.TestCase):
-    """A loop, threads' work for it, and what was given back unclaimed."""
+    """A queue on its own loop thread, with the deferred calls run and the results handed back."""
 
     def setUp(self) -> None:
         self.loop_thread = LoopThread()
@@ -27,7 +27,7 @@
         self.deferred_calls: list[str] = []
 
     def run_ready_callbacks(self) -> None:
-        """Let the loop do all that it has to do now."""
+        """Let the loop run all callbacks that are ready."""
 
         async def yield_to_loop() -> None:
             for _ in range(5):
@@ -36,11 +36,9 @@
         self.loop_thread.run(yield_to_loop())
 
     def test_deferred_work_is_run_without_a_further_call(self) -> None:
-        """What a thread leaves after its answer is done soon, though nobody calls again.
+        """Work deferred after the last result must not wait for the next call.
 
-        Story: a request is answered and no other follows. Its slot stayed held, and an instance
-        told to stop waited for it until its time-out. The cause: the loop looked for work left
-        behind only while something was in flight before the call, not after it.
+        An idle instance would keep the slot and delay its own stop until its timeout.
         """
 
         async def begin() -> str:
@@ -56,10 +54,7 @@
         self.assertEqual(self.deferred_calls, ["released"])
 
     def test_late_result_is_handed_back(self) -> None:
-        """A result that nobody waits for any more is handed back once.
-
-        Story: the loop decides on a slot just as the caller's time ends. Nobody would release it.
-        """
+        """A result that arrives after the timeout must be handed back, or its slot leaks."""
 
         async def late() -> str:
             with contextlib.suppress(asyncio.CancelledError):
@@ -72,7 +67,7 @@
         self.assertEqual(self.unclaimed, ["slot"])
 
     def test_result_ready_before_abandonment_is_handed_back_once(self) -> None:
-        """The same where the result is there before the loop hears that nobody waits."""
+        """A result produced before the loop learns of the timeout is handed back exactly once."""
 
         async def stuck() -> str:
             time.sleep(0.3)
@@ -84,7 +79,7 @@
         self.assertEqual(self.unclaimed, ["slot"])
 
     def test_exception_of_the_work_is_raised_on_the_calling_thread(self) -> None:
-        """An exception reaches the thread that called."""
+        """An exception in the coroutine is raised on the calling thread."""
 
         async def faulty() -> str:
             raise ZeroDivisionError
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of the path of a request through the real ports: callers' port, relay, targets."""
+"""Tests of a request through the callers' port, the relay and targets over HTTP."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class RelayCase(unittest.TestCase):
-    """Two workers, one instance of the system, one caller."""
+    """Two workers, one entry instance and one caller."""
 
     def setUp(self) -> None:
         self.loop_thread = LoopThread()
@@ -90,11 +90,11 @@
         )
 
     def runs(self) -> int:
-        """Return how many requests the workers have run in all."""
+        """Return how many requests the workers have run in total."""
         return sum(worker.status().counts.runs for worker in self.workers)
 
     def wait_released(self) -> None:
-        """Wait until the loop has seen every release."""
+        """Wait until the loop has released every grant."""
         wait_until_s = time.monotonic() + 5
         while self.dispatcher.open_grants and time.monotonic() < wait_until_s:
             time.sleep(0.005)
@@ -103,13 +103,13 @@
 
 class AnswerTests(RelayCase):
     def test_answer_is_the_targets_own(self) -> None:
-        """A caller receives the target's whole answer to the body that it sent."""
+        """A caller receives the target's complete answer to the body that it sent."""
         answer = self.send("POST", body=b"sweep", Shallot_Idempotent="yes")
         self.assertEqual(answer.status, 200)
         self.assertIn(hashlib.sha256(b"sweep").hexdigest(), answer.data.decode())
 
     def test_each_concurrent_caller_receives_its_own_answer(self) -> None:
-        """Under concurrency every answer holds the digest of its own request's body."""
+        """Concurrent callers each receive the digest of their own request's body."""
 
         def ask(number: int) -> bool:
             body = f"request {number}".encode()
@@ -122,20 +122,20 @@
         self.assertEqual(self.dispatcher.open_grants, 0)
 
     def test_last_request_releases_its_slot(self) -> None:
-        """A slot is free soon after the answer, though no further request comes."""
+        """A slot becomes free soon after the answer, even if no further request follows."""
         for _ in range(3):
             self.assertEqual(self.send().status, 200)
             self.wait_released()
 
     def test_same_key_gives_the_first_answer(self) -> None:
-        """A caller that asks again with its key receives the first answer; it runs once."""
+        """A repeat under the same key receives the first answer, and the request runs once."""
         first = self.send("POST", body=b"two tubes", Idempotency_Key="order-1")
         again = self.send("POST", body=b"two tubes", Idempotency_Key="order-1")
         self.assertEqual(first.data, again.data)
         self.assertEqual(self.runs(), 1)
 
     def test_stopping_instance_refuses_as_not_run(self) -> None:
-        """An instance that stops refuses new requests, truly as not run."""
+        """A stopping instance refuses new requests and reports them as not run."""
         self.relay.refuse_new()
         answer = self.send()
         self.assertEqual((answer.status, answer.json()["ran"]), (503, "no"))
@@ -144,11 +144,9 @@
 
 class ClassTests(RelayCase):
     def test_long_running_requests_leave_threads(self) -> None:
-        """Interactive requests are answered while long-running ones want every thread.
+        """Waiting long-running requests must not occupy all threads.
 
-        Story: the coverage models of a night are sent all at once, more than the instance has
-        threads. Each holds a thread while it runs or waits; a crew's fault trace, for which a slot
-        is free, would wait for a thread behind all of them.
+        An interactive request would find no thread although a slot is free for it.
         """
 
         def model(_number: int) -> int:
@@ -168,11 +166,10 @@
 
 
 class BrokenTargetTests(RelayCase):
-    """Workers that answer wrongly.
+    """Workers whose answers are partial, foreign, late or failures.
 
-    Story: a crew asks for a trace while one worker answers in part, to someone else, or never.
-    The crew must receive the whole trace from the other worker, and a parts order must never be
-    sent a second time. The cause lies in the worker or on the way to it.
+    An idempotent request is answered by the other worker; a non-idempotent one that may have run is
+    never sent again.
     """
 
     @parameterized.expand(
@@ -187,7 +184,7 @@
     def test_idempotent_request_is_answered_elsewhere(
         self, _name: str, fault: WorkerFault, outcome: AttemptOutcome
     ) -> None:
-        """Each of several requests is answered whole by the worker that works."""
+        """A request that fails at one worker is answered completely by the other."""
         self.workers[0].set_faults(WorkerFaults(fault=fault, delay_s=1.0))
         for _ in range(4):
             answer = self.send()
@@ -204,7 +201,7 @@
         ]
     )
     def test_unsafe_request_is_sent_once(self, _name: str, fault: WorkerFault) -> None:
-        """Of a non-idempotent request whose answer is lost, the outcome is told as unknown."""
+        """A non-idempotent request whose answer is lost is sent once and reported as unknown."""
         for worker in self.workers:
             worker.set_faults(WorkerFaults(fault=fault, delay_s=1.0))
         answer = self.send("POST", body=b"two tubes")
@@ -212,11 +209,9 @@
         self.assertEqual(self.runs(), 1)
 
     def test_unknown_outcome_is_recorded_without_delaying_the_answer(self) -> None:
-        """A key whose end is not known is noted as such, and the caller does not wait for that.
+        """A claim left as held would report a repeat as in progress although nothing runs.
 
-        Story: an order is sent and its answer is cut short. The caller is told that the outcome is
-        unknown and asks again under its key; it is told that the order is in progress, though
-        nothing is. The cause: the claim was left as held. The store may be slow to take the note.
+        The unknown outcome is recorded, and the caller does not wait for a slow store.
         """
         self.idempotency_guard.write_s = 30.0
         for worker in self.workers:
@@ -228,7 +223,7 @@
         self.assertEqual(self.idempotency_guard.unknown, {"order-1"})
 
     def test_unsafe_request_is_retried_after_a_refusal(self) -> None:
-        """A refusal by the target is certain, so the request may go to the next."""
+        """A refused non-idempotent request has not run, so another target may run it."""
         self.workers[0].set_faults(WorkerFaults(fault=WorkerFault.REFUSE))
         for _ in range(2):
             answer = self.send("POST", body=b"two tubes")
@@ -239,11 +234,9 @@
     def test_refusal_after_a_possible_run_is_reported_as_unknown(
         self, _name: str, attempts: int
     ) -> None:
-        """Where an earlier attempt may have run, a refused last one is told as unknown.
+        """A request whose earlier attempt may have run must not be reported as not run.
 
-        Story: a sweep is run at one worker, whose answer is cut short. The retry at the other is
-        refused, and there is no further attempt, or no slot for it. The crew is told that the
-        sweep was not run, while the antenna turns. The cause: only the last attempt was looked at.
+        The decision must not look at the refused last attempt only.
         """
         self.workers[0].set_faults(WorkerFaults(fault=WorkerFault.PARTIAL))
         self.workers[1].set_faults(WorkerFaults(fault=WorkerFault.REFUSE))
@@ -256,11 +249,9 @@
             self.assertEqual(self.runs(), number + 1)
 
     def test_all_idle_connections_are_dropped_after_a_timeout(self) -> None:
-        """After one request times out, no old connection to that target is used again.
+        """Requests must not time out one by one on connections that a device has dropped.
 
-        Story: a device between the instance and a worker forgets all connections; nothing is
-        reset. Requests on the old connections would each wait for their time-out in turn, while a
-        new connection answers at once.
+        After one timeout no old connection to that target is used again.
         """
         self.dispatcher.targets = self.dispatcher.targets[:1]
         with ThreadPoolExecutor(max_workers=6) as callers:
@@ -275,7 +266,7 @@
 
 class CrashedWorkerTests(RelayCase):
     def test_crashed_worker_closes_the_connection(self) -> None:
-        """A request to a worker that is down breaks off without an answer, and runs elsewhere."""
+        """A request to a crashed worker fails without an answer and runs at the other worker."""
         self.workers[0].crash()
         answer = self.send()
         self.assertTrue(answer.data.startswith(b"w2 "))
@@ -288,12 +279,7 @@
 
 class SlowStoreTests(RelayCase):
     def test_answer_does_not_wait_for_its_record(self) -> None:
-        """An answer that is here is handed on in time, though its record can't be written yet.
-
-        Story: an order has run and its answer is back, while the platform's store answers nothing
-        for seconds. The caller would wait for a record that does not change its answer, and be told
-        at its deadline that the outcome is unknown.
-        """
+        """An answer that has arrived must not wait for a slow store and become unknown."""
         self.idempotency_guard.write_s = 3.0
         started_s = time.monotonic()
         answer = self.send("POST", Idempotency_Key="order-1", Shallot_Deadline_Ms="1500")
@@ -301,11 +287,7 @@
         self.assertLess(time.monotonic() - started_s, 1.4)
 
     def test_stop_waits_for_record_writes(self) -> None:
-        """A stop waits for the record of an answer that was handed on before it was written.
-
-        Story: an instance is replaced while the store is slow. It has answered an order whose
-        record is still on its way; without it a repeat at the successor would not find the answer.
-        """
+        """A stop waits for records of answers already returned; a repeat would not find them."""
         self.idempotency_guard.write_s = 1.0
         self.send("POST", Idempotency_Key="order-1")
         self.assertIsNone(self.idempotency_guard.records["order-1"])
@@ -326,7 +308,7 @@
         ]
     )
     def test_header_is_refused(self, _name: str, headers: dict[str, str], status: int) -> None:
-        """A wrong header is named to the caller, and nothing runs."""
+        """An invalid header is refused and nothing runs."""
         answer = self.send("POST", **headers)
         self.assertEqual(answer.status, status)
         self.assertEqual(answer.json()["ran"], "no")
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -35,7 +35,7 @@
     def test_what_is_retried(
         self, _name: str, outcome: AttemptOutcome, idempotent: bool, retried: bool
     ) -> None:
-        """A request is sent again only where that can't run it twice."""
+        """A request is retried only if that can't run a non-idempotent request twice."""
 
         async def scenario() -> None:
             request = make_request("r", "trace", idempotent=idempotent)
@@ -45,11 +45,7 @@
         run_on_virtual_clock(scenario)
 
     def test_retries_stay_within_the_budget_when_every_attempt_fails(self) -> None:
-        """Retries stay a tenth of first attempts though every attempt fails.
-
-        A third of the targets fail. Each failed request is tried again, fails again at the next,
-        and soon the retries alone fill the targets that still work.
-        """
+        """Unbounded retries of failing requests would overload the targets that still work."""
 
         async def scenario() -> None:
             retries = make_policy()
@@ -68,7 +64,7 @@
         run_on_virtual_clock(scenario)
 
     def test_minimum_rate_deadline_and_attempt_limit(self) -> None:
-        """A quiet service may still retry; never past the deadline or the number of attempts."""
+        """A quiet service may still retry, but not past the deadline or attempt limit."""
 
         async def scenario() -> None:
             retries = make_policy()
@@ -89,7 +85,7 @@
         run_on_virtual_clock(scenario)
 
     def test_delays_are_jittered_over_the_whole_backoff(self) -> None:
-        """Delays are spread over the whole backoff: failed requests do not return together."""
+        """Delays are spread over the whole backoff, so that retries don't arrive together."""
 
         async def scenario() -> None:
             retries = BudgetedRetryPolicy(
--- a/tests/test_target_client.py
+++ b/tests/test_target_client.py
@@ -1,4 +1,4 @@
-"""Tests of one attempt against a target that answers byte for byte what the test says."""
+"""Tests of one attempt against a target that sends exactly the bytes given by the test."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ByteTarget:
-    """Takes one connection, reads a request, sends the given bytes and closes."""
+    """Accepts one connection, reads a request, sends the given bytes and closes."""
 
     def __init__(self, answer: bytes) -> None:
         self._answer = answer
@@ -35,7 +35,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Wait for the end."""
+        """Wait until the connection is served and close the listening socket."""
         self._thread.join()
         self._listening.close()
 
@@ -47,12 +47,7 @@
 
 
 class WholeAnswerTests(unittest.TestCase):
-    """Answers that end early, or are not to this attempt.
-
-    Story: a crew asks for a trace; the target dies while it answers, or a late answer to another
-    attempt arrives on the connection. The crew would read half a trace, or someone else's, as
-    its own.
-    """
+    """Truncated answers, and answers to other attempts, are not returned to the caller."""
 
     @parameterized.expand(
         [
@@ -105,7 +100,7 @@
     def test_what_counts_as_answered(
         self, _name: str, answer: str, outcome: AttemptOutcome
     ) -> None:
-        """Only a whole answer that echoes this request and attempt is handed on."""
+        """Only a complete answer that echoes this request and attempt is returned."""
         target = ByteTarget(answer.encode())
         self.addCleanup(target.stop)
         limits = TargetClientLimits(
