--- a/src/shallotworks/node/_backend.py
+++ b/src/shallotworks/node/_backend.py
@@ -113,7 +113,7 @@
         """
         entries = self._dependencies.config.entries_after(revision, limit=limit)
         if entries is None:
-            reason = f"changes after revision {revision} are no longer kept"
+            reason = f"changes that follow revision {revision} are not kept any more"
             return Err(Failure(kind=ErrorKind.NOT_FOUND, reason=reason))
         return Success(entries)
 
--- a/src/shallotworks/requests/_dispatcher.py
+++ b/src/shallotworks/requests/_dispatcher.py
@@ -231,9 +231,7 @@
         if request.deadline_s <= now_s:
             return self._refused(request, ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
         if self._waiting_requests.find(request.request_id) is not None:
-            return self._refused(
-                request, ErrorKind.CONFLICT, "a request with this id is already waiting"
-            )
+            return self._refused(request, ErrorKind.CONFLICT, "a request with this id waits")
         if not pool.has_targets:
             return self._refused(request, ErrorKind.NO_TARGET, f"no target for {request.service}")
         if team is not None and team.is_full(self._limits.team_waiting_per_slot):
@@ -291,7 +289,7 @@
         expected_s = expected_wait_s(pool, load)
         if expected_s > longest_s:
             self._metrics.count(f"dispatch.hopeless.{request.request_class.value}")
-            reason = "the queue is too long to answer this request by its deadline"
+            reason = "too many wait to answer this in time"
             retry_after_s = expected_s - longest_s
             return self._refused(request, ErrorKind.OVERLOADED, reason, retry_after_s)
         full = len(self._waiting_requests) >= self._limits.waiting_max
@@ -300,11 +298,9 @@
             self._metrics.count(f"dispatch.shed.{victim.service.name}")
             last = victim.queue.last()
             if victim is load or last is None:
-                reason = "the queue is full"
+                reason = "too many wait"
                 return self._refused(request, ErrorKind.OVERLOADED, reason, expected_s)
-            self._refuse_waiter(
-                last, ErrorKind.OVERLOADED, "shed in favour of more urgent requests", expected_s
-            )
+            self._refuse_waiter(last, ErrorKind.OVERLOADED, "shed for more urgent work", expected_s)
         waiter = self._waiting_requests.add(
             request, pool=pool, load=load, team=team, tried=tried, expires_at_s=now_s + longest_s
         )
@@ -335,7 +331,7 @@
             waiter.grant_future.set_result(refused)
 
     def _on_expired(self, waiter: Waiter) -> None:
-        reason = "no slot became free in time to answer by the deadline"
+        reason = "no slot came free in time to answer by the deadline"
         self._refuse_waiter(waiter, ErrorKind.DEADLINE_EXCEEDED, reason)
 
     def _start_waiting_requests(self, pool: PoolState, now_s: float) -> None:
@@ -403,7 +399,7 @@
         if service is None:
             self._refuse_waiter(waiter, ErrorKind.NOT_FOUND, "the service was removed")
         elif service is not waiter.load.service or not waiter.pool.has_targets:
-            reason = f"no target for {waiter.request.service} is left"
+            reason = f"no target for {waiter.request.service} any more"
             self._refuse_waiter(waiter, ErrorKind.NO_TARGET, reason, RETRY_AFTER_NO_TARGET_S)
 
     def _start_timer(self, pool: PoolState) -> None:
--- a/src/shallotworks/requests/_health.py
+++ b/src/shallotworks/requests/_health.py
@@ -121,7 +121,7 @@
             self._set_failing(target, False)
             self._update_self_suspicion(now_s)
         if target.ejected and target.probing:
-            self._restore(target, now_s, "probe succeeded")
+            self._restore(target, now_s, "probe answered")
 
     def _on_failure(self, target: TargetState, now_s: float) -> None:
         target.failures += 1
@@ -159,7 +159,7 @@
         self._schedule_probe(target, now_s, failed=False)
         self._on_change(target)
         self._metrics.count("targets.ejected")
-        self._record(EventKind.TARGET_EJECTED, target.instance.name, "consecutive failures")
+        self._record(EventKind.TARGET_EJECTED, target.instance.name, "failed in a row")
 
     def _restore(self, target: TargetState, ramp_start_s: float, why: str) -> None:
         target.ejected = False
@@ -222,16 +222,14 @@
         elif failing < SELF_CLEARED_BELOW_PART * size:
             self.suspects_self = False
             self._metrics.count("targets.self-cleared")
-            self._record(EventKind.TARGET_RESTORED, "", "no longer suspecting this process")
+            self._record(EventKind.TARGET_RESTORED, "", "no longer suspects this process")
 
     def _suspect_self(self, now_s: float) -> None:
         self.suspects_self = True
         self._metrics.count("targets.self-suspected")
-        self._record(
-            EventKind.TARGET_EJECTED, "", "nearly all targets fail: suspecting this process"
-        )
+        self._record(EventKind.TARGET_EJECTED, "", "nearly all look bad: suspects this process")
         for target in list(self.ejected.values()):
-            self._restore(target, now_s - self._limits.slow_start_s, "suspecting this process")
+            self._restore(target, now_s - self._limits.slow_start_s, "suspects this process")
 
     def _record(self, kind: EventKind, instance: str, detail: str) -> None:
         detail = f"pool {self._pool}: {detail}"
--- a/src/shallotworks/requests/_idempotency.py
+++ b/src/shallotworks/requests/_idempotency.py
@@ -242,7 +242,7 @@
             if present is not None:
                 return await self._decide_on_record(request, record, present, last_seen_version)
         self._ledger.delete_unheld(key, record.claim_id)
-        reason = "the store reports a conflict for this key but returns no record"
+        reason = "the store contradicts itself about this key"
         return _store_unavailable(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason))
 
     async def _decide_on_record(
@@ -271,7 +271,7 @@
                 request, new_record, present, record, last_seen_version
             )
         if self._is_live(record.owner):
-            return _refuse(ErrorKind.IN_PROGRESS, f"{record.owner} is running this request")
+            return _refuse(ErrorKind.IN_PROGRESS, f"{record.owner} is running it")
         return _refuse(ErrorKind.OUTCOME_UNKNOWN, OUTCOME_NOT_KNOWN)
 
     async def _decide_on_own_record(
@@ -285,7 +285,7 @@
         """Decide on a record of this process from the claim ledger, which is ahead of the store."""
         held = self._ledger.held_claim(present.key)
         if held is not None and held.record.claim_id == record.claim_id:
-            return _refuse(ErrorKind.IN_PROGRESS, "this instance is running this request")
+            return _refuse(ErrorKind.IN_PROGRESS, "this instance is running it")
         pending_write = self._ledger.pending_write(present.key)
         if pending_write is None or record.claim_id not in pending_write.claim_ids:
             return _refuse(ErrorKind.OUTCOME_UNKNOWN, OUTCOME_NOT_KNOWN)
@@ -323,7 +323,7 @@
         key = key_of(request)
         if version <= last_seen_version and not self._is_regression_over(version):
             self._ledger.delete_unheld(key, record.claim_id)
-            reason = "the store has regressed and may have lost the record of an earlier run"
+            reason = "the store has gone back; it may have forgotten that this key ran"
             return _refuse(ErrorKind.STORE_REGRESSED, reason)
         self._highest_version = max(self._highest_version, version)
         held = HeldClaim(record=record, version=version, deadline_s=request.deadline_s)
@@ -366,7 +366,7 @@
 
 def _stored_answer(key: str, version: int, record: IdempotencyRecord) -> Result[Claim, Failure]:
     if record.answer is None:
-        reason = "the request ran, but its answer was too large to store"
+        reason = "it ran, and its answer was too large to keep"
         return _refuse(ErrorKind.OUTCOME_UNKNOWN, reason)
     response = record.answer.response()
     return Success(Claim(key=key, version=version, stored=response))
--- a/src/shallotworks/requests/_target_client.py
+++ b/src/shallotworks/requests/_target_client.py
@@ -246,7 +246,7 @@
         """
         has_stated_end = "Content-Length" in answer.headers or answer.chunked
         if not has_stated_end:
-            raise ValueError("the answer has neither Content-Length nor chunked encoding")
+            raise ValueError("the answer states neither length nor chunks")
         chunks: list[bytes] = []
         total_bytes = 0
         # The socket timeout applies to each read, so a target that sends data slowly could exceed
@@ -262,7 +262,7 @@
             chunks.append(chunk)
             total_bytes += len(chunk)
             if total_bytes > self._limits.answer_limit_bytes:
-                raise ValueError("the answer exceeds the size limit")
+                raise ValueError("the answer is longer than allowed")
 
     def _validate_answer(
         self, answer: HTTPResponse, body: bytes, request: Request, attempt: int
@@ -310,7 +310,7 @@
     now_s = time.monotonic()
     remaining_s = ends_at_s - now_s
     if remaining_s <= 0:
-        raise TimeoutError("the attempt timed out")
+        raise TimeoutError("the attempt's time is over")
     connection.timeout = remaining_s
     if connection.sock is not None:
         connection.sock.settimeout(remaining_s)
