--- a/src/shallotworks/platform/_configuration.py
+++ b/src/shallotworks/platform/_configuration.py
@@ -12,7 +12,7 @@
 from shallotworks.scheduling import MaintenanceWave
 from shallotworks.store import Item
 
-from ._fields import UNREADABLE, table
+from ._fields import DECODE_ERRORS, json_object
 
 __all__ = ["OPERATORS_PREFIX", "Configuration", "OperatorRecords", "Queue"]
 
@@ -49,7 +49,7 @@
         services: Names of all services.
         standby: Services whose machines are off and not paid for.
         guarded: Services whose workers refuse what goes beyond their capacity.
-        longest_body_bytes: Longest body of a request.
+        max_body_bytes: Longest body of a request.
         idle_timeout_s: Idle connections of callers are closed after this.
     """
 
@@ -58,7 +58,7 @@
     services: frozenset[str]
     standby: frozenset[str]
     guarded: frozenset[str]
-    longest_body_bytes: int
+    max_body_bytes: int
     idle_timeout_s: float
 
     def queue_for(self, host: str, path: str) -> Queue | None:
@@ -94,12 +94,12 @@
         """Hear that an operator wrote something."""
         try:
             if item.key == CONFIGURATION_KEY:
-                self._take(decode_configuration(json.loads(item.value)), item.revision)
+                self._apply_if_newer(decode_configuration(json.loads(item.value)), item.revision)
             elif item.key.startswith(WAVES_PREFIX):
                 wave = _decode_wave(json.loads(item.value))
                 self._waves[wave.wave] = wave
                 self._log.line("wave-asked", wave=wave.wave, machines=len(wave.machines))
-        except UNREADABLE as error:
+        except DECODE_ERRORS as error:
             self._log.line("operators-record-unreadable", key=item.key, reason=repr(error))
 
     def on_delete(self, key: str, revision: int) -> None:
@@ -121,7 +121,7 @@
         """Return a wave's state as the operators read it."""
         return json.dumps({"state": "completed" if is_completed else "running"}).encode()
 
-    def _take(self, configuration: Configuration, revision: int) -> None:
+    def _apply_if_newer(self, configuration: Configuration, revision: int) -> None:
         earlier = self.configuration
         if earlier is not None and configuration.version <= earlier.version:
             return
@@ -136,12 +136,12 @@
 
 
 def decode_configuration(body: dict[str, Any]) -> Configuration:
-    """Decode a configuration; raises one of `UNREADABLE`."""
+    """Decode a configuration; raises one of `DECODE_ERRORS`."""
     by_host: dict[str, list[Queue]] = {}
     for row in body["routes"]:
         queue = _decode_queue(row)
         by_host.setdefault(queue.host, []).append(queue)
-    limits = table(body.get("limits", {}))
+    limits = json_object(body.get("limits", {}))
     return Configuration(
         version=int(body["version"]),
         queues={
@@ -153,7 +153,7 @@
         guarded=frozenset(
             str(row["name"]) for row in body["services"] if row.get("admissionControl")
         ),
-        longest_body_bytes=int(limits.get("maxBodyBytes", DEFAULT_BODY_BYTES)),
+        max_body_bytes=int(limits.get("maxBodyBytes", DEFAULT_BODY_BYTES)),
         idle_timeout_s=float(limits.get("idleTimeoutMs", 15_000)) / 1000,
     )
 
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -37,27 +37,27 @@
 
 __all__ = ["serve"]
 
-DUTIES_PREFIX = "shallotworks/duty/"
-SCHEDULER_DUTY = "scheduler/"
-KEEPER_DUTY = "keeper"
+LEASES_PREFIX = "shallotworks/duty/"
+SCHEDULER_KEY_PREFIX = "scheduler/"
+MACHINE_CONTROLLER_KEY = "keeper"
 METRICS_PORT = 9464
-LIST_FRESH_S = 2.5
+MAX_WORKER_LIST_AGE_S = 2.5
 """Two answers of the watch that follows the workers, which write their entries more often."""
-LEAVE_S = 2.6
+SHUTDOWN_SERVE_S = 2.6
 """After the signal to stop, callers are served for this long: the platform asks once a second, and
 sends new connections until two answers were missed."""
-SCHEDULER_CORES = 1.0
+MIN_SCHEDULER_CORES = 1.0
 """A scheduler with less is short of processor in its queue's turn."""
-SCHEDULER_LINK_MBPS = 50.0
+MIN_SCHEDULER_LINK_MBPS = 50.0
 """... and reads up to a megabyte at its start, which should take a fraction of a second."""
-LEAVE_PART = 0.5
+SHUTDOWN_SERVE_RATIO = 0.5
 """... and for this part of the grace at most: requests in flight need the rest."""
-MACHINES_PAUSE_S = 0.1
+MACHINES_WATCH_PAUSE_S = 0.1
 """Schedulers tell their needs ten times a second; the keeper acts five times a second."""
-REGISTRY_PAUSE_S = 0.4
+REGISTRY_WATCH_PAUSE_S = 0.4
 """Workers write their entries 30 times a second together at 40 workers; a worker that drains serves
 on for 2 s, so that this loses nothing and saves calls."""
-LEASE_PART = 5 / 6
+TASK_LEASE_RATIO = 5 / 6
 """Of the longest lease that workers grant; see `OrderTimes`."""
 
 
@@ -78,7 +78,7 @@
     return 0
 
 
-def boot_clock() -> float:
+def boot_time_s() -> float:
     """Return seconds that count the time in which the machine was suspended.
 
     The loop's clock stands still meanwhile: after a thaw a scheduler would send what it decided
@@ -106,18 +106,20 @@
         self._store = PlatformStore(client=self._store_client, metrics=self._metrics)
         self._orders = PlatformOrders()
         self._registry = WorkerRegistry(log=self._log)
-        self._workers_heard_s = -math.inf
-        self._operator_records = OperatorRecords(on_configuration=self._configured, log=self._log)
+        self._workers_answered_s = -math.inf
+        self._operator_records = OperatorRecords(
+            on_configuration=self._on_configuration, log=self._log
+        )
         self._machine_records = MachineRecords(log=self._log)
         self._lease_timing = LeaseTiming(ttl_s=max(LeaseTiming().ttl_s, settings.smallest_ttl_s))
         self._dependencies = self._make_dependencies()
         self._elector = LeaderElector(
             store=self._store,
-            root=DUTIES_PREFIX,
-            mark=_mark_of,
+            root=LEASES_PREFIX,
+            mark=_marker_key_of,
             instance=settings.instance,
-            run_epoch=self._run_duty,
-            clock=boot_clock,
+            run_epoch=self._run_epoch,
+            clock=boot_time_s,
             times=self._lease_timing,
             log=self._log,
             strength=_strength_of(settings),
@@ -140,7 +142,7 @@
             duties=self._elector.held,
         )
         self._stop = asyncio.Event()
-        self._followers: list[asyncio.Task[None]] = []
+        self._watcher_tasks: list[asyncio.Task[None]] = []
 
     def _make_dependencies(self) -> SchedulerDependencies:
         settings = self._settings
@@ -151,9 +153,9 @@
             directory=self._registry,
             advice=PlatformAdvice(client=advice_client),
             machine_records=self._machine_records,
-            clock=boot_clock,
+            clock=boot_time_s,
             wall_clock=time.time,
-            times=OrderTimes(lease_s=settings.bounds.longest_lease_s * LEASE_PART),
+            times=OrderTimes(lease_s=settings.bounds.longest_lease_s * TASK_LEASE_RATIO),
             log=self._log,
             metrics=self._metrics,
             final_state_told_s=settings.bounds.final_state_told_s,
@@ -176,9 +178,9 @@
         await self._ingress.listen_for_readiness(settings.ready_address)
         await self._ingress.listen(settings.callers_address)
         await self._ingress.listen_for_metrics(f"{settings.ip}:{METRICS_PORT}", self._metrics_text)
-        loops = [
-            asyncio.create_task(loop)
-            for loop in (
+        tasks = [
+            asyncio.create_task(task)
+            for task in (
                 self._log.run(),
                 operators.run(),
                 self._elector.run(),
@@ -186,72 +188,74 @@
             )
         ]
         stopped = asyncio.create_task(self._stop.wait())
-        await asyncio.wait([*loops, stopped], return_when=asyncio.FIRST_COMPLETED)
-        await self._leave()
-        for loop in (*loops, *self._followers, stopped):
-            loop.cancel()
-        for loop in loops:
-            if loop.done() and not loop.cancelled() and loop.exception() is not None:
-                self._log.line("fault", reason=repr(loop.exception()))
+        await asyncio.wait([*tasks, stopped], return_when=asyncio.FIRST_COMPLETED)
+        await self._shut_down()
+        for task in (*tasks, *self._watcher_tasks, stopped):
+            task.cancel()
+        for task in tasks:
+            if task.done() and not task.cancelled() and task.exception() is not None:
+                self._log.line("fault", reason=repr(task.exception()))
         self._log.line("stop")
         self._log.flush()
 
-    async def _leave(self) -> None:
+    async def _shut_down(self) -> None:
         """Hand duties over, serve callers until they go elsewhere, then close."""
         self._ingress.is_stopping = True
-        serve_for_s = min(LEAVE_S, self._settings.bounds.stop_grace_s * LEAVE_PART)
+        serve_for_s = min(
+            SHUTDOWN_SERVE_S, self._settings.bounds.stop_grace_s * SHUTDOWN_SERVE_RATIO
+        )
         self._log.line("stopping", serve_for_s=serve_for_s)
-        began_s = asyncio.get_running_loop().time()
-        await self._quietly(self._elector.stop())
-        spent_s = asyncio.get_running_loop().time() - began_s
-        await asyncio.sleep(max(0.0, serve_for_s - spent_s))
-        await self._quietly(self._ingress.close())
+        started_s = asyncio.get_running_loop().time()
+        await self._log_timeout(self._elector.stop())
+        elapsed_s = asyncio.get_running_loop().time() - started_s
+        await asyncio.sleep(max(0.0, serve_for_s - elapsed_s))
+        await self._log_timeout(self._ingress.close())
         await self._orders.close()
         await close_all([self._store_client, self._machines_client, self._advice_client])
 
-    async def _quietly(self, work: Awaitable[None]) -> None:
+    async def _log_timeout(self, awaitable: Awaitable[None]) -> None:
         try:
-            await work
+            await awaitable
         except TimeoutError as error:
             self._log.line("stop-late", reason=repr(error))
 
-    async def _run_duty(self, duty: str, lease: HeldLease) -> None:
-        self._follow_fleet()
-        if duty == KEEPER_DUTY:
-            await self._run_keeper(lease)
+    async def _run_epoch(self, lease_key: str, lease: HeldLease) -> None:
+        self._start_watchers()
+        if lease_key == MACHINE_CONTROLLER_KEY:
+            await self._run_machine_controller(lease)
             return
-        service = duty.removeprefix(SCHEDULER_DUTY)
+        service = lease_key.removeprefix(SCHEDULER_KEY_PREFIX)
         await ServiceScheduler(service=service, lease=lease, dependencies=self._dependencies).run()
 
-    def _follow_fleet(self) -> None:
-        """Follow workers and machines from the first duty on; who only answers callers need not."""
-        if self._followers:
+    def _start_watchers(self) -> None:
+        """Watch workers and machines from the first lease on; serving callers needs neither."""
+        if self._watcher_tasks:
             return
         workers = PrefixWatcher(
             store=self._store,
             prefix=REGISTRY_PREFIX,
             listener=self._registry,
             log=self._log,
-            on_answer=self._workers_heard,
-            pause_s=REGISTRY_PAUSE_S,
+            on_answer=self._note_workers_answer,
+            pause_s=REGISTRY_WATCH_PAUSE_S,
         )
         machines = PrefixWatcher(
             store=self._store,
             prefix=MACHINES_PREFIX,
             listener=self._machine_records,
             log=self._log,
-            pause_s=MACHINES_PAUSE_S,
+            pause_s=MACHINES_WATCH_PAUSE_S,
         )
-        self._followers = [
-            asyncio.create_task(work)
-            for work in (workers.run(), machines.run(), self._note_synced(workers))
+        self._watcher_tasks = [
+            asyncio.create_task(awaitable)
+            for awaitable in (workers.run(), machines.run(), self._mark_registry_synced(workers))
         ]
 
-    async def _note_synced(self, workers: PrefixWatcher) -> None:
+    async def _mark_registry_synced(self, workers: PrefixWatcher) -> None:
         await workers.synced.wait()
         self._registry.is_synced = True
 
-    async def _run_keeper(self, lease: HeldLease) -> None:
+    async def _run_machine_controller(self, lease: HeldLease) -> None:
         dependencies = MachineControllerDependencies(
             machines=PlatformMachines(
                 client=self._machines_client, instance=self._settings.instance
@@ -260,29 +264,29 @@
             machine_records=self._machine_records,
             standby=self._standby,
             store=self._store,
-            clock=boot_clock,
+            clock=boot_time_s,
             wall_clock=time.time,
             log=self._log,
             turns_apart_s=self._settings.bounds.turns_apart_s,
         )
         await MachineController(lease=lease, dependencies=dependencies).run()
 
-    def _workers_heard(self) -> None:
-        self._workers_heard_s = boot_clock()
+    def _note_workers_answer(self) -> None:
+        self._workers_answered_s = boot_time_s()
 
     def _is_capacity_known(self, service: str) -> bool:
         """Whether workers' capacities are known of late, or are guarded by the workers."""
         configuration = self._operator_records.configuration
         is_guarded = configuration is not None and service in configuration.guarded
-        return is_guarded or boot_clock() - self._workers_heard_s < LIST_FRESH_S
+        return is_guarded or boot_time_s() - self._workers_answered_s < MAX_WORKER_LIST_AGE_S
 
     def _standby(self) -> frozenset[str]:
         configuration = self._operator_records.configuration
         return configuration.standby if configuration is not None else frozenset()
 
-    def _configured(self, configuration: Configuration) -> None:
-        schedulers = {SCHEDULER_DUTY + service for service in configuration.services}
-        self._elector.serve(schedulers | {KEEPER_DUTY})
+    def _on_configuration(self, configuration: Configuration) -> None:
+        schedulers = {SCHEDULER_KEY_PREFIX + service for service in configuration.services}
+        self._elector.serve(schedulers | {MACHINE_CONTROLLER_KEY})
 
     def _metrics_text(self) -> str:
         return to_exposition(summarise(self._metrics.freeze(), process=self._settings.instance))
@@ -291,8 +295,8 @@
 
     def _handle_signals(self) -> None:
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _reload(self) -> None:
@@ -306,12 +310,14 @@
 
 
 def _strength_of(settings: PlatformSettings) -> float:
-    """Return how well an instance is equipped for a duty, 0 to 1, by what it has least of."""
-    return min(1.0, settings.cores / SCHEDULER_CORES, settings.link_mbps / SCHEDULER_LINK_MBPS)
+    """Return how well an instance is equipped for a lease, 0 to 1, by what it has least of."""
+    return min(
+        1.0, settings.cores / MIN_SCHEDULER_CORES, settings.link_mbps / MIN_SCHEDULER_LINK_MBPS
+    )
 
 
-def _mark_of(duty: str) -> str:
-    """Return the second key of a duty, among the records that it works on; see `HeldLease`."""
-    if duty == KEEPER_DUTY:
-        return f"{MACHINES_PREFIX}!{duty}"
-    return JobKeys(service=duty.removeprefix(SCHEDULER_DUTY)).holder_mark
+def _marker_key_of(lease_key: str) -> str:
+    """Return the second key of a lease, among the records that it works on; see `HeldLease`."""
+    if lease_key == MACHINE_CONTROLLER_KEY:
+        return f"{MACHINES_PREFIX}!{lease_key}"
+    return JobKeys(service=lease_key.removeprefix(SCHEDULER_KEY_PREFIX)).holder_mark
--- a/src/shallotworks/platform/_http.py
+++ b/src/shallotworks/platform/_http.py
@@ -17,16 +17,16 @@
 
 __all__ = ["HttpAnswer", "HttpClient", "HttpNoAnswer"]
 
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 """Time for a connection: one way takes 1 to 12 ms, and a lost opening packet is sent again after a
 second, by which time another try is better."""
-MOST_CONNECTIONS = 24
+MAX_CONNECTIONS = 24
 """Connections to one address."""
-IDLE_S = 20.0
-MOST_DETAIL_CHARACTERS = 160
+IDLE_TIMEOUT_S = 20.0
+MAX_DETAIL_CHARACTERS = 160
 
-_UNSAFE = re.compile(r"[\x00-\x20\x7f]")
-_UNSAFE_VALUE = re.compile(r"[\x00-\x1f\x7f]")
+_UNSAFE_IN_PATH = re.compile(r"[\x00-\x20\x7f]")
+_UNSAFE_IN_HEADER = re.compile(r"[\x00-\x1f\x7f]")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -66,17 +66,17 @@
         address: ``ip:port``.
     """
 
-    __slots__ = ("_address", "_all", "_generation", "_idle", "_purge", "_slots")
+    __slots__ = ("_address", "_connections", "_generation", "_idle", "_purge_timer", "_slots")
 
     def __init__(self, *, address: str) -> None:
         self._address = address
         self._generation = 0
         """Rises with each call that timed out; connections of earlier ones are not used again."""
         self._idle: list[Connection] = []
-        """The one used last at the end."""
-        self._all: set[Connection] = set()
-        self._slots = asyncio.Semaphore(MOST_CONNECTIONS)
-        self._purge: asyncio.TimerHandle | None = None
+        """The connection used last at the end."""
+        self._connections: set[Connection] = set()
+        self._slots = asyncio.Semaphore(MAX_CONNECTIONS)
+        self._purge_timer: asyncio.TimerHandle | None = None
 
     async def call(
         self,
@@ -84,7 +84,7 @@
         path: str,
         *,
         timeout_s: float,
-        silence_s: float | None = None,
+        read_timeout_s: float | None = None,
         body: dict[str, Any] | None = None,
         headers: dict[str, str] | None = None,
     ) -> HttpAnswer | HttpNoAnswer:
@@ -94,50 +94,52 @@
             method: HTTP method.
             path: Path and query.
             timeout_s: Time for the whole call.
-            silence_s: The longest time without a byte of the answer; ``None`` for no such limit.
+            read_timeout_s: Longest time without a byte of the answer; ``None`` for no limit.
             body: Sent as JSON.
             headers: Further headers.
         """
-        ends_s = asyncio.get_running_loop().time() + timeout_s
+        deadline_s = asyncio.get_running_loop().time() + timeout_s
         try:
             request = self._encode(method, path, body, headers)
-            connection = await self._connected(ends_s)
+            connection = await self._acquire(deadline_s)
         except TimeoutError:
             return HttpNoAnswer(is_unsent=True, detail="no connection in time")
         except (OSError, ValueError) as error:
-            return _lost(error, is_unsent=True)
+            return _no_answer(error, is_unsent=True)
         try:
-            status, raw = await connection.exchange(request, ends_s=ends_s, silence_s=silence_s)
+            status, raw = await connection.exchange(
+                request, deadline_s=deadline_s, read_timeout_s=read_timeout_s
+            )
             return HttpAnswer(status=status, body=_decode(raw))
         except TimeoutError:
-            self._renew()
+            self._retire_connections()
             return HttpNoAnswer(
-                is_unsent=False, detail=f"no answer in {silence_s or timeout_s:.2f} s"
+                is_unsent=False, detail=f"no answer in {read_timeout_s or timeout_s:.2f} s"
             )
         except (ConnectionLostError, ValueError) as error:
-            return _lost(error, is_unsent=False)
+            return _no_answer(error, is_unsent=False)
         finally:
             self._release(connection)
 
     async def close(self) -> None:
         """Close all connections; calls that are under way end without an answer."""
-        if self._purge is not None:
-            self._purge.cancel()
-            self._purge = None
+        if self._purge_timer is not None:
+            self._purge_timer.cancel()
+            self._purge_timer = None
         self._idle.clear()
-        for connection in list(self._all):
+        for connection in list(self._connections):
             connection.close()
-        self._all.clear()
+        self._connections.clear()
 
     def _encode(
         self, method: str, path: str, body: dict[str, Any] | None, headers: dict[str, str] | None
     ) -> bytes:
         """Return a request's bytes; `ValueError` where a part would break out of its line."""
-        if _UNSAFE.search(path):
+        if _UNSAFE_IN_PATH.search(path):
             raise ValueError("a path with a blank or a control character")
         lines = [f"{method} {path} HTTP/1.1\r\n"]
         for name, value in ({"Host": self._address} | (headers or {})).items():
-            if _UNSAFE_VALUE.search(value):
+            if _UNSAFE_IN_HEADER.search(value):
                 raise ValueError("a header with a control character")
             lines.append(f"{name}: {value}\r\n")
         if body is None:
@@ -149,14 +151,14 @@
 
     # ---- connections
 
-    async def _connected(self, ends_s: float) -> Connection:
+    async def _acquire(self, deadline_s: float) -> Connection:
         """Return a connection that this call has to itself until `_release`.
 
         Raises:
-            TimeoutError: There is none by ``ends_s``, or none that comes about in `CONNECT_S`.
+            TimeoutError: None is free by ``deadline_s``, or none opens in `CONNECT_TIMEOUT_S`.
         """
         if self._slots.locked():
-            async with asyncio.timeout_at(ends_s):
+            async with asyncio.timeout_at(deadline_s):
                 await self._slots.acquire()
         else:
             await self._slots.acquire()
@@ -165,21 +167,21 @@
                 connection = self._idle.pop()
                 if connection.is_open:
                     return connection
-                self._all.discard(connection)
-            return await self._connect(ends_s)
+                self._connections.discard(connection)
+            return await self._connect(deadline_s)
         except BaseException:
             self._slots.release()
             raise
 
-    async def _connect(self, ends_s: float) -> Connection:
+    async def _connect(self, deadline_s: float) -> Connection:
         host, _, port = self._address.rpartition(":")
         generation = self._generation
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout_at(min(ends_s, loop.time() + CONNECT_S)):
+        async with asyncio.timeout_at(min(deadline_s, loop.time() + CONNECT_TIMEOUT_S)):
             _, connection = await loop.create_connection(
                 lambda: Connection(generation=generation), host, int(port)
             )
-        self._all.add(connection)
+        self._connections.add(connection)
         return connection
 
     def _release(self, connection: Connection) -> None:
@@ -187,36 +189,36 @@
         if connection.is_open and connection.generation == self._generation:
             connection.idle_since_s = asyncio.get_running_loop().time()
             self._idle.append(connection)
-            self._purge_later()
+            self._schedule_purge()
             return
         connection.close()
-        self._all.discard(connection)
+        self._connections.discard(connection)
 
-    def _renew(self) -> None:
+    def _retire_connections(self) -> None:
         self._generation += 1
         for connection in self._idle:
             connection.close()
-            self._all.discard(connection)
+            self._connections.discard(connection)
         self._idle.clear()
 
-    def _purge_later(self) -> None:
-        if self._purge is None:
+    def _schedule_purge(self) -> None:
+        if self._purge_timer is None:
             loop = asyncio.get_running_loop()
-            self._purge = loop.call_later(IDLE_S, self._close_idle)
+            self._purge_timer = loop.call_later(IDLE_TIMEOUT_S, self._purge_idle)
 
-    def _close_idle(self) -> None:
-        self._purge = None
-        before_s = asyncio.get_running_loop().time() - IDLE_S
-        for connection in [one for one in self._idle if one.idle_since_s <= before_s]:
+    def _purge_idle(self) -> None:
+        self._purge_timer = None
+        unused_since_s = asyncio.get_running_loop().time() - IDLE_TIMEOUT_S
+        for connection in [idle for idle in self._idle if idle.idle_since_s <= unused_since_s]:
             connection.close()
             self._idle.remove(connection)
-            self._all.discard(connection)
+            self._connections.discard(connection)
         if self._idle:
-            self._purge_later()
+            self._schedule_purge()
 
 
-def _lost(error: Exception, *, is_unsent: bool) -> HttpNoAnswer:
-    return HttpNoAnswer(is_unsent=is_unsent, detail=repr(error)[:MOST_DETAIL_CHARACTERS])
+def _no_answer(error: Exception, *, is_unsent: bool) -> HttpNoAnswer:
+    return HttpNoAnswer(is_unsent=is_unsent, detail=repr(error)[:MAX_DETAIL_CHARACTERS])
 
 
 def _decode(raw: bytes) -> dict[str, Any]:
--- a/src/shallotworks/platform/_http_connection.py
+++ b/src/shallotworks/platform/_http_connection.py
@@ -8,7 +8,7 @@
 
 __all__ = ["Connection", "ConnectionLostError"]
 
-MOST_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 """Longer answers are not taken: the longest that the platform sends hold 1 MB of values."""
 
 
@@ -26,15 +26,15 @@
     __slots__ = (
         "_answer",
         "_body",
-        "_deadline",
-        "_ends_s",
+        "_deadline_s",
+        "_deadline_timer",
+        "_has_headers",
         "_has_length",
-        "_heard_s",
-        "_is_headed",
+        "_last_byte_s",
         "_loop",
         "_parser",
+        "_read_timeout_s",
         "_received_bytes",
-        "_silence_s",
         "_transport",
         "generation",
         "idle_since_s",
@@ -46,15 +46,15 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._answer: asyncio.Future[tuple[int, bytes]] | None = None
-        self._deadline: asyncio.TimerHandle | None = None
+        self._deadline_timer: asyncio.TimerHandle | None = None
         self._parser: httptools.HttpResponseParser | None = None
         self._body: list[bytes] = []
         self._received_bytes = 0
         self._has_length = False
-        self._is_headed = False
-        self._ends_s = 0.0
-        self._heard_s = 0.0
-        self._silence_s: float | None = None
+        self._has_headers = False
+        self._deadline_s = 0.0
+        self._last_byte_s = 0.0
+        self._read_timeout_s: float | None = None
 
     @property
     def is_open(self) -> bool:
@@ -68,14 +68,14 @@
         self._fail(ConnectionLostError("closed here"))
 
     async def exchange(
-        self, request: bytes, *, ends_s: float, silence_s: float | None
+        self, request: bytes, *, deadline_s: float, read_timeout_s: float | None
     ) -> tuple[int, bytes]:
         """Send a request and return the answer's status and body.
 
         Args:
             request: All its bytes.
-            ends_s: The loop's time at which the exchange is given up.
-            silence_s: The longest time without a byte of the answer; ``None`` for no such limit.
+            deadline_s: The loop's time at which the exchange is given up.
+            read_timeout_s: Longest time without a byte of the answer; ``None`` for no limit.
 
         Raises:
             TimeoutError: No whole answer came in time; the connection is closed.
@@ -87,7 +87,7 @@
         answer: asyncio.Future[tuple[int, bytes]] = self._loop.create_future()
         self._answer = answer
         # After the future is there: a time that has run out already ends it, or nothing would.
-        self._begin(ends_s, silence_s)
+        self._start_exchange(deadline_s, read_timeout_s)
         transport.write(request)
         try:
             return await answer
@@ -97,28 +97,28 @@
             raise
         finally:
             self._answer = None
-            if self._deadline is not None:
-                self._deadline.cancel()
-                self._deadline = None
+            if self._deadline_timer is not None:
+                self._deadline_timer.cancel()
+                self._deadline_timer = None
 
-    def _begin(self, ends_s: float, silence_s: float | None) -> None:
+    def _start_exchange(self, deadline_s: float, read_timeout_s: float | None) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._body = []
         self._received_bytes = 0
-        self._has_length = self._is_headed = False
-        self._ends_s, self._silence_s = ends_s, silence_s
-        self._heard_s = self._loop.time()
-        self._watch()
+        self._has_length = self._has_headers = False
+        self._deadline_s, self._read_timeout_s = deadline_s, read_timeout_s
+        self._last_byte_s = self._loop.time()
+        self._check_deadline()
 
-    def _watch(self) -> None:
+    def _check_deadline(self) -> None:
         """Give the exchange up once its time is over, or once nothing was heard for too long."""
-        until_s = self._ends_s
-        if self._silence_s is not None:
-            until_s = min(until_s, self._heard_s + self._silence_s)
-        if until_s <= self._loop.time():
+        expires_s = self._deadline_s
+        if self._read_timeout_s is not None:
+            expires_s = min(expires_s, self._last_byte_s + self._read_timeout_s)
+        if expires_s <= self._loop.time():
             self._fail(TimeoutError())
         else:
-            self._deadline = self._loop.call_at(until_s, self._watch)
+            self._deadline_timer = self._loop.call_at(expires_s, self._check_deadline)
 
     def _fail(self, error: Exception) -> None:
         if self._answer is not None and not self._answer.done():
@@ -133,13 +133,13 @@
 
     def data_received(self, data: bytes) -> None:
         """Take bytes of an answer."""
-        self._heard_s = self._loop.time()
+        self._last_byte_s = self._loop.time()
         self._received_bytes += len(data)
         if self._answer is None or self._parser is None:
             # Bytes that nobody asked for would be taken for the next request's answer.
             self.close()
             return
-        if self._received_bytes > MOST_ANSWER_BYTES:
+        if self._received_bytes > MAX_ANSWER_BYTES:
             self._fail(ConnectionLostError("an answer that is too long"))
             return
         try:
@@ -149,7 +149,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Hear that it has ended."""
-        if self._is_headed and not self._has_length and exc is None:
+        if self._has_headers and not self._has_length and exc is None:
             # Such an answer ends with its connection.
             self.on_message_complete()
         self._fail(ConnectionLostError(repr(exc) if exc else "closed by the other side"))
@@ -163,7 +163,7 @@
 
     def on_headers_complete(self) -> None:
         """Hear that the head is complete."""
-        self._is_headed = True
+        self._has_headers = True
 
     def on_body(self, body: bytes) -> None:
         """Hear of a part of the body."""
--- a/src/shallotworks/platform/_ingress.py
+++ b/src/shallotworks/platform/_ingress.py
@@ -33,12 +33,12 @@
 DEADLINE_HEADER = "Shallotworks-Deadline-Ms"
 ANSWER_MARGIN_S = 0.15
 """Kept of a caller's time for the answer's way back."""
-PATIENCE_S = 1.6
+MAX_REQUEST_S = 1.6
 """The most that one request is worked on: two tries at a silent store. After that the caller's
 next try, at another instance, is the better one."""
 NO_CONFIGURATION_RETRY_AFTER_S = 1
-CONNECTION_IDLE_S = 15.0
-SHOWN_REASON = 400
+KEEPALIVE_TIMEOUT_S = 15.0
+MAX_REASON_CHARACTERS = 400
 
 
 class Ingress:
@@ -110,7 +110,7 @@
         handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
     ) -> None:
         server = web.Server(
-            handle, keepalive_timeout=CONNECTION_IDLE_S, access_log=None, lingering_time=0.5
+            handle, keepalive_timeout=KEEPALIVE_TIMEOUT_S, access_log=None, lingering_time=0.5
         )
         runner = web.ServerRunner(server, shutdown_timeout=2.0)
         await runner.setup()
@@ -131,10 +131,10 @@
     # ---- callers
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         response = await self._answer(request)
         self._metrics.count(f"callers.{request.method}.{response.status}")
-        self._metrics.observe_s(f"callers.{request.method}", time.monotonic() - began_s)
+        self._metrics.observe_s(f"callers.{request.method}", time.monotonic() - started_s)
         if self.is_stopping:
             response.force_close()
         return response
@@ -142,7 +142,7 @@
     async def _answer(self, request: web.BaseRequest) -> web.Response:
         configuration = self._configuration()
         if configuration is None:
-            return _refused("no configuration yet", NO_CONFIGURATION_RETRY_AFTER_S)
+            return _unavailable_response("no configuration yet", NO_CONFIGURATION_RETRY_AFTER_S)
         host = request.headers.get("Host", "").rsplit(":", 1)[0].lower()
         path = request.path
         queue = configuration.queue_for(host, path)
@@ -150,24 +150,24 @@
             self._log.line(
                 "queue-unknown", host=host, path=path[:100], version=configuration.version
             )
-            return _said(404, "no such queue")
+            return _error_response(404, "no such queue")
         deadline_s = _deadline_s(request, queue)
         name = path[len(queue.prefix) :]
         if not name:
             return await self._answer_queue(request, queue, deadline_s)
         if not is_job_id(name):
-            return _said(400, "a job is named by 16 hexadecimal digits")
+            return _error_response(400, "a job is named by 16 hexadecimal digits")
         return await self._answer_job(request, configuration, queue, name, deadline_s)
 
     async def _answer_queue(
         self, request: web.BaseRequest, queue: Queue, deadline_s: float
     ) -> web.Response:
         if request.method != "GET":
-            return _said(405, "a queue can only be looked at")
+            return _error_response(405, "a queue can only be looked at")
         answer = await self._job_handler.waiting(queue.policy, deadline_s=deadline_s)
         if answer.status is not JobRequestStatus.FOUND:
-            return self._store_refused()
-        return _json(200, {"pending": answer.waiting})
+            return self._store_unavailable_response()
+        return _json_response(200, {"pending": answer.waiting})
 
     async def _answer_job(
         self,
@@ -184,8 +184,8 @@
             return self._state_response(answer)
         if request.method == "DELETE":
             answer = await self._job_handler.cancel(queue.policy, job_id, deadline_s=deadline_s)
-            return self._desk_response(answer)
-        return _said(405, "a job can be handed in, looked at and cancelled")
+            return self._job_response(answer)
+        return _error_response(405, "a job can be handed in, looked at and cancelled")
 
     async def _submit(
         self,
@@ -198,52 +198,52 @@
         try:
             body = await request.read()
         except web.HTTPRequestEntityTooLarge:
-            return _said(413, "the body is too long")
-        if len(body) > configuration.longest_body_bytes:
-            return _said(413, "the body is too long")
+            return _error_response(413, "the body is too long")
+        if len(body) > configuration.max_body_bytes:
+            return _error_response(413, "the body is too long")
         decoded = decode_submission(
             body, job_id=job_id, policy=queue.policy, accepted_s=time.time()
         )
         if not isinstance(decoded, Success):
             reason = decoded.failure().reason
             self._log.line("job-invalid", id=job_id, queue=queue.policy.queue, reason=reason)
-            return _said(400, reason)
+            return _error_response(400, reason)
         if self._is_store_unavailable():
             # Refused before anything is sent, so that it is certain not to be run.
             self._log.line("job-submit", id=job_id, outcome="refused", reason="store lost")
-            return self._store_refused()
+            return self._store_unavailable_response()
         answer = await self._job_handler.submit(decoded.unwrap(), deadline_s=deadline_s)
-        return self._desk_response(answer)
+        return self._job_response(answer)
 
     def _state_response(self, answer: JobResponse) -> web.Response:
         if answer.status is JobRequestStatus.FOUND and answer.state is not None:
-            return _json(200, {"state": _STATES[answer.state]})
-        return self._desk_response(answer)
+            return _json_response(200, {"state": _STATE_NAMES[answer.state]})
+        return self._job_response(answer)
 
-    def _desk_response(self, answer: JobResponse) -> web.Response:
+    def _job_response(self, answer: JobResponse) -> web.Response:
         if answer.status is JobRequestStatus.ACCEPTED:
-            return _json(200, {})
+            return _json_response(200, {})
         if answer.status is JobRequestStatus.NO_SUCH_JOB:
-            return _said(410, "no such job")
+            return _error_response(410, "no such job")
         if answer.status is JobRequestStatus.REFUSED:
-            return self._store_refused()
-        return _said(504, "the outcome is not known; the same request may be sent again")
+            return self._store_unavailable_response()
+        return _error_response(504, "the outcome is not known; the same request may be sent again")
 
-    def _store_refused(self) -> web.Response:
-        return _refused("the store can't be reached", retry_after_s(self._outage_s()))
+    def _store_unavailable_response(self) -> web.Response:
+        return _unavailable_response("the store can't be reached", retry_after_s(self._outage_s()))
 
 
 def _deadline_s(request: web.BaseRequest, queue: Queue) -> float:
     """Return when the answer must be sent, on the loop's clock."""
-    given = request.headers.get(DEADLINE_HEADER, "")
-    allowed_s = queue.timeout_s
-    if given.isdigit():
-        allowed_s = min(allowed_s, int(given) / 1000)
-    patience_s = min(allowed_s - ANSWER_MARGIN_S, PATIENCE_S)
-    return asyncio.get_running_loop().time() + patience_s
+    deadline_header = request.headers.get(DEADLINE_HEADER, "")
+    time_limit_s = queue.timeout_s
+    if deadline_header.isdigit():
+        time_limit_s = min(time_limit_s, int(deadline_header) / 1000)
+    time_left_s = min(time_limit_s - ANSWER_MARGIN_S, MAX_REQUEST_S)
+    return asyncio.get_running_loop().time() + time_left_s
 
 
-_STATES = {
+_STATE_NAMES = {
     JobState.QUEUED: "queued",
     JobState.RUNNING: "running",
     JobState.COMPLETED: "completed",
@@ -252,17 +252,17 @@
 }
 
 
-def _refused(reason: str, come_back_s: int) -> web.Response:
-    response = _said(503, reason)
-    response.headers["Retry-After"] = str(come_back_s)
+def _unavailable_response(reason: str, delay_s: int) -> web.Response:
+    response = _error_response(503, reason)
+    response.headers["Retry-After"] = str(delay_s)
     return response
 
 
-def _said(status: int, reason: str) -> web.Response:
-    return _json(status, {"error": reason[:SHOWN_REASON]})
+def _error_response(status: int, reason: str) -> web.Response:
+    return _json_response(status, {"error": reason[:MAX_REASON_CHARACTERS]})
 
 
-def _json(status: int, body: dict[str, object]) -> web.Response:
+def _json_response(status: int, body: dict[str, object]) -> web.Response:
     return web.Response(
         status=status,
         body=json.dumps(body, separators=(",", ":")).encode(),
--- a/src/shallotworks/platform/_job_requests.py
+++ b/src/shallotworks/platform/_job_requests.py
@@ -11,7 +11,7 @@
 from shallotworks.errors import ErrorKind, Failure
 from shallotworks.jobs import Job, QueuePolicy, Repeats, Step, job_problems
 
-from ._fields import UNREADABLE, text, whole
+from ._fields import DECODE_ERRORS, json_integer, json_string
 
 __all__ = ["decode_submission", "is_job_id"]
 
@@ -40,46 +40,46 @@
         job = Job(
             job_id=job_id,
             policy=policy,
-            spec=text(table.get("spec", "")),
+            spec=json_string(table.get("spec", "")),
             steps=tuple(_decode_step(row) for row in table["steps"]),
             repeats=_decode_repeats(table),
             accepted_s=accepted_s,
         )
-        faults = "; ".join(job_problems(job))
-    except UNREADABLE as error:
-        faults = f"the body is not a job: {error!r}"
-    if faults:
-        return Err(Failure(kind=ErrorKind.INVALID_REQUEST, reason=faults[:500]))
+        problems = "; ".join(job_problems(job))
+    except DECODE_ERRORS as error:
+        problems = f"the body is not a job: {error!r}"
+    if problems:
+        return Err(Failure(kind=ErrorKind.INVALID_REQUEST, reason=problems[:500]))
     return Success(job)
 
 
 def _decode_step(row: dict[str, Any]) -> Step:
     return Step(
-        count=whole(row.get("count", 0)),
-        cpu_millicores=whole(row.get("cpu", 0)),
-        memory_mb=whole(row.get("memMb", 0)),
-        gpus=whole(row.get("gpu", 0)),
+        count=json_integer(row.get("count", 0)),
+        cpu_millicores=json_integer(row.get("cpu", 0)),
+        memory_mb=json_integer(row.get("memMb", 0)),
+        gpus=json_integer(row.get("gpu", 0)),
         estimated_s=float(row.get("estimatedMs", 0)) / 1000,
-        after=tuple(whole(number) for number in row.get("after", ())),
+        after=tuple(json_integer(number) for number in row.get("after", ())),
         is_checkpointed=bool(row.get("checkpointing", False)),
         is_gang=bool(row.get("gang", False)),
         is_one_rack=bool(row.get("sameRack", False)),
-        label=text(row.get("requiredLabel", "")),
+        label=json_string(row.get("requiredLabel", "")),
         # The wire's word names the rack that holds the step's data.
-        near_rack=text(row.get("affinity", "")),
+        near_rack=json_string(row.get("affinity", "")),
         # The wire's word is a number: the most tasks of the step on one worker.
-        most_per_worker=whole(row.get("antiAffinity", 0)),
+        most_per_worker=json_integer(row.get("antiAffinity", 0)),
         is_speculative=bool(row.get("speculative", False)),
         is_lasting=bool(row.get("longRunning", False)),
-        image=text(row.get("image", "")),
+        image=json_string(row.get("image", "")),
         target_s=float(row.get("targetMs", 0)) / 1000,
         is_filler=bool(row.get("fills", False)),
-        may_miss=whole(row.get("mayMiss", 0)),
+        may_miss=json_integer(row.get("mayMiss", 0)),
     )
 
 
 def _decode_repeats(table: dict[str, Any]) -> Repeats | None:
-    count = whole(table.get("repeatCount", 0))
+    count = json_integer(table.get("repeatCount", 0))
     if count == 0:
         return None
     return Repeats(
--- a/src/shallotworks/platform/_machines.py
+++ b/src/shallotworks/platform/_machines.py
@@ -11,24 +11,24 @@
 from shallotworks.errors import ErrorKind, Failure
 from shallotworks.scheduling import Machine, MachineOrderStatus, MachineState, Permits
 
-from ._fields import UNREADABLE, number, rows, text
+from ._fields import DECODE_ERRORS, json_array, json_number, json_string
 from ._http import HttpAnswer, HttpClient, HttpNoAnswer
 
 __all__ = ["PlatformAdvice", "PlatformMachines"]
 
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 """Time for a call; an order that was not answered is asked for again, which does no harm."""
-ADVICE_S = 3.0
+ADVICE_TIMEOUT_S = 3.0
 """The service takes its time for each worker, and one question at a time from each of us."""
-DEFAULT_VALID_MS = 1000
+DEFAULT_ADVICE_VALID_MS = 1000
 
-_ENDINGS = {
+_STATUS_BY_HTTP_STATUS = {
     200: MachineOrderStatus.OBEYED,
     400: MachineOrderStatus.MISFIT,
     429: MachineOrderStatus.REFUSED,
     503: MachineOrderStatus.REFUSED,
 }
-_REASONS = {
+_STATUS_BY_REASON = {
     "fence": MachineOrderStatus.FENCED,
     "busy": MachineOrderStatus.BUSY,
     "wave": MachineOrderStatus.NOT_IN_WAVE,
@@ -54,13 +54,13 @@
         machines: list[Machine] = []
         path = "/v1/machines"
         while True:
-            answer = await self._client.call("GET", path, timeout_s=CALL_S)
+            answer = await self._client.call("GET", path, timeout_s=CALL_TIMEOUT_S)
             if isinstance(answer, HttpNoAnswer) or answer.status != 200:
                 return Err(Failure(kind=ErrorKind.UNREACHABLE, reason=f"machines: {answer}"))
             try:
                 machines.extend(_decode_machines(answer.body["machines"]))
-                token = _decode_token(answer.body.get("nextToken"))
-            except UNREADABLE as error:
+                token = _decode_page_token(answer.body.get("nextToken"))
+            except DECODE_ERRORS as error:
                 reason = f"a list of machines that can't be read: {error!r}"
                 return Err(Failure(kind=ErrorKind.UNREACHABLE, reason=reason))
             if not token:
@@ -69,23 +69,29 @@
 
     async def start_maintenance(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
         """Take a machine down for its upkeep; all that runs there ends at once."""
-        return await self._order("/v1/machine-upkeep", {"machine": machine, "wave": wave}, token)
+        return await self._send_order(
+            "/v1/machine-upkeep", {"machine": machine, "wave": wave}, token
+        )
 
     async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
         """Move a machine into another service's pool; all that runs there ends at once."""
-        return await self._order("/v1/machine-move", {"machine": machine, "pool": pool}, token)
+        return await self._send_order("/v1/machine-move", {"machine": machine, "pool": pool}, token)
 
-    async def _order(self, path: str, body: dict[str, Any], token: int) -> MachineOrderStatus:
+    async def _send_order(self, path: str, body: dict[str, Any], token: int) -> MachineOrderStatus:
         headers = {
             "Shallotworks-Duty-Holder": self._instance,
             "Shallotworks-Fencing-Token": str(token),
         }
-        answer = await self._client.call("POST", path, body=body, headers=headers, timeout_s=CALL_S)
+        answer = await self._client.call(
+            "POST", path, body=body, headers=headers, timeout_s=CALL_TIMEOUT_S
+        )
         if isinstance(answer, HttpNoAnswer):
             return MachineOrderStatus.REFUSED if answer.is_unsent else MachineOrderStatus.UNANSWERED
         if answer.status == 409:
-            return _REASONS.get(str(answer.body.get("reason", "")), MachineOrderStatus.BUSY)
-        return _ENDINGS.get(answer.status, MachineOrderStatus.UNANSWERED)
+            return _STATUS_BY_REASON.get(
+                str(answer.body.get("reason", "")), MachineOrderStatus.BUSY
+            )
+        return _STATUS_BY_HTTP_STATUS.get(answer.status, MachineOrderStatus.UNANSWERED)
 
 
 class PlatformAdvice:
@@ -107,29 +113,35 @@
         if self._client is None:
             return Err(Failure(kind=ErrorKind.UNREACHABLE, reason="no advice service is set"))
         body = {"step": ".".join(str(part) for part in step), "workers": list(worker_ids)}
-        answer = await self._client.call("POST", "/v1/advise", body=body, timeout_s=ADVICE_S)
+        answer = await self._client.call(
+            "POST", "/v1/advise", body=body, timeout_s=ADVICE_TIMEOUT_S
+        )
         if not isinstance(answer, HttpAnswer) or answer.status != 200:
             return Err(Failure(kind=ErrorKind.UNREACHABLE, reason=f"advice: {answer}"))
         try:
             return Success(_decode_permits(answer.body))
-        except UNREADABLE as error:
+        except DECODE_ERRORS as error:
             reason = f"advice that can't be read: {error!r}"
             return Err(Failure(kind=ErrorKind.UNREACHABLE, reason=reason))
 
 
 def _decode_machines(listed: Any) -> list[Machine]:
     """Return the machines of those rows that name one."""
-    named = [row for row in rows(listed) if isinstance(row, dict) and _text_of(row, "machine")]
+    named = [
+        row
+        for row in json_array(listed)
+        if isinstance(row, dict) and _string_or_empty(row, "machine")
+    ]
     return [_decode_machine(row) for row in named]
 
 
-def _decode_token(token: Any) -> str:
+def _decode_page_token(token: Any) -> str:
     if isinstance(token, int):
         return str(token)
-    return text(token or "")
+    return json_string(token or "")
 
 
-def _text_of(row: dict[str, Any], name: str) -> str:
+def _string_or_empty(row: dict[str, Any], name: str) -> str:
     value = row.get(name)
     return value if isinstance(value, str) else ""
 
@@ -145,17 +157,20 @@
     try:
         return Machine(
             name=name,
-            pool=text(row["pool"]),
+            pool=json_string(row["pool"]),
             state=MachineState(row["state"]),
-            worker_id=text(row.get("id") or ""),
+            worker_id=json_string(row.get("id") or ""),
         )
-    except UNREADABLE:
-        return Machine(name=name, pool=_text_of(row, "pool"), state=MachineState.DOWN)
+    except DECODE_ERRORS:
+        return Machine(name=name, pool=_string_or_empty(row, "pool"), state=MachineState.DOWN)
 
 
 def _decode_permits(body: dict[str, Any]) -> Permits:
-    allowed = [rows(row) for row in rows(body.get("allowed", []))]
-    valid_ms = number(body.get("validMs", DEFAULT_VALID_MS))
+    allowed = [json_array(row) for row in json_array(body.get("allowed", []))]
+    valid_ms = json_number(body.get("validMs", DEFAULT_ADVICE_VALID_MS))
     if valid_ms < 0:
         raise ValueError("a time that ended before it began")
-    return Permits(tickets={text(row[0]): text(row[1]) for row in allowed}, valid_s=valid_ms / 1000)
+    return Permits(
+        tickets={json_string(row[0]): json_string(row[1]) for row in allowed},
+        valid_s=valid_ms / 1000,
+    )
--- a/src/shallotworks/platform/_worker_entries.py
+++ b/src/shallotworks/platform/_worker_entries.py
@@ -14,22 +14,22 @@
 
 from shallotworks.scheduling import WorkerView
 
-from ._fields import UNREADABLE, number, rows, table, text, whole
+from ._fields import DECODE_ERRORS, json_array, json_integer, json_number, json_object, json_string
 
 __all__ = ["EntryProblem", "EntryProblemKind", "decode_entry"]
 
-MOST_MILLICORES = 10_000_000
-MOST_MEMORY_MB = 100_000_000
-MOST_GPUS = 10_000
-"""The most that a worker's room can sensibly be, as for what a task may ask: a worker that claims
-more would draw all tasks to itself."""
+MAX_CPU_MILLICORES = 10_000_000
+MAX_MEMORY_MB = 100_000_000
+MAX_GPUS = 10_000
+"""The most that a worker's capacity can be, as for what a task may ask: a worker that claims more
+would draw all tasks to itself."""
 READY = "ready"
 DRAINING = "draining"
 
 # An id stands in a header of each order, so that it has no space and no control character.
 _WORKER_ID = re.compile(r"[!-.0-~]+")
 _ADDRESS = re.compile(r"(?:[0-9A-Za-z.-]{1,253}|\[[0-9A-Fa-f:.]{2,45}\]):([0-9]{1,5})")
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 @unique
@@ -61,12 +61,12 @@
     field: str = ""
 
 
-class _FaultyEntryError(ValueError):
+class _InvalidEntryError(ValueError):
     """An entry can't be decoded; never leaves this module."""
 
     def __init__(self, kind: EntryProblemKind, field: str = "") -> None:
         super().__init__(kind, field)
-        self.fault = EntryProblem(kind=kind, field=field)
+        self.problem = EntryProblem(kind=kind, field=field)
 
 
 def decode_entry(worker_id: str, value: bytes) -> Result[WorkerView, EntryProblem]:
@@ -83,20 +83,20 @@
     """
     try:
         if not _WORKER_ID.fullmatch(worker_id):
-            raise _FaultyEntryError(EntryProblemKind.BAD_ID)
-        entry = _read_fields(_load(value), _ENTRY)
-    except _FaultyEntryError as error:
-        return Err(error.fault)
-    room, labels = entry["capacity"], entry["labels"]
+            raise _InvalidEntryError(EntryProblemKind.BAD_ID)
+        entry = _read_fields(_load_json(value), _ENTRY_READERS)
+    except _InvalidEntryError as error:
+        return Err(error.problem)
+    capacity, labels = entry["capacity"], entry["labels"]
     return Success(
         WorkerView(
             worker_id=worker_id,
             service=entry["service"],
             address=entry["address"],
             data_centre=entry["zone"],
-            cpu_millicores=room["cpu"],
-            memory_mb=room["memMb"],
-            gpus=room["gpu"],
+            cpu_millicores=capacity["cpu"],
+            memory_mb=capacity["memMb"],
+            gpus=capacity["gpu"],
             labels=frozenset(labels),
             # The first label is the worker's kind, the second its rack.
             rack=labels[1] if len(labels) > 1 else "",
@@ -105,15 +105,15 @@
     )
 
 
-def _load(value: bytes) -> dict[str, Any]:
+def _load_json(value: bytes) -> dict[str, Any]:
     try:
         decoded = json.loads(
-            value.decode(), object_pairs_hook=_unique_fields, parse_constant=_refuse_constant
+            value.decode(), object_pairs_hook=_unique_fields, parse_constant=_reject_constant
         )
-    except UNREADABLE:
-        raise _FaultyEntryError(EntryProblemKind.NOT_JSON) from None
+    except DECODE_ERRORS:
+        raise _InvalidEntryError(EntryProblemKind.NOT_JSON) from None
     if not isinstance(decoded, dict):
-        raise _FaultyEntryError(EntryProblemKind.WRONG_TYPE)
+        raise _InvalidEntryError(EntryProblemKind.WRONG_TYPE)
     return decoded
 
 
@@ -124,93 +124,93 @@
     return fields
 
 
-def _refuse_constant(name: str) -> float:
+def _reject_constant(name: str) -> float:
     raise ValueError(f"{name} is not JSON")
 
 
-_Reader = Callable[[Any, str], Any]
-"""Returns a field's value, or raises: `TypeError` for another type, `_FaultyEntryError` for the
-rest. It is given the field's name for the latter."""
+_FieldReader = Callable[[Any, str], Any]
+"""Returns a field's value, or raises: `TypeError` for another type, `_InvalidEntryError` for the
+rest. It gets the field's name for the latter."""
 
 
 def _read_fields(
-    given: Mapping[str, Any], readers: Mapping[str, _Reader], prefix: str = ""
+    json_fields: Mapping[str, Any], readers: Mapping[str, _FieldReader], prefix: str = ""
 ) -> dict[str, Any]:
-    read: dict[str, Any] = {}
+    values: dict[str, Any] = {}
     for name, reader in readers.items():
         field = prefix + name
-        if name not in given:
-            raise _FaultyEntryError(EntryProblemKind.MISSING, field)
+        if name not in json_fields:
+            raise _InvalidEntryError(EntryProblemKind.MISSING, field)
         try:
-            read[name] = reader(given[name], field)
+            values[name] = reader(json_fields[name], field)
         except TypeError:
-            raise _FaultyEntryError(EntryProblemKind.WRONG_TYPE, field) from None
-    return read
+            raise _InvalidEntryError(EntryProblemKind.WRONG_TYPE, field) from None
+    return values
 
 
-def _any_text(value: Any, _field: str) -> str:
-    return text(value)
+def _read_string(value: Any, _field: str) -> str:
+    return json_string(value)
 
 
-def _any_whole(value: Any, _field: str) -> int:
-    return whole(value)
+def _read_integer(value: Any, _field: str) -> int:
+    return json_integer(value)
 
 
-def _any_number(value: Any, _field: str) -> float:
-    return number(value)
+def _read_number(value: Any, _field: str) -> float:
+    return json_number(value)
 
 
-def _name(value: Any, field: str) -> str:
-    if not text(value):
-        raise _FaultyEntryError(EntryProblemKind.OUT_OF_RANGE, field)
+def _read_non_empty(value: Any, field: str) -> str:
+    if not json_string(value):
+        raise _InvalidEntryError(EntryProblemKind.OUT_OF_RANGE, field)
     return str(value)
 
 
-def _address(value: Any, field: str) -> str:
-    match = _ADDRESS.fullmatch(text(value))
-    if match is None or not 0 < int(match[1]) <= HIGHEST_PORT:
-        raise _FaultyEntryError(EntryProblemKind.OUT_OF_RANGE, field)
+def _read_address(value: Any, field: str) -> str:
+    match = _ADDRESS.fullmatch(json_string(value))
+    if match is None or not 0 < int(match[1]) <= MAX_PORT:
+        raise _InvalidEntryError(EntryProblemKind.OUT_OF_RANGE, field)
     return str(value)
 
 
-def _state(value: Any, field: str) -> str:
-    if text(value) not in (READY, DRAINING):
-        raise _FaultyEntryError(EntryProblemKind.UNKNOWN_STATE, field)
+def _read_state(value: Any, field: str) -> str:
+    if json_string(value) not in (READY, DRAINING):
+        raise _InvalidEntryError(EntryProblemKind.UNKNOWN_STATE, field)
     return str(value)
 
 
-def _up_to(most: int) -> _Reader:
-    def read(value: Any, field: str) -> int:
-        if not 0 <= whole(value) <= most:
-            raise _FaultyEntryError(EntryProblemKind.OUT_OF_RANGE, field)
+def _integer_up_to(limit: int) -> _FieldReader:
+    def values(value: Any, field: str) -> int:
+        if not 0 <= json_integer(value) <= limit:
+            raise _InvalidEntryError(EntryProblemKind.OUT_OF_RANGE, field)
         return int(value)
 
-    return read
+    return values
 
 
-def _capacity(value: Any, field: str) -> dict[str, Any]:
-    return _read_fields(table(value), _CAPACITY, f"{field}.")
+def _read_capacity(value: Any, field: str) -> dict[str, Any]:
+    return _read_fields(json_object(value), _CAPACITY_READERS, f"{field}.")
 
 
-def _labels(value: Any, _field: str) -> list[str]:
-    return [text(label) for label in rows(value)]
+def _read_labels(value: Any, _field: str) -> list[str]:
+    return [json_string(label) for label in json_array(value)]
 
 
-_CAPACITY: Mapping[str, _Reader] = {
-    "cpu": _up_to(MOST_MILLICORES),
-    "memMb": _up_to(MOST_MEMORY_MB),
-    "gpu": _up_to(MOST_GPUS),
+_CAPACITY_READERS: Mapping[str, _FieldReader] = {
+    "cpu": _integer_up_to(MAX_CPU_MILLICORES),
+    "memMb": _integer_up_to(MAX_MEMORY_MB),
+    "gpu": _integer_up_to(MAX_GPUS),
 }
-_ENTRY: Mapping[str, _Reader] = {
-    "service": _name,
-    "address": _address,
-    "zone": _any_text,
-    "version": _any_text,
-    "slots": _any_whole,
-    "state": _state,
-    "coldRemainingMs": _any_number,
-    "seqNo": _any_whole,
-    "capacity": _capacity,
-    "labels": _labels,
+_ENTRY_READERS: Mapping[str, _FieldReader] = {
+    "service": _read_non_empty,
+    "address": _read_address,
+    "zone": _read_string,
+    "version": _read_string,
+    "slots": _read_integer,
+    "state": _read_state,
+    "coldRemainingMs": _read_number,
+    "seqNo": _read_integer,
+    "capacity": _read_capacity,
+    "labels": _read_labels,
 }
 """Each field that a worker writes about itself. Source: the platform's page."""
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -22,7 +22,7 @@
 )
 from shallotworks.store import Item
 
-from ._fields import UNREADABLE, number, rows, text, whole
+from ._fields import DECODE_ERRORS, json_array, json_integer, json_number, json_string
 from ._http import HttpAnswer, HttpClient, HttpNoAnswer
 from ._worker_entries import EntryProblem, decode_entry
 
@@ -30,17 +30,17 @@
 
 REGISTRY_PREFIX = "servers/"
 INCARNATION_HEADER = "Shallotworks-Expect-Instance"
-ORDER_S = 0.7
+ORDER_TIMEOUT_S = 0.7
 """Time for an order's answer: workers answer in a few milliseconds when they are well."""
 
-_REFUSALS = {
+_STATUS_BY_REASON = {
     "fence": OrderStatus.FENCED,
     "old": OrderStatus.STALE_RUN,
     "late": OrderStatus.TOO_LATE,
     "room": OrderStatus.NO_ROOM,
     "ticket": OrderStatus.NO_TICKET,
 }
-_ENDINGS = {
+_STATUS_BY_HTTP_STATUS = {
     200: OrderStatus.OBEYED,
     400: OrderStatus.INVALID,
     421: OrderStatus.GONE,
@@ -73,7 +73,7 @@
             body["expiresMs"] = lease_until_ms
         if wait_s > 0:
             body["waitMs"] = int(wait_s * 1000)
-        return await self._order(worker, "/v1/hold", body, timeout_s=timeout_s, is_look=True)
+        return await self._send_order(worker, "/v1/hold", body, timeout_s=timeout_s, is_poll=True)
 
     async def start(
         self, worker: WorkerView, order: StartOrder, *, token: int, lease_until_ms: int
@@ -90,7 +90,7 @@
             body["checkpoint"] = order.checkpoint
         if order.ticket:
             body["ticket"] = order.ticket
-        return await self._order(worker, "/v1/run-start", body)
+        return await self._send_order(worker, "/v1/run-start", body)
 
     async def stop(self, worker: WorkerView, order: StopOrder, *, token: int) -> OrderOutcome:
         """Stop a run."""
@@ -99,7 +99,7 @@
             "runId": order.run.run_id,
             "fencingToken": token,
         }
-        return await self._order(worker, "/v1/run-stop", body)
+        return await self._send_order(worker, "/v1/run-stop", body)
 
     async def pace(self, worker: WorkerView, order: PaceOrder, *, token: int) -> OrderOutcome:
         """Let a run work at a share of its speed."""
@@ -109,21 +109,21 @@
             "percent": order.percent,
             "fencingToken": token,
         }
-        return await self._order(worker, "/v1/pace", body)
+        return await self._send_order(worker, "/v1/pace", body)
 
     async def close(self) -> None:
         """Close all connections."""
         for client in self._clients.values():
             await client.close()
 
-    async def _order(
+    async def _send_order(
         self,
         worker: WorkerView,
         path: str,
         body: dict[str, Any],
         *,
-        timeout_s: float = ORDER_S,
-        is_look: bool = False,
+        timeout_s: float = ORDER_TIMEOUT_S,
+        is_poll: bool = False,
     ) -> OrderOutcome:
         client = self._clients.get(worker.address)
         if client is None:
@@ -138,64 +138,64 @@
         if isinstance(answer, HttpNoAnswer):
             order_status = OrderStatus.UNSENT if answer.is_unsent else OrderStatus.UNANSWERED
             return OrderOutcome(status=order_status, detail=answer.detail)
-        return _outcome(answer, is_look)
+        return _decode_outcome(answer, is_poll)
 
 
-def _outcome(answer: HttpAnswer, is_look: bool) -> OrderOutcome:
-    clock_ms = _clock_ms(answer.body)
+def _decode_outcome(answer: HttpAnswer, is_poll: bool) -> OrderOutcome:
+    clock_ms = _decode_clock_ms(answer.body)
     if answer.status == 409:
         reason = str(answer.body.get("reason", ""))
-        order_status = _REFUSALS.get(reason, OrderStatus.INVALID)
+        order_status = _STATUS_BY_REASON.get(reason, OrderStatus.INVALID)
         return OrderOutcome(status=order_status, clock_ms=clock_ms, detail=reason)
-    order_status = _ENDINGS.get(answer.status, OrderStatus.UNANSWERED)
+    order_status = _STATUS_BY_HTTP_STATUS.get(answer.status, OrderStatus.UNANSWERED)
     detail = "" if answer.status == 200 else f"status {answer.status}"
-    if not is_look or order_status is not OrderStatus.OBEYED:
+    if not is_poll or order_status is not OrderStatus.OBEYED:
         return OrderOutcome(status=order_status, clock_ms=clock_ms, detail=detail)
     try:
         report = _decode_report(answer.body)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         return OrderOutcome(status=OrderStatus.INVALID, detail=repr(error))
     return OrderOutcome(status=order_status, clock_ms=clock_ms, report=report)
 
 
-def _clock_ms(body: dict[str, Any]) -> int:
+def _decode_clock_ms(body: dict[str, Any]) -> int:
     """Return the worker's clock; 0 where the answer does not tell it.
 
     What became of the order is said by the status alone, and holds without the clock.
     """
     try:
-        return int(number(body.get("clockMs", 0)))
+        return int(json_number(body.get("clockMs", 0)))
     except TypeError:
         return 0
 
 
 def _decode_report(body: dict[str, Any]) -> WorkerReport:
     return WorkerReport(
-        clock_ms=int(number(body.get("clockMs", 0))),
-        running=tuple(_decode_running(row) for row in rows(body.get("running", []))),
-        ended=tuple(_decode_ended(row) for row in rows(body.get("ended", []))),
+        clock_ms=int(json_number(body.get("clockMs", 0))),
+        running=tuple(_decode_running(row) for row in json_array(body.get("running", []))),
+        ended=tuple(_decode_ended(row) for row in json_array(body.get("ended", []))),
     )
 
 
 def _decode_running(row: Any) -> RunningTask:
-    fields = rows(row)
+    fields = json_array(row)
     return RunningTask(
         name=_decode_name(fields[0]),
-        run_id=whole(fields[1]),
-        checkpoint=text(fields[2] or ""),
+        run_id=json_integer(fields[1]),
+        checkpoint=json_string(fields[2] or ""),
         percent=int(fields[3]) if len(fields) > 3 else 0,
         figure=int(fields[4] or 0) if len(fields) > 4 else 0,
     )
 
 
 def _decode_ended(row: Any) -> EndedTask:
-    fields = rows(row)
+    fields = json_array(row)
     return EndedTask(
-        number=whole(fields[0]),
+        number=json_integer(fields[0]),
         name=_decode_name(fields[1]),
-        run_id=whole(fields[2]),
+        run_id=json_integer(fields[2]),
         kind=EndKind(fields[3]),
-        checkpoint=text(fields[4] or ""),
+        checkpoint=json_string(fields[4] or ""),
     )
 
 
@@ -204,7 +204,7 @@
 
 
 def _decode_name(name: Any) -> TaskName:
-    job_id, occurrence, step, index = text(name).split(".")
+    job_id, occurrence, step, index = json_string(name).split(".")
     return TaskName(job_id, int(occurrence), int(step), int(index))
 
 
@@ -222,12 +222,12 @@
         log: One line for each change of what is believed of a worker.
     """
 
-    __slots__ = ("_faults", "_log", "_workers", "is_synced", "version")
+    __slots__ = ("_log", "_problems", "_workers", "is_synced", "version")
 
     def __init__(self, *, log: StructuredLog) -> None:
         self._log = log
         self._workers: dict[str, WorkerView] = {}
-        self._faults: dict[str, EntryProblem] = {}
+        self._problems: dict[str, EntryProblem] = {}
         self.is_synced = False
         self.version = 0
 
@@ -240,20 +240,20 @@
         worker_id = item.key.removeprefix(REGISTRY_PREFIX)
         decoded = decode_entry(worker_id, item.value)
         if isinstance(decoded, Success):
-            self._list(decoded.unwrap(), item.revision)
+            self._add(decoded.unwrap(), item.revision)
         else:
-            self._refuse(worker_id, decoded.failure(), item.revision)
+            self._reject(worker_id, decoded.failure(), item.revision)
 
     def on_delete(self, key: str, revision: int) -> None:
         """Hear that a worker's entry is gone."""
         worker_id = key.removeprefix(REGISTRY_PREFIX)
-        self._faults.pop(worker_id, None)
+        self._problems.pop(worker_id, None)
         if self._workers.pop(worker_id, None) is not None:
             self.version += 1
             self._log.line("worker-unlisted", worker=worker_id)
 
-    def _list(self, view: WorkerView, revision: int) -> None:
-        self._faults.pop(view.worker_id, None)
+    def _add(self, view: WorkerView, revision: int) -> None:
+        self._problems.pop(view.worker_id, None)
         earlier = self._workers.get(view.worker_id)
         self._workers[view.worker_id] = view
         self.version += earlier != view
@@ -261,18 +261,18 @@
             state = "draining" if view.is_draining else "ready"
             self._log.line("worker-listed", worker=view.worker_id, state=state, revision=revision)
 
-    def _refuse(self, worker_id: str, fault: EntryProblem, revision: int) -> None:
+    def _reject(self, worker_id: str, problem: EntryProblem, revision: int) -> None:
         earlier = self._workers.pop(worker_id, None)
         self.version += earlier is not None
         # Entries are written anew every second or two: the same fault again is no news.
-        if self._faults.get(worker_id) == fault:
+        if self._problems.get(worker_id) == problem:
             return
-        self._faults[worker_id] = fault
+        self._problems[worker_id] = problem
         self._log.line(
             "worker-unreadable",
             worker=worker_id,
-            fault=fault.kind.value,
-            field=fault.field,
+            fault=problem.kind.value,
+            field=problem.field,
             was_listed=earlier is not None,
             revision=revision,
         )
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -28,7 +28,7 @@
 from shallotworks.platform._http import HttpAnswer, HttpClient
 from shallotworks.platform._machines import PlatformAdvice, PlatformMachines
 from shallotworks.platform._store import PlatformStore
-from shallotworks.platform._workers import WorkerRegistry, _outcome
+from shallotworks.platform._workers import WorkerRegistry, _decode_outcome
 from shallotworks.scheduling import MachineState, OrderStatus, SchedulerState
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from shallotworks.standins._http_listener import HttpListener, answer_json
@@ -703,7 +703,7 @@
     def test_an_answer_that_can_not_be_read(self, _name: str, fields: dict[str, Any]) -> None:
         """It tells nothing."""
         body = {"clockMs": 5, "running": [], "ended": []} | fields
-        outcome = _outcome(HttpAnswer(status=200, body=body), is_look=True)
+        outcome = _decode_outcome(HttpAnswer(status=200, body=body), is_poll=True)
         self.assertIsNone(outcome.report)
         self.assertIs(OrderStatus.INVALID, outcome.status)
 
@@ -718,7 +718,7 @@
     def test_an_ending_holds_without_a_clock(self, status: int, order_status: OrderStatus) -> None:
         """The status alone says what became of an order."""
         answer = HttpAnswer(status=status, body={"clockMs": [], "reason": "fence"})
-        outcome = _outcome(answer, is_look=False)
+        outcome = _decode_outcome(answer, is_poll=False)
         self.assertEqual((order_status, 0), (outcome.status, outcome.clock_ms))
 
 
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -210,7 +210,7 @@
         async def scenario(_server: Server, client: HttpClient) -> None:
             loop = asyncio.get_running_loop()
             began_s = loop.time()
-            answer = await client.call("GET", "/", timeout_s=5.0, silence_s=0.3)
+            answer = await client.call("GET", "/", timeout_s=5.0, read_timeout_s=0.3)
             self.assertIsInstance(answer, HttpNoAnswer)
             self.assertTrue(0.4 < loop.time() - began_s < 1.5)
 
@@ -313,7 +313,7 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(1.0):
                     await connection.exchange(
-                        b"GET / HTTP/1.1\r\n\r\n", ends_s=loop.time() - 0.1, silence_s=None
+                        b"GET / HTTP/1.1\r\n\r\n", deadline_s=loop.time() - 0.1, read_timeout_s=None
                     )
             self.assertLess(loop.time() - began_s, 0.5)
             self.assertFalse(connection.is_open)
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -14,7 +14,7 @@
 from shallotworks.platform import load_platform_settings
 from shallotworks.platform._configuration import Configuration, OperatorRecords
 from shallotworks.platform._http import HttpAnswer
-from shallotworks.platform._workers import WorkerRegistry, _outcome
+from shallotworks.platform._workers import WorkerRegistry, _decode_outcome
 from shallotworks.scheduling import EndKind, OrderStatus
 from shallotworks.store import Item
 from tests.scheduling_fakes import quiet_log
@@ -162,7 +162,7 @@
     def test_endings(self, status: int, reason: str, expected: OrderStatus) -> None:
         """Each answer says whether the order was carried out."""
         answer = HttpAnswer(status=status, body={"clockMs": 5, "reason": reason})
-        self.assertIs(expected, _outcome(answer, is_look=False).status)
+        self.assertIs(expected, _decode_outcome(answer, is_poll=False).status)
 
     def test_reports(self) -> None:
         """What runs, with and without the last figure, and what has ended."""
@@ -172,7 +172,7 @@
             "running": [[name, 2, "c", 41], [name, 3, "", 100, 55]],
             "ended": [[58, name, 1, "lapsed", ""]],
         }
-        report = _outcome(HttpAnswer(status=200, body=body), is_look=True).report
+        report = _decode_outcome(HttpAnswer(status=200, body=body), is_poll=True).report
         assert report is not None
         self.assertEqual([(41, 0), (100, 55)], [(r.percent, r.figure) for r in report.running])
         self.assertEqual((2, 1, 17), report.running[0].name[1:])
