--- a/src/shallotworks/platform/__init__.py
+++ b/src/shallotworks/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The users' platform: what is spoken there, translated into the product's own terms.
+"""Adapter of the users' platform: translates its protocols into the product's own types.
 
-Nothing here decides: callers' jobs go to `shallotworks.jobs`, what runs where is decided by
-`shallotworks.scheduling`, and both see the platform only through protocols of their own.
+This package makes no decision: `shallotworks.jobs` handles callers' jobs, `shallotworks.scheduling`
+decides what runs where, and both access the platform only through protocols that they define.
 """
 
 from ._daemon import serve
--- a/src/shallotworks/platform/_configuration.py
+++ b/src/shallotworks/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""What operators write into the store: the configuration, and waves of upkeep."""
+"""Decodes and watches operators' records in the store: the configuration and maintenance waves."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Queue:
-    """Where callers hand in jobs of one kind.
+    """Route under which callers submit jobs of one kind.
 
     Args:
-        host: The host that they name.
-        prefix: What their paths begin with.
-        timeout_s: Time for an answer.
-        policy: How its jobs are run.
+        host: Host of the requests, in lower case.
+        prefix: Prefix of the requests' paths.
+        timeout_s: Longest time for an answer.
+        policy: Policy under which the queue's jobs run.
     """
 
     host: str
@@ -44,13 +44,13 @@
     """One version of the configuration.
 
     Args:
-        version: Its version.
-        queues: The queues of each host, those with the longest prefix first.
+        version: Number that rises with each change.
+        queues: Queues of each host, longest prefix first.
         services: Names of all services.
-        standby: Services whose machines are off and not paid for.
-        guarded: Services whose workers refuse what goes beyond their capacity.
+        standby: Services whose machines are switched off and not paid for.
+        guarded: Services whose workers refuse tasks beyond their capacity.
         max_body_bytes: Longest body of a request.
-        idle_timeout_s: Idle connections of callers are closed after this.
+        idle_timeout_s: Time after which callers' idle connections are closed.
     """
 
     version: int
@@ -62,7 +62,7 @@
     idle_timeout_s: float
 
     def queue_for(self, host: str, path: str) -> Queue | None:
-        """Return the queue that a request is for."""
+        """Return the queue with the longest matching prefix; ``None`` if no queue matches."""
         for queue in self.queues.get(host, ()):
             if path.startswith(queue.prefix):
                 return queue
@@ -70,14 +70,14 @@
 
 
 class OperatorRecords:
-    """Follows what operators write; implements `MaintenanceSchedule` and `WatchListener`.
+    """Holds operators' records; implements `MaintenanceSchedule` and `WatchListener`.
 
-    The failure it guards against: a configuration that is followed by an older one in the same
-    process, so that a route which callers already use is gone again. Only a higher version counts.
+    Only a configuration with a higher version replaces the current one. The failure: an older
+    version replaced a newer one in the same process and removed a route that callers already used.
 
     Args:
         on_configuration: Called with each newer configuration.
-        log: One line for each.
+        log: Receives a line for each newer configuration, each wave and each unreadable record.
     """
 
     __slots__ = ("_log", "_on_configuration", "_waves", "configuration")
@@ -91,7 +91,7 @@
         self.configuration: Configuration | None = None
 
     def on_write(self, item: Item) -> None:
-        """Hear that an operator wrote something."""
+        """Apply a record that an operator wrote; log it if it can't be decoded."""
         try:
             if item.key == CONFIGURATION_KEY:
                 self._apply_if_newer(decode_configuration(json.loads(item.value)), item.revision)
@@ -103,9 +103,9 @@
             self._log.line("operators-record-unreadable", key=item.key, reason=repr(error))
 
     def on_delete(self, key: str, revision: int) -> None:
-        """Hear that a record is gone; the configuration in force stays."""
+        """Remove a deleted wave; a deleted configuration stays in force."""
         wave = key.removeprefix(WAVES_PREFIX)
-        # A key that names no wave never stood for one.
+        # No wave was stored under a key without a wave number.
         if key.startswith(WAVES_PREFIX) and wave.isdecimal():
             self._waves.pop(int(wave), None)
 
@@ -114,11 +114,11 @@
         return tuple(self._waves.values())
 
     def status_key(self, wave: int) -> str:
-        """Return the key under which a wave's state is told."""
+        """Return the key under which a wave's state is published."""
         return f"status/wave/{wave}"
 
     def encode_status(self, is_completed: bool) -> bytes:
-        """Return a wave's state as the operators read it."""
+        """Return a wave's state in the format that operators read."""
         return json.dumps({"state": "completed" if is_completed else "running"}).encode()
 
     def _apply_if_newer(self, configuration: Configuration, revision: int) -> None:
@@ -136,7 +136,11 @@
 
 
 def decode_configuration(body: dict[str, Any]) -> Configuration:
-    """Decode a configuration; raises one of `DECODE_ERRORS`."""
+    """Decode a configuration.
+
+    Raises:
+        DECODE_ERRORS: A field is missing or has another type.
+    """
     by_host: dict[str, list[Queue]] = {}
     for row in body["routes"]:
         queue = _decode_queue(row)
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -1,4 +1,4 @@
-"""One entry instance on the users' platform: the product's parts, joined to the platform's."""
+"""One entry instance on the users' platform: connects the product's components to the platform."""
 
 from __future__ import annotations
 
@@ -42,33 +42,35 @@
 MACHINE_CONTROLLER_KEY = "keeper"
 METRICS_PORT = 9464
 MAX_WORKER_LIST_AGE_S = 2.5
-"""Two answers of the watch that follows the workers, which write their entries more often."""
+"""Time in which the watch on the workers' entries answers twice; workers write them more often."""
 SHUTDOWN_SERVE_S = 2.6
-"""After the signal to stop, callers are served for this long: the platform asks once a second, and
-sends new connections until two answers were missed."""
+"""Callers are served for this long after the signal to stop: the platform checks readiness once a
+second and sends new connections until two answers are missing."""
 MIN_SCHEDULER_CORES = 1.0
-"""A scheduler with less is short of processor in its queue's turn."""
+"""A scheduler with fewer cores lacks processor time while it decides on its queue."""
 MIN_SCHEDULER_LINK_MBPS = 50.0
-"""... and reads up to a megabyte at its start, which should take a fraction of a second."""
+"""A scheduler reads up to 1 MB at its start, which should take a fraction of a second."""
 SHUTDOWN_SERVE_RATIO = 0.5
-"""... and for this part of the grace at most: requests in flight need the rest."""
+"""Largest part of the stop grace period in which new requests are served; requests in flight need
+the rest."""
 MACHINES_WATCH_PAUSE_S = 0.1
-"""Schedulers tell their needs ten times a second; the keeper acts five times a second."""
+"""Schedulers publish their demand ten times a second; the machine controller acts five times a
+second."""
 REGISTRY_WATCH_PAUSE_S = 0.4
-"""Workers write their entries 30 times a second together at 40 workers; a worker that drains serves
-on for 2 s, so that this loses nothing and saves calls."""
+"""40 workers together write their entries 30 times a second. The pause saves calls and loses no
+state: a draining worker still serves for 2 s."""
 TASK_LEASE_RATIO = 5 / 6
-"""Of the longest lease that workers grant; see `OrderTimes`."""
+"""Part of the longest lease that workers grant for which a task is leased; see `OrderTimes`."""
 
 
 def serve(path: str | None = None) -> int:
     """Run one entry instance until SIGTERM or SIGINT.
 
     Args:
-        path: The settings file; the one that the environment names by default.
+        path: The settings file; by default the one that the environment names.
 
     Returns:
-        The exit code: 0 after a graceful stop, else that of the error kind.
+        The exit code: 0 after a graceful stop, otherwise that of the error kind.
     """
     loaded = load_platform_settings(path)
     if not isinstance(loaded, Success):
@@ -79,20 +81,20 @@
 
 
 def boot_time_s() -> float:
-    """Return seconds that count the time in which the machine was suspended.
+    """Return seconds since the boot, including the time in which the machine was suspended.
 
-    The loop's clock stands still meanwhile: after a thaw a scheduler would send what it decided
-    before, and take its lease for fresh.
+    The event loop's clock stops during a suspension: with it, a scheduler that resumes would send
+    orders that it decided before and assume that its lease is still valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class _Daemon:
-    """All parts of one instance.
+    """Creates and runs the components of one entry instance.
 
     Args:
-        settings: Its settings.
-        path: Their file.
+        settings: Settings of the instance.
+        path: File of the settings, which SIGHUP reads again; ``None`` for the default.
     """
 
     def __init__(self, *, settings: PlatformSettings, path: str | None) -> None:
@@ -163,7 +165,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until SIGTERM or SIGINT, or until a background task ends."""
         settings = self._settings
         self._log.line(
             "start", data_centre=settings.data_centre, callers_address=settings.callers_address
@@ -199,7 +201,7 @@
         self._log.flush()
 
     async def _shut_down(self) -> None:
-        """Hand duties over, serve callers until they go elsewhere, then close."""
+        """Release all leases, serve callers until they use other instances, then close."""
         self._ingress.is_stopping = True
         serve_for_s = min(
             SHUTDOWN_SERVE_S, self._settings.bounds.stop_grace_s * SHUTDOWN_SERVE_RATIO
@@ -275,7 +277,7 @@
         self._workers_answered_s = boot_time_s()
 
     def _is_capacity_known(self, service: str) -> bool:
-        """Whether workers' capacities are known of late, or are guarded by the workers."""
+        """Whether workers' entries were read recently, or workers enforce their own capacity."""
         configuration = self._operator_records.configuration
         is_guarded = configuration is not None and service in configuration.guarded
         return is_guarded or boot_time_s() - self._workers_answered_s < MAX_WORKER_LIST_AGE_S
@@ -300,7 +302,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _reload(self) -> None:
-        """Read the settings again; addresses of the running process stay as they are."""
+        """Read the settings again and log whether they differ; this process keeps its own."""
         loaded = load_platform_settings(self._path)
         if not isinstance(loaded, Success):
             self._log.line("reload", outcome="kept", reason=str(loaded.failure()))
@@ -310,14 +312,14 @@
 
 
 def _strength_of(settings: PlatformSettings) -> float:
-    """Return how well an instance is equipped for a lease, 0 to 1, by what it has least of."""
+    """Return an instance's capacity to run a scheduler, 0 to 1, by its scarcest resource."""
     return min(
         1.0, settings.cores / MIN_SCHEDULER_CORES, settings.link_mbps / MIN_SCHEDULER_LINK_MBPS
     )
 
 
 def _marker_key_of(lease_key: str) -> str:
-    """Return the second key of a lease, among the records that it works on; see `HeldLease`."""
+    """Return the marker key of a lease, among the records its holder changes; see `HeldLease`."""
     if lease_key == MACHINE_CONTROLLER_KEY:
         return f"{MACHINES_PREFIX}!{lease_key}"
     return JobKeys(service=lease_key.removeprefix(SCHEDULER_KEY_PREFIX)).holder_mark
--- a/src/shallotworks/platform/_fields.py
+++ b/src/shallotworks/platform/_fields.py
@@ -1,4 +1,4 @@
-"""Readers of JSON that other programs wrote: each returns a value of its type, or raises."""
+"""Type checks for JSON that other programs wrote: each returns the value or raises an error."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 ]
 
 DECODE_ERRORS = (AttributeError, LookupError, OverflowError, RecursionError, TypeError, ValueError)
-"""What decoding raises for bytes that are no JSON, and for JSON of another shape.
+"""Errors that decoding raises for bytes that are not JSON and for JSON of another structure.
 
-The failure: an error that the decoder does not expect ends the task that follows what others write,
-and nothing else that stands beside it is heard of any more. Infinity overflows a whole number, deep
-nesting exceeds the recursion limit, and a list where a table belongs has no such attribute.
+The failure: an error outside this list ends the task that watches the records, and no other record
+under the prefix is read any more. Infinity overflows an integer, deep nesting exceeds the recursion
+limit, and a list in place of an object lacks the object's methods.
 """
 
 
@@ -38,21 +38,21 @@
 
 
 def json_string(value: Any) -> str:
-    """Return a string; raises `TypeError` for anything else."""
+    """Return a JSON string; raises `TypeError` for anything else."""
     if not isinstance(value, str):
         raise TypeError(f"a {type(value).__name__} is not a text")
     return value
 
 
 def json_integer(value: Any) -> int:
-    """Return a whole number; raises `TypeError` for anything else, `true` and 1.0 among it."""
+    """Return a JSON integer; raises `TypeError` for anything else, including `true` and 1.0."""
     if isinstance(value, bool) or not isinstance(value, int):
         raise TypeError(f"a {type(value).__name__} is not a whole number")
     return value
 
 
 def json_number(value: Any) -> float:
-    """Return a finite number, whole ones as they are; raises `TypeError` for anything else."""
+    """Return a finite JSON number, an integer as `int`; raises `TypeError` for anything else."""
     if isinstance(value, float) and math.isfinite(value):
         return value
     return json_integer(value)
--- a/src/shallotworks/platform/_http.py
+++ b/src/shallotworks/platform/_http.py
@@ -1,7 +1,8 @@
-"""One HTTP client for everything that the platform's side serves.
+"""HTTP client for the platform's services and for workers.
 
-It stands for the house's urllib3 here: a look at a worker waits a second at the worker, so that 172
-workers would hold 172 threads; on the loop each costs a future. `httptools` parses the answers.
+It replaces urllib3, which the rest of the product uses: a poll waits a second at the worker, so
+that 172 workers would occupy 172 threads, whereas on the event loop each poll takes a future.
+`httptools` parses the answers.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 __all__ = ["HttpAnswer", "HttpClient", "HttpNoAnswer"]
 
 CONNECT_TIMEOUT_S = 0.4
-"""Time for a connection: one way takes 1 to 12 ms, and a lost opening packet is sent again after a
-second, by which time another try is better."""
+"""Time for opening a connection: one way takes 1 to 12 ms, and a lost SYN packet is retransmitted
+after a second, by which time another attempt is better."""
 MAX_CONNECTIONS = 24
-"""Connections to one address."""
+"""Open connections to one address at most."""
 IDLE_TIMEOUT_S = 20.0
 MAX_DETAIL_CHARACTERS = 160
 
@@ -31,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HttpAnswer:
-    """An answer.
+    """A complete answer.
 
     Args:
-        status: Its status.
-        body: The decoded body; empty where there was none that could be read.
+        status: HTTP status.
+        body: The decoded JSON object; empty if the body is empty or no object.
     """
 
     status: int
@@ -44,11 +45,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HttpNoAnswer:
-    """No answer came.
+    """A call without a complete answer.
 
     Args:
-        is_unsent: Surely no byte of the request reached the other side.
-        detail: What went wrong.
+        is_unsent: Whether it is certain that no byte of the request reached the server.
+        detail: Description of the error.
     """
 
     is_unsent: bool
@@ -56,11 +57,11 @@
 
 
 class HttpClient:
-    """Calls one address, over connections that are kept open.
+    """Calls one address over a pool of persistent connections.
 
-    The failure it guards against: connections that went silent without a sign. After a call that
-    timed out no other call is sent over the connections of that time; they are closed once the
-    calls on them have ended.
+    The failure it guards against: connections that stop delivering data without an error. After a
+    call timed out, no other call is sent over the connections that were open then; they are closed
+    once the calls on them have ended.
 
     Args:
         address: ``ip:port``.
@@ -71,9 +72,9 @@
     def __init__(self, *, address: str) -> None:
         self._address = address
         self._generation = 0
-        """Rises with each call that timed out; connections of earlier ones are not used again."""
+        """Rises with each call that timed out; those of earlier generations are not reused."""
         self._idle: list[Connection] = []
-        """The connection used last at the end."""
+        """The most recently used connection is the last."""
         self._connections: set[Connection] = set()
         self._slots = asyncio.Semaphore(MAX_CONNECTIONS)
         self._purge_timer: asyncio.TimerHandle | None = None
@@ -88,22 +89,25 @@
         body: dict[str, Any] | None = None,
         headers: dict[str, str] | None = None,
     ) -> HttpAnswer | HttpNoAnswer:
-        """Make one call; never repeated here.
+        """Send one request, without retries.
 
         Args:
             method: HTTP method.
             path: Path and query.
-            timeout_s: Time for the whole call.
+            timeout_s: Longest time for the whole call.
             read_timeout_s: Longest time without a byte of the answer; ``None`` for no limit.
-            body: Sent as JSON.
-            headers: Further headers.
+            body: JSON object to send.
+            headers: Additional headers.
+
+        Returns:
+            The answer, or why there is none and whether the request may have been sent.
         """
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         try:
             request = self._encode(method, path, body, headers)
             connection = await self._acquire(deadline_s)
         except TimeoutError:
-            return HttpNoAnswer(is_unsent=True, detail="no connection in time")
+            return HttpNoAnswer(is_unsent=True, detail="no connection before the deadline")
         except (OSError, ValueError) as error:
             return _no_answer(error, is_unsent=True)
         try:
@@ -114,7 +118,7 @@
         except TimeoutError:
             self._retire_connections()
             return HttpNoAnswer(
-                is_unsent=False, detail=f"no answer in {read_timeout_s or timeout_s:.2f} s"
+                is_unsent=False, detail=f"no answer within {read_timeout_s or timeout_s:.2f} s"
             )
         except (ConnectionLostError, ValueError) as error:
             return _no_answer(error, is_unsent=False)
@@ -122,7 +126,7 @@
             self._release(connection)
 
     async def close(self) -> None:
-        """Close all connections; calls that are under way end without an answer."""
+        """Close all connections; calls in progress end without an answer."""
         if self._purge_timer is not None:
             self._purge_timer.cancel()
             self._purge_timer = None
@@ -134,13 +138,17 @@
     def _encode(
         self, method: str, path: str, body: dict[str, Any] | None, headers: dict[str, str] | None
     ) -> bytes:
-        """Return a request's bytes; `ValueError` where a part would break out of its line."""
+        """Return a request's bytes.
+
+        Raises:
+            ValueError: The path or a header holds a character that would end its line.
+        """
         if _UNSAFE_IN_PATH.search(path):
-            raise ValueError("a path with a blank or a control character")
+            raise ValueError("the path contains a space or a control character")
         lines = [f"{method} {path} HTTP/1.1\r\n"]
         for name, value in ({"Host": self._address} | (headers or {})).items():
             if _UNSAFE_IN_HEADER.search(value):
-                raise ValueError("a header with a control character")
+                raise ValueError("a header contains a control character")
             lines.append(f"{name}: {value}\r\n")
         if body is None:
             lines.append("Content-Length: 0\r\n\r\n" if method != "GET" else "\r\n")
@@ -152,10 +160,11 @@
     # ---- connections
 
     async def _acquire(self, deadline_s: float) -> Connection:
-        """Return a connection that this call has to itself until `_release`.
+        """Return a connection for the exclusive use of this call until `_release`.
 
         Raises:
-            TimeoutError: None is free by ``deadline_s``, or none opens in `CONNECT_TIMEOUT_S`.
+            TimeoutError: No connection is free by ``deadline_s``, or none opens within
+                `CONNECT_TIMEOUT_S`.
         """
         if self._slots.locked():
             async with asyncio.timeout_at(deadline_s):
--- a/src/shallotworks/platform/_http_connection.py
+++ b/src/shallotworks/platform/_http_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection: a request out, its whole answer back, one after the other."""
+"""One HTTP/1.1 connection without pipelining: each answer is read before the next request."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 __all__ = ["Connection", "ConnectionLostError"]
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Longer answers are not taken: the longest that the platform sends hold 1 MB of values."""
+"""Longer answers are rejected: the longest that the platform sends contain 1 MB of values."""
 
 
 class ConnectionLostError(Exception):
-    """The connection ended, or sent what is no answer, before a whole answer had come."""
+    """The connection ended, or sent invalid data, before the answer was complete."""
 
 
 class Connection(asyncio.Protocol):
     """A connection, used by one exchange at a time.
 
     Args:
-        generation: Which connections of its client it belongs to.
+        generation: The client's generation in which the connection was opened.
     """
 
     __slots__ = (
@@ -58,14 +58,14 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a further request may be sent."""
+        """Whether another request may be sent."""
         return self._transport is not None and not self._transport.is_closing()
 
     def close(self) -> None:
-        """Close it; an exchange under way ends without an answer."""
+        """Close the connection; an exchange in progress ends without an answer."""
         if self._transport is not None:
             self._transport.abort()
-        self._fail(ConnectionLostError("closed here"))
+        self._fail(ConnectionLostError("closed by this client"))
 
     async def exchange(
         self, request: bytes, *, deadline_s: float, read_timeout_s: float | None
@@ -73,26 +73,27 @@
         """Send a request and return the answer's status and body.
 
         Args:
-            request: All its bytes.
-            deadline_s: The loop's time at which the exchange is given up.
+            request: The encoded request.
+            deadline_s: Time of the event loop's clock at which the exchange is abandoned.
             read_timeout_s: Longest time without a byte of the answer; ``None`` for no limit.
 
         Raises:
-            TimeoutError: No whole answer came in time; the connection is closed.
-            ConnectionLostError: The connection ended or sent what is no answer.
+            TimeoutError: The answer was not complete in time; the connection is closed.
+            ConnectionLostError: The connection ended or sent invalid data.
         """
         transport = self._transport
         if transport is None or transport.is_closing():
             raise ConnectionLostError("closed by the other side")
         answer: asyncio.Future[tuple[int, bytes]] = self._loop.create_future()
         self._answer = answer
-        # After the future is there: a time that has run out already ends it, or nothing would.
+        # The future must exist first: a deadline that has already passed fails it here, and no
+        # later timer would.
         self._start_exchange(deadline_s, read_timeout_s)
         transport.write(request)
         try:
             return await answer
         except BaseException:
-            # Whatever comes now belongs to this request, and would be taken for the next one's.
+            # Data that arrives from now on would be read as the answer to the next request.
             transport.abort()
             raise
         finally:
@@ -111,7 +112,7 @@
         self._check_deadline()
 
     def _check_deadline(self) -> None:
-        """Give the exchange up once its time is over, or once nothing was heard for too long."""
+        """Fail the exchange if its deadline or read timeout has passed, else check again then."""
         expires_s = self._deadline_s
         if self._read_timeout_s is not None:
             expires_s = min(expires_s, self._last_byte_s + self._read_timeout_s)
@@ -124,23 +125,23 @@
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(error)
 
-    # ---- what the loop calls
+    # ---- callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Hear that it is open."""
+        """Store the transport of the opened connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of an answer."""
+        """Feed received bytes to the parser."""
         self._last_byte_s = self._loop.time()
         self._received_bytes += len(data)
         if self._answer is None or self._parser is None:
-            # Bytes that nobody asked for would be taken for the next request's answer.
+            # Unsolicited bytes would be read as the answer to the next request.
             self.close()
             return
         if self._received_bytes > MAX_ANSWER_BYTES:
-            self._fail(ConnectionLostError("an answer that is too long"))
+            self._fail(ConnectionLostError("the answer is too long"))
             return
         try:
             self._parser.feed_data(data)
@@ -148,29 +149,29 @@
             self._fail(ConnectionLostError(repr(error)))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Hear that it has ended."""
+        """End the exchange in progress."""
         if self._has_headers and not self._has_length and exc is None:
-            # Such an answer ends with its connection.
+            # An answer without a length ends when the server closes the connection.
             self.on_message_complete()
         self._fail(ConnectionLostError(repr(exc) if exc else "closed by the other side"))
 
-    # ---- what the parser calls
+    # ---- callbacks of the parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Hear of a header."""
+        """Note whether the answer's length is given."""
         if name.lower() in (b"content-length", b"transfer-encoding"):
             self._has_length = True
 
     def on_headers_complete(self) -> None:
-        """Hear that the head is complete."""
+        """Note that all headers were read."""
         self._has_headers = True
 
     def on_body(self, body: bytes) -> None:
-        """Hear of a part of the body."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hear that the answer is complete."""
+        """Return the complete answer to the exchange in progress."""
         parser = self._parser
         if self._answer is None or self._answer.done() or parser is None:
             return
--- a/src/shallotworks/platform/_ingress.py
+++ b/src/shallotworks/platform/_ingress.py
@@ -1,8 +1,8 @@
-"""Callers' requests over HTTP, on the event loop.
+"""HTTP server for callers' requests, on the event loop.
 
-aiohttp's server stands for the house's cheroot here: cheroot gives each connection a thread, so
-that 500 connections which send nothing keep every other caller waiting. Here only a request that
-has wholly arrived takes a task.
+It uses aiohttp's server instead of cheroot, which serves callers elsewhere: cheroot assigns a
+thread to each connection, so that 500 connections which send nothing keep every other caller
+waiting. Here only a request that has arrived completely takes a task.
 """
 
 from __future__ import annotations
@@ -32,25 +32,25 @@
 
 DEADLINE_HEADER = "Shallotworks-Deadline-Ms"
 ANSWER_MARGIN_S = 0.15
-"""Kept of a caller's time for the answer's way back."""
+"""Part of a caller's deadline that is reserved for sending the answer."""
 MAX_REQUEST_S = 1.6
-"""The most that one request is worked on: two tries at a silent store. After that the caller's
-next try, at another instance, is the better one."""
+"""Longest processing of one request: two attempts at a store that does not answer. After that, the
+caller's next attempt, at another instance, has better chances."""
 NO_CONFIGURATION_RETRY_AFTER_S = 1
 KEEPALIVE_TIMEOUT_S = 15.0
 MAX_REASON_CHARACTERS = 400
 
 
 class Ingress:
-    """Answers callers.
+    """Answers callers' requests, readiness checks and reads of the metrics.
 
     Args:
-        job_handler: Answers about jobs.
+        job_handler: Handles requests about jobs.
         configuration: Returns the configuration in force; ``None`` before the first.
-        is_store_unavailable: Whether the store can't be reached at present.
-        outage_s: How long the store has not answered, while calls to it fail.
-        log: Refusals that the desk does not see.
-        metrics: Counters and latencies.
+        is_store_unavailable: Returns whether the store can't be reached at present.
+        outage_s: Returns the seconds since the store last answered, while calls to it fail.
+        log: Receives a line for each request that is rejected before it reaches the job handler.
+        metrics: Counters and latencies of requests.
     """
 
     __slots__ = (
@@ -84,15 +84,15 @@
         self.is_stopping = False
 
     async def listen(self, address: str) -> None:
-        """Listen for callers."""
+        """Listen for callers' requests."""
         await self._serve(address, self._handle)
 
     async def listen_for_readiness(self, address: str) -> None:
-        """Listen for the platform's question whether new connections may come."""
+        """Listen for the platform's readiness checks."""
         await self._serve(address, self._handle_ready)
 
     async def listen_for_metrics(self, address: str, text: Callable[[], str]) -> None:
-        """Serve the metrics as text."""
+        """Serve the text of the metrics."""
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
             return web.Response(text=text())
@@ -100,7 +100,7 @@
         await self._serve(address, handle)
 
     async def close(self) -> None:
-        """Stop listening and close idle connections; requests in flight get their answer."""
+        """Stop listening and close idle connections; requests in flight are answered first."""
         for runner in self._runners:
             await runner.cleanup()
 
@@ -121,7 +121,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether this instance should receive new connections."""
         has_configuration = self._configuration() is not None
         return has_configuration and not self.is_stopping and not self._is_store_unavailable()
 
@@ -209,7 +209,7 @@
             self._log.line("job-invalid", id=job_id, queue=queue.policy.queue, reason=reason)
             return _error_response(400, reason)
         if self._is_store_unavailable():
-            # Refused before anything is sent, so that it is certain not to be run.
+            # Nothing was sent to the store yet, so that the job certainly does not run.
             self._log.line("job-submit", id=job_id, outcome="refused", reason="store lost")
             return self._store_unavailable_response()
         answer = await self._job_handler.submit(decoded.unwrap(), deadline_s=deadline_s)
@@ -234,7 +234,7 @@
 
 
 def _deadline_s(request: web.BaseRequest, queue: Queue) -> float:
-    """Return when the answer must be sent, on the loop's clock."""
+    """Return the time of the event loop's clock by which the answer must be sent."""
     deadline_header = request.headers.get(DEADLINE_HEADER, "")
     time_limit_s = queue.timeout_s
     if deadline_header.isdigit():
--- a/src/shallotworks/platform/_job_requests.py
+++ b/src/shallotworks/platform/_job_requests.py
@@ -1,4 +1,4 @@
-"""Jobs as callers send them, decoded and checked."""
+"""Decodes and validates the jobs that callers submit."""
 
 from __future__ import annotations
 
@@ -20,20 +20,23 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Whether a caller's text can name a job."""
+    """Return whether a string from a caller is a valid job id."""
     return len(text) == JOB_ID_LENGTH and all(char in _HEXADECIMAL for char in text)
 
 
 def decode_submission(
     body: bytes, *, job_id: str, policy: QueuePolicy, accepted_s: float
 ) -> Result[Job, Failure]:
-    """Decode a job; ``INVALID_REQUEST`` says all that is wrong with it.
+    """Decode and validate a job.
 
     Args:
         body: JSON as the caller sent it.
-        job_id: The job's name.
-        policy: Its queue's policy.
-        accepted_s: Time of day in seconds since 1970.
+        job_id: Id of the job.
+        policy: Policy of the job's queue.
+        accepted_s: Time of acceptance in seconds since 1970.
+
+    Returns:
+        The job, or ``INVALID_REQUEST`` with everything that is wrong with it.
     """
     try:
         table = json.loads(body)
@@ -65,9 +68,9 @@
         is_gang=bool(row.get("gang", False)),
         is_one_rack=bool(row.get("sameRack", False)),
         label=json_string(row.get("requiredLabel", "")),
-        # The wire's word names the rack that holds the step's data.
+        # On the wire, "affinity" is the rack that holds the step's data.
         near_rack=json_string(row.get("affinity", "")),
-        # The wire's word is a number: the most tasks of the step on one worker.
+        # On the wire, "antiAffinity" is the maximum number of the step's tasks on one worker.
         most_per_worker=json_integer(row.get("antiAffinity", 0)),
         is_speculative=bool(row.get("speculative", False)),
         is_lasting=bool(row.get("longRunning", False)),
--- a/src/shallotworks/platform/_machines.py
+++ b/src/shallotworks/platform/_machines.py
@@ -1,4 +1,4 @@
-"""The platform's machines and its advice on which workers may run a step."""
+"""Clients of the platform's machine API and of its advice on which workers may run a step."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 __all__ = ["PlatformAdvice", "PlatformMachines"]
 
 CALL_TIMEOUT_S = 1.0
-"""Time for a call; an order that was not answered is asked for again, which does no harm."""
+"""Timeout of a call; an unanswered order is repeated, which does no harm."""
 ADVICE_TIMEOUT_S = 3.0
-"""The service takes its time for each worker, and one question at a time from each of us."""
+"""Timeout of a request for advice: the service takes time for each worker in it and handles one
+request at a time of each instance."""
 DEFAULT_ADVICE_VALID_MS = 1000
 
 _STATUS_BY_HTTP_STATUS = {
@@ -39,8 +40,8 @@
     """Implements `Machines`.
 
     Args:
-        client: Calls the platform.
-        instance: This instance's name, which the platform wants with each order.
+        client: HTTP client of the machine API.
+        instance: Name of this instance, which the platform requires with each order.
     """
 
     __slots__ = ("_client", "_instance")
@@ -50,7 +51,7 @@
         self._instance = instance
 
     async def list(self) -> Result[tuple[Machine, ...], Failure]:
-        """Read all machines."""
+        """Read all machines, page by page; ``UNREACHABLE`` if a page can't be read."""
         machines: list[Machine] = []
         path = "/v1/machines"
         while True:
@@ -61,20 +62,20 @@
                 machines.extend(_decode_machines(answer.body["machines"]))
                 token = _decode_page_token(answer.body.get("nextToken"))
             except DECODE_ERRORS as error:
-                reason = f"a list of machines that can't be read: {error!r}"
+                reason = f"the list of machines can't be decoded: {error!r}"
                 return Err(Failure(kind=ErrorKind.UNREACHABLE, reason=reason))
             if not token:
                 return Success(tuple(machines))
             path = f"/v1/machines?{urlencode({'pageToken': token})}"
 
     async def start_maintenance(self, machine: str, *, wave: int, token: int) -> MachineOrderStatus:
-        """Take a machine down for its upkeep; all that runs there ends at once."""
+        """Take a machine down for maintenance, which ends all runs there at once."""
         return await self._send_order(
             "/v1/machine-upkeep", {"machine": machine, "wave": wave}, token
         )
 
     async def move(self, machine: str, *, pool: str, token: int) -> MachineOrderStatus:
-        """Move a machine into another service's pool; all that runs there ends at once."""
+        """Move a machine into another service's pool, which ends all runs there at once."""
         return await self._send_order("/v1/machine-move", {"machine": machine, "pool": pool}, token)
 
     async def _send_order(self, path: str, body: dict[str, Any], token: int) -> MachineOrderStatus:
@@ -98,7 +99,7 @@
     """Implements `AdviceService`.
 
     Args:
-        client: Calls the service; ``None`` where there is none.
+        client: HTTP client of the advice service; ``None`` if no such service is configured.
     """
 
     __slots__ = ("_client",)
@@ -109,9 +110,11 @@
     async def ask(
         self, step: tuple[str, int, int], worker_ids: tuple[str, ...]
     ) -> Result[Permits, Failure]:
-        """Ask which of some workers may run a step."""
+        """Ask which of some workers may run a step; ``UNREACHABLE`` if there is no valid answer."""
         if self._client is None:
-            return Err(Failure(kind=ErrorKind.UNREACHABLE, reason="no advice service is set"))
+            return Err(
+                Failure(kind=ErrorKind.UNREACHABLE, reason="no advice service is configured")
+            )
         body = {"step": ".".join(str(part) for part in step), "workers": list(worker_ids)}
         answer = await self._client.call(
             "POST", "/v1/advise", body=body, timeout_s=ADVICE_TIMEOUT_S
@@ -121,12 +124,12 @@
         try:
             return Success(_decode_permits(answer.body))
         except DECODE_ERRORS as error:
-            reason = f"advice that can't be read: {error!r}"
+            reason = f"the advice can't be decoded: {error!r}"
             return Err(Failure(kind=ErrorKind.UNREACHABLE, reason=reason))
 
 
 def _decode_machines(listed: Any) -> list[Machine]:
-    """Return the machines of those rows that name one."""
+    """Decode the rows that contain a machine's name; skip all others."""
     named = [
         row
         for row in json_array(listed)
@@ -147,11 +150,11 @@
 
 
 def _decode_machine(row: dict[str, Any]) -> Machine:
-    """Return a machine; one whose state, pool or worker can't be read is down.
+    """Decode a machine; one whose state, pool or worker can't be read counts as down.
 
-    The failures: a row that can't be read ends the keeper, and with it each upkeep and each move;
-    or, left out, it makes a machine of a wave count as gone and the wave as completed. One that is
-    down gets no order, and is there.
+    The failures: an unreadable row ended the machine controller, and with it all maintenance and
+    all moves; or the row was skipped, so that a machine of a wave counted as gone and the wave as
+    completed. A machine that is down gets no orders but stays on the list.
     """
     name = row["machine"]
     try:
@@ -169,7 +172,7 @@
     allowed = [json_array(row) for row in json_array(body.get("allowed", []))]
     valid_ms = json_number(body.get("validMs", DEFAULT_ADVICE_VALID_MS))
     if valid_ms < 0:
-        raise ValueError("a time that ended before it began")
+        raise ValueError("validMs is negative")
     return Permits(
         tickets={json_string(row[0]): json_string(row[1]) for row in allowed},
         valid_s=valid_ms / 1000,
--- a/src/shallotworks/platform/_store.py
+++ b/src/shallotworks/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store as the product's `Store`."""
+"""Client of the platform's store that implements the product's `Store` protocol."""
 
 from __future__ import annotations
 
@@ -28,21 +28,22 @@
 __all__ = ["UNDECODABLE_VALUE", "PlatformStore"]
 
 UNDECODABLE_VALUE = b"\xff"
-"""Stands for a value whose text is not base64. The byte occurs in no UTF-8 text, so that each
-reader of records finds this one unreadable, as it does other bytes, and says so under its key."""
+"""Replaces a value that is not base64. The byte never occurs in UTF-8 text, so that each decoder of
+records rejects the value, as it does other invalid bytes, and reports it under its key."""
 
 CALL_TIMEOUT_S = 0.8
-"""Time for a call: the store answers in 4 ms, sixty times that on its slow days, and more behind a
-queue."""
+"""Timeout of a call: the store answers in 4 ms, in up to sixty times that while it is slow, and
+later if calls queue there."""
 WATCH_ANSWER_MARGIN_S = 0.6
-"""Beyond a watch's own wait; with it, a silent connection is noticed within 1.6 s."""
+"""Time for a watch's answer beyond its own wait; a connection that stopped delivering data is
+detected within 1.6 s."""
 LARGE_ANSWER_TIMEOUT_S = 6.0
-"""Time for an answer of up to 1 MB while its bytes keep coming: 1.8 s on a link of 5 Mbit/s, the
-slowest there is, and other calls share it. The failure: a successor on such a link that gives each
-page up after `CALL_TIMEOUT_S` never reads its jobs, and nothing of its service runs any more."""
+"""Time for an answer of up to 1 MB while its bytes keep arriving: 1.8 s on the slowest link, of
+5 Mbit/s, which other calls share. The failure: a successor on such a link that abandons each page
+after `CALL_TIMEOUT_S` never reads its jobs, and no task of its service runs any more."""
 UNAVAILABLE_AFTER_S = 0.7
-"""Without an answer for this long, and with the last call failed, the store is unavailable."""
-UNREADABLE_ANSWER = "an answer that can't be read"
+"""The store counts as unavailable after this long without an answer, if the last call failed."""
+UNREADABLE_ANSWER = "the answer can't be decoded"
 
 _KIND_BY_STATUS = {
     400: ErrorKind.INVALID_REQUEST,
@@ -50,14 +51,14 @@
     429: ErrorKind.STORE_UNAVAILABLE,
     503: ErrorKind.STORE_UNAVAILABLE,
 }
-"""What a status says for certain: with each, nothing was done."""
+"""Error kind of each status with which the store certainly did nothing."""
 
 
 class PlatformStore:
     """Implements `Store`.
 
     Args:
-        client: Calls the store.
+        client: HTTP client of the store.
         metrics: Counters and latencies of calls.
     """
 
@@ -71,7 +72,7 @@
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether calls have failed for a while, so that another one is likely to fail too."""
+        """Whether calls have failed for so long that the next one is likely to fail, too."""
         return self._is_failing and self.since_answer_s > UNAVAILABLE_AFTER_S
 
     @property
@@ -81,21 +82,21 @@
 
     @property
     def outage_s(self) -> float:
-        """Seconds since the store last answered, where calls fail; else 0."""
+        """Seconds since the store last answered while calls fail; otherwise 0."""
         return self.since_answer_s if self._is_failing else 0.0
 
     async def get(self, key: str) -> Result[Item | None, Failure]:
-        """Read one key; ``None`` where it does not exist."""
+        """Read one key; ``None`` if it does not exist."""
         answer = await self._call("GET", f"/v1/kv-key?{urlencode({'key': key})}", "get")
         if isinstance(answer, HttpAnswer) and answer.status == 404:
             return Success(None)
         return _decode_answer(answer, lambda body: _decode_item(body))
 
     async def read_page(self, prefix: str, *, after: str = "") -> Result[Page, Failure]:
-        """Read keys under a prefix that follow the key ``after``."""
+        """Read a page of the keys under a prefix that follow the key ``after``."""
         query = {"prefix": prefix}
         if after:
-            # Here the word holds a key; in a watch it holds a revision.
+            # Here "after" is a key; in a watch it is a revision.
             query["after"] = after
         path = f"/v1/kv-range?{urlencode(query)}"
         answer = await self._call(
@@ -113,7 +114,7 @@
     async def watch(
         self, prefix: str, *, after_revision: int, wait_s: float
     ) -> Result[Changes, Failure]:
-        """Wait until something under a prefix changes after a revision, or the wait ends."""
+        """Wait until a key under a prefix changes after a revision, or ``wait_s`` have passed."""
         query = {"prefix": prefix, "after": after_revision, "waitMs": int(wait_s * 1000)}
         path = f"/v1/kv-watch?{urlencode(query)}"
         read_timeout_s = wait_s + WATCH_ANSWER_MARGIN_S
@@ -135,7 +136,7 @@
         )
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflicted, Failure]:
-        """Carry out a commit; ``LEASE_LOST`` where a lease of its writes has ended."""
+        """Apply a commit; ``LEASE_LOST`` if a lease of its writes has ended."""
         body = {
             "expected": [
                 {"key": condition.key, "revision": condition.revision}
@@ -172,7 +173,7 @@
         return _decode_answer(answer, lambda body: json_integer(body["lease"]))
 
     async def renew_lease(self, lease_id: int) -> Result[None, Failure]:
-        """Renew a lease; ``LEASE_LOST`` where it has ended."""
+        """Renew a lease; ``LEASE_LOST`` if it has ended."""
         answer = await self._call("POST", f"/v1/kv-keep/{lease_id}", "renew")
         if isinstance(answer, HttpAnswer) and answer.status == 404:
             return Err(_failure(ErrorKind.LEASE_LOST, "the lease has ended"))
@@ -232,7 +233,7 @@
 
 
 def _decode_conflict(body: dict[str, Any]) -> Conflicted:
-    # A key that does not exist may be left out or stand there without a value.
+    # A key that does not exist may be missing from the list, or listed without a value.
     found = [json_object(row) for row in json_array(body["items"])]
     return Conflicted(current=tuple(_decode_item(row) for row in found if "value" in row))
 
@@ -257,11 +258,11 @@
 
 
 def _decode_value(encoded: Any) -> bytes:
-    """Return a value's bytes.
+    """Return a value's bytes; `UNDECODABLE_VALUE` if it is not base64.
 
-    The failure: one value that can't be decoded fails the answer that holds it, whoever follows
-    the store asks for the same answer for ever, and hears of no key under the prefix any more. The
-    key and its revision are the store's own and hold without the value.
+    The failure: one value that can't be decoded failed the whole answer, so that a watcher of the
+    prefix requested the same answer forever and read no key under the prefix any more. The key and
+    its revision come from the store itself and are valid without the value.
     """
     try:
         return base64.b64decode(json_string(encoded), validate=True)
--- a/src/shallotworks/platform/_worker_entries.py
+++ b/src/shallotworks/platform/_worker_entries.py
@@ -1,4 +1,4 @@
-"""Entries under which workers register themselves, decoded strictly."""
+"""Strict decoding of the entries under which workers register themselves."""
 
 from __future__ import annotations
 
@@ -21,12 +21,13 @@
 MAX_CPU_MILLICORES = 10_000_000
 MAX_MEMORY_MB = 100_000_000
 MAX_GPUS = 10_000
-"""The most that a worker's capacity can be, as for what a task may ask: a worker that claims more
-would draw all tasks to itself."""
+"""Largest plausible capacity of a worker, equal to the largest demand of a task: a worker that
+claims more would attract all tasks."""
 READY = "ready"
 DRAINING = "draining"
 
-# An id stands in a header of each order, so that it has no space and no control character.
+# Each order carries the worker's id in a header, so that the id may contain no space and no
+# control character.
 _WORKER_ID = re.compile(r"[!-.0-~]+")
 _ADDRESS = re.compile(r"(?:[0-9A-Za-z.-]{1,253}|\[[0-9A-Fa-f:.]{2,45}\]):([0-9]{1,5})")
 MAX_PORT = 65_535
@@ -34,7 +35,7 @@
 
 @unique
 class EntryProblemKind(Enum):
-    """Why an entry names no worker to use."""
+    """Reasons for which an entry is rejected."""
 
     BAD_ID = "bad-id"
     NOT_JSON = "not-json"
@@ -47,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntryProblem:
-    """What is wrong with an entry.
+    """Why an entry was rejected.
 
-    It holds nothing of the entry's values, so that a fault which is written again and again, with
-    other bytes each time, is known for the same.
+    It contains none of the entry's values, so that two entries with the same fault but other bytes
+    have equal problems.
 
     Args:
-        kind: Why it names no worker.
-        field: The field at fault, parts of a table after a dot; empty for the entry as a whole.
+        kind: Kind of the fault.
+        field: The invalid field, the parts of an object after a dot; empty for the whole entry.
     """
 
     kind: EntryProblemKind
@@ -62,7 +63,7 @@
 
 
 class _InvalidEntryError(ValueError):
-    """An entry can't be decoded; never leaves this module."""
+    """An entry can't be decoded; caught within this module."""
 
     def __init__(self, kind: EntryProblemKind, field: str = "") -> None:
         super().__init__(kind, field)
@@ -72,14 +73,17 @@
 def decode_entry(worker_id: str, value: bytes) -> Result[WorkerView, EntryProblem]:
     """Decode the entry of a worker.
 
-    The failure: tasks are given to a worker that does not exist, or that is not one of ours, since
-    whatever an entry lacked was filled in; or running tasks are taken from a worker whose state
-    nobody knows, as if it drained. So each field that a worker writes must be there with its type,
-    also those that are not used here; fields beyond these are ignored.
+    Each field that a worker writes must be present with its type, also those that are not used
+    here; other fields are ignored. The failure: missing fields got default values, so that tasks
+    were assigned to a worker that does not exist or belongs to others; or an unknown state was
+    read as draining, so that running tasks were moved off the worker.
 
     Args:
-        worker_id: The id in the entry's key.
+        worker_id: The worker's id from the entry's key.
         value: The entry's bytes.
+
+    Returns:
+        The worker, or why the entry was rejected.
     """
     try:
         if not _WORKER_ID.fullmatch(worker_id):
@@ -120,7 +124,7 @@
 def _unique_fields(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     fields = dict(pairs)
     if len(fields) < len(pairs):
-        raise ValueError("a field stands there twice")
+        raise ValueError("a field occurs twice")
     return fields
 
 
@@ -129,8 +133,8 @@
 
 
 _FieldReader = Callable[[Any, str], Any]
-"""Returns a field's value, or raises: `TypeError` for another type, `_InvalidEntryError` for the
-rest. It gets the field's name for the latter."""
+"""Takes a field's value and name, and returns the value. Raises `TypeError` for another type, and
+`_InvalidEntryError`, which contains the name, for any other fault."""
 
 
 def _read_fields(
@@ -213,4 +217,4 @@
     "capacity": _read_capacity,
     "labels": _read_labels,
 }
-"""Each field that a worker writes about itself. Source: the platform's page."""
+"""Readers of all fields that a worker writes about itself. Source: the platform's page."""
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -1,4 +1,4 @@
-"""Orders to workers, and the list of workers that register themselves in the store."""
+"""Client for orders to workers, and the list of workers that register themselves in the store."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 REGISTRY_PREFIX = "servers/"
 INCARNATION_HEADER = "Shallotworks-Expect-Instance"
 ORDER_TIMEOUT_S = 0.7
-"""Time for an order's answer: workers answer in a few milliseconds when they are well."""
+"""Timeout of an order: healthy workers answer in a few milliseconds."""
 
 _STATUS_BY_REASON = {
     "fence": OrderStatus.FENCED,
@@ -50,7 +50,7 @@
 
 
 class PlatformOrders:
-    """Implements `WorkerOrders`; keeps connections to each worker open."""
+    """Implements `WorkerOrders` over persistent connections to each worker."""
 
     __slots__ = ("_clients",)
 
@@ -67,7 +67,7 @@
         wait_s: float,
         timeout_s: float,
     ) -> OrderOutcome:
-        """Ask what runs and what has ended, and extend the lease of all that runs."""
+        """Read which runs are active or have ended, and extend the lease of the active ones."""
         body: dict[str, Any] = {"fencingToken": token, "lastSeen": acknowledged}
         if lease_until_ms is not None:
             body["expiresMs"] = lease_until_ms
@@ -102,7 +102,7 @@
         return await self._send_order(worker, "/v1/run-stop", body)
 
     async def pace(self, worker: WorkerView, order: PaceOrder, *, token: int) -> OrderOutcome:
-        """Let a run work at a share of its speed."""
+        """Set the speed of a run in percent of its full speed."""
         body = {
             "task": _encode_name(order.run.name),
             "runId": order.run.run_id,
@@ -159,9 +159,9 @@
 
 
 def _decode_clock_ms(body: dict[str, Any]) -> int:
-    """Return the worker's clock; 0 where the answer does not tell it.
+    """Return the worker's clock in milliseconds; 0 if the answer lacks it.
 
-    What became of the order is said by the status alone, and holds without the clock.
+    The HTTP status alone decides the outcome of the order, which is valid without the clock.
     """
     try:
         return int(json_number(body.get("clockMs", 0)))
@@ -209,17 +209,18 @@
 
 
 class WorkerRegistry:
-    """The workers that register themselves; implements `WorkerDirectory` and `WatchListener`.
+    """List of the registered workers; implements `WorkerDirectory` and `WatchListener`.
 
-    The failure it guards against: an entry that another writer has left, or has written over a
-    worker's own, is acted upon. An entry that can't be decoded names no worker to use: neither is
-    the worker in use as an earlier entry told of it, nor is it taken for draining or for gone. It
-    is left out of the list, and that is all. The worker itself may be well and run tasks under
-    leases that still hold: its scheduler goes on looking at a worker that is not listed, and
-    extends its lease while it answers, so that those tasks end there and none is started twice.
+    The failure it guards against: an entry that another program wrote, possibly over a worker's
+    own, is trusted. A worker whose entry can't be decoded is removed from the list and gets no new
+    tasks. Its earlier entry is not used any more, and the worker counts neither as draining nor as
+    gone. The worker itself may be healthy and run tasks under valid leases: its scheduler continues
+    to poll an unlisted worker and extends the worker's lease while it answers, so that those tasks
+    end there and none is started twice.
 
     Args:
-        log: One line for each change of what is believed of a worker.
+        log: Receives a line when a worker is listed, starts or stops draining, becomes unreadable
+            or is deleted.
     """
 
     __slots__ = ("_log", "_problems", "_workers", "is_synced", "version")
@@ -236,7 +237,7 @@
         return {key: view for key, view in self._workers.items() if view.service == service}
 
     def on_write(self, item: Item) -> None:
-        """Hear that a worker registered, or changed its entry."""
+        """List a worker whose entry was written; remove it if the entry can't be decoded."""
         worker_id = item.key.removeprefix(REGISTRY_PREFIX)
         decoded = decode_entry(worker_id, item.value)
         if isinstance(decoded, Success):
@@ -245,7 +246,7 @@
             self._reject(worker_id, decoded.failure(), item.revision)
 
     def on_delete(self, key: str, revision: int) -> None:
-        """Hear that a worker's entry is gone."""
+        """Remove a worker whose entry was deleted."""
         worker_id = key.removeprefix(REGISTRY_PREFIX)
         self._problems.pop(worker_id, None)
         if self._workers.pop(worker_id, None) is not None:
@@ -264,7 +265,7 @@
     def _reject(self, worker_id: str, problem: EntryProblem, revision: int) -> None:
         earlier = self._workers.pop(worker_id, None)
         self.version += earlier is not None
-        # Entries are written anew every second or two: the same fault again is no news.
+        # Entries are rewritten every second or two: the same fault is logged only once.
         if self._problems.get(worker_id) == problem:
             return
         self._problems[worker_id] = problem
--- a/src/shallotworks/platform/settings.py
+++ b/src/shallotworks/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings that the users' platform gives each process, decoded once."""
+"""Decoding of the settings that the users' platform provides for each process."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Bounds:
-    """Bounds that the users set, in our units.
+    """Limits that the users set, converted to seconds.
 
     Args:
-        stop_grace_s: Time between the signal to stop and the end.
-        longest_lease_s: The most that a worker grants.
-        final_state_told_s: A job's final state is told for this long.
-        turns_apart_s: Orders of two holders for one machine must be this far apart.
+        stop_grace_s: Time between the signal to stop and the forced end of the process.
+        longest_lease_s: Longest lease that a worker grants.
+        final_state_told_s: Time for which a job's final state is reported.
+        turns_apart_s: Minimum time between orders of two lease holders for one machine.
     """
 
     stop_grace_s: float
@@ -40,17 +40,17 @@
 
     Args:
         instance: Name of this entry instance.
-        ip: Its IP number.
-        data_centre: Where it is.
-        callers_address: Where callers connect.
-        ready_address: Where the platform asks whether new connections may come.
-        store_address: The platform's store.
-        machines_address: The platform's machines.
-        advice_address: The advice service; empty where there is none.
-        smallest_ttl_s: The shortest lease of the store.
-        cores: Processor that this process may use.
-        link_mbps: Bandwidth of its instance.
-        bounds: Bounds.
+        ip: IP address of the instance.
+        data_centre: Data centre of the instance.
+        callers_address: Listening address for callers.
+        ready_address: Listening address for the platform's readiness checks.
+        store_address: Address of the platform's store.
+        machines_address: Address of the platform's machine API.
+        advice_address: Address of the advice service; empty if there is none.
+        smallest_ttl_s: Shortest lease that the store grants.
+        cores: Processor capacity that this process may use, in cores.
+        link_mbps: Bandwidth of the instance's network link.
+        bounds: Limits that the users set.
     """
 
     instance: str
@@ -71,7 +71,7 @@
     """Read and decode the settings file.
 
     Args:
-        path: The file; the one that the environment names by default.
+        path: The file; by default the one that the environment names.
 
     Returns:
         The settings, or ``INVALID_SETTINGS`` with the reason.
@@ -102,7 +102,7 @@
         machines_address=str(table.get("cloudApi", {}).get("address", "")),
         advice_address=str(table.get("advice", "")),
         smallest_ttl_s=float(store.get("minTtlMs", 1000)) / 1000,
-        # Here "cores" is not a number of them but how fast the one is that is shared.
+        # In this file "cores" is the speed of the one shared core, not a number of cores.
         cores=float(limits.get("cpuShare", 1)) * float(limits.get("cores", 1)),
         link_mbps=float(limits.get("linkMbps", 1000)),
         bounds=_decode_bounds(table.get("bounds", {})),
@@ -114,7 +114,7 @@
         stop_grace_s=float(table.get("graceS", 6)),
         longest_lease_s=float(table.get("maxHoldMs", 6000)) / 1000,
         final_state_told_s=float(table.get("status_s", 120)),
-        # The wire's word sounds like a lease; it is how far apart two holders' orders must be.
+        # "leaseMs" is no lease: it is the minimum time between orders of two lease holders.
         turns_apart_s=float(table.get("leaseMs", 3000)) / 1000,
     )
 
