--- a/tests/entry.py
+++ b/tests/entry.py
@@ -1,4 +1,4 @@
-"""One entry instance within the test's process, with the real policy from port to target."""
+"""One entry instance within the test's process, with the production policy from port to target."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from tests.fakes import LoopThread
 
 BODY_LIMIT_BYTES = 64 * 1024
-THREADS = 24
+THREAD_COUNT = 24
 DEADLINE_S = 1.5
 ATTEMPT_TIMEOUT_S = 0.3
 RECONCILE_EVERY_S = 0.2
@@ -41,7 +41,7 @@
     services: Sequence[str],
     quotas: dict[str, int] | None = None,
 ) -> FleetState:
-    """Return a fleet of one pool of these workers."""
+    """Return the state of a fleet with one pool that contains all given workers."""
     members = {
         worker.name: Instance(
             name=worker.name,
@@ -60,14 +60,14 @@
     """An entry instance without peers and without operators.
 
     Args:
-        name: Its name, different after each start.
-        loop_thread: The loop that takes its decisions.
+        name: Name of the instance, different after each start.
+        loop_thread: Thread of the event loop that runs the dispatcher.
         state: The configuration in force.
-        store: The platform's service.
-        entries: How many entry instances share the targets.
+        store: Key-value store of the idempotency records.
+        entries: Number of entry instances that share the targets.
         limits: Limits of dispatch.
-        attempt_timeout_s: Longest attempt.
-        deadline_s: Deadline of a request that names none.
+        attempt_timeout_s: Timeout of one attempt.
+        deadline_s: Deadline of a request that sets none.
     """
 
     def __init__(
@@ -116,39 +116,39 @@
             target_client=self._target_client,
             metrics=self.metrics,
             timeline=timeline,
-            long_running_limit=THREADS // 2,
+            long_running_limit=THREAD_COUNT // 2,
         )
-        limits_of_reading = RequestLimits(
+        request_limits = RequestLimits(
             body_limit_bytes=BODY_LIMIT_BYTES, default_deadline_s=deadline_s, max_deadline_s=60.0
         )
         self._listener = Listener(
             host="127.0.0.1",
             port=0,
             application=CallersApplication(
-                loop=loop_thread.loop, relay=relay, limits=limits_of_reading
+                loop=loop_thread.loop, relay=relay, limits=request_limits
             ),
-            threads=THREADS,
+            threads=THREAD_COUNT,
             body_limit_bytes=4 * BODY_LIMIT_BYTES,
         )
 
     @property
     def port(self) -> int:
-        """The callers' port."""
+        """Port for callers."""
         return self._listener.port
 
     def start(self) -> None:
-        """Open the callers' port."""
-        self._loop_thread.loop.call_soon_threadsafe(self._start_tidying)
+        """Open the port for callers."""
+        self._loop_thread.loop.call_soon_threadsafe(self._start_reconciling)
         self._listener.start()
 
     def stop(self) -> None:
-        """Close the port and all connections; the loop is stopped by its owner."""
+        """Close the port and all connections; the owner of the event loop stops the loop."""
         self._listener.stop()
-        self._loop_thread.run(self._stop_tidying())
+        self._loop_thread.run(self._stop_reconciling())
         self._target_client.close()
 
-    def _start_tidying(self) -> None:
+    def _start_reconciling(self) -> None:
         self._task = self._loop_thread.loop.create_task(self._guard.run())
 
-    async def _stop_tidying(self) -> None:
+    async def _stop_reconciling(self) -> None:
         self._task.cancel()
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,10 +1,10 @@
-"""Tests of entries and records that another writer has left where workers register themselves.
+"""Tests of invalid entries and records that another program writes into the store.
 
-Scenario: jobs of every service are accepted, and no task of theirs starts any more. Somebody wrote
-one entry beside those of the workers, with a list for a table or a text for its capacity. Decoding
-it raised an error that nobody expected, the task that follows the entries ended without a word, and
-the scheduler heard of no worker again. Less visible: a state that nobody knows was taken for a
-worker that drains, and an entry that turned unreadable left the worker in use as it was before.
+They guard against accepted jobs of all services whose tasks never start: one entry with a list in
+place of an object, or a string as capacity, raised an unexpected error in the task that watches the
+workers' entries. The task ended without a log line, and the scheduler read no entry again. They
+also guard against an unknown state that was read as draining, and against a worker that stayed in
+use with its earlier entry after its entry became unreadable.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 FUZZ_ENTRIES = 600
 FUZZ_SEED = 20
 SETTLE_S = 2.0
-"""Within this a change of an entry has surely reached the scheduler."""
-FOLLOW_S = 2.0
-MOST_CALLS = 5
-"""Calls of a client that gets the same answer to each; more are an endless loop."""
-DEEP = 200_000
-"""Levels of nesting that no decoder follows."""
-
-GOOD: dict[str, Any] = {
+"""Time within which a changed entry certainly reaches the scheduler."""
+WATCH_TIMEOUT_S = 2.0
+MAX_CALLS = 5
+"""Limit of a client's calls with the same answer to each; more indicate an endless loop."""
+NESTING_LEVELS = 200_000
+"""Levels of nesting that exceed every decoder's limit."""
+
+VALID_ENTRY: dict[str, Any] = {
     "service": "s",
     "address": "10.0.0.1:8080",
     "zone": "hall",
@@ -60,58 +60,77 @@
     "clockMs": 482113,
     "seqNo": 4,
 }
-"""A worker's own entry."""
+"""An entry as a worker writes it."""
 
 
 def changed(**fields: object) -> bytes:
-    """Return a good entry with some fields changed."""
-    return json.dumps(GOOD | fields).encode()
+    """Return a valid entry with some fields changed."""
+    return json.dumps(VALID_ENTRY | fields).encode()
 
 
 def without(name: str) -> bytes:
-    """Return a good entry that lacks a field."""
-    return json.dumps({key: value for key, value in GOOD.items() if key != name}).encode()
+    """Return a valid entry without one field."""
+    return json.dumps({key: value for key, value in VALID_ENTRY.items() if key != name}).encode()
 
 
-def with_room(**fields: object) -> bytes:
-    """Return a good entry with parts of its capacity changed."""
-    return changed(capacity=GOOD["capacity"] | fields)
+def with_capacity(**fields: object) -> bytes:
+    """Return a valid entry with parts of its capacity changed."""
+    return changed(capacity=VALID_ENTRY["capacity"] | fields)
 
 
-def without_room(name: str) -> bytes:
-    """Return a good entry that lacks a part of its capacity."""
-    return changed(capacity={key: one for key, one in GOOD["capacity"].items() if key != name})
+def without_capacity_field(name: str) -> bytes:
+    """Return a valid entry without one part of its capacity."""
+    return changed(
+        capacity={key: value for key, value in VALID_ENTRY["capacity"].items() if key != name}
+    )
 
 
-TEXTS = ("service", "address", "zone", "version", "state")
-WHOLES = ("slots", "seqNo")
-NO_TEXT: tuple[Any, ...] = (None, True, 7, 1.5, [], ["s"], {}, {"s": 1})
-NO_WHOLE: tuple[Any, ...] = (None, True, 1.5, "8", [], [8], {})
-NO_TABLE: tuple[Any, ...] = (None, False, 16000, 1.5, "16000", [], [16000, 32768, 0])
-NO_LABELS: tuple[Any, ...] = (None, True, 3, "a,r1-3", {}, [1, 2], ["a", None], [["a", "r1-3"]])
+STRING_FIELDS = ("service", "address", "zone", "version", "state")
+INTEGER_FIELDS = ("slots", "seqNo")
+NON_STRINGS: tuple[Any, ...] = (None, True, 7, 1.5, [], ["s"], {}, {"s": 1})
+NON_INTEGERS: tuple[Any, ...] = (None, True, 1.5, "8", [], [8], {})
+NON_OBJECTS: tuple[Any, ...] = (None, False, 16000, 1.5, "16000", [], [16000, 32768, 0])
+INVALID_LABELS: tuple[Any, ...] = (
+    None,
+    True,
+    3,
+    "a,r1-3",
+    {},
+    [1, 2],
+    ["a", None],
+    [["a", "r1-3"]],
+)
 
-BAD_ENTRIES: list[tuple[str, bytes, str, str]] = [
-    *((f"no {name}", without(name), "missing", name) for name in GOOD if name != "clockMs"),
+INVALID_ENTRIES: list[tuple[str, bytes, str, str]] = [
+    *((f"no {name}", without(name), "missing", name) for name in VALID_ENTRY if name != "clockMs"),
+    *(
+        (f"no {name} in capacity", without_capacity_field(name), "missing", f"capacity.{name}")
+        for name in VALID_ENTRY["capacity"]
+    ),
     *(
-        (f"no {name} in capacity", without_room(name), "missing", f"capacity.{name}")
-        for name in GOOD["capacity"]
+        (f"{n}={v!r}", changed(**{n: v}), "wrong-type", n)
+        for n in STRING_FIELDS
+        for v in NON_STRINGS
     ),
-    *((f"{n}={v!r}", changed(**{n: v}), "wrong-type", n) for n in TEXTS for v in NO_TEXT),
-    *((f"{n}={v!r}", changed(**{n: v}), "wrong-type", n) for n in WHOLES for v in NO_WHOLE),
-    *((f"capacity={v!r}", changed(capacity=v), "wrong-type", "capacity") for v in NO_TABLE),
     *(
-        (f"capacity.{n}={v!r}", with_room(**{n: v}), "wrong-type", f"capacity.{n}")
-        for n in GOOD["capacity"]
-        for v in NO_WHOLE
+        (f"{n}={v!r}", changed(**{n: v}), "wrong-type", n)
+        for n in INTEGER_FIELDS
+        for v in NON_INTEGERS
     ),
-    *((f"labels={v!r}", changed(labels=v), "wrong-type", "labels") for v in NO_LABELS),
+    *((f"capacity={v!r}", changed(capacity=v), "wrong-type", "capacity") for v in NON_OBJECTS),
+    *(
+        (f"capacity.{n}={v!r}", with_capacity(**{n: v}), "wrong-type", f"capacity.{n}")
+        for n in VALID_ENTRY["capacity"]
+        for v in NON_INTEGERS
+    ),
+    *((f"labels={v!r}", changed(labels=v), "wrong-type", "labels") for v in INVALID_LABELS),
     *(
         (f"cold={v!r}", changed(coldRemainingMs=v), "wrong-type", "coldRemainingMs")
         for v in (None, True, "0", [], {})
     ),
     *(
-        (f"capacity.{n}={v!r}", with_room(**{n: v}), "out-of-range", f"capacity.{n}")
-        for n in GOOD["capacity"]
+        (f"capacity.{n}={v!r}", with_capacity(**{n: v}), "out-of-range", f"capacity.{n}")
+        for n in VALID_ENTRY["capacity"]
         for v in (-1, 10**12, 10**400)
     ),
     ("empty service", changed(service=""), "out-of-range", "service"),
@@ -151,8 +170,8 @@
     ("endless", changed(slots=float("inf")), "not-json", ""),
     ("too many digits", changed().replace(b"16000", b"9" * 5000), "not-json", ""),
     ("a field twice", changed()[:-1] + b',"state":"draining"}', "not-json", ""),
-    ("deep lists", b"[" * DEEP + b"]" * DEEP, "not-json", ""),
-    ("deep tables", b'{"a":' * DEEP + b"1" + b"}" * DEEP, "not-json", ""),
+    ("deep lists", b"[" * NESTING_LEVELS + b"]" * NESTING_LEVELS, "not-json", ""),
+    ("deep tables", b'{"a":' * NESTING_LEVELS + b"1" + b"}" * NESTING_LEVELS, "not-json", ""),
     ("null", b"null", "wrong-type", ""),
     ("a number", b"17", "wrong-type", ""),
     ("a text", b'"ready"', "wrong-type", ""),
@@ -160,26 +179,26 @@
     ("a list of entries", b"[" + changed() + b"]", "wrong-type", ""),
 ]
 
-BAD_IDS = ("", " ", "i 1", "i-1\r\nX: y", "i-1/i-2", "i-\u00fc", "i-\x00")
+INVALID_IDS = ("", " ", "i 1", "i-1\r\nX: y", "i-1/i-2", "i-\u00fc", "i-\x00")
 
 
-class Registry:
-    """A registry with two workers beside the one that a test is about, and the lines it logs."""
+class RegistryHarness:
+    """A registry with two workers besides the one under test, and the lines that it logs."""
 
     def __init__(self) -> None:
         self._written: list[bytes] = []
-        self._log = StructuredLog(process="test", write=self._take)
+        self._log = StructuredLog(process="test", write=self._append)
         self._revision = 0
         self.registry = WorkerRegistry(log=self._log)
         self.write("i-1", changed(address="10.0.0.2:1"))
         self.write("i-3", changed(address="10.0.0.3:1"))
 
-    def _take(self, data: bytes) -> int:
+    def _append(self, data: bytes) -> int:
         self._written.append(data)
         return len(data)
 
     def write(self, worker_id: str, value: bytes) -> None:
-        """Let an entry be written."""
+        """Apply a written entry to the registry."""
         self._revision += 1
         self.registry.on_write(
             Item(key=f"servers/{worker_id}", value=value, revision=self._revision, created=1)
@@ -187,54 +206,54 @@
 
     @property
     def ids(self) -> set[str]:
-        """The workers of the service that may be used."""
+        """Ids of the service's listed workers."""
         return set(self.registry.workers_of("s"))
 
     def lines(self, event: str) -> list[dict[str, Any]]:
-        """Return the lines of one event."""
+        """Return the logged lines of one event."""
         self._log.flush()
         lines = [json.loads(line) for line in b"".join(self._written).splitlines()]
         return [line for line in lines if line["event"] == event]
 
 
-class BadEntryTests(unittest.TestCase):
-    @parameterized.expand(BAD_ENTRIES)
-    def test_names_no_worker_and_the_others_hold(
+class InvalidEntryTests(unittest.TestCase):
+    @parameterized.expand(INVALID_ENTRIES)
+    def test_invalid_entry_removes_only_its_worker(
         self, _name: str, value: bytes, fault: str, field_name: str
     ) -> None:
-        """Neither as a newcomer nor as a worker that was listed; one line says why."""
-        at = Registry()
-        at.write("i-2", value)
-        self.assertEqual({"i-1", "i-3"}, at.ids)
-        at.write("i-2", changed())
-        self.assertEqual({"i-1", "i-2", "i-3"}, at.ids)
-        version = at.registry.version
-        at.write("i-2", value)
-        self.assertEqual({"i-1", "i-3"}, at.ids)
-        self.assertGreater(at.registry.version, version)
+        """Guards against using a worker with an invalid entry, new or known, or removing others."""
+        harness = RegistryHarness()
+        harness.write("i-2", value)
+        self.assertEqual({"i-1", "i-3"}, harness.ids)
+        harness.write("i-2", changed())
+        self.assertEqual({"i-1", "i-2", "i-3"}, harness.ids)
+        version = harness.registry.version
+        harness.write("i-2", value)
+        self.assertEqual({"i-1", "i-3"}, harness.ids)
+        self.assertGreater(harness.registry.version, version)
         self.assertEqual(
             [("i-2", fault, field_name, False), ("i-2", fault, field_name, True)],
             [
                 (line["worker"], line["fault"], line["field"], line["was_listed"])
-                for line in at.lines("worker-unreadable")
+                for line in harness.lines("worker-unreadable")
             ],
         )
 
-    @parameterized.expand([(repr(one), one) for one in BAD_IDS])
-    def test_an_id_that_no_worker_has(self, _name: str, worker_id: str) -> None:
-        """A key that could not stand in an order's header names no worker."""
-        at = Registry()
-        at.write(worker_id, changed())
-        self.assertEqual({"i-1", "i-3"}, at.ids)
-        self.assertEqual(["bad-id"], [line["fault"] for line in at.lines("worker-unreadable")])
+    @parameterized.expand([(repr(key), key) for key in INVALID_IDS])
+    def test_invalid_worker_id(self, _name: str, worker_id: str) -> None:
+        """Guards against listing a worker whose id is invalid in the header of an order."""
+        harness = RegistryHarness()
+        harness.write(worker_id, changed())
+        self.assertEqual({"i-1", "i-3"}, harness.ids)
+        self.assertEqual(["bad-id"], [line["fault"] for line in harness.lines("worker-unreadable")])
 
     @parameterized.expand([("elsewhere",), ("S",), ("s ",), ("s\ud800",)])
-    def test_a_service_that_nobody_names(self, service: str) -> None:
-        """It is in a pool that nobody schedules, and the worker that had the key in no other."""
-        at = Registry()
-        at.write("i-2", changed())
-        at.write("i-2", changed(service=service))
-        self.assertEqual({"i-1", "i-3"}, at.ids)
+    def test_entry_of_an_unknown_service(self, service: str) -> None:
+        """Guards against listing a worker under its earlier service after a change of service."""
+        harness = RegistryHarness()
+        harness.write("i-2", changed())
+        harness.write("i-2", changed(service=service))
+        self.assertEqual({"i-1", "i-3"}, harness.ids)
 
     @parameterized.expand(
         [
@@ -243,81 +262,78 @@
             ("IPv6", changed(address="[fd00::7]:8080"), False),
             ("part of a millisecond", changed(coldRemainingMs=0.5), False),
             ("further labels", changed(labels=["a", "r1-3", "ssd"]), False),
-            ("no room", with_room(cpu=0, memMb=0), False),
+            ("no room", with_capacity(cpu=0, memMb=0), False),
             ("draining", changed(state="draining", remainingMs=900), True),
         ]
     )
-    def test_what_a_worker_may_write(self, _name: str, value: bytes, is_draining: bool) -> None:
-        """Strictness ends where the page does."""
-        at = Registry()
-        at.write("i-2", value)
-        self.assertIn("i-2", at.ids)
-        self.assertIs(is_draining, at.registry.workers_of("s")["i-2"].is_draining)
-        self.assertEqual([], at.lines("worker-unreadable"))
-
-    def test_a_copy_under_another_id_takes_nothing_away(self) -> None:
-        """Of two entries with one address only the worker itself can tell which holds."""
-        at = Registry()
-        at.write("i-2", changed(address="10.0.0.2:1"))
-        self.assertEqual({"i-1", "i-2", "i-3"}, at.ids)
-
-
-class ChangeTests(unittest.TestCase):
-    def test_good_bad_and_good_again(self) -> None:
-        """Used, not used, and used with what the newest entry says."""
-        at = Registry()
-        at.write("i-2", changed())
-        at.write("i-2", changed(state="paused"))
-        self.assertNotIn("i-2", at.ids)
-        version = at.registry.version
-        at.write("i-2", with_room(cpu=8000))
-        self.assertEqual(8000, at.registry.workers_of("s")["i-2"].cpu_millicores)
-        self.assertGreater(at.registry.version, version)
-        listed = [line for line in at.lines("worker-listed") if line["worker"] == "i-2"]
+    def test_valid_variants(self, _name: str, value: bytes, is_draining: bool) -> None:
+        """Guards against rejecting entries that the platform's page allows."""
+        harness = RegistryHarness()
+        harness.write("i-2", value)
+        self.assertIn("i-2", harness.ids)
+        self.assertIs(is_draining, harness.registry.workers_of("s")["i-2"].is_draining)
+        self.assertEqual([], harness.lines("worker-unreadable"))
+
+    def test_duplicate_address_removes_no_worker(self) -> None:
+        """Guards against choosing between two entries with one address: only the worker can."""
+        harness = RegistryHarness()
+        harness.write("i-2", changed(address="10.0.0.2:1"))
+        self.assertEqual({"i-1", "i-2", "i-3"}, harness.ids)
+
+
+class EntryChangeTests(unittest.TestCase):
+    def test_entry_becomes_invalid_and_valid_again(self) -> None:
+        """Guards against using a worker with an earlier entry than its last valid one."""
+        harness = RegistryHarness()
+        harness.write("i-2", changed())
+        harness.write("i-2", changed(state="paused"))
+        self.assertNotIn("i-2", harness.ids)
+        version = harness.registry.version
+        harness.write("i-2", with_capacity(cpu=8000))
+        self.assertEqual(8000, harness.registry.workers_of("s")["i-2"].cpu_millicores)
+        self.assertGreater(harness.registry.version, version)
+        listed = [line for line in harness.lines("worker-listed") if line["worker"] == "i-2"]
         self.assertEqual(2, len(listed))
 
-    def test_the_same_fault_again_is_not_logged_again(self) -> None:
-        """The log grows without end while somebody writes the same bad entry again and again.
-
-        The bytes differ from one write to the next, as a worker's own do, and the fault does not.
-        """
-        at = Registry()
-        version = at.registry.version
+    def test_repeated_fault_is_logged_once(self) -> None:
+        """Guards against a log that grows with each rewrite of an entry with the same fault."""
+        harness = RegistryHarness()
+        version = harness.registry.version
         for number in range(1000):
-            at.write("i-2", changed(state=f"state-{number}", seqNo=number))
-        self.assertEqual(1, len(at.lines("worker-unreadable")))
-        self.assertEqual(version, at.registry.version)
-        at.write("i-2", without("address"))
-        self.assertEqual(2, len(at.lines("worker-unreadable")))
-
-    def test_after_its_deletion_it_is_news_again(self) -> None:
-        """And a deletion of what named no worker changes nothing."""
-        at = Registry()
-        at.write("i-2", b"x")
-        version = at.registry.version
-        at.registry.on_delete("servers/i-2", 99)
-        self.assertEqual(version, at.registry.version)
-        self.assertEqual([], at.lines("worker-unlisted"))
-        at.write("i-2", b"x")
-        self.assertEqual(2, len(at.lines("worker-unreadable")))
+            harness.write("i-2", changed(state=f"state-{number}", seqNo=number))
+        self.assertEqual(1, len(harness.lines("worker-unreadable")))
+        self.assertEqual(version, harness.registry.version)
+        harness.write("i-2", without("address"))
+        self.assertEqual(2, len(harness.lines("worker-unreadable")))
+
+    def test_fault_after_a_deletion_is_logged_again(self) -> None:
+        """Guards against logging the deletion of an unlisted worker, or omitting a new fault."""
+        harness = RegistryHarness()
+        harness.write("i-2", b"x")
+        version = harness.registry.version
+        harness.registry.on_delete("servers/i-2", 99)
+        self.assertEqual(version, harness.registry.version)
+        self.assertEqual([], harness.lines("worker-unlisted"))
+        harness.write("i-2", b"x")
+        self.assertEqual(2, len(harness.lines("worker-unreadable")))
 
 
 class FuzzTests(unittest.TestCase):
-    def test_nothing_raises(self) -> None:
-        """Whatever stands in an entry: the others hold, and what is listed is whole."""
+    def test_random_entries_raise_no_error(self) -> None:
+        """Guards against random bytes or fields that raise an error or list an invalid worker."""
         rng = random.Random(FUZZ_SEED)
-        at = Registry()
+        harness = RegistryHarness()
         for number in range(FUZZ_ENTRIES):
-            at.write("i-2", spoil(rng))
-            self.assertLessEqual({"i-1", "i-3"}, at.ids, number)
-            for view in at.registry.workers_of("s").values():
+            harness.write("i-2", corrupt(rng))
+            self.assertLessEqual({"i-1", "i-3"}, harness.ids, number)
+            for view in harness.registry.workers_of("s").values():
                 self.assertIs(int, type(view.cpu_millicores))
                 self.assertIs(int, type(view.memory_mb))
                 self.assertIs(int, type(view.gpus))
                 self.assertTrue(all(type(label) is str for label in view.labels))
                 self.assertRegex(view.address, r"\A[0-9A-Za-z.\[\]:-]+:[0-9]+\Z")
-        at.write("i-2", changed())
-        self.assertEqual({"i-1", "i-2", "i-3"}, at.ids)
+        harness.write("i-2", changed())
+        self.assertEqual({"i-1", "i-2", "i-3"}, harness.ids)
 
 
 VALUES: tuple[Any, ...] = (
@@ -326,9 +342,9 @@
 )
 
 
-def spoil(rng: random.Random) -> bytes:
-    """Return an entry with some fields dropped, changed or moved, or with some bytes changed."""
-    entry = json.loads(json.dumps(GOOD))
+def corrupt(rng: random.Random) -> bytes:
+    """Return a valid entry with some fields removed, changed or wrapped, or some bytes changed."""
+    entry = json.loads(json.dumps(VALID_ENTRY))
     for _ in range(rng.randint(0, 3)):
         table = rng.choice([entry, entry.get("capacity")])
         if not isinstance(table, dict) or not table:
@@ -346,25 +362,27 @@
     return bytes(raw[: rng.randrange(len(raw))] if rng.random() < 0.1 else raw)
 
 
-# ---- through the store
+# ---- entries read through the store
 
 
 @dataclass(slots=True)
 class RawStore:
-    """Serves rows as they are given, right or wrong; each watch is answered with one event."""
+    """Serves given rows without checks; each watch is answered with one event."""
 
     items: list[Any]
     events: list[Any] = field(default_factory=list)
-    told: int = 0
+    sent_events: int = 0
 
     async def handle(self, request: Any) -> Any:
         if request.path == "/v1/kv-range":
             return answer_json({"items": self.items, "hasMore": False, "atRev": 10})
-        if self.told < len(self.events):
-            self.told += 1
-            return answer_json({"events": [self.events[self.told - 1]], "atRev": 10 + self.told})
+        if self.sent_events < len(self.events):
+            self.sent_events += 1
+            return answer_json(
+                {"events": [self.events[self.sent_events - 1]], "atRev": 10 + self.sent_events}
+            )
         await asyncio.sleep(0.02)
-        return answer_json({"events": [], "atRev": 10 + self.told})
+        return answer_json({"events": [], "atRev": 10 + self.sent_events})
 
 
 def row(worker_id: str, value: object, revision: int) -> dict[str, Any]:
@@ -375,7 +393,7 @@
     return base64.b64encode(value).decode()
 
 
-BAD_VALUES: list[tuple[str, Any]] = [
+INVALID_VALUES: list[tuple[str, Any]] = [
     ("empty", ""),
     ("not base64", "%%%%"),
     ("without its padding", encoded(changed()).rstrip("=")[:-1]),
@@ -389,24 +407,24 @@
 ]
 
 
-class StoreTests(unittest.TestCase):
-    """One value that can't be decoded failed the whole page, again and again, for all its keys."""
+class StoredValueTests(unittest.TestCase):
+    """Guard against one undecodable value that repeatedly fails a page with all its keys."""
 
-    @parameterized.expand(BAD_VALUES)
-    def test_the_other_keys_hold(self, _name: str, value: object) -> None:
-        """In a page, and when a good entry turns bad and good again."""
-        good = encoded(changed())
+    @parameterized.expand(INVALID_VALUES)
+    def test_invalid_value_affects_no_other_key(self, _name: str, value: object) -> None:
+        """Guards against losing other keys, in a page and in changes of a value's validity."""
+        valid = encoded(changed())
         store = RawStore(
-            items=[row("i-1", good, 1), row("i-2", value, 2), row("i-3", good, 3)],
+            items=[row("i-1", valid, 1), row("i-2", value, 2), row("i-3", valid, 3)],
             events=[
                 row("i-1", value, 11),
-                row("i-4", good, 12),
-                row("i-2", good, 13),
+                row("i-4", valid, 12),
+                row("i-2", valid, 13),
                 {"key": "servers/i-3", "revision": 14, "deleted": True},
-                row("i-1", good, 15),
+                row("i-1", valid, 15),
             ],
         )
-        seen = self._follow(store)
+        listed_ids = self._listed_after_each_change(store)
         self.assertEqual(
             [
                 {"i-1"},
@@ -417,14 +435,14 @@
                 {"i-2", "i-4"},
                 {"i-1", "i-2", "i-4"},
             ],
-            seen,
+            listed_ids,
         )
 
-    def test_a_row_without_a_value(self) -> None:
-        """As one whose value can't be decoded."""
-        bare = {"key": "servers/i-2", "revision": 2}
-        store = RawStore(items=[row("i-1", encoded(changed()), 1), bare])
-        self.assertEqual([{"i-1"}], self._follow(store))
+    def test_missing_value(self) -> None:
+        """Guards against a row without a value that fails the page."""
+        row_without_value = {"key": "servers/i-2", "revision": 2}
+        store = RawStore(items=[row("i-1", encoded(changed()), 1), row_without_value])
+        self.assertEqual([{"i-1"}], self._listed_after_each_change(store))
 
     @parameterized.expand(
         [
@@ -438,54 +456,54 @@
             ("null", None),
         ]
     )
-    def test_an_answer_of_another_shape_is_a_failure(self, _name: str, items: Any) -> None:
-        """What only the store itself writes: the call has failed, and may be tried again."""
+    def test_malformed_answer_is_a_failure(self, _name: str, items: Any) -> None:
+        """Guards against accepting a malformed answer of the store, which must be read again."""
 
         async def scenario(store: PlatformStore) -> None:
             read = await store.read_page("servers/")
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, read.failure().kind)
 
-        asyncio.run(_served(RawStore(items=items).handle, scenario))
+        asyncio.run(_run_with_store(RawStore(items=items).handle, scenario))
 
-    def test_an_answer_too_deep_to_decode_is_a_failure(self) -> None:
-        """The follower ended on an error that nobody expected."""
+    def test_deeply_nested_answer_is_a_failure(self) -> None:
+        """Guards against an unexpected error that ends the watcher."""
 
         async def handle(_request: Any) -> Any:
             answer = answer_json({})
-            answer.body = b"[" * DEEP
+            answer.body = b"[" * NESTING_LEVELS
             return answer
 
         async def scenario(store: PlatformStore) -> None:
             read = await store.read_page("servers/")
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, read.failure().kind)
 
-        asyncio.run(_served(handle, scenario))
+        asyncio.run(_run_with_store(handle, scenario))
 
-    def _follow(self, raw: RawStore) -> list[set[str]]:
-        """Return the sets of workers that were listed one after another."""
-        recorder = Recorder()
+    def _listed_after_each_change(self, raw: RawStore) -> list[set[str]]:
+        """Return the set of listed workers after each change."""
+        recorder = RecordingListener()
 
         async def scenario(store: PlatformStore) -> None:
             watcher = PrefixWatcher(
                 store=store, prefix="servers/", listener=recorder, log=quiet_log()
             )
             task = asyncio.create_task(watcher.run())
-            async with asyncio.timeout(FOLLOW_S):
-                while raw.told < len(raw.events) or not watcher.synced.is_set():
+            async with asyncio.timeout(WATCH_TIMEOUT_S):
+                while raw.sent_events < len(raw.events) or not watcher.synced.is_set():
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.05)
             self.assertFalse(task.done())
             task.cancel()
 
-        asyncio.run(_served(raw.handle, scenario))
-        return recorder.seen
+        asyncio.run(_run_with_store(raw.handle, scenario))
+        return recorder.listed_ids
 
 
-class Recorder:
-    """A registry that notes which workers are listed after each thing it hears."""
+class RecordingListener:
+    """A registry that records which workers are listed after each write or deletion."""
 
     def __init__(self) -> None:
-        self.seen: list[set[str]] = []
+        self.listed_ids: list[set[str]] = []
         self._registry = WorkerRegistry(log=quiet_log())
 
     def on_write(self, item: Item) -> None:
@@ -498,11 +516,11 @@
 
     def _note(self) -> None:
         ids = set(self._registry.workers_of("s"))
-        if not self.seen or self.seen[-1] != ids:
-            self.seen.append(ids)
+        if not self.listed_ids or self.listed_ids[-1] != ids:
+            self.listed_ids.append(ids)
 
 
-async def _served(
+async def _run_with_store(
     handle: Callable[[Any], Awaitable[Any]], scenario: Callable[[PlatformStore], Awaitable[None]]
 ) -> None:
     listener = HttpListener(handle=handle, host="127.0.0.1")
@@ -516,28 +534,27 @@
 
 
 class FaultyListener:
-    """Raises an error on one key."""
+    """Raises an error for one key."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.events: list[str] = []
 
     def on_write(self, item: Item) -> None:
         if item.key == "a/2":
             raise AttributeError(item.key)
-        self.told.append(item.key)
+        self.events.append(item.key)
 
     def on_delete(self, key: str, revision: int) -> None:
         if key == "a/2":
             raise AttributeError(key)
-        self.told.append(f"{key} gone")
+        self.events.append(f"{key} gone")
 
 
 class PrefixWatcherTests(unittest.TestCase):
-    def test_goes_on_when_its_listener_fails_on_one_key(self) -> None:
-        """No configuration, worker or job is heard of any more, after a fault on one record.
+    def test_continues_after_a_listener_error(self) -> None:
+        """Guards against a watcher that reads no record any more after its listener failed on one.
 
-        The listener raises on a record; the task that follows the store ends with it, and whoever
-        started that task does not look at it.
+        Its task ended with the listener's error, which the starter of the task did not check.
         """
 
         async def scenario() -> None:
@@ -556,66 +573,62 @@
                 store.delete(key)
             store.put("a/4", b"")
             await asyncio.sleep(1)
-            self.assertEqual(["a/1", "a/3", "a/3 gone", "a/4"], listener.told)
+            self.assertEqual(["a/1", "a/3", "a/3 gone", "a/4"], listener.events)
             self.assertFalse(task.done())
             task.cancel()
 
         run_scenario(scenario())
 
 
-# ---- a worker that runs tasks
+# ---- workers that run tasks
 
 
 class RunningWorkerTests(unittest.TestCase):
     @parameterized.expand([("unreadable", b"\xff"), ("unknown state", changed(state="paused"))])
-    def test_its_tasks_run_on_and_no_other_starts(self, _name: str, value: bytes) -> None:
-        """A task runs twice at once, after the entry of the worker that runs it turned bad.
+    def test_tasks_continue_and_no_new_task_starts(self, _name: str, value: bytes) -> None:
+        """Guards against moving or duplicating a task when its worker's entry becomes invalid.
 
-        Forgotten with its entry, the worker would run on under its lease while the task is started
-        elsewhere; taken for draining, it would be emptied. It must be unlisted: looked at, its
-        lease extended, its end counted, and nothing new started there.
+        The worker is unlisted: it is polled and its lease extended, but it gets no new task.
         """
 
         async def scenario(fleet: RegisteredFleet) -> None:
-            busy = await fleet.run_long_task(14.0)
-            fleet.write(busy, value)
+            busy_id = await fleet.run_long_task(14.0)
+            fleet.write(busy_id, value)
             await asyncio.sleep(SETTLE_S)
-            self.assertFalse(fleet.scheduler_state.workers[busy].is_listed)
+            self.assertFalse(fleet.scheduler_state.workers[busy_id].is_listed)
             for number in range(1, 9):
                 await fleet.simulation.submit(f"{number:016x}", step(2))
                 await asyncio.sleep(0.5)
-                self.assertEqual(1, len(fleet.scheduler_state.workers[busy].runs))
+                self.assertEqual(1, len(fleet.scheduler_state.workers[busy_id].runs))
             await asyncio.sleep(16.0)
             self.assertEqual(1 + 8 * 2, fleet.simulation.fleet.started)
             self.assertEqual([], fleet.simulation.violations())
 
-        run_scenario(RegisteredFleet().play(scenario))
+        run_scenario(RegisteredFleet().run_with_workers(scenario))
 
     @parameterized.expand([("while it runs a task", 4.0), ("when it has let go of it", 24.0)])
-    def test_it_is_used_again_when_its_entry_is_good_again(
-        self, _name: str, bad_for_s: float
+    def test_worker_is_used_again_after_a_valid_entry(
+        self, _name: str, invalid_for_s: float
     ) -> None:
-        """A task waits for ever beside a worker with room for it.
+        """Guards against a task that waits forever beside a worker whose entry is valid again.
 
-        The worker's entry was bad for a while. Once nothing runs there, the scheduler lets go of a
-        worker that is not listed; its entry turns good again, and the worker must be used as any
-        newcomer is.
+        The scheduler drops an unlisted worker without runs, and must treat it as a new one later.
         """
 
         async def scenario(fleet: RegisteredFleet) -> None:
-            spoilt = await fleet.run_long_task(14.0)
-            fleet.write(spoilt, b"\xff")
-            await asyncio.sleep(bad_for_s)
-            fleet.register(spoilt)
+            affected_id = await fleet.run_long_task(14.0)
+            fleet.write(affected_id, b"\xff")
+            await asyncio.sleep(invalid_for_s)
+            fleet.register(affected_id)
             await asyncio.sleep(SETTLE_S)
-            self.assertIn(spoilt, fleet.scheduler_state.workers)
-            self.assertTrue(fleet.scheduler_state.workers[spoilt].is_listed)
+            self.assertIn(affected_id, fleet.scheduler_state.workers)
+            self.assertTrue(fleet.scheduler_state.workers[affected_id].is_listed)
 
-        run_scenario(RegisteredFleet().play(scenario))
+        run_scenario(RegisteredFleet().run_with_workers(scenario))
 
 
 class RegisteredFleet:
-    """One scheduler and two workers that it hears of by their entries in the store."""
+    """One scheduler and two workers, whose entries it reads from the store."""
 
     def __init__(self) -> None:
         self.simulation = SchedulingSimulation(seed=3, workers=2, instances=1)
@@ -624,26 +637,28 @@
         self._instance = self.simulation.instances[0]
         self._instance.directory = self._registry
 
-    async def play(self, scenario: Callable[[RegisteredFleet], Awaitable[None]]) -> None:
-        """Play a scenario once both workers are known."""
+    async def run_with_workers(
+        self, scenario: Callable[[RegisteredFleet], Awaitable[None]]
+    ) -> None:
+        """Run a scenario once both workers are known."""
         watcher = PrefixWatcher(
             store=FaultInjectingStore(store=self.simulation.store),
             prefix="servers/",
             listener=self._registry,
             log=quiet_log(),
         )
-        follower = asyncio.create_task(watcher.run())
+        watcher_task = asyncio.create_task(watcher.run())
         for worker_id in self.simulation.fleet.workers:
             self.register(worker_id)
         self._instance.start()
         await asyncio.sleep(SETTLE_S)
         await scenario(self)
         await self._instance.kill()
-        follower.cancel()
+        watcher_task.cancel()
 
     @property
     def scheduler_state(self) -> SchedulerState:
-        """What the scheduler knows."""
+        """State of the scheduler."""
         return self._instance.service_schedulers[-1].scheduler_state
 
     def write(self, worker_id: str, value: bytes) -> None:
@@ -656,20 +671,22 @@
         self.write(worker_id, changed(service=SERVICE, address="127.0.0.1:1", capacity=room))
 
     async def run_long_task(self, length_s: float) -> str:
-        """Have a task run; return the worker that runs it."""
+        """Start a task and return the worker that runs it."""
         job_id = "0" * 16
         self.simulation.fleet.work_s[job_id] = length_s
         await self.simulation.submit(job_id, step(1, estimated_s=length_s, is_checkpointed=True))
         await asyncio.sleep(SETTLE_S)
-        (busy,) = (key for key, one in self.simulation.fleet.workers.items() if one.names())
-        return busy
+        (busy_id,) = (
+            key for key, worker in self.simulation.fleet.workers.items() if worker.names()
+        )
+        return busy_id
 
 
-# ---- what else others write
+# ---- answers and records of other programs
 
 TASK = "5c0e7a21d94b36f8.0.1.17"
 
-BAD_ANSWERS: list[tuple[str, dict[str, Any]]] = [
+INVALID_ANSWERS: list[tuple[str, dict[str, Any]]] = [
     ("clock null", {"clockMs": None}),
     ("clock text", {"clockMs": "7"}),
     ("clock list", {"clockMs": []}),
@@ -697,11 +714,11 @@
 
 
 class WorkerAnswerTests(unittest.TestCase):
-    """An answer that can't be read ended the scheduler's term, and its successors' after it."""
+    """Guard against an invalid answer that ends the epochs of a scheduler and its successors."""
 
-    @parameterized.expand(BAD_ANSWERS)
-    def test_an_answer_that_can_not_be_read(self, _name: str, fields: dict[str, Any]) -> None:
-        """It tells nothing."""
+    @parameterized.expand(INVALID_ANSWERS)
+    def test_invalid_answer_is_rejected(self, _name: str, fields: dict[str, Any]) -> None:
+        """Guards against using a part of an invalid answer."""
         body = {"clockMs": 5, "running": [], "ended": []} | fields
         outcome = _decode_outcome(HttpAnswer(status=200, body=body), is_poll=True)
         self.assertIsNone(outcome.report)
@@ -715,15 +732,18 @@
             (503, OrderStatus.UNHEALTHY),
         ]
     )
-    def test_an_ending_holds_without_a_clock(self, status: int, order_status: OrderStatus) -> None:
-        """The status alone says what became of an order."""
+    def test_status_is_valid_without_a_clock(self, status: int, order_status: OrderStatus) -> None:
+        """Guards against losing an order's outcome because the answer's clock is invalid."""
         answer = HttpAnswer(status=status, body={"clockMs": [], "reason": "fence"})
         outcome = _decode_outcome(answer, is_poll=False)
         self.assertEqual((order_status, 0), (outcome.status, outcome.clock_ms))
 
 
-class MachineTests(unittest.TestCase):
-    """A row that can't be read ended the keeper: no upkeep is begun, and no pool gets machines."""
+class MachineListTests(unittest.TestCase):
+    """Guard against an invalid row that ends the machine controller.
+
+    No maintenance is started then, and no pool gets machines.
+    """
 
     @parameterized.expand(
         [
@@ -735,18 +755,18 @@
             ("no name", {"machine": None}, None, None),
         ]
     )
-    def test_rows(
+    def test_invalid_rows(
         self, _name: str, fields: dict[str, Any], name: str | None, state: MachineState | None
     ) -> None:
-        """The machine stays on the list, where one that is missing counts as gone; none uses it."""
-        good = {"machine": "m1", "pool": "s", "state": "up", "id": "i-1"}
-        rows = [good, good | {"machine": "m2"} | fields, None, [], good | {"machine": "m3"}]
+        """Guards against using a machine with an invalid row, or dropping it as gone."""
+        valid = {"machine": "m1", "pool": "s", "state": "up", "id": "i-1"}
+        rows = [valid, valid | {"machine": "m2"} | fields, None, [], valid | {"machine": "m3"}]
         listed = self._list({"machines": rows}).unwrap()
-        found = {one.name: one.state for one in listed}
+        states = {machine.name: machine.state for machine in listed}
         expected = {"m1": MachineState.UP, "m3": MachineState.UP}
         if name is not None and state is not None:
             expected[name] = state
-        self.assertEqual(expected, found)
+        self.assertEqual(expected, states)
 
     @parameterized.expand(
         [
@@ -757,18 +777,18 @@
             ("token", {"machines": [], "nextToken": {"a": 1}}),
         ]
     )
-    def test_no_list(self, _name: str, body: dict[str, Any]) -> None:
-        """The list was not read; it is asked for again."""
+    def test_invalid_list(self, _name: str, body: dict[str, Any]) -> None:
+        """Guards against using an invalid list, which must be read again."""
         self.assertIsInstance(self._list(body), Failure)
 
     @staticmethod
     def _list(body: dict[str, Any]) -> Any:
-        client = OneAnswer(body)
+        client = FixedAnswerClient(body)
         return asyncio.run(PlatformMachines(client=client, instance="e").list())  # type: ignore[arg-type]
 
 
-class OneAnswer:
-    """Answers each call alike."""
+class FixedAnswerClient:
+    """Returns the same answer to each call."""
 
     def __init__(self, body: dict[str, Any]) -> None:
         self._body = body
@@ -776,13 +796,13 @@
 
     async def call(self, *_: object, **__: object) -> HttpAnswer:
         self._calls += 1
-        if self._calls > MOST_CALLS:
-            raise AssertionError("asked for ever")
+        if self._calls > MAX_CALLS:
+            raise AssertionError("the call is repeated without end")
         return HttpAnswer(status=200, body=self._body)
 
 
 class AdviceTests(unittest.TestCase):
-    """A step waits for ever: the question about it ended on an error, and no other is asked."""
+    """Guard against a step that waits forever because its request for advice raised an error."""
 
     @parameterized.expand(
         [
@@ -798,34 +818,34 @@
             ("valid negative", {"allowed": [], "validMs": -1}),
         ]
     )
-    def test_no_advice(self, _name: str, body: dict[str, Any]) -> None:
-        """It is asked for again."""
+    def test_invalid_advice(self, _name: str, body: dict[str, Any]) -> None:
+        """Guards against using invalid advice, which must be requested again."""
         self.assertIsInstance(self._ask(body), Failure)
 
-    def test_advice(self) -> None:
-        """The tickets, and for how long they hold."""
+    def test_valid_advice(self) -> None:
+        """Guards against misreading tickets or their validity."""
         permits = self._ask({"allowed": [["i-1", "t"]], "validMs": 500})
         assert isinstance(permits, Success)
         self.assertEqual(({"i-1": "t"}, 0.5), (permits.unwrap().tickets, permits.unwrap().valid_s))
 
     @staticmethod
     def _ask(body: dict[str, Any]) -> Any:
-        advice = PlatformAdvice(client=OneAnswer(body))  # type: ignore[arg-type]
+        advice = PlatformAdvice(client=FixedAnswerClient(body))  # type: ignore[arg-type]
         return asyncio.run(advice.ask(("a", 0, 0), ("i-1",)))
 
 
 CONFIGURATION: dict[str, Any] = {"version": 2, "routes": [], "services": []}
 
 
-class OperatorsTests(unittest.TestCase):
-    """A record of the operators that can't be read ended the process, on each instance at once."""
+class OperatorRecordsTests(unittest.TestCase):
+    """Guard against an unreadable operators' record that ends all instances at once."""
 
     @parameterized.expand(
         [
             ("list", "op/config", b"[]"),
             ("null", "op/config", b"null"),
             ("no text", "op/config", b"\xff"),
-            ("deep", "op/config", b"[" * DEEP),
+            ("deep", "op/config", b"[" * NESTING_LEVELS),
             ("limits", "op/config", json.dumps(CONFIGURATION | {"limits": []}).encode()),
             ("version", "op/config", json.dumps(CONFIGURATION | {"version": 1e400}).encode()),
             ("route", "op/config", json.dumps(CONFIGURATION | {"routes": [["x"]]}).encode()),
@@ -834,15 +854,17 @@
             ("wave without number", "op/wave/x", b"{}"),
         ]
     )
-    def test_changes_nothing(self, _name: str, key: str, value: bytes) -> None:
-        """Neither when it is written nor when it is deleted."""
-        book = OperatorRecords(on_configuration=lambda _: None, log=quiet_log())
-        good = json.dumps(CONFIGURATION).encode()
-        book.on_write(Item(key="op/config", value=good, revision=1, created=1))
-        book.on_write(Item(key=key, value=value, revision=2, created=1))
-        book.on_delete(key, 99)
-        assert book.configuration is not None
-        self.assertEqual((2, ()), (book.configuration.version, book.waves()))
+    def test_invalid_record_is_ignored(self, _name: str, key: str, value: bytes) -> None:
+        """Guards against an invalid record that has an effect when it is written or deleted."""
+        operator_records = OperatorRecords(on_configuration=lambda _: None, log=quiet_log())
+        valid = json.dumps(CONFIGURATION).encode()
+        operator_records.on_write(Item(key="op/config", value=valid, revision=1, created=1))
+        operator_records.on_write(Item(key=key, value=value, revision=2, created=1))
+        operator_records.on_delete(key, 99)
+        assert operator_records.configuration is not None
+        self.assertEqual(
+            (2, ()), (operator_records.configuration.version, operator_records.waves())
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Tests of the one HTTP client: what is certain about a call that got no answer."""
+"""Tests of the HTTP client: what a call without an answer says about the request."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class Server:
-    """A server that answers as a scenario wants, and keeps what it was sent."""
+    """A server that handles each connection with a given function and counts the connections."""
 
     def __init__(self, serve: Serve) -> None:
         self._serve = serve
@@ -26,13 +26,13 @@
         self.address = ""
 
     async def start(self) -> "Server":
-        """Listen."""
-        self._server = await asyncio.start_server(self._connected, "127.0.0.1", 0)
+        """Start listening on a free port."""
+        self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
         return self
 
-    def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self._tasks.add(asyncio.create_task(self._answer(reader, writer)))
 
@@ -44,27 +44,29 @@
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """Stop listening and answering."""
+        """Stop listening and cancel all handlers."""
         assert self._server is not None
         self._server.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        # Aborted connections are let go of in the loop's next turn.
+        # The event loop closes aborted connections in its next iteration.
         await asyncio.sleep(0)
 
 
 async def answer_all(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer each request."""
+    """Answer each request on a connection with `OK`."""
     while True:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(OK)
 
 
-def play(serve: Serve, scenario: Callable[[Server, HttpClient], Awaitable[None]]) -> None:
+def run_with_server(
+    serve: Serve, scenario: Callable[[Server, HttpClient], Awaitable[None]]
+) -> None:
     """Run a scenario against a server."""
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         server = await Server(serve).start()
         client = HttpClient(address=server.address)
         try:
@@ -73,7 +75,7 @@
             await client.close()
             await server.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
 class AnswerTests(unittest.TestCase):
@@ -98,7 +100,7 @@
         ]
     )
     def test_reads_answers(self, _: str, sent: bytes, status: int, body: dict[str, object]) -> None:
-        """An answer is read however its end is marked."""
+        """Guards against misreading an answer by how its end is marked."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -109,7 +111,7 @@
             answer = await client.call("GET", "/", timeout_s=2.0)
             self.assertEqual(HttpAnswer(status=status, body=body), answer)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
     @parameterized.expand(
         [
@@ -121,8 +123,8 @@
             ("too deep", b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + b"[" * 9000),
         ]
     )
-    def test_no_whole_answer_is_no_answer(self, _: str, sent: bytes) -> None:
-        """The order may have been carried out, and nothing of the answer is used."""
+    def test_incomplete_or_invalid_answer_is_no_answer(self, _: str, sent: bytes) -> None:
+        """Guards against using a partial answer, or assuming that the request was not sent."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -134,24 +136,24 @@
             assert isinstance(answer, HttpNoAnswer), answer
             self.assertFalse(answer.is_unsent)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
 
 class ConnectionTests(unittest.TestCase):
-    def test_one_connection_serves_many_calls(self) -> None:
-        """New connections are paid for, so one is used again."""
+    def test_connection_is_reused(self) -> None:
+        """Guards against the cost of a new connection for each call."""
 
         async def scenario(server: Server, client: HttpClient) -> None:
             for _ in range(5):
                 self.assertIsInstance(await client.call("GET", "/", timeout_s=2.0), HttpAnswer)
             self.assertEqual(1, server.connections)
 
-        play(answer_all, scenario)
+        run_with_server(answer_all, scenario)
 
-    def test_a_connection_that_the_other_side_closed_is_not_used_again(self) -> None:
-        """An order counts as possibly carried out though it was written into a closed connection.
+    def test_closed_connection_is_not_reused(self) -> None:
+        """Guards against sending an order over a connection that the worker closed after an answer.
 
-        The worker answers and closes; the next order used to go out over the same connection.
+        Such an order counted as possibly carried out.
         """
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -165,39 +167,38 @@
                 await asyncio.sleep(0.02)
             self.assertEqual(3, server.connections)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
-    def test_a_connection_that_fell_silent_is_left(self) -> None:
-        """Every order to a worker times out though the worker is well.
+    def test_stalled_connections_are_not_reused(self) -> None:
+        """Guards against orders to a healthy worker that time out on stalled connections.
 
-        Something on the way has lost track of the open connections and drops what comes over them.
-        After one call without an answer the others that were open then are not used either.
+        A network device lost the connections' state and drops their packets.
         """
-        silent: set[int] = set()
+        stalled: set[int] = set()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            number = len(silent) if not silent else 2
+            number = len(stalled) if not stalled else 2
             while True:
                 await reader.readuntil(b"\r\n\r\n")
-                if silent and number < 2:
+                if stalled and number < 2:
                     continue
                 await asyncio.sleep(0.05)
                 writer.write(OK)
 
         async def scenario(server: Server, client: HttpClient) -> None:
-            both = [client.call("GET", "/", timeout_s=2.0) for _ in range(2)]
-            await asyncio.gather(*both)
-            silent.update((0, 1))
-            lost = await client.call("GET", "/", timeout_s=0.2)
-            assert isinstance(lost, HttpNoAnswer), lost
-            self.assertFalse(lost.is_unsent)
+            calls = [client.call("GET", "/", timeout_s=2.0) for _ in range(2)]
+            await asyncio.gather(*calls)
+            stalled.update((0, 1))
+            timed_out = await client.call("GET", "/", timeout_s=0.2)
+            assert isinstance(timed_out, HttpNoAnswer), timed_out
+            self.assertFalse(timed_out.is_unsent)
             self.assertIsInstance(await client.call("GET", "/", timeout_s=0.5), HttpAnswer)
             self.assertEqual(3, server.connections)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
-    def test_an_answer_that_stops_coming_is_given_up(self) -> None:
-        """A page that comes slowly is waited for, one that stands still is not."""
+    def test_stalled_answer_ends_at_the_read_timeout(self) -> None:
+        """Guards against abandoning a slow answer, and against waiting for a stalled one."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -209,19 +210,15 @@
 
         async def scenario(_server: Server, client: HttpClient) -> None:
             loop = asyncio.get_running_loop()
-            began_s = loop.time()
+            started_s = loop.time()
             answer = await client.call("GET", "/", timeout_s=5.0, read_timeout_s=0.3)
             self.assertIsInstance(answer, HttpNoAnswer)
-            self.assertTrue(0.4 < loop.time() - began_s < 1.5)
+            self.assertTrue(0.4 < loop.time() - started_s < 1.5)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
-    def test_a_call_that_is_given_up_leaves_nothing_to_the_next(self) -> None:
-        """A caller gets the answer to an earlier request.
-
-        The earlier call was cancelled while its answer was under way; over the same connection that
-        answer would come first.
-        """
+    def test_answer_to_a_cancelled_call_is_discarded(self) -> None:
+        """Guards against reading the late answer to a cancelled call as the next call's answer."""
         served = 0
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -241,10 +238,10 @@
             answer = await client.call("GET", "/", timeout_s=2.0)
             self.assertEqual(HttpAnswer(status=200, body={"n": 2}), answer)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
-    def test_nobody_listens(self) -> None:
-        """A refused connection is certain: nothing was sent."""
+    def test_refused_connection_is_unsent(self) -> None:
+        """Guards against reporting a request as possibly sent though the connection was refused."""
 
         async def scenario(server: Server, client: HttpClient) -> None:
             await server.stop()
@@ -252,10 +249,10 @@
             assert isinstance(answer, HttpNoAnswer), answer
             self.assertTrue(answer.is_unsent)
 
-        play(answer_all, scenario)
+        run_with_server(answer_all, scenario)
 
-    def test_more_calls_than_connections_wait_for_one(self) -> None:
-        """Calls beyond the connections of an address are answered in their turn."""
+    def test_calls_beyond_the_connection_limit_wait(self) -> None:
+        """Guards against more connections than allowed, and against calls that are never sent."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -270,15 +267,14 @@
             self.assertTrue(all(isinstance(answer, HttpAnswer) for answer in answers))
             self.assertLessEqual(server.connections, 24)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
 
-class TimeTests(unittest.TestCase):
-    def test_a_call_that_waited_for_its_connection_ends_in_time(self) -> None:
-        """A scheduler never renews its key again after a slow moment of the store.
+class DeadlineTests(unittest.TestCase):
+    def test_call_that_waited_for_a_connection_times_out(self) -> None:
+        """Guards against a scheduler that never renews its key after the store was slow.
 
-        All connections are in use, and the call gets one just as its time is over. Its answer does
-        not come, and nothing ended the call: it held its connection for ever.
+        A call that got its connection at its deadline had no timer and never released it.
         """
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -287,17 +283,17 @@
 
         async def scenario(_server: Server, client: HttpClient) -> None:
             loop = asyncio.get_running_loop()
-            began_s = loop.time()
+            started_s = loop.time()
             answers = await asyncio.gather(
                 *(client.call("GET", "/", timeout_s=0.3) for _ in range(60))
             )
             self.assertTrue(all(isinstance(answer, HttpNoAnswer) for answer in answers))
-            self.assertLess(loop.time() - began_s, 1.0)
+            self.assertLess(loop.time() - started_s, 1.0)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
-    def test_time_that_has_run_out_ends_an_exchange(self) -> None:
-        """The same, where the time is over at the moment at which the request is sent."""
+    def test_exchange_after_its_deadline_times_out(self) -> None:
+        """Guards against an exchange that never ends because it started after its deadline."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -309,16 +305,16 @@
             _, connection = await loop.create_connection(
                 lambda: Connection(generation=0), host, int(port)
             )
-            began_s = loop.time()
+            started_s = loop.time()
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(1.0):
                     await connection.exchange(
                         b"GET / HTTP/1.1\r\n\r\n", deadline_s=loop.time() - 0.1, read_timeout_s=None
                     )
-            self.assertLess(loop.time() - began_s, 0.5)
+            self.assertLess(loop.time() - started_s, 0.5)
             self.assertFalse(connection.is_open)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
 
 class RequestTests(unittest.TestCase):
@@ -329,10 +325,8 @@
             ("path with a line end", "/\r\nX: y", {}),
         ]
     )
-    def test_nothing_breaks_out_of_its_line(
-        self, _: str, path: str, headers: dict[str, str]
-    ) -> None:
-        """A worker's id that another wrote into the registry adds a header of its own to orders."""
+    def test_no_header_injection(self, _: str, path: str, headers: dict[str, str]) -> None:
+        """Guards against an id in the registry that adds a header to the orders for a worker."""
 
         async def scenario(server: Server, client: HttpClient) -> None:
             answer = await client.call("GET", path, timeout_s=1.0, headers=headers)
@@ -340,19 +334,19 @@
             self.assertTrue(answer.is_unsent)
             self.assertEqual(0, server.connections)
 
-        play(answer_all, scenario)
+        run_with_server(answer_all, scenario)
 
-    def test_an_odd_text_is_sent_as_it_came(self) -> None:
-        """A scheduler loses its duty again and again over one job, whose text is no valid Unicode.
+    def test_lone_surrogate_is_sent_escaped(self) -> None:
+        """Guards against a scheduler that loses its lease repeatedly over one invalid string.
 
-        Callers may hand in lone surrogates, escaped; the codec refuses to write them.
+        Callers may submit escaped lone surrogates, which are not valid Unicode for the codec.
         """
-        heads: list[bytes] = []
+        bodies: list[bytes] = []
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
             length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
-            heads.append(await reader.readexactly(length))
+            bodies.append(await reader.readexactly(length))
             writer.write(OK)
             await writer.drain()
 
@@ -360,9 +354,9 @@
             body = {"spec": "a\ud800b", "n": 2**70}
             answer = await client.call("POST", "/", timeout_s=1.0, body=body)
             self.assertIsInstance(answer, HttpAnswer)
-            self.assertEqual([b'{"spec":"a\\ud800b","n":1180591620717411303424}'], heads)
+            self.assertEqual([b'{"spec":"a\\ud800b","n":1180591620717411303424}'], bodies)
 
-        play(serve, scenario)
+        run_with_server(serve, scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -1,4 +1,4 @@
-"""Tests of what the adapter reads: settings, operators' records, workers' entries and answers."""
+"""Tests of the adapter's decoding: settings, operators' records, workers' entries and answers."""
 
 import contextlib
 import io
@@ -35,11 +35,11 @@
 
 
 class SettingsTests(unittest.TestCase):
-    def test_sound_settings(self) -> None:
-        """Unknown fields are ignored, missing bounds have defaults."""
-        read = self._load(SETTINGS)
-        assert isinstance(read, Success)
-        settings = read.unwrap()
+    def test_valid_settings(self) -> None:
+        """Guards against rejecting unknown fields, and against missing bounds without a default."""
+        loaded = self._load(SETTINGS)
+        assert isinstance(loaded, Success)
+        settings = loaded.unwrap()
         self.assertEqual(("edge-1", "hall"), (settings.instance, settings.data_centre))
         self.assertEqual(6.0, settings.bounds.longest_lease_s)
 
@@ -51,19 +51,19 @@
             ("odd figure", SETTINGS.replace("6000", '"soon"'), "soon"),
         ]
     )
-    def test_faults_are_named(self, _name: str, text: str, expected: str) -> None:
-        """With the file and what is wrong in it."""
+    def test_invalid_settings_are_reported(self, _name: str, text: str, expected: str) -> None:
+        """Guards against an error that names neither the file nor the invalid field."""
         failure = self._load(text).failure()
         self.assertIs(ErrorKind.INVALID_SETTINGS, failure.kind)
         self.assertIn(expected, failure.reason)
 
-    def test_no_file(self) -> None:
-        """The variable that should name it is told."""
+    def test_missing_settings_file(self) -> None:
+        """Guards against an error that does not name the environment variable of the file."""
         self.assertIn("SHALLOTWORKS_SETTINGS", load_platform_settings("").failure().reason)
 
     @parameterized.expand([("sound", SETTINGS, True), ("unsound", "x = 1", False)])
-    def test_the_command_line_checks_them(self, _name: str, text: str, is_right: bool) -> None:
-        """`shallotworks check-settings` takes the platform's file too."""
+    def test_check_settings_command(self, _name: str, text: str, is_valid: bool) -> None:
+        """Guards against `shallotworks check-settings` rejecting the platform's settings file."""
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write(text)
             file.flush()
@@ -71,8 +71,8 @@
                 contextlib.redirect_stdout(io.StringIO()),
                 contextlib.redirect_stderr(io.StringIO()),
             ):
-                found = run_command(["check-settings", file.name])
-        self.assertEqual(is_right, found == 0)
+                exit_code = run_command(["check-settings", file.name])
+        self.assertEqual(is_valid, exit_code == 0)
 
     def _load(self, text: str):  # type: ignore[no-untyped-def]
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
@@ -81,48 +81,50 @@
             return load_platform_settings(file.name)
 
 
-class OperatorsTests(unittest.TestCase):
-    def test_an_older_configuration_never_comes_back(self) -> None:
-        """A route that callers use is gone again, in one process.
+class OperatorRecordsTests(unittest.TestCase):
+    def test_older_configuration_is_ignored(self) -> None:
+        """Guards against removing a route that callers use.
 
-        The store is read anew while another reading is under way, and the older version is told
-        last. What is in force must stay.
+        Two overlapping reads of the store deliver the older configuration last.
         """
-        taken: list[Configuration] = []
-        book = OperatorRecords(on_configuration=taken.append, log=quiet_log())
+        applied: list[Configuration] = []
+        operator_records = OperatorRecords(on_configuration=applied.append, log=quiet_log())
         for version in (2, 7, 3, 7):
-            book.on_write(self._item("op/config", _configuration(version)))
-        self.assertEqual([2, 7], [one.version for one in taken])
-
-    def test_what_can_not_be_read_changes_nothing(self) -> None:
-        """The configuration in force stays."""
-        book = OperatorRecords(on_configuration=lambda _: None, log=quiet_log())
-        book.on_write(self._item("op/config", _configuration(2)))
-        book.on_write(self._item("op/config", {"version": 3}))
-        book.on_delete("op/config", 9)
-        assert book.configuration is not None
-        self.assertEqual(2, book.configuration.version)
-
-    def test_waves(self) -> None:
-        """As operators write them."""
-        book = OperatorRecords(on_configuration=lambda _: None, log=quiet_log())
+            operator_records.on_write(self._item("op/config", _configuration(version)))
+        self.assertEqual([2, 7], [configuration.version for configuration in applied])
+
+    def test_unreadable_configuration_is_ignored(self) -> None:
+        """Guards against an unreadable or deleted record replacing the configuration in force."""
+        operator_records = OperatorRecords(on_configuration=lambda _: None, log=quiet_log())
+        operator_records.on_write(self._item("op/config", _configuration(2)))
+        operator_records.on_write(self._item("op/config", {"version": 3}))
+        operator_records.on_delete("op/config", 9)
+        assert operator_records.configuration is not None
+        self.assertEqual(2, operator_records.configuration.version)
+
+    def test_maintenance_waves(self) -> None:
+        """Guards against misreading a maintenance wave, and against keeping a deleted one."""
+        operator_records = OperatorRecords(on_configuration=lambda _: None, log=quiet_log())
         record = {"wave": 4, "machines": ["m1"], "durationS": 20, "maxCount": 2}
-        book.on_write(self._item("op/wave/4", record))
+        operator_records.on_write(self._item("op/wave/4", record))
         self.assertEqual(
             [(4, ("m1",), 20.0, 2)],
-            [(one.wave, one.machines, one.duration_s, one.most_at_once) for one in book.waves()],
+            [
+                (wave.wave, wave.machines, wave.duration_s, wave.most_at_once)
+                for wave in operator_records.waves()
+            ],
         )
-        book.on_delete("op/wave/4", 9)
-        self.assertEqual((), book.waves())
+        operator_records.on_delete("op/wave/4", 9)
+        self.assertEqual((), operator_records.waves())
 
     @staticmethod
     def _item(key: str, record: object) -> Item:
         return Item(key=key, value=json.dumps(record).encode(), revision=1, created=1)
 
 
-class WorkerTests(unittest.TestCase):
-    def test_entries(self) -> None:
-        """Room, rack and state of a worker; what can't be read is left out."""
+class WorkerDecodingTests(unittest.TestCase):
+    def test_worker_entries(self) -> None:
+        """Guards against misreading a worker's fields, and against listing an invalid entry."""
         registry = WorkerRegistry(log=quiet_log())
         entry = {
             "service": "s",
@@ -159,13 +161,13 @@
             (500, "", OrderStatus.UNANSWERED),
         ]
     )
-    def test_endings(self, status: int, reason: str, expected: OrderStatus) -> None:
-        """Each answer says whether the order was carried out."""
+    def test_order_outcomes(self, status: int, reason: str, expected: OrderStatus) -> None:
+        """Guards against misreading whether a worker carried out an order."""
         answer = HttpAnswer(status=status, body={"clockMs": 5, "reason": reason})
         self.assertIs(expected, _decode_outcome(answer, is_poll=False).status)
 
-    def test_reports(self) -> None:
-        """What runs, with and without the last figure, and what has ended."""
+    def test_worker_reports(self) -> None:
+        """Guards against misreading ended runs, or active ones with or without a last figure."""
         name = "5c0e7a21d94b36f8.2.1.17"
         body = {
             "clockMs": 9,
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -1,4 +1,4 @@
-"""Tests of callers' requests as they arrive: jobs, bad input, idle and slow connections."""
+"""Tests of the callers' HTTP server: jobs, invalid requests, idle and slow connections."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from shallotworks.standins import FaultInjectingStore, RecordStore
 from tests.scheduling_fakes import quiet_log
 
-STALLED_S = 0.5
-"""A hundred times an answer's usual time, and a tenth of what stalled requests waited; how much
-slower answers become beside silent connections is measured, not tested."""
+MAX_LATENCY_S = 0.5
+"""A hundred times an answer's usual time, and a tenth of the time that stalled requests waited. How
+much slower answers become beside idle connections is measured elsewhere, not tested."""
 HOST = {"Host": "depot.example"}
 JOB = {"spec": "x", "steps": [{"count": 2, "cpu": 500, "memMb": 10, "estimatedMs": 900}]}
-ID = "5c0e7a21d94b36f8"
+JOB_ID = "5c0e7a21d94b36f8"
 CONFIGURATION = {
     "version": 3,
     "routes": [
@@ -38,17 +38,17 @@
 
 
 class IngressHarness:
-    """An ingress on a free port, over a store in memory."""
+    """An ingress on a free port, with a store in memory."""
 
     def __init__(self) -> None:
         self.store = RecordStore(rng=random.Random(1))
-        self.view = FaultInjectingStore(store=self.store)
+        self.store_view = FaultInjectingStore(store=self.store)
         self.configuration: Configuration | None = decode_configuration(CONFIGURATION)
         self.is_store_unavailable = False
         self.outage_s = 0.0
         self.ingress = Ingress(
             job_handler=JobRequestHandler(
-                store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=time.time
+                store=self.store_view, metrics=Metrics(), log=quiet_log(), wall_clock=time.time
             ),
             configuration=lambda: self.configuration,
             is_store_unavailable=lambda: self.is_store_unavailable,
@@ -62,7 +62,7 @@
     async def call(
         self, method: str, path: str, body: object = None, headers: dict[str, str] = HOST
     ) -> HttpAnswer:
-        """Make a call."""
+        """Send a request and return its answer."""
         answer = await self.client.call(
             method,
             path,
@@ -75,9 +75,9 @@
 
 
 def run(scenario: Callable[[IngressHarness], Awaitable[None]]) -> None:
-    """Run a scenario."""
+    """Run a scenario against a listening ingress."""
 
-    async def whole() -> None:
+    async def run_with_server() -> None:
         harness = IngressHarness()
         await harness.ingress.listen(harness.address)
         try:
@@ -86,52 +86,52 @@
             await harness.client.close()
             await harness.ingress.close()
 
-    asyncio.run(whole())
+    asyncio.run(run_with_server())
 
 
 class JobTests(unittest.TestCase):
-    def test_a_job_is_accepted_told_of_and_cancelled(self) -> None:
-        """Once it is stored."""
+    def test_submit_read_and_cancel_a_job(self) -> None:
+        """Guards against a job whose stored state differs from what its caller was answered."""
 
         async def scenario(harness: IngressHarness) -> None:
-            self.assertEqual(410, (await harness.call("GET", f"/stock/{ID}")).status)
-            self.assertEqual(200, (await harness.call("POST", f"/stock/{ID}", JOB)).status)
-            self.assertEqual(200, (await harness.call("POST", f"/stock/{ID}", JOB)).status)
-            answer = await harness.call("GET", f"/stock/{ID}")
+            self.assertEqual(410, (await harness.call("GET", f"/stock/{JOB_ID}")).status)
+            self.assertEqual(200, (await harness.call("POST", f"/stock/{JOB_ID}", JOB)).status)
+            self.assertEqual(200, (await harness.call("POST", f"/stock/{JOB_ID}", JOB)).status)
+            answer = await harness.call("GET", f"/stock/{JOB_ID}")
             self.assertEqual({"state": "queued"}, answer.body)
-            self.assertEqual(200, (await harness.call("DELETE", f"/stock/{ID}")).status)
-            answer = await harness.call("GET", f"/stock/{ID}")
+            self.assertEqual(200, (await harness.call("DELETE", f"/stock/{JOB_ID}")).status)
+            answer = await harness.call("GET", f"/stock/{JOB_ID}")
             self.assertEqual({"state": "cancelled"}, answer.body)
             self.assertEqual(0, (await harness.call("GET", "/stock/")).body["pending"])
 
         run(scenario)
 
-    def test_the_longest_prefix_names_the_queue(self) -> None:
-        """A job of one queue is none of another's."""
+    def test_longest_prefix_selects_the_queue(self) -> None:
+        """Guards against finding a job of one queue in another whose prefix matches, too."""
 
         async def scenario(harness: IngressHarness) -> None:
-            await harness.call("POST", f"/stock/long/{ID}", JOB)
-            self.assertEqual(410, (await harness.call("GET", f"/stock/{ID}")).status)
-            self.assertEqual(200, (await harness.call("GET", f"/stock/long/{ID}")).status)
+            await harness.call("POST", f"/stock/long/{JOB_ID}", JOB)
+            self.assertEqual(410, (await harness.call("GET", f"/stock/{JOB_ID}")).status)
+            self.assertEqual(200, (await harness.call("GET", f"/stock/long/{JOB_ID}")).status)
 
         run(scenario)
 
     @parameterized.expand(
         [
-            ("no job", f"/stock/{ID}", "text", 400),
-            ("no steps", f"/stock/{ID}", {"spec": "x"}, 400),
-            ("a cycle", f"/stock/{ID}", {"steps": [{"count": 1, "after": [0]}]}, 400),
-            ("negative", f"/stock/{ID}", {"steps": [{"count": -1}]}, 400),
-            ("odd type", f"/stock/{ID}", {"steps": [{"count": "2"}]}, 400),
+            ("no job", f"/stock/{JOB_ID}", "text", 400),
+            ("no steps", f"/stock/{JOB_ID}", {"spec": "x"}, 400),
+            ("a cycle", f"/stock/{JOB_ID}", {"steps": [{"count": 1, "after": [0]}]}, 400),
+            ("negative", f"/stock/{JOB_ID}", {"steps": [{"count": -1}]}, 400),
+            ("odd type", f"/stock/{JOB_ID}", {"steps": [{"count": "2"}]}, 400),
             ("no id", "/stock/xyz", JOB, 400),
-            ("too long", f"/stock/{ID}", JOB | {"spec": "x" * 5000}, 413),
-            ("no queue", f"/other/{ID}", JOB, 404),
+            ("too long", f"/stock/{JOB_ID}", JOB | {"spec": "x" * 5000}, 413),
+            ("no queue", f"/other/{JOB_ID}", JOB, 404),
         ]
     )
-    def test_bad_input_leaves_nothing_behind(
+    def test_invalid_submission_stores_nothing(
         self, _name: str, path: str, body: object, status: int
     ) -> None:
-        """It gets a clear error."""
+        """Guards against storing an invalid job, and against an error without a reason."""
 
         async def scenario(harness: IngressHarness) -> None:
             answer = await harness.call("POST", path, body)
@@ -141,11 +141,11 @@
 
         run(scenario)
 
-    def test_wrong_methods(self) -> None:
-        """Neither a job nor a queue can be put."""
+    def test_unsupported_methods(self) -> None:
+        """Guards against accepting a method that jobs or queues do not support."""
 
         async def scenario(harness: IngressHarness) -> None:
-            self.assertEqual(405, (await harness.call("PUT", f"/stock/{ID}", JOB)).status)
+            self.assertEqual(405, (await harness.call("PUT", f"/stock/{JOB_ID}", JOB)).status)
             self.assertEqual(405, (await harness.call("POST", "/stock/", JOB)).status)
 
         run(scenario)
@@ -153,23 +153,23 @@
 
 class RefusalTests(unittest.TestCase):
     def test_without_a_configuration(self) -> None:
-        """Refused with a time to come back, and not ready."""
+        """Guards against accepting jobs or reporting readiness without a configuration."""
 
         async def scenario(harness: IngressHarness) -> None:
             harness.configuration = None
-            self.assertEqual(503, (await harness.call("POST", f"/stock/{ID}", JOB)).status)
+            self.assertEqual(503, (await harness.call("POST", f"/stock/{JOB_ID}", JOB)).status)
             self.assertFalse(harness.ingress.is_ready)
 
         run(scenario)
 
-    def test_while_the_store_is_lost(self) -> None:
-        """Refused at once, truly: nothing is sent to the store."""
+    def test_while_the_store_is_unavailable(self) -> None:
+        """Guards against refusing a job late, or after it was sent to the store."""
 
         async def scenario(harness: IngressHarness) -> None:
             harness.is_store_unavailable = True
-            began_s = time.monotonic()
-            self.assertEqual(503, (await harness.call("POST", f"/stock/{ID}", JOB)).status)
-            self.assertLess(time.monotonic() - began_s, 0.5)
+            started_s = time.monotonic()
+            self.assertEqual(503, (await harness.call("POST", f"/stock/{JOB_ID}", JOB)).status)
+            self.assertLess(time.monotonic() - started_s, 0.5)
             self.assertEqual(0, harness.store.commits)
             self.assertFalse(harness.ingress.is_ready)
 
@@ -177,32 +177,31 @@
 
 
 class ListenerTests(unittest.TestCase):
-    def test_idle_and_slow_connections_hold_up_nobody(self) -> None:
-        """All callers wait for as long as others' silent connections last.
+    def test_idle_and_slow_connections_delay_no_request(self) -> None:
+        """Guards against requests that time out while other connections are idle or incomplete.
 
-        Five hundred connections send nothing, two hundred half a head. With a thread for each
-        connection none was left, and every other request timed out.
+        With a thread for each connection, such connections occupied all threads.
         """
 
         async def scenario(harness: IngressHarness) -> None:
-            await _slowest_of(harness, 40)
-            silent = [await _connect(harness.address, b"") for _ in range(500)]
-            halves = [await _connect(harness.address, b"POST /stock/1 HT") for _ in range(200)]
-            beside_s = await _slowest_of(harness, 40)
-            self.assertLess(beside_s, STALLED_S)
-            for _, writer in (*silent, *halves):
+            await _p95_latency_s(harness, 40)
+            idle = [await _connect(harness.address, b"") for _ in range(500)]
+            partial = [await _connect(harness.address, b"POST /stock/1 HT") for _ in range(200)]
+            latency_s = await _p95_latency_s(harness, 40)
+            self.assertLess(latency_s, MAX_LATENCY_S)
+            for _, writer in (*idle, *partial):
                 writer.close()
 
         run(scenario)
 
 
-async def _slowest_of(harness: IngressHarness, count: int) -> float:
+async def _p95_latency_s(harness: IngressHarness, count: int) -> float:
     durations: list[float] = []
     for number in range(count):
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         answer = await harness.call("POST", f"/stock/{number:016x}", JOB)
         assert answer.status == 200
-        durations.append(time.monotonic() - began_s)
+        durations.append(time.monotonic() - started_s)
     return sorted(durations)[int(count * 0.95)]
 
 
@@ -220,14 +219,14 @@
 
 
 class ConfigurationTests(unittest.TestCase):
-    def test_decoded_once(self) -> None:
-        """Queues by host, the longest prefix first; pools whose machines are off."""
-        read = decode_configuration(json.loads(json.dumps(CONFIGURATION)))
-        self.assertEqual(frozenset({"t"}), read.standby)
-        queue = read.queue_for("depot.example", "/stock/long/1")
+    def test_decode_configuration(self) -> None:
+        """Guards against misreading queues, their prefixes, or services on standby."""
+        decoded = decode_configuration(json.loads(json.dumps(CONFIGURATION)))
+        self.assertEqual(frozenset({"t"}), decoded.standby)
+        queue = decoded.queue_for("depot.example", "/stock/long/1")
         assert queue is not None
         self.assertEqual("long", queue.policy.queue)
-        self.assertIsNone(read.queue_for("else.example", "/stock/1"))
+        self.assertIsNone(decoded.queue_for("else.example", "/stock/1"))
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.standins.PlatformStandIn`: faults on the wire that a client meets."""
+"""Tests of `shallotworks.standins.PlatformStandIn`: network faults as a client sees them."""
 
 import threading
 import unittest
@@ -21,14 +21,14 @@
         return self.http.request("POST", "/kv/v1/create", body=body).status
 
     def test_a_lost_answer_closes_the_connection_after_the_write(self) -> None:
-        """The caller sees its connection end; the key is there."""
+        """Guards against a simulated lost answer that skips the write or reaches the client."""
         self.standin.set_faults(StoreFaults(lost_answers=1))
         with self.assertRaises(urllib3.exceptions.ProtocolError):
             self.create("a")
         self.assertEqual(self.create("a"), 409)
 
     def test_waiting_watches_leave_threads_for_writes(self) -> None:
-        """A watch above the bound is refused, and a write wakes the one that waits."""
+        """Guards against watches that block writes, or that a write does not end."""
         answers = []
 
         def watch() -> None:
@@ -46,6 +46,6 @@
         self.assertEqual(answers, [503, 200])
 
     def test_malformed_calls_are_refused(self) -> None:
-        """A body that is not the call's, and a path that is none, are told so."""
+        """Guards against accepting an invalid body or an unknown path."""
         self.assertEqual(self.http.request("POST", "/kv/v1/create", body=b"{").status, 400)
         self.assertEqual(self.http.request("GET", "/nowhere").status, 404)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.platform`'s client of the store, over HTTP."""
+"""Tests of the platform store's client over HTTP."""
 
 import asyncio
 import json
@@ -16,14 +16,14 @@
 from shallotworks.standins import FaultInjectingStore, RecordStore, StoreServer
 from shallotworks.store import Commit, Committed, Condition, Conflicted, Deletion, Item, Write
 
-Story = Callable[[StoreServer, PlatformStore], Awaitable[None]]
-PUT = Commit(writes=(Write(key="a/1", value=b"\x00x"),))
+Scenario = Callable[[StoreServer, PlatformStore], Awaitable[None]]
+PUT_COMMIT = Commit(writes=(Write(key="a/1", value=b"\x00x"),))
 
 
-def run(scenario: Story) -> None:
-    """Run a scenario with a server and a client."""
+def run(scenario: Scenario) -> None:
+    """Run a scenario with a store server and a client."""
 
-    async def whole() -> None:
+    async def run_with_server() -> None:
         server = StoreServer(view=FaultInjectingStore(store=RecordStore(rng=random.Random(1))))
         await server.listener.start()
         client = HttpClient(address=server.listener.address)
@@ -33,16 +33,16 @@
             await client.close()
             await server.listener.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_with_server())
 
 
 class CallTests(unittest.TestCase):
-    def test_what_is_written_is_read(self) -> None:
-        """Bytes come back as they were, with their revisions."""
+    def test_write_and_read(self) -> None:
+        """Guards against changed bytes or revisions of a stored value."""
 
         async def scenario(server: StoreServer, store: PlatformStore) -> None:
             self.assertIsNone((await store.get("a/1")).unwrap())
-            committed = (await store.commit(PUT)).unwrap()
+            committed = (await store.commit(PUT_COMMIT)).unwrap()
             assert isinstance(committed, Committed)
             item = (await store.get("a/1")).unwrap()
             assert item is not None
@@ -51,7 +51,7 @@
         run(scenario)
 
     def test_pages(self) -> None:
-        """Keys in order, page by page."""
+        """Guards against missing or repeated keys at the boundary of two pages."""
 
         async def scenario(server: StoreServer, store: PlatformStore) -> None:
             for number in range(510):
@@ -65,7 +65,7 @@
         run(scenario)
 
     def test_watch(self) -> None:
-        """Writes and deletions after a revision; a lost history is told apart."""
+        """Guards against missing changes after a revision, and an unreported lost history."""
 
         async def scenario(server: StoreServer, store: PlatformStore) -> None:
             server.store.put("a/1", b"x")
@@ -80,8 +80,8 @@
 
         run(scenario)
 
-    def test_conflict_tells_what_is_there(self) -> None:
-        """The current items of the conditions, without those that don't exist."""
+    def test_conflict_returns_current_items(self) -> None:
+        """Guards against a conflict that lists keys that do not exist."""
 
         async def scenario(server: StoreServer, store: PlatformStore) -> None:
             server.store.put("a/1", b"x")
@@ -93,7 +93,7 @@
         run(scenario)
 
     def test_leases(self) -> None:
-        """Keys go with their lease; a lease that has ended is told so."""
+        """Guards against keys that outlive their lease, and an ended lease reported wrongly."""
 
         async def scenario(server: StoreServer, store: PlatformStore) -> None:
             lease = (await store.grant_lease(ttl_s=5.0)).unwrap()
@@ -111,22 +111,24 @@
 
 class FaultTests(unittest.TestCase):
     @parameterized.expand([(status,) for status in (429, 503)])
-    def test_refusals_are_certain(self, status: int) -> None:
-        """Nothing was done, for writes too."""
+    def test_refused_commit_was_not_applied(self, status: int) -> None:
+        """Guards against reporting a refused commit as one that may have been applied."""
 
         async def scenario(server: StoreServer, store: PlatformStore) -> None:
             server.status = status
-            kind = (await store.commit(PUT)).failure().kind
+            kind = (await store.commit(PUT_COMMIT)).failure().kind
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, kind)
 
         run(scenario)
 
-    def test_a_lost_answer_leaves_the_outcome_open(self) -> None:
-        """A write may have been done; a read surely did nothing."""
+    def test_lost_answer_of_a_commit_is_outcome_unknown(self) -> None:
+        """Guards against reporting a commit without an answer as certainly not applied."""
 
         async def scenario(server: StoreServer, store: PlatformStore) -> None:
             server.lose_answers = True
-            self.assertIs(ErrorKind.OUTCOME_UNKNOWN, (await store.commit(PUT)).failure().kind)
+            self.assertIs(
+                ErrorKind.OUTCOME_UNKNOWN, (await store.commit(PUT_COMMIT)).failure().kind
+            )
             self.assertIn("a/1", server.store.items)
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, (await store.get("a/1")).failure().kind)
             self.assertTrue(store.is_unavailable)
@@ -136,28 +138,27 @@
 
         run(scenario)
 
-    def test_no_connection_is_certain(self) -> None:
-        """A store that is gone has done nothing."""
+    def test_commit_without_connection_was_not_applied(self) -> None:
+        """Guards against reporting a commit as possibly applied though no connection was opened."""
 
         async def scenario(server: StoreServer, store: PlatformStore) -> None:
             await server.listener.stop()
-            kind = (await store.commit(PUT)).failure().kind
+            kind = (await store.commit(PUT_COMMIT)).failure().kind
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, kind)
             await server.listener.start()
 
         run(scenario)
 
 
-SLOW_CHUNKS = 12
-CHUNK_S = 0.1
+CHUNK_COUNT = 12
+CHUNK_INTERVAL_S = 0.1
 
 
 class SlowLinkTests(unittest.TestCase):
-    def test_a_page_that_keeps_coming_is_read(self) -> None:
-        """No job of a service runs any more after its scheduler was replaced.
+    def test_slow_page_is_read(self) -> None:
+        """Guards against a scheduler on a slow link that never reads its jobs.
 
-        The successor is on an instance whose link carries 5 Mbit/s; a page of 1 MB takes it 1.8 s.
-        It gave each page up after 0.8 s, though bytes kept coming, and read it again, for ever.
+        It abandoned each page at a fixed timeout though bytes kept arriving, and read it again.
         """
         page = json.dumps({"items": [], "hasMore": False, "atRev": 7, "padding": "x" * 1200})
 
@@ -165,9 +166,9 @@
             await reader.readuntil(b"\r\n\r\n")
             head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(page)}\r\n\r\n"
             writer.write(head.encode())
-            part = -(-len(page) // SLOW_CHUNKS)
+            part = -(-len(page) // CHUNK_COUNT)
             for start in range(0, len(page), part):
-                await asyncio.sleep(CHUNK_S)
+                await asyncio.sleep(CHUNK_INTERVAL_S)
                 writer.write(page[start : start + part].encode())
             writer.close()
 
@@ -182,8 +183,8 @@
 
         asyncio.run(scenario())
 
-    def test_closing_ends_a_call_without_a_fault(self) -> None:
-        """A fault at each stop: a call that is under way when its client is closed."""
+    def test_close_ends_a_call_in_progress(self) -> None:
+        """Guards against an error at the stop, when a client is closed during a call."""
 
         async def scenario() -> None:
             writers: list[asyncio.StreamWriter] = []
