--- a/src/shallotworks/platform/_configuration.py
+++ b/src/shallotworks/platform/_configuration.py
@@ -19,7 +19,7 @@
 OPERATORS_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
 WAVES_PREFIX = "op/wave/"
-DEFAULT_BODY_BYTES = 262_144
+DEFAULT_MAX_BODY_BYTES = 262_144
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -157,7 +157,7 @@
         guarded=frozenset(
             str(row["name"]) for row in body["services"] if row.get("admissionControl")
         ),
-        max_body_bytes=int(limits.get("maxBodyBytes", DEFAULT_BODY_BYTES)),
+        max_body_bytes=int(limits.get("maxBodyBytes", DEFAULT_MAX_BODY_BYTES)),
         idle_timeout_s=float(limits.get("idleTimeoutMs", 15_000)) / 1000,
     )
 
--- a/src/shallotworks/platform/_http.py
+++ b/src/shallotworks/platform/_http.py
@@ -1,6 +1,6 @@
 """HTTP client for the platform's services and for workers.
 
-It replaces urllib3, which the rest of the product uses: a poll waits a second at the worker, so
+It replaces urllib3, which other parts of the product use: a poll waits a second at the worker, so
 that 172 workers would occupy 172 threads, whereas on the event loop each poll takes a future.
 `httptools` parses the answers.
 """
--- a/src/shallotworks/platform/_ingress.py
+++ b/src/shallotworks/platform/_ingress.py
@@ -1,6 +1,6 @@
 """HTTP server for callers' requests, on the event loop.
 
-It uses aiohttp's server instead of cheroot, which serves callers elsewhere: cheroot assigns a
+It uses aiohttp's server instead of cheroot, which `shallotworks.listener` uses: cheroot assigns a
 thread to each connection, so that 500 connections which send nothing keep every other caller
 waiting. Here only a request that has arrived completely takes a task.
 """
