--- a/src/shallotworks/config/_backoff.py
+++ b/src/shallotworks/config/_backoff.py
@@ -7,11 +7,11 @@
 __all__ = ["backoff_s"]
 
 FIRST_BACKOFF_S = 0.02
-HIGHEST_BACKOFF_S = 1.0
-MOST_DOUBLINGS = 10
+MAX_BACKOFF_S = 1.0
+MAX_DOUBLINGS = 10
 
 
 def backoff_s(rng: random.Random, failures: int) -> float:
     """Return a wait with full jitter, its bound doubled by each failure."""
-    highest_s = min(HIGHEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** min(failures, MOST_DOUBLINGS))
-    return rng.uniform(0, highest_s)
+    max_backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** min(failures, MAX_DOUBLINGS))
+    return rng.uniform(0, max_backoff_s)
--- a/src/shallotworks/config/_compactor.py
+++ b/src/shallotworks/config/_compactor.py
@@ -22,11 +22,11 @@
 
 __all__ = ["Compactor"]
 
-SNAPSHOT_EVERY_REVISIONS = 500
-LOG_KEPT_REVISIONS = 2_000
+SNAPSHOT_INTERVAL_REVISIONS = 500
+LOG_RETENTION_REVISIONS = 2_000
 """Entries kept behind the newest snapshot: eight hours at 6,000 changes a day, so that a process
 that was cut off for that long catches up entry by entry."""
-MOST_DELETED_AT_ONCE = 1_000
+MAX_ENTRIES_PER_COMPACTION = 1_000
 
 
 class Compactor:
@@ -42,24 +42,24 @@
         kept_revisions: Entries kept behind the newest snapshot.
     """
 
-    __slots__ = ("_every", "_kept", "_metrics", "_store")
+    __slots__ = ("_interval_revisions", "_metrics", "_retention_revisions", "_store")
 
     def __init__(
         self,
         *,
         store: KeyValueStore,
         metrics: Metrics,
-        every_revisions: int = SNAPSHOT_EVERY_REVISIONS,
-        kept_revisions: int = LOG_KEPT_REVISIONS,
+        every_revisions: int = SNAPSHOT_INTERVAL_REVISIONS,
+        kept_revisions: int = LOG_RETENTION_REVISIONS,
     ) -> None:
         self._store = store
         self._metrics = metrics
-        self._every = every_revisions
-        self._kept = kept_revisions
+        self._interval_revisions = every_revisions
+        self._retention_revisions = kept_revisions
 
     def is_due(self, revision: int) -> bool:
         """Say whether whoever appended this revision writes a snapshot."""
-        return revision % self._every == 0
+        return revision % self._interval_revisions == 0
 
     async def compact(self, snapshot: Snapshot) -> Result[int, Failure]:
         """Write a snapshot, read it back, and delete what it makes superfluous.
@@ -79,10 +79,10 @@
         if previous is not None:
             # The previous one stays, for readers that have just read its pointer.
             await delete_older_snapshots(self._store, below=previous.pointer.revision)
-        return await self._delete_entries(written.unwrap().revision - self._kept)
+        return await self._delete_entries(written.unwrap().revision - self._retention_revisions)
 
     async def _delete_entries(self, up_to: int) -> Result[int, Failure]:
-        outcome = await self._store.list(LOG_PREFIX, limit=MOST_DELETED_AT_ONCE)
+        outcome = await self._store.list(LOG_PREFIX, limit=MAX_ENTRIES_PER_COMPACTION)
         if not isinstance(outcome, Success):
             return Err(outcome.failure())
         old = [item for item in outcome.unwrap() if log_revision(item.key) <= up_to]
@@ -93,11 +93,11 @@
         # Oldest first, so that what remains is always without a gap.
         for item in items:
             outcome = await self._store.delete(item.key, version=item.version)
-            if not isinstance(outcome, Success) and outcome.failure().kind is not _GONE:
+            if not isinstance(outcome, Success) and outcome.failure().kind is not _ALREADY_DELETED:
                 break
             deleted += 1
         self._metrics.count("config.entries-deleted", deleted)
         return deleted
 
 
-_GONE = ErrorKind.CONFLICT
+_ALREADY_DELETED = ErrorKind.CONFLICT
--- a/src/shallotworks/config/_history.py
+++ b/src/shallotworks/config/_history.py
@@ -14,7 +14,7 @@
 from shallotworks.kv import KeyValueStore
 
 from ._entries import Entry, Snapshot
-from ._snapshots import LOG_PREFIX, MOST_PARTS, PARTS_PREFIX, log_key
+from ._snapshots import LOG_PREFIX, MAX_LISTED_PARTS, PARTS_PREFIX, log_key
 
 __all__ = ["read_entries", "state_at"]
 
@@ -42,10 +42,10 @@
     Returns:
         The state; ``NOT_FOUND`` where snapshots and log don't reach back to it.
     """
-    started = await _snapshot_before(store, revision)
-    if not isinstance(started, Success):
-        return Err(started.failure())
-    state = started.unwrap()
+    base = await _snapshot_before(store, revision)
+    if not isinstance(base, Success):
+        return Err(base.failure())
+    state = base.unwrap()
     while state.revision < revision:
         limit = min(PAGE_ENTRIES, revision - state.revision)
         page = await read_entries(store, after=state.revision, limit=limit)
@@ -53,7 +53,7 @@
             return Err(page.failure())
         advanced = _apply_all(state, page.unwrap())
         if advanced.revision == state.revision:
-            return _not_kept(revision)
+            return _not_retained(revision)
         state = advanced
     return Success(state)
 
@@ -67,7 +67,7 @@
 
 
 async def _snapshot_before(store: KeyValueStore, revision: int) -> Result[FleetState, Failure]:
-    outcome = await store.list(PARTS_PREFIX, limit=MOST_PARTS)
+    outcome = await store.list(PARTS_PREFIX, limit=MAX_LISTED_PARTS)
     if not isinstance(outcome, Success):
         return Err(outcome.failure())
     parts: dict[str, list[bytes]] = defaultdict(list)
@@ -89,6 +89,6 @@
         return None
 
 
-def _not_kept(revision: int) -> Result[FleetState, Failure]:
+def _not_retained(revision: int) -> Result[FleetState, Failure]:
     reason = f"revision {revision} is not kept any more, or not written yet"
     return Err(Failure(kind=ErrorKind.NOT_FOUND, reason=reason))
--- a/src/shallotworks/config/_log_reader.py
+++ b/src/shallotworks/config/_log_reader.py
@@ -14,13 +14,13 @@
 from shallotworks.metrics import Metrics
 
 from ._entries import Entry
-from ._replica import Replica, Taking
+from ._replica import EntryOutcome, Replica
 from ._snapshots import LOG_PREFIX, Pointer, log_key, log_revision, read_pointer, read_snapshot
 
 __all__ = ["WATCH_WAIT_S", "LogReader"]
 
 PAGE_ENTRIES = 1_000
-MOST_ROUNDS = 20
+MAX_CATCH_UP_ROUNDS = 20
 """Pages and snapshots read before a read gives up catching up with a log that runs ahead of it."""
 WATCH_WAIT_S = 4.0
 """Half of the 8 s in which a change must be in force: a watch that went silent ends by then."""
@@ -30,7 +30,7 @@
 
 
 @unique
-class _Start(Enum):
+class _LogStart(Enum):
     AGREES = "agrees"
     """The store's log goes on from what is held."""
     MOVED = "moved"
@@ -67,9 +67,9 @@
         Returns:
             The revision held; or why the store can't be read.
         """
-        known_before = self._replica.newest_heard()
-        for _ in range(MOST_ROUNDS):
-            page = await self._read_page(known_before)
+        expected_revision = self._replica.newest_known_revision()
+        for _ in range(MAX_CATCH_UP_ROUNDS):
+            page = await self._read_page(expected_revision)
             if not isinstance(page, Success):
                 return Err(page.failure())
             if page.unwrap():
@@ -84,14 +84,14 @@
         if not isinstance(outcome, Success):
             return Err(outcome.failure())
         result = outcome.unwrap()
-        if result.version < self._version or not self._take_directly(result.items):
+        if result.version < self._version or not self._apply_watched_items(result.items):
             return await self.read()
         if result.items:
             self._version = result.items[-1].version
         elif prefix == self._watched_prefix():
             # Beyond a block's end there may be entries that this watch didn't cover.
             self._version = result.version
-        if not result.items and self._replica.revision() < self._replica.newest_heard():
+        if not result.items and self._replica.revision() < self._replica.newest_known_revision():
             # Others have newer revisions that the watch will never show: a store that came back
             # older and was restored by a snapshot, with its counter past the version watched from.
             return await self.read()
@@ -114,7 +114,7 @@
             return None
         return Entry.decode(items[0].value).change_id
 
-    async def _read_page(self, known_before: int) -> Result[bool, Failure]:
+    async def _read_page(self, expected_revision: int) -> Result[bool, Failure]:
         """Read and take one page of the log; says whether that was all there is to do."""
         held = self._replica.revision()
         held_id = self._replica.change_id_at(held)
@@ -126,20 +126,20 @@
         checked = await self._check_start(held, held_id, items)
         if not isinstance(checked, Success):
             return Err(checked.failure())
-        if checked.unwrap() is not _Start.AGREES:
-            return Success(checked.unwrap() is _Start.REGRESSED)
-        return await self._take_page(items, held, known_before)
+        if checked.unwrap() is not _LogStart.AGREES:
+            return Success(checked.unwrap() is _LogStart.REGRESSED)
+        return await self._apply_page(items, held, expected_revision)
 
-    async def _take_page(
-        self, items: tuple[Versioned, ...], held: int, known_before: int
+    async def _apply_page(
+        self, items: tuple[Versioned, ...], held: int, expected_revision: int
     ) -> Result[bool, Failure]:
-        taking = self._take_all(items)
+        applied = self._apply_items(items)
         ended = len(items) < PAGE_ENTRIES
         newest = log_revision(items[-1].key) if items else held
-        if taking is Taking.GAP or (ended and newest < known_before):
-            skipped = await self._skip_ahead(newest, known_before)
+        if applied is EntryOutcome.GAP or (ended and newest < expected_revision):
+            skipped = await self._install_newer_snapshot(newest, expected_revision)
             return skipped.map(lambda moved: not moved)
-        if taking not in (Taking.TAKEN, Taking.KNOWN):
+        if applied not in (EntryOutcome.TAKEN, EntryOutcome.KNOWN):
             return Success(True)
         if items:
             self._version = items[-1].version
@@ -153,31 +153,35 @@
 
     async def _check_start(
         self, held: int, held_id: str | None, items: tuple[Versioned, ...]
-    ) -> Result[_Start, Failure]:
+    ) -> Result[_LogStart, Failure]:
         first = log_revision(items[0].key) if items else 0
         if held > 0 and first == held:
-            return Success(_Start.AGREES)
+            return Success(_LogStart.AGREES)
         outcome = await read_pointer(self._store)
         if not isinstance(outcome, Success):
             return Err(outcome.failure())
         stored = outcome.unwrap()
         if stored is None:
-            return Success(self._without_pointer(held, first))
+            return Success(self._check_without_snapshot(held, first))
         if stored.pointer.revision > held:
-            return await self._load(stored.pointer, follows=first == held + 1)
+            return await self._install_stored_snapshot(stored.pointer, follows=first == held + 1)
         if stored.pointer.revision == held and stored.pointer.last_change_id == held_id:
             self._version = stored.version
-            return Success(_Start.AGREES)
-        self._report(f"has snapshot {stored.pointer.revision} and no entry of revision {held}")
-        return Success(_Start.REGRESSED)
+            return Success(_LogStart.AGREES)
+        self._report_regression(
+            f"has snapshot {stored.pointer.revision} and no entry of revision {held}"
+        )
+        return Success(_LogStart.REGRESSED)
 
-    def _without_pointer(self, held: int, first: int) -> _Start:
+    def _check_without_snapshot(self, held: int, first: int) -> _LogStart:
         if held == 0 and first <= 1:
-            return _Start.AGREES
-        self._report(f"has neither a snapshot nor the entry of revision {max(held, 1)}")
-        return _Start.REGRESSED
+            return _LogStart.AGREES
+        self._report_regression(f"has neither a snapshot nor the entry of revision {max(held, 1)}")
+        return _LogStart.REGRESSED
 
-    async def _load(self, pointer: Pointer, *, follows: bool) -> Result[_Start, Failure]:
+    async def _install_stored_snapshot(
+        self, pointer: Pointer, *, follows: bool
+    ) -> Result[_LogStart, Failure]:
         """Take a snapshot; where it has lost a part, go on by the log if that follows.
 
         The failure: the store comes back without its last writes just as a snapshot is written, and
@@ -186,7 +190,7 @@
         outcome = await read_snapshot(self._store, pointer)
         if isinstance(outcome, Success):
             self._replica.install_snapshot(outcome.unwrap())
-            return Success(_Start.MOVED)
+            return Success(_LogStart.MOVED)
         if outcome.failure().kind is not ErrorKind.CONFLICT:
             return Err(outcome.failure())
         again = await read_pointer(self._store)
@@ -195,13 +199,15 @@
         stored = again.unwrap()
         if stored is None or stored.pointer != pointer:
             # A newer snapshot took its place while it was read.
-            return Success(_Start.MOVED)
+            return Success(_LogStart.MOVED)
         if follows:
-            return Success(_Start.AGREES)
-        self._report(f"has lost a part of snapshot {pointer.revision}")
-        return Success(_Start.REGRESSED)
+            return Success(_LogStart.AGREES)
+        self._report_regression(f"has lost a part of snapshot {pointer.revision}")
+        return Success(_LogStart.REGRESSED)
 
-    async def _skip_ahead(self, newest: int, known_before: int) -> Result[bool, Failure]:
+    async def _install_newer_snapshot(
+        self, newest: int, expected_revision: int
+    ) -> Result[bool, Failure]:
         """Look for a snapshot beyond the log's end or gap, as a restored store has it."""
         held = self._replica.revision()
         outcome = await read_pointer(self._store)
@@ -209,37 +215,41 @@
             return Err(outcome.failure())
         stored = outcome.unwrap()
         if stored is not None and stored.pointer.revision > held:
-            loaded = await self._load(stored.pointer, follows=False)
-            return loaded.map(lambda start: start is _Start.MOVED)
-        self._report(f"goes from revision {held} to {newest}; it had {known_before}")
+            loaded = await self._install_stored_snapshot(stored.pointer, follows=False)
+            return loaded.map(lambda start: start is _LogStart.MOVED)
+        self._report_regression(
+            f"goes from revision {held} to {newest}; it had {expected_revision}"
+        )
         return Success(False)
 
-    def _take_all(self, items: Iterable[Versioned]) -> Taking:
-        taking = Taking.KNOWN
+    def _apply_items(self, items: Iterable[Versioned]) -> EntryOutcome:
+        applied = EntryOutcome.KNOWN
         for item in items:
-            taking = self._take(item)
-            if taking is Taking.CONTRADICTS:
-                self._report(f"shows another change under {item.key}")
-            if taking not in (Taking.TAKEN, Taking.KNOWN):
+            applied = self._apply_item(item)
+            if applied is EntryOutcome.CONTRADICTS:
+                self._report_regression(f"shows another change under {item.key}")
+            if applied not in (EntryOutcome.TAKEN, EntryOutcome.KNOWN):
                 break
-        return taking
+        return applied
 
-    def _take_directly(self, items: Iterable[Versioned]) -> bool:
-        return all(self._take(item) in (Taking.TAKEN, Taking.KNOWN) for item in items)
+    def _apply_watched_items(self, items: Iterable[Versioned]) -> bool:
+        return all(
+            self._apply_item(item) in (EntryOutcome.TAKEN, EntryOutcome.KNOWN) for item in items
+        )
 
-    def _take(self, item: Versioned) -> Taking:
+    def _apply_item(self, item: Versioned) -> EntryOutcome:
         try:
             entry = Entry.decode(item.value)
         except ValidationError as error:
             reason = f"{item.key} can't be read by this release: {error}"
-            self._replica.report(Failure(kind=ErrorKind.INTERNAL, reason=reason))
-            return Taking.UNUSABLE
+            self._replica.report_fault(Failure(kind=ErrorKind.INTERNAL, reason=reason))
+            return EntryOutcome.UNUSABLE
         if log_key(entry.revision) != item.key:
             reason = f"{item.key} holds an entry of revision {entry.revision}"
-            self._replica.report(Failure(kind=ErrorKind.INTERNAL, reason=reason))
-            return Taking.UNUSABLE
-        return self._replica.take(entry)
+            self._replica.report_fault(Failure(kind=ErrorKind.INTERNAL, reason=reason))
+            return EntryOutcome.UNUSABLE
+        return self._replica.apply_entry(entry)
 
-    def _report(self, what: str) -> None:
-        reason = f"the store {what}; it came back empty, older or with another history"
-        self._replica.report(Failure(kind=ErrorKind.STORE_REGRESSED, reason=reason))
+    def _report_regression(self, problem: str) -> None:
+        reason = f"the store {problem}; it came back empty, older or with another history"
+        self._replica.report_fault(Failure(kind=ErrorKind.STORE_REGRESSED, reason=reason))
--- a/src/shallotworks/config/_proposer.py
+++ b/src/shallotworks/config/_proposer.py
@@ -24,9 +24,9 @@
 
 __all__ = ["Proposer"]
 
-RACE_SPREAD_S = 0.02
+LOST_RACE_JITTER_S = 0.02
 """A few proposals' time, over which those who lost a race spread their next tries."""
-FRESH_S = 300.0
+MAX_UNCONFIRMED_AGE_S = 300.0
 """A state known as the newest so recently can't lie behind the entries that are deleted."""
 CHANGE_ID_BITS = 96
 
@@ -74,32 +74,32 @@
         """
         proposal = _Proposal(change_id=f"{self._rng.getrandbits(CHANGE_ID_BITS):024x}")
         while True:
-            refused = await self._refuse(proposal, change)
+            refused = await self._check_change(proposal, change)
             if refused is not None:
                 return Err(refused)
             written = await self._create(proposal, change, author)
-            if not isinstance(written, Success) and not proposal.is_open:
+            if not isinstance(written, Success) and not proposal.is_unresolved:
                 return Err(written.failure())
-            if written.value_or(_Write.SENT) is _Write.TAKEN:
+            if written.value_or(_CreateOutcome.SENT) is _CreateOutcome.TAKEN:
                 # Losers spread out before they read, not after: what is read is out of date
                 # within the time of one proposal, and a winner that goes on would win each time.
-                await asyncio.sleep(self._rng.uniform(0, RACE_SPREAD_S))
+                await asyncio.sleep(self._rng.uniform(0, LOST_RACE_JITTER_S))
             held = self._replica.revision()
             await self._reader.read()
-            if await self._settle(proposal):
-                revision = proposal.open_revision
+            if await self._is_logged(proposal):
+                revision = proposal.unresolved_revision
                 return Success(Accepted(revision=revision, change_id=proposal.change_id))
-            stopped = self._give_up(proposal, ends_at_s)
-            if stopped is not None:
-                return Err(stopped)
+            failure_to_return = self._failure_to_return(proposal, ends_at_s)
+            if failure_to_return is not None:
+                return Err(failure_to_return)
             if self._replica.revision() > held:
                 continue
             proposal.failures += 1
             await asyncio.sleep(backoff_s(self._rng, proposal.failures))
 
-    async def _refuse(self, proposal: _Proposal, change: Change) -> Failure | None:
+    async def _check_change(self, proposal: _Proposal, change: Change) -> Failure | None:
         """Check the change against the newest revision; one that may be written is past that."""
-        if proposal.is_open:
+        if proposal.is_unresolved:
             return None
         if self._must_read_first():
             read = await self._reader.read()
@@ -123,16 +123,20 @@
         it has heard of a newer one. And where this process was cut off for so long that the next
         entry has been written, and deleted behind a snapshot, its key could be created again.
         """
-        behind = self._replica.revision() < self._replica.newest_heard()
-        return behind or self._replica.fault() is not None or self._replica.age_s() > FRESH_S
+        behind = self._replica.revision() < self._replica.newest_known_revision()
+        return (
+            behind
+            or self._replica.fault() is not None
+            or self._replica.age_s() > MAX_UNCONFIRMED_AGE_S
+        )
 
     async def _create(
         self, proposal: _Proposal, change: Change, author: str
-    ) -> Result[_Write, Failure]:
+    ) -> Result[_CreateOutcome, Failure]:
         """Create the entry; fails only where this attempt surely wrote nothing."""
-        if proposal.is_open and proposal.open_revision <= self._replica.revision():
+        if proposal.is_unresolved and proposal.unresolved_revision <= self._replica.revision():
             # Its revision is past, and whose entry it was can't be read just now.
-            return Success(_Write.SENT)
+            return Success(_CreateOutcome.SENT)
         entry = Entry(
             revision=self._replica.revision() + 1,
             change_id=proposal.change_id,
@@ -142,22 +146,22 @@
         )
         outcome = await self._store.create(log_key(entry.revision), entry.encode())
         if isinstance(outcome, Success):
-            proposal.open_revision = entry.revision
-            return Success(_Write.SENT)
+            proposal.unresolved_revision = entry.revision
+            return Success(_CreateOutcome.SENT)
         failure = outcome.failure()
         if failure.kind is ErrorKind.OUTCOME_UNKNOWN:
             self._metrics.count("config.answers-lost")
-            proposal.open_revision = entry.revision
-            return Success(_Write.SENT)
+            proposal.unresolved_revision = entry.revision
+            return Success(_CreateOutcome.SENT)
         if failure.kind is ErrorKind.CONFLICT:
-            if not proposal.is_open:
+            if not proposal.is_unresolved:
                 self._metrics.count("config.lost-races")
-            return Success(_Write.TAKEN)
+            return Success(_CreateOutcome.TAKEN)
         return Err(failure)
 
-    async def _settle(self, proposal: _Proposal) -> bool:
+    async def _is_logged(self, proposal: _Proposal) -> bool:
         """Say whether the entry that may have been written is in the log."""
-        revision = proposal.open_revision
+        revision = proposal.unresolved_revision
         if revision == 0 or revision > self._replica.revision():
             return False
         # A snapshot may have carried this process past the revision without its entry.
@@ -167,22 +171,22 @@
         if change_id == proposal.change_id:
             return True
         if change_id is not None:
-            proposal.open_revision = 0
+            proposal.unresolved_revision = 0
         return False
 
-    def _give_up(self, proposal: _Proposal, ends_at_s: float) -> Failure | None:
+    def _failure_to_return(self, proposal: _Proposal, ends_at_s: float) -> Failure | None:
         fault = self._replica.fault()
-        over = asyncio.get_running_loop().time() >= ends_at_s
-        if not over and fault is None:
+        is_expired = asyncio.get_running_loop().time() >= ends_at_s
+        if not is_expired and fault is None:
             return None
-        if proposal.is_open:
-            reason = f"the entry of revision {proposal.open_revision} can't be read back"
+        if proposal.is_unresolved:
+            reason = f"the entry of revision {proposal.unresolved_revision} can't be read back"
             return Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason=reason)
         return fault or _unavailable("no revision could be won in time")
 
 
 @unique
-class _Write(Enum):
+class _CreateOutcome(Enum):
     SENT = "sent"
     """The entry was written, or may have been."""
     TAKEN = "taken"
@@ -196,18 +200,18 @@
         change_id: Its id.
     """
 
-    __slots__ = ("change_id", "failures", "open_revision")
+    __slots__ = ("change_id", "failures", "unresolved_revision")
 
     def __init__(self, *, change_id: str) -> None:
         self.change_id = change_id
-        self.open_revision = 0
+        self.unresolved_revision = 0
         """The revision under which it may have been written; 0 for none."""
         self.failures = 0
 
     @property
-    def is_open(self) -> bool:
+    def is_unresolved(self) -> bool:
         """Whether the entry may have been written, or may yet be, and is not found so far."""
-        return self.open_revision > 0
+        return self.unresolved_revision > 0
 
 
 def _unavailable(why: str) -> Failure:
--- a/src/shallotworks/config/_replica.py
+++ b/src/shallotworks/config/_replica.py
@@ -22,11 +22,11 @@
 from ._entries import Entry, Snapshot
 from ._window import EntryWindow
 
-__all__ = ["Replica", "Taking"]
+__all__ = ["Replica", "EntryOutcome"]
 
 
 @unique
-class Taking(Enum):
+class EntryOutcome(Enum):
     """What became of an entry that was offered."""
 
     TAKEN = "taken"
@@ -48,13 +48,13 @@
     """
 
     __slots__ = (
-        "_advanced",
         "_fault",
         "_last_change_id",
         "_listeners",
         "_metrics",
-        "_newest_at_s",
-        "_newest_heard",
+        "_newest_confirmed_at_s",
+        "_newest_known_revision",
+        "_revision_advanced",
         "_state",
         "_timeline",
         "_window",
@@ -66,10 +66,10 @@
         self._state = FleetState()
         self._last_change_id = ""
         self._window = EntryWindow()
-        self._advanced = asyncio.Event()
+        self._revision_advanced = asyncio.Event()
         self._listeners: list[Callable[[Entry], None]] = []
-        self._newest_heard = 0
-        self._newest_at_s = -math.inf
+        self._newest_known_revision = 0
+        self._newest_confirmed_at_s = -math.inf
         self._fault: Failure | None = None
 
     def state(self) -> FleetState:
@@ -82,12 +82,12 @@
 
     def age_s(self) -> float:
         """Return how long ago the state was last known to be the newest; infinite for never."""
-        return asyncio.get_running_loop().time() - self._newest_at_s
+        return asyncio.get_running_loop().time() - self._newest_confirmed_at_s
 
     async def wait_for(self, revision: int) -> FleetState:
         """Wait until a revision is held; returns the state, which may be newer."""
         while self._state.revision < revision:
-            await self._advanced.wait()
+            await self._revision_advanced.wait()
         return self._state
 
     def entries_after(self, revision: int, *, limit: int) -> tuple[Entry, ...] | None:
@@ -115,7 +115,7 @@
         adopted.
         """
         for entry in entries:
-            if self.take(entry) not in (Taking.TAKEN, Taking.KNOWN):
+            if self.apply_entry(entry) not in (EntryOutcome.TAKEN, EntryOutcome.KNOWN):
                 break
         return self.revision()
 
@@ -135,35 +135,35 @@
 
         A store that later shows an older one has come back with an older state.
         """
-        self._newest_heard = max(self._newest_heard, revision)
+        self._newest_known_revision = max(self._newest_known_revision, revision)
         if revision == self.revision():
             seen_at_s = asyncio.get_running_loop().time() - age_s
-            self._newest_at_s = max(self._newest_at_s, seen_at_s)
+            self._newest_confirmed_at_s = max(self._newest_confirmed_at_s, seen_at_s)
 
-    def newest_heard(self) -> int:
+    def newest_known_revision(self) -> int:
         """Return the newest revision that the store is known to have had."""
-        return self._newest_heard
+        return self._newest_known_revision
 
     def fault(self) -> Failure | None:
         """Return what is wrong with the store's configuration, while something is."""
         return self._fault
 
-    def take(self, entry: Entry) -> Taking:
+    def apply_entry(self, entry: Entry) -> EntryOutcome:
         """Take one entry if it directly follows what is held."""
         if entry.revision <= self.revision():
-            return self._compare(entry)
+            return self._compare_with_held(entry)
         if entry.revision > self.revision() + 1:
-            return Taking.GAP
+            return EntryOutcome.GAP
         outcome = apply(self._state, entry.change)
         if not isinstance(outcome, Success):
             reason = f"revision {entry.revision} can't be applied here: {outcome.failure()}"
-            self.report(Failure(kind=ErrorKind.INTERNAL, reason=reason))
-            return Taking.UNUSABLE
+            self.report_fault(Failure(kind=ErrorKind.INTERNAL, reason=reason))
+            return EntryOutcome.UNUSABLE
         self._window.append(entry)
         self._advance(outcome.unwrap(), entry.change_id)
         for listener in self._listeners:
             listener(entry)
-        return Taking.TAKEN
+        return EntryOutcome.TAKEN
 
     def change_id_at(self, revision: int) -> str | None:
         """Return the id of the change that led to a revision, where it is still known."""
@@ -175,7 +175,7 @@
         """Return the revision that a change became, where it is among the last entries."""
         return self._window.revision_of(change_id)
 
-    def report(self, failure: Failure) -> None:
+    def report_fault(self, failure: Failure) -> None:
         """Keep a fault of the store's configuration, and record it once."""
         if self._fault is not None and self._fault.kind is failure.kind:
             return
@@ -192,12 +192,12 @@
         self._record(EventKind.STORE_UP, f"the store agrees again at revision {self.revision()}")
         logging.info("the store's configuration agrees again")
 
-    def _compare(self, entry: Entry) -> Taking:
+    def _compare_with_held(self, entry: Entry) -> EntryOutcome:
         held = self.change_id_at(entry.revision)
         if held is None or held == entry.change_id:
-            return Taking.KNOWN
+            return EntryOutcome.KNOWN
         self._note_contradiction(entry.revision, entry.change_id)
-        return Taking.CONTRADICTS
+        return EntryOutcome.CONTRADICTS
 
     def _note_contradiction(self, revision: int, change_id: str) -> None:
         self._metrics.count("config.contradictions")
@@ -210,11 +210,11 @@
     def _advance(self, state: FleetState, change_id: str) -> None:
         self._state = state
         self._last_change_id = change_id
-        self._newest_heard = max(self._newest_heard, state.revision)
+        self._newest_known_revision = max(self._newest_known_revision, state.revision)
         self._metrics.count("config.revisions-taken")
         self._record(EventKind.REVISION_IN_FORCE, f"revision {state.revision}")
-        self._advanced.set()
-        self._advanced = asyncio.Event()
+        self._revision_advanced.set()
+        self._revision_advanced = asyncio.Event()
 
     def _record(self, kind: EventKind, detail: str) -> None:
         self._timeline.record(kind, subject=Subject(), detail=detail)
--- a/src/shallotworks/config/_restore.py
+++ b/src/shallotworks/config/_restore.py
@@ -9,7 +9,7 @@
 from shallotworks.kv import KeyValueStore, Versioned
 
 from ._replica import Replica
-from ._snapshots import LOG_PREFIX, is_whole, log_key, log_revision, read_pointer, write_snapshot
+from ._snapshots import LOG_PREFIX, is_complete, log_key, log_revision, read_pointer, write_snapshot
 from ._window import WINDOW_ENTRIES
 
 __all__ = ["restore"]
@@ -37,11 +37,13 @@
         return Err(pointer.failure())
     present = {log_revision(item.key) for item in items}
     entries = replica.history(limit=WINDOW_ENTRIES)
-    gap = _newest_gap(replica.revision(), present | {entry.revision for entry in entries})
+    newest_missing = _newest_missing_revision(
+        replica.revision(), present | {entry.revision for entry in entries}
+    )
     stored = pointer.unwrap()
-    is_usable = stored is not None and await is_whole(store, stored.pointer)
-    if gap > (stored.pointer.revision if stored is not None and is_usable else 0):
-        return await _replace(store, replica, items)
+    is_usable = stored is not None and await is_complete(store, stored.pointer)
+    if newest_missing > (stored.pointer.revision if stored is not None and is_usable else 0):
+        return await _replace_log(store, replica, items)
     missing = [entry for entry in entries if entry.revision not in present]
     if not missing:
         reason = "the store lacks nothing that is held here"
@@ -53,7 +55,7 @@
     return Success(len(missing))
 
 
-def _newest_gap(held: int, known: set[int]) -> int:
+def _newest_missing_revision(held: int, known: set[int]) -> int:
     """Return the newest revision up to the one held whose entry nobody has; 0 for none."""
     revision = held
     while revision in known:
@@ -61,7 +63,7 @@
     return revision
 
 
-async def _replace(
+async def _replace_log(
     store: KeyValueStore, replica: Replica, items: tuple[Versioned, ...]
 ) -> Result[int, Failure]:
     snapshot = replica.snapshot()
--- a/src/shallotworks/config/_snapshots.py
+++ b/src/shallotworks/config/_snapshots.py
@@ -21,11 +21,11 @@
 
 __all__ = [
     "LOG_PREFIX",
-    "MOST_PARTS",
+    "MAX_LISTED_PARTS",
     "PARTS_PREFIX",
     "Pointer",
     "delete_older_snapshots",
-    "is_whole",
+    "is_complete",
     "log_key",
     "log_revision",
     "read_pointer",
@@ -40,7 +40,7 @@
 PART_BYTES = 700_000
 """Below the service's 1 MB with room for base64."""
 COMPRESSION_LEVEL = 6
-MOST_PARTS = 64
+MAX_LISTED_PARTS = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -124,7 +124,7 @@
         return _unreadable(f"snapshot {pointer.revision}: {error}")
 
 
-async def is_whole(store: KeyValueStore, pointer: Pointer) -> bool:
+async def is_complete(store: KeyValueStore, pointer: Pointer) -> bool:
     """Say whether no part of a snapshot is gone, as in a store that came back without it."""
     outcome = await read_snapshot(store, pointer)
     return isinstance(outcome, Success) or outcome.failure().kind is not ErrorKind.CONFLICT
@@ -150,13 +150,13 @@
     if not isinstance(before, Success):
         return Err(before.failure())
     present = before.unwrap()
-    is_newer = present is not None and present.pointer.revision >= revision
-    if present is not None and is_newer and await is_whole(store, present.pointer):
+    is_current = present is not None and present.pointer.revision >= revision
+    if present is not None and is_current and await is_complete(store, present.pointer):
         reason = f"the store has snapshot {present.pointer.revision}"
         return Err(Failure(kind=ErrorKind.CONFLICT, reason=reason))
     for number, chunk in enumerate(chunks):
         outcome = await store.create(_part_key(pointer.name, number), chunk)
-        if not isinstance(outcome, Success) and not _may_be_there(outcome.failure()):
+        if not isinstance(outcome, Success) and not _may_exist(outcome.failure()):
             return Err(outcome.failure())
     # Also settles parts whose answers were lost, and those that another process wrote.
     read_back = await read_snapshot(store, pointer)
@@ -164,12 +164,12 @@
         return Err(read_back.failure())
     if read_back.unwrap() != snapshot:
         return _unreadable(f"snapshot {revision} reads back as another")
-    return await _swap_pointer(store, pointer, present)
+    return await _update_pointer(store, pointer, present)
 
 
 async def delete_older_snapshots(store: KeyValueStore, *, below: int) -> Result[int, Failure]:
     """Delete the parts of snapshots below a revision; returns how many there were."""
-    outcome = await store.list(PARTS_PREFIX, limit=MOST_PARTS)
+    outcome = await store.list(PARTS_PREFIX, limit=MAX_LISTED_PARTS)
     if not isinstance(outcome, Success):
         return Err(outcome.failure())
     old = [item for item in outcome.unwrap() if _part_revision(item) < below]
@@ -178,7 +178,7 @@
     return Success(len(old))
 
 
-async def _swap_pointer(
+async def _update_pointer(
     store: KeyValueStore, pointer: Pointer, present: StoredPointer | None
 ) -> Result[Pointer, Failure]:
     value = _POINTER.dump_json(pointer)
@@ -197,7 +197,7 @@
     return Err(outcome.failure())
 
 
-def _may_be_there(failure: Failure) -> bool:
+def _may_exist(failure: Failure) -> bool:
     return failure.kind in (ErrorKind.CONFLICT, ErrorKind.OUTCOME_UNKNOWN)
 
 
--- a/src/shallotworks/config/_store.py
+++ b/src/shallotworks/config/_store.py
@@ -29,13 +29,13 @@
 __all__ = ["ConfigStore"]
 
 PROPOSE_DEADLINE_S = 8.0
-IDLE_CHECK_S = 0.5
+IDLE_POLL_S = 0.5
 """How often a process that need not watch looks whether it must."""
-RECHECK_S = 3.0
+REGRESSED_RECHECK_S = 3.0
 """How often a watcher looks whether a store that came back empty or older agrees again."""
-CHECK_EVERY_S = 60.0
+LOG_CHECK_INTERVAL_S = 60.0
 """How often a watcher reads the end of the log, to see whether the store still agrees."""
-FASTEST_ROUND_S = 0.05
+MIN_WATCH_ROUND_S = 0.05
 """Least time of a round of the watch that brought nothing, so that no fault makes it spin."""
 
 
@@ -58,11 +58,11 @@
     __slots__ = (
         "_compacting",
         "_compactor",
+        "_propose_lock",
         "_proposer",
         "_reader",
         "_rng",
         "_store",
-        "_turn",
     )
 
     def __init__(
@@ -88,7 +88,7 @@
             wall_clock_s=wall_clock_s,
             rng=rng,
         )
-        self._turn = asyncio.Lock()
+        self._propose_lock = asyncio.Lock()
         self._compacting: asyncio.Task[None] | None = None
 
     async def load(self) -> Result[int, Failure]:
@@ -121,11 +121,11 @@
         while True:
             if not should_watch():
                 checked_at_s = -math.inf
-                await asyncio.sleep(IDLE_CHECK_S)
+                await asyncio.sleep(IDLE_POLL_S)
                 continue
             started_s = loop.time()
             held = self.revision()
-            if started_s - checked_at_s > CHECK_EVERY_S:
+            if started_s - checked_at_s > LOG_CHECK_INTERVAL_S:
                 followed = await self.load()
                 checked_at_s = started_s
             else:
@@ -134,8 +134,8 @@
                 checked_at_s = -math.inf
             if isinstance(followed, Success):
                 failures = 0
-                if self.revision() == held and loop.time() - started_s < FASTEST_ROUND_S:
-                    await asyncio.sleep(FASTEST_ROUND_S)
+                if self.revision() == held and loop.time() - started_s < MIN_WATCH_ROUND_S:
+                    await asyncio.sleep(MIN_WATCH_ROUND_S)
                 continue
             failures += 1
             await asyncio.sleep(self._retry_delay_s(followed.failure(), failures))
@@ -150,14 +150,14 @@
         ends_at_s = started_s + PROPOSE_DEADLINE_S
         try:
             async with asyncio.timeout_at(ends_at_s):
-                await self._turn.acquire()
+                await self._propose_lock.acquire()
         except TimeoutError:
             return Err(_unavailable("earlier changes of this process took all the time"))
         try:
             outcome = await self._proposer.propose(change, author=author, ends_at_s=ends_at_s)
         finally:
-            self._turn.release()
-        self._account(outcome, author, asyncio.get_running_loop().time() - started_s)
+            self._propose_lock.release()
+        self._record_proposal(outcome, author, asyncio.get_running_loop().time() - started_s)
         return outcome
 
     async def state_at(self, revision: int) -> Result[FleetState, Failure]:
@@ -184,7 +184,9 @@
         after = apply(before.unwrap(), entry.change)
         if not isinstance(after, Success):
             return Err(after.failure())
-        change = undo(entry.change, before=before.unwrap(), after=after.unwrap(), now=self.state())
+        change = undo(
+            entry.change, before=before.unwrap(), after=after.unwrap(), newest=self.state()
+        )
         if not isinstance(change, Success):
             return Err(change.failure())
         return await self.propose(change.unwrap(), author=author)
@@ -202,8 +204,10 @@
         read = await self._reader.read()
         if not isinstance(read, Success):
             return read
-        if self.newest_heard() > self.revision():
-            reason = f"another process holds revision {self.newest_heard()}; restore from there"
+        if self.newest_known_revision() > self.revision():
+            reason = (
+                f"another process holds revision {self.newest_known_revision()}; restore from there"
+            )
             return Err(Failure(kind=ErrorKind.CONFLICT, reason=reason))
         restored = await restore(self._store, self)
         if not isinstance(restored, Success):
@@ -219,11 +223,13 @@
 
     def _retry_delay_s(self, failure: Failure, failures: int) -> float:
         if failure.kind is not ErrorKind.STORE_UNAVAILABLE:
-            return self._rng.uniform(RECHECK_S / 2, RECHECK_S)
-        least_s = failure.retry_after_s or 0.0
-        return max(least_s, backoff_s(self._rng, failures))
+            return self._rng.uniform(REGRESSED_RECHECK_S / 2, REGRESSED_RECHECK_S)
+        min_delay_s = failure.retry_after_s or 0.0
+        return max(min_delay_s, backoff_s(self._rng, failures))
 
-    def _account(self, outcome: Result[Accepted, Failure], author: str, duration_s: float) -> None:
+    def _record_proposal(
+        self, outcome: Result[Accepted, Failure], author: str, duration_s: float
+    ) -> None:
         self._metrics.observe_s("latency.config.propose", duration_s)
         if not isinstance(outcome, Success):
             self._metrics.count(f"config.refused.{outcome.failure().kind.value}")
--- a/src/shallotworks/config/_undo.py
+++ b/src/shallotworks/config/_undo.py
@@ -78,7 +78,7 @@
 
 
 def undo(
-    change: Change, *, before: FleetState, after: FleetState, now: FleetState
+    change: Change, *, before: FleetState, after: FleetState, newest: FleetState
 ) -> Result[Change, Failure]:
     """Return the change that takes an earlier one back.
 
@@ -86,7 +86,7 @@
         change: The earlier change.
         before: The state that it followed.
         after: The state that it led to.
-        now: The newest state.
+        newest: The newest state.
 
     Returns:
         The change; ``CONFLICT`` where the record has been changed again since;
@@ -97,16 +97,16 @@
     if len(differences) != 1:
         reason = f"a change that touches {len(differences)} records is not taken back by one"
         return Err(Failure(kind=ErrorKind.INVALID_REQUEST, reason=reason))
-    different = differences[0]
-    if _records(now, different.kind).get(different.name) != different.after:
-        reason = f"{different.kind.value} {different.name} has been changed again since"
+    difference = differences[0]
+    if _records(newest, difference.kind).get(difference.name) != difference.after:
+        reason = f"{difference.kind.value} {difference.name} has been changed again since"
         return Err(Failure(kind=ErrorKind.CONFLICT, reason=reason))
     if not isinstance(change, _REVERSIBLE):
         reason = f"{change.kind} is not taken back by a change; state an intent for it"
         return Err(Failure(kind=ErrorKind.INVALID_REQUEST, reason=reason))
-    if different.before is None:
-        return _removal(different)
-    return Success(_put(different.before))
+    if difference.before is None:
+        return _removal(difference)
+    return Success(_put(difference.before))
 
 
 def _records(state: FleetState, kind: RecordKind) -> Mapping[str, Record]:
@@ -121,17 +121,17 @@
     return records[kind]
 
 
-def _removal(different: Difference) -> Result[Change, Failure]:
-    match different.kind:
+def _removal(difference: Difference) -> Result[Change, Failure]:
+    match difference.kind:
         case RecordKind.POOL:
-            return Success(RemovePool(name=different.name))
+            return Success(RemovePool(name=difference.name))
         case RecordKind.SERVICE:
-            return Success(RemoveService(name=different.name))
+            return Success(RemoveService(name=difference.name))
         case RecordKind.TEAM:
-            return Success(RemoveTeam(name=different.name))
+            return Success(RemoveTeam(name=difference.name))
         case RecordKind.INSTANCE:
-            return Success(RemoveInstance(name=different.name))
-    reason = f"a {different.kind.value} can't be removed"
+            return Success(RemoveInstance(name=difference.name))
+    reason = f"a {difference.kind.value} can't be removed"
     return Err(Failure(kind=ErrorKind.INVALID_REQUEST, reason=reason))
 
 
--- a/src/shallotworks/kv/_breaker.py
+++ b/src/shallotworks/kv/_breaker.py
@@ -10,14 +10,14 @@
 
 FAILURES_TO_OPEN = 3
 FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 4.0
+MAX_PAUSE_S = 4.0
 """Half of the 8 s in which a change must be in force, so that an outage's end is seen in time."""
 
 
 class CircuitBreaker:
     """Opens after some failures in a row; then lets one call through after each pause.
 
-    The pause doubles up to `LONGEST_PAUSE_S` and is drawn from its upper half, so that many
+    The pause doubles up to `MAX_PAUSE_S` and is drawn from its upper half, so that many
     instances that saw the service fail together don't come back to it together.
 
     Args:
@@ -50,7 +50,7 @@
         self._probing = True
         return True
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note that the service answered."""
         self._failures = 0
         self._probing = False
@@ -59,7 +59,7 @@
             self._open = False
             self._on_change(True)
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Note that it did not."""
         self._failures += 1
         if self._open and not self._probing:
@@ -67,7 +67,7 @@
             return
         self._probing = False
         if self._open:
-            self._pause_s = min(self._pause_s * 2, LONGEST_PAUSE_S)
+            self._pause_s = min(self._pause_s * 2, MAX_PAUSE_S)
         elif self._failures < FAILURES_TO_OPEN:
             return
         pause_s = self._rng.uniform(self._pause_s / 2, self._pause_s)
@@ -76,7 +76,7 @@
             self._open = True
             self._on_change(False)
 
-    def abandoned(self) -> None:
+    def record_abandoned(self) -> None:
         """Note that the call was given up and says nothing."""
         self._probing = False
 
--- a/src/shallotworks/kv/_budget.py
+++ b/src/shallotworks/kv/_budget.py
@@ -22,11 +22,11 @@
         self._burst_s = burst / rate_per_s
         self._earliest_s = 0.0
 
-    def reserve(self, *, patience_s: float) -> float | None:
+    def reserve(self, *, max_wait_s: float) -> float | None:
         """Reserve one call.
 
         Args:
-            patience_s: The longest wait that is of use.
+            max_wait_s: The longest wait that is of use.
 
         Returns:
             How long to wait before the call; ``None``, and nothing is reserved, if that is longer
@@ -35,7 +35,7 @@
         now_s = asyncio.get_running_loop().time()
         after_s = max(self._earliest_s, now_s) + self._interval_s
         wait_s = max(0.0, after_s - self._burst_s - now_s)
-        if wait_s > patience_s:
+        if wait_s > max_wait_s:
             return None
         self._earliest_s = after_s
         return wait_s
@@ -45,7 +45,7 @@
         now_s = asyncio.get_running_loop().time()
         self._earliest_s = max(self._earliest_s, now_s) + self._interval_s
 
-    def empty(self) -> None:
+    def spend_burst(self) -> None:
         """Spend the burst, so that after an outage calls begin at the steady rate."""
         now_s = asyncio.get_running_loop().time()
         self._earliest_s = max(self._earliest_s, now_s + self._burst_s - self._interval_s)
--- a/src/shallotworks/kv/_calls.py
+++ b/src/shallotworks/kv/_calls.py
@@ -16,18 +16,18 @@
 
 from ._breaker import CircuitBreaker
 from ._budget import CallBudget
-from ._transport import Ending, Exchange, HttpRequest, HttpTransport
+from ._transport import ExchangeOutcome, ExchangeResult, HttpRequest, HttpTransport
 from .wire import KIND_BY_STATUS
 
 __all__ = ["Call", "CallKind", "PlatformCalls", "PlatformLimits"]
 
 FIRST_BACKOFF_S = 0.05
-HIGHEST_BACKOFF_S = 1.0
+MAX_BACKOFF_S = 1.0
 DEADLINE_MARGIN_S = 0.05
 """Kept from the last attempt's time for the way back from its thread."""
-MOST_PATIENCE = 4.0
+MAX_TIMEOUT_FACTOR = 4.0
 """The multiple of the attempt's time that a slow service is given at the most."""
-QUICK_PART = 0.5
+QUICK_ANSWER_FRACTION = 0.5
 """An answer within this part of the attempt's time ends the patience."""
 HTTP_OK = 200
 
@@ -65,15 +65,15 @@
 
     Args:
         name: For its counters.
-        writes: Whether it may change something.
-        urgent: Whether it may overdraw the budget, as a lease's renewal must.
-        waits: Whether it is a watch.
+        is_write: Whether it may change something.
+        is_urgent: Whether it may overdraw the budget, as a lease's renewal must.
+        is_watch: Whether it is a watch.
     """
 
     name: str
-    writes: bool = False
-    urgent: bool = False
-    waits: bool = False
+    is_write: bool = False
+    is_urgent: bool = False
+    is_watch: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -112,10 +112,10 @@
         "_budget",
         "_limits",
         "_metrics",
-        "_patience",
         "_rng",
         "_service",
         "_timeline",
+        "_timeout_factor",
         "_transport",
         "_watch_transport",
     )
@@ -135,7 +135,7 @@
         self._metrics = metrics
         self._timeline = timeline
         self._rng = rng
-        self._patience = 1.0
+        self._timeout_factor = 1.0
         self._breaker = CircuitBreaker(rng=rng, on_change=self._note_change)
         self._budget = CallBudget(rate_per_s=limits.rate_per_s, burst=limits.burst)
         self._transport = HttpTransport(address=address, threads=limits.threads, name=service)
@@ -151,13 +151,13 @@
             read that failed, too); ``OUTCOME_UNKNOWN`` where a write was sent and its answer lost;
             what the service answered otherwise (see `shallotworks.kv.wire`).
         """
-        if call.kind.writes or call.kind.waits:
-            return await self._attempt(call, patience_s=self._limits.deadline_s)
+        if call.kind.is_write or call.kind.is_watch:
+            return await self._attempt(call, max_wait_s=self._limits.deadline_s)
         ends_at_s = asyncio.get_running_loop().time() + self._limits.deadline_s
         attempt = 1
         while True:
             left_s = ends_at_s - DEADLINE_MARGIN_S - asyncio.get_running_loop().time()
-            outcome = await self._attempt(call, patience_s=left_s)
+            outcome = await self._attempt(call, max_wait_s=left_s)
             if not self._is_worth_retrying(outcome, attempt):
                 return outcome
             delay_s = self._backoff_s(attempt)
@@ -178,41 +178,41 @@
         self._transport.close()
         self._watch_transport.close()
 
-    async def _attempt(self, call: Call, *, patience_s: float) -> Result[bytes, Failure]:
-        refused = await self._pass_budget(call, patience_s)
+    async def _attempt(self, call: Call, *, max_wait_s: float) -> Result[bytes, Failure]:
+        refused = await self._wait_for_budget(call, max_wait_s)
         if refused is not None:
             return Err(refused)
         if not self._breaker.admit():
             self._count("refused.circuit-open")
             return Err(self._unavailable("is down", self._breaker.retry_after_s()))
-        settled = False
+        is_finished = False
         try:
-            exchange = await self._exchange(call, longest_s=patience_s)
-            settled = True
+            exchange = await self._send_request(call, timeout_limit_s=max_wait_s)
+            is_finished = True
         finally:
-            if not settled:
-                self._breaker.abandoned()
-        return self._judge(call, exchange)
+            if not is_finished:
+                self._breaker.record_abandoned()
+        return self._classify(call, exchange)
 
-    async def _pass_budget(self, call: Call, patience_s: float) -> Failure | None:
-        if call.kind.urgent:
+    async def _wait_for_budget(self, call: Call, max_wait_s: float) -> Failure | None:
+        if call.kind.is_urgent:
             self._budget.reserve_urgent()
             return None
-        wait_s = self._budget.reserve(patience_s=patience_s)
+        wait_s = self._budget.reserve(max_wait_s=max_wait_s)
         if wait_s is None:
             self._count("refused.budget")
-            return self._unavailable("was not called: this instance's budget is spent", patience_s)
+            return self._unavailable("was not called: this instance's budget is spent", max_wait_s)
         if wait_s > 0:
             self._count("delayed.budget")
             await asyncio.sleep(wait_s)
         return None
 
-    async def _exchange(self, call: Call, *, longest_s: float) -> Exchange:
+    async def _send_request(self, call: Call, *, timeout_limit_s: float) -> ExchangeResult:
         self._count(f"calls.{call.kind.name}")
-        transport = self._watch_transport if call.kind.waits else self._transport
-        timeout_s = min(longest_s, self._limits.attempt_timeout_s * self._patience)
-        if call.kind.waits:
-            timeout_s = call.wait_s + self._limits.watch_grace_s * self._patience
+        transport = self._watch_transport if call.kind.is_watch else self._transport
+        timeout_s = min(timeout_limit_s, self._limits.attempt_timeout_s * self._timeout_factor)
+        if call.kind.is_watch:
+            timeout_s = call.wait_s + self._limits.watch_grace_s * self._timeout_factor
         request = HttpRequest(
             method=call.method, path=call.path, body=call.body, timeout_s=timeout_s
         )
@@ -222,43 +222,43 @@
         exchange = await transport.exchange(request)
         if transport.connections_dropped != dropped_before:
             self._count("connections-dropped")
-        if not call.kind.waits:
+        if not call.kind.is_watch:
             duration_s = loop.time() - started_s
             self._metrics.observe_s(f"latency.{self._service}.{call.kind.name}", duration_s)
-            self._learn_patience(exchange, duration_s)
+            self._adapt_timeout(exchange, duration_s)
         return exchange
 
-    def _learn_patience(self, exchange: Exchange, duration_s: float) -> None:
+    def _adapt_timeout(self, exchange: ExchangeResult, duration_s: float) -> None:
         """Wait longer for a service that is slow, and not for a connection that is silent.
 
         The failure: a store that takes 1.5 s for each call answers everything, and with a fixed
         time-out of 1 s nothing would ever be answered. After a silent connection the next call
         finds a fresh one and a quick answer, which ends the patience at once.
         """
-        if exchange.ending is Ending.TIMED_OUT:
-            self._patience = min(MOST_PATIENCE, self._patience * 2)
+        if exchange.outcome is ExchangeOutcome.TIMED_OUT:
+            self._timeout_factor = min(MAX_TIMEOUT_FACTOR, self._timeout_factor * 2)
             return
-        quick_s = self._limits.attempt_timeout_s * QUICK_PART
-        if exchange.ending is Ending.ANSWERED and duration_s < quick_s:
-            self._patience = 1.0
+        quick_s = self._limits.attempt_timeout_s * QUICK_ANSWER_FRACTION
+        if exchange.outcome is ExchangeOutcome.ANSWERED and duration_s < quick_s:
+            self._timeout_factor = 1.0
 
-    def _judge(self, call: Call, exchange: Exchange) -> Result[bytes, Failure]:
-        answered = exchange.ending is Ending.ANSWERED
+    def _classify(self, call: Call, exchange: ExchangeResult) -> Result[bytes, Failure]:
+        answered = exchange.outcome is ExchangeOutcome.ANSWERED
         if answered and exchange.status == HTTP_OK:
-            self._breaker.succeeded()
+            self._breaker.record_success()
             return Success(exchange.body)
         kind = KIND_BY_STATUS.get(exchange.status) if answered else None
         if kind is not None and kind is not ErrorKind.STORE_UNAVAILABLE:
-            self._breaker.succeeded()
-            return Err(Failure(kind=kind, reason=_said(exchange)))
-        self._breaker.failed()
-        surely_no_effect = exchange.ending is Ending.NOT_SENT or kind is not None
-        if call.kind.writes and not surely_no_effect:
+            self._breaker.record_success()
+            return Err(Failure(kind=kind, reason=_describe(exchange)))
+        self._breaker.record_failure()
+        known_no_effect = exchange.outcome is ExchangeOutcome.NOT_SENT or kind is not None
+        if call.kind.is_write and not known_no_effect:
             self._count("failed.outcome-unknown")
-            reason = f"the answer of {self._service} was lost: {_said(exchange)}"
+            reason = f"the answer of {self._service} was lost: {_describe(exchange)}"
             return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason=reason))
         self._count("failed.unavailable")
-        return Err(self._unavailable(f"did not answer: {_said(exchange)}", 1.0))
+        return Err(self._unavailable(f"did not answer: {_describe(exchange)}", 1.0))
 
     def _is_worth_retrying(self, outcome: Result[bytes, Failure], attempt: int) -> bool:
         if isinstance(outcome, Success) or attempt >= self._limits.attempts:
@@ -267,13 +267,13 @@
         return outcome.failure().kind is ErrorKind.STORE_UNAVAILABLE and not down
 
     def _backoff_s(self, attempt: int) -> float:
-        highest_s = min(HIGHEST_BACKOFF_S, FIRST_BACKOFF_S * 2**attempt)
-        return self._rng.uniform(0, highest_s)
+        max_backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**attempt)
+        return self._rng.uniform(0, max_backoff_s)
 
-    def _unavailable(self, what: str, retry_after_s: float) -> Failure:
+    def _unavailable(self, problem: str, retry_after_s: float) -> Failure:
         return Failure(
             kind=ErrorKind.STORE_UNAVAILABLE,
-            reason=f"{self._service} {what}",
+            reason=f"{self._service} {problem}",
             retry_after_s=retry_after_s,
         )
 
@@ -284,14 +284,14 @@
         kind = EventKind.STORE_UP if up else EventKind.STORE_DOWN
         self._timeline.record(kind, subject=Subject(), detail=self._service)
         if up:
-            self._budget.empty()
+            self._budget.spend_burst()
             logging.info("%s answers again", self._service)
         else:
             self._count("outages")
             logging.warning("%s does not answer", self._service)
 
 
-def _said(exchange: Exchange) -> str:
-    if exchange.ending is Ending.ANSWERED:
+def _describe(exchange: ExchangeResult) -> str:
+    if exchange.outcome is ExchangeOutcome.ANSWERED:
         return f"status {exchange.status} {exchange.body[:200].decode(errors='replace')}"
-    return f"{exchange.ending.value} {exchange.detail}"
+    return f"{exchange.outcome.value} {exchange.detail}"
--- a/src/shallotworks/kv/_http_store.py
+++ b/src/shallotworks/kv/_http_store.py
@@ -22,16 +22,16 @@
 
 GET = CallKind(name="get")
 LIST = CallKind(name="list")
-WATCH = CallKind(name="watch", waits=True)
-CREATE = CallKind(name="create", writes=True)
-SWAP = CallKind(name="swap", writes=True)
-DELETE = CallKind(name="delete", writes=True)
-GRANT = CallKind(name="grant-lease", writes=True)
-RENEW = CallKind(name="renew-lease", writes=True, urgent=True)
-REVOKE = CallKind(name="revoke-lease", writes=True, urgent=True)
+WATCH = CallKind(name="watch", is_watch=True)
+CREATE = CallKind(name="create", is_write=True)
+SWAP = CallKind(name="swap", is_write=True)
+DELETE = CallKind(name="delete", is_write=True)
+GRANT = CallKind(name="grant-lease", is_write=True)
+RENEW = CallKind(name="renew-lease", is_write=True, is_urgent=True)
+REVOKE = CallKind(name="revoke-lease", is_write=True, is_urgent=True)
 READ_INSTANCES = CallKind(name="read")
 
-LIST_LIMITS = PlatformLimits(threads=1, watch_threads=1, rate_per_s=1.0, burst=4)
+INSTANCE_LIST_LIMITS = PlatformLimits(threads=1, watch_threads=1, rate_per_s=1.0, burst=4)
 
 _Value = TypeVar("_Value")
 
@@ -117,7 +117,7 @@
     async def delete(self, key: str, *, version: int) -> Result[None, Failure]:
         """Delete a key that still has this version; else ``CONFLICT``."""
         body = wire.DeleteCall(key=key, version=version)
-        return _nothing(await self._write(DELETE, wire.DELETE_PATH, body, wire.WRITTEN))
+        return _discard_version(await self._write(DELETE, wire.DELETE_PATH, body, wire.WRITTEN))
 
     async def watch(
         self, prefix: str, *, after_version: int, wait_s: float
@@ -135,12 +135,12 @@
     async def renew_lease(self, lease_id: str) -> Result[None, Failure]:
         """Renew a lease; ``LEASE_LOST`` where it has lapsed."""
         body = wire.LeaseCall(lease_id=lease_id)
-        return _nothing(await self._write(RENEW, wire.RENEW_PATH, body, wire.WRITTEN))
+        return _discard_version(await self._write(RENEW, wire.RENEW_PATH, body, wire.WRITTEN))
 
     async def revoke_lease(self, lease_id: str) -> Result[None, Failure]:
         """End a lease and delete its keys."""
         body = wire.LeaseCall(lease_id=lease_id)
-        return _nothing(await self._write(REVOKE, wire.REVOKE_PATH, body, wire.WRITTEN))
+        return _discard_version(await self._write(REVOKE, wire.REVOKE_PATH, body, wire.WRITTEN))
 
     async def _read(
         self, kind: CallKind, path: str, query: dict[str, str], adapter: TypeAdapter[_Value]
@@ -165,7 +165,7 @@
     __slots__ = ()
 
     _service = "instance-list"
-    _default_limits = LIST_LIMITS
+    _default_limits = INSTANCE_LIST_LIMITS
 
     async def read(self) -> Result[tuple[ListedInstance, ...], Failure]:
         """Read the whole list, as it was a while ago."""
@@ -203,5 +203,5 @@
     return outcome.map(lambda written: written.version)
 
 
-def _nothing(outcome: Result[wire.Written, Failure]) -> Result[None, Failure]:
+def _discard_version(outcome: Result[wire.Written, Failure]) -> Result[None, Failure]:
     return outcome.map(lambda _: None)
--- a/src/shallotworks/kv/_lease_candidate.py
+++ b/src/shallotworks/kv/_lease_candidate.py
@@ -20,12 +20,12 @@
 __all__ = ["LeaseRecord", "LeaseCandidate"]
 
 DEFAULT_TTL_S = 12.0
-MARGIN_PART = 0.2
+EXPIRY_MARGIN_FRACTION = 0.2
 """Part of the time to live by which a holder counts itself expired early, for clocks that drift."""
 RENEWALS_PER_TTL = 3
-RETRIES_PER_TTL = 12
-FIRST_TRY_SPREAD_S = 0.5
-GIVE_BACK_S = 1.0
+RENEWAL_RETRIES_PER_TTL = 12
+INITIAL_JITTER_S = 0.5
+REVOKE_TIMEOUT_S = 1.0
 """Time that a stop spends on giving the lease back; else it lapses by itself."""
 
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Held:
+class _HeldLease:
     lease_record: LeaseRecord
     lease: Lease
     expires_at_s: float
@@ -75,6 +75,7 @@
     """
 
     __slots__ = (
+        "_acquired",
         "_duty",
         "_held",
         "_holder",
@@ -82,7 +83,6 @@
         "_metrics",
         "_rng",
         "_store",
-        "_taken",
         "_timeline",
         "_ttl_s",
     )
@@ -106,8 +106,8 @@
         self._timeline = timeline
         self._rng = rng
         self._ttl_s = ttl_s
-        self._held: _Held | None = None
-        self._taken = asyncio.Event()
+        self._held: _HeldLease | None = None
+        self._acquired = asyncio.Event()
 
     @property
     def duty(self) -> str:
@@ -135,8 +135,8 @@
             lease_record = self.lease_record()
             if lease_record is not None:
                 return lease_record
-            self._taken.clear()
-            await self._taken.wait()
+            self._acquired.clear()
+            await self._acquired.wait()
 
     async def run(
         self,
@@ -153,22 +153,22 @@
                 with the patience of its rank, together ask as often as a few do, and the first in
                 the ranking that is alive mostly takes the duty.
         """
-        await asyncio.sleep(self._rng.uniform(0, FIRST_TRY_SPREAD_S))
+        await asyncio.sleep(self._rng.uniform(0, INITIAL_JITTER_S))
         try:
             while True:
-                if is_eligible() and await self._take():
-                    await self._keep(is_eligible)
+                if is_eligible() and await self._try_acquire():
+                    await self._renew_until_lost(is_eligible)
                 # Candidates spread their tries, so that a lapse is not met by all at once.
                 pause_s = self._rng.uniform(self._ttl_s / 2, self._ttl_s)
                 await asyncio.sleep(pause_s * pause_factor())
         finally:
-            await self._give_back()
+            await self._revoke()
 
-    async def _take(self) -> bool:
+    async def _try_acquire(self) -> bool:
         present = await self._store.get(self._key)
         if not isinstance(present, Success) or present.unwrap() is not None:
             return False
-        asked_at_s = asyncio.get_running_loop().time()
+        requested_at_s = asyncio.get_running_loop().time()
         granted = await self._store.grant_lease(ttl_s=self._ttl_s)
         if not isinstance(granted, Success):
             return False
@@ -179,10 +179,12 @@
         if not await self._create_key(lease, lease_record):
             await self._store.revoke_lease(lease.lease_id)
             return False
-        self._held = _Held(lease_record=lease_record, lease=lease, expires_at_s=0.0, renew_at_s=0.0)
-        self._prolong(self._held, asked_at_s)
-        self._note(EventKind.LEASE_TAKEN, "taken")
-        self._taken.set()
+        self._held = _HeldLease(
+            lease_record=lease_record, lease=lease, expires_at_s=0.0, renew_at_s=0.0
+        )
+        self._extend(self._held, requested_at_s)
+        self._record_event(EventKind.LEASE_TAKEN, "taken")
+        self._acquired.set()
         return True
 
     async def _create_key(self, lease: Lease, lease_record: LeaseRecord) -> bool:
@@ -196,51 +198,51 @@
         present = (await self._store.get(self._key)).value_or(None)
         return present is not None and present.value == value
 
-    async def _keep(self, is_eligible: Callable[[], bool]) -> None:
+    async def _renew_until_lost(self, is_eligible: Callable[[], bool]) -> None:
         held = self._held
         assert held is not None
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(max(0.0, held.renew_at_s - loop.time()))
             if not is_eligible():
-                await self._give_back()
+                await self._revoke()
                 return
             if not self.is_held():
-                self._lose("it was not renewed in time")
+                self._mark_lost("it was not renewed in time")
                 return
-            asked_at_s = loop.time()
+            requested_at_s = loop.time()
             outcome = await self._store.renew_lease(held.lease.lease_id)
             if isinstance(outcome, Success):
-                self._prolong(held, asked_at_s)
+                self._extend(held, requested_at_s)
             elif outcome.failure().kind is ErrorKind.LEASE_LOST:
-                self._lose("the service says that it lapsed")
+                self._mark_lost("the service says that it lapsed")
                 return
             else:
                 self._metrics.count("lease.renewals-failed")
-                held.renew_at_s = loop.time() + self._ttl_s / RETRIES_PER_TTL
+                held.renew_at_s = loop.time() + self._ttl_s / RENEWAL_RETRIES_PER_TTL
 
-    def _prolong(self, held: _Held, asked_at_s: float) -> None:
-        held.expires_at_s = asked_at_s + self._ttl_s * (1 - MARGIN_PART)
-        held.renew_at_s = asked_at_s + self._ttl_s / RENEWALS_PER_TTL
+    def _extend(self, held: _HeldLease, requested_at_s: float) -> None:
+        held.expires_at_s = requested_at_s + self._ttl_s * (1 - EXPIRY_MARGIN_FRACTION)
+        held.renew_at_s = requested_at_s + self._ttl_s / RENEWALS_PER_TTL
 
-    def _lose(self, why: str) -> None:
-        self._note(EventKind.LEASE_LOST, f"lost: {why}")
+    def _mark_lost(self, why: str) -> None:
+        self._record_event(EventKind.LEASE_LOST, f"lost: {why}")
         logging.warning("duty %s is lost: %s", self._duty, why)
         self._held = None
 
-    async def _give_back(self) -> None:
+    async def _revoke(self) -> None:
         held = self._held
         if held is None:
             return
-        self._note(EventKind.LEASE_LOST, "given back")
+        self._record_event(EventKind.LEASE_LOST, "given back")
         self._held = None
         try:
-            async with asyncio.timeout(GIVE_BACK_S):
+            async with asyncio.timeout(REVOKE_TIMEOUT_S):
                 await self._store.revoke_lease(held.lease.lease_id)
         except TimeoutError:
             self._metrics.count("lease.not-given-back")
 
-    def _note(self, kind: EventKind, what: str) -> None:
+    def _record_event(self, kind: EventKind, what: str) -> None:
         assert self._held is not None
         token = self._held.lease_record.fencing_token
         self._timeline.record(kind, subject=Subject(), detail=f"{self._duty} #{token} {what}")
--- a/src/shallotworks/kv/_transport.py
+++ b/src/shallotworks/kv/_transport.py
@@ -15,18 +15,18 @@
 from urllib3.connection import HTTPConnection
 from urllib3.exceptions import ConnectTimeoutError, HTTPError, NewConnectionError, ReadTimeoutError
 
-__all__ = ["Ending", "Exchange", "HttpRequest", "HttpTransport"]
+__all__ = ["ExchangeOutcome", "ExchangeResult", "HttpRequest", "HttpTransport"]
 
-CONNECTION_AGE_S = 60.0
+MAX_CONNECTION_AGE_S = 60.0
 """Connections are replaced at this age, so that few of them can have gone silent unnoticed."""
-LEAST_TIMEOUT_S = 0.001
-BACKSTOP_S = 0.02
+MIN_TIMEOUT_S = 0.001
+DEADLINE_GRACE_S = 0.02
 """The library times each read of a socket; an answer that drips in is ended this long after the
 request's time."""
 
 
 @unique
-class Ending(Enum):
+class ExchangeOutcome(Enum):
     """How an exchange ended."""
 
     ANSWERED = "answered"
@@ -56,17 +56,17 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Exchange:
+class ExchangeResult:
     """What came of a request.
 
     Args:
-        ending: How it ended.
+        outcome: How it ended.
         status: HTTP status, where it was answered.
         body: The whole body, where it was answered.
         detail: What the library said, where it was not.
     """
 
-    ending: Ending
+    outcome: ExchangeOutcome
     status: int = 0
     body: bytes = b""
     detail: str = ""
@@ -96,9 +96,9 @@
         "_alive",
         "_connection_class",
         "_executor",
+        "_free_threads",
         "_pool",
         "_pool_made_at_s",
-        "_slots",
         "_threads",
         "connections_dropped",
     )
@@ -109,12 +109,12 @@
         self._alive: WeakSet[HTTPConnection] = WeakSet()
         self._connection_class = type("Tracked", (_TrackedConnection,), {"alive": self._alive})
         self._executor = ThreadPoolExecutor(max_workers=threads, thread_name_prefix=name)
-        self._slots = asyncio.Semaphore(threads)
+        self._free_threads = asyncio.Semaphore(threads)
         self._pool = self._new_pool()
         self._pool_made_at_s = 0.0
         self.connections_dropped = 0
 
-    async def exchange(self, request: HttpRequest) -> Exchange:
+    async def exchange(self, request: HttpRequest) -> ExchangeResult:
         """Send one request and wait for its answer, on one of the threads.
 
         Waiting for a thread counts against the request's time; a request that finds none in that
@@ -124,22 +124,26 @@
         started_s = loop.time()
         try:
             async with asyncio.timeout(request.timeout_s):
-                await self._slots.acquire()
+                await self._free_threads.acquire()
         except TimeoutError:
-            return Exchange(ending=Ending.NOT_SENT, detail="no thread was free in time")
+            return ExchangeResult(
+                outcome=ExchangeOutcome.NOT_SENT, detail="no thread was free in time"
+            )
         self._replace_aged_pool(loop.time())
         pool = self._pool
-        left_s = max(LEAST_TIMEOUT_S, started_s + request.timeout_s - loop.time())
-        running = loop.run_in_executor(self._executor, _send, pool, request, left_s)
+        left_s = max(MIN_TIMEOUT_S, started_s + request.timeout_s - loop.time())
+        sending = loop.run_in_executor(self._executor, _send, pool, request, left_s)
         # The slot is given back when the thread is free, also where the caller has given up.
-        running.add_done_callback(lambda _: self._slots.release())
-        ends_at_s = loop.time() + left_s + BACKSTOP_S
+        sending.add_done_callback(lambda _: self._free_threads.release())
+        ends_at_s = loop.time() + left_s + DEADLINE_GRACE_S
         try:
             async with asyncio.timeout_at(ends_at_s):
-                exchange = await asyncio.shield(running)
+                exchange = await asyncio.shield(sending)
         except TimeoutError:
-            exchange = Exchange(ending=Ending.TIMED_OUT, detail="the answer was not whole in time")
-        if exchange.ending in (Ending.TIMED_OUT, Ending.BROKEN):
+            exchange = ExchangeResult(
+                outcome=ExchangeOutcome.TIMED_OUT, detail="the answer was not whole in time"
+            )
+        if exchange.outcome in (ExchangeOutcome.TIMED_OUT, ExchangeOutcome.BROKEN):
             self._drop_connections(pool)
         return exchange
 
@@ -167,7 +171,7 @@
         suspect.close()
 
     def _replace_aged_pool(self, now_s: float) -> None:
-        if now_s - self._pool_made_at_s < CONNECTION_AGE_S:
+        if now_s - self._pool_made_at_s < MAX_CONNECTION_AGE_S:
             return
         aged = self._pool
         self._pool = self._new_pool()
@@ -180,7 +184,9 @@
         return pool
 
 
-def _send(pool: urllib3.HTTPConnectionPool, request: HttpRequest, timeout_s: float) -> Exchange:
+def _send(
+    pool: urllib3.HTTPConnectionPool, request: HttpRequest, timeout_s: float
+) -> ExchangeResult:
     timeout = urllib3.Timeout(total=timeout_s)
     headers = {"Content-Type": "application/json"} if request.body else {}
     try:
@@ -194,9 +200,9 @@
             redirect=False,
         )
     except (NewConnectionError, ConnectTimeoutError) as error:
-        return Exchange(ending=Ending.NOT_SENT, detail=str(error))
+        return ExchangeResult(outcome=ExchangeOutcome.NOT_SENT, detail=str(error))
     except ReadTimeoutError as error:
-        return Exchange(ending=Ending.TIMED_OUT, detail=str(error))
+        return ExchangeResult(outcome=ExchangeOutcome.TIMED_OUT, detail=str(error))
     except (HTTPError, OSError) as error:
-        return Exchange(ending=Ending.BROKEN, detail=str(error))
-    return Exchange(ending=Ending.ANSWERED, status=answer.status, body=answer.data)
+        return ExchangeResult(outcome=ExchangeOutcome.BROKEN, detail=str(error))
+    return ExchangeResult(outcome=ExchangeOutcome.ANSWERED, status=answer.status, body=answer.data)
