--- a/tests/history.py
+++ b/tests/history.py
@@ -33,12 +33,12 @@
 
     WHOLE = "an answer is whole"
     OWN = "an answer is to the caller's own request"
-    ONCE = "a non-idempotent request runs at most once"
+    AT_MOST_ONCE = "a non-idempotent request runs at most once"
     NOT_RUN = "what is told as not run was not run"
     FROM_A_RUN = "an answer comes from a run that began before it"
-    HEARD = "whose request ran is answered, or told that the outcome is unknown"
-    SAME = "the same key gives one and the same answer"
-    FINAL = "every request gets a final answer"
+    REPORTED = "whose request ran is answered, or told that the outcome is unknown"
+    SAME_ANSWER = "the same key gives one and the same answer"
+    FINAL_ANSWER = "every request gets a final answer"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -98,22 +98,22 @@
     violations = [
         violation
         for operation in operations
-        for violation in _judge(operation, runs_of, ids_of_key[operation.key])
+        for violation in _check_operation(operation, runs_of, ids_of_key[operation.key])
     ]
     return [
         *violations,
-        *_doubled(runs),
-        *_unheard(operations, runs),
-        *_unequal(operations),
+        *_repeated_runs(runs),
+        *_unreported_runs(operations, runs),
+        *_differing_answers(operations),
     ]
 
 
-def _judge(
+def _check_operation(
     operation: Operation, runs_of: dict[str, list[WorkerRun]], ids_of_key: set[str]
 ) -> Iterator[Violation]:
     """Judge one operation by itself and the runs."""
     if operation.answer is AnswerKind.NOTHING:
-        yield Violation(rule=Rule.FINAL, detail=str(operation))
+        yield Violation(rule=Rule.FINAL_ANSWER, detail=str(operation))
     if operation.answer is AnswerKind.MALFORMED:
         yield Violation(rule=Rule.WHOLE, detail=str(operation))
     if operation.answer is AnswerKind.WHOLE:
@@ -129,17 +129,19 @@
         yield Violation(rule=Rule.NOT_RUN, detail=f"{operation}: {runs_of[operation.request_id]}")
 
 
-def _doubled(runs: Sequence[WorkerRun]) -> Iterator[Violation]:
+def _repeated_runs(runs: Sequence[WorkerRun]) -> Iterator[Violation]:
     known: dict[str, list[WorkerRun]] = defaultdict(list)
     for run in runs:
         if not run.idempotent:
             known[f"key {run.key}" if run.key else f"request {run.request_id}"].append(run)
     for name, same in known.items():
         if len(same) > 1:
-            yield Violation(rule=Rule.ONCE, detail=f"{name}: {same}")
+            yield Violation(rule=Rule.AT_MOST_ONCE, detail=f"{name}: {same}")
 
 
-def _unheard(operations: Sequence[Operation], runs: Sequence[WorkerRun]) -> Iterator[Violation]:
+def _unreported_runs(
+    operations: Sequence[Operation], runs: Sequence[WorkerRun]
+) -> Iterator[Violation]:
     """Find runs whose callers know nothing of them."""
     by_id = {operation.request_id: operation for operation in operations}
     # A caller that received nothing knows no request id; its key tells that it may be meant.
@@ -150,10 +152,10 @@
         operation = by_id.get(run.request_id)
         heard = run.key in keys_left_open if operation is None else operation.ran is not Ran.NO
         if not heard:
-            yield Violation(rule=Rule.HEARD, detail=f"{run}: {operation}")
+            yield Violation(rule=Rule.REPORTED, detail=f"{run}: {operation}")
 
 
-def _unequal(operations: Sequence[Operation]) -> Iterator[Violation]:
+def _differing_answers(operations: Sequence[Operation]) -> Iterator[Violation]:
     answers: dict[str, set[tuple[AnswerKind, str, str]]] = defaultdict(set)
     for operation in operations:
         if operation.key and operation.answer in (AnswerKind.WHOLE, AnswerKind.TARGET_FAULT):
@@ -162,4 +164,4 @@
             )
     for key, several in answers.items():
         if len(several) > 1:
-            yield Violation(rule=Rule.SAME, detail=f"key {key}: {sorted(map(str, several))}")
+            yield Violation(rule=Rule.SAME_ANSWER, detail=f"key {key}: {sorted(map(str, several))}")
--- a/tests/history_run.py
+++ b/tests/history_run.py
@@ -29,11 +29,11 @@
 WORKERS = 3
 ENTRIES = 2
 CALLERS = 12
-PHASE_S = 0.2
-LATE_S = 0.5
+FAULT_PHASE_S = 0.2
+LATE_ANSWER_S = 0.5
 CALLER_TIMEOUT_S = 15.0
-QUIET_TIMEOUT_S = 10.0
-KEYS_ASKED_AGAIN = 24
+IDLE_TIMEOUT_S = 10.0
+MAX_RESENT_KEYS = 24
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -116,61 +116,61 @@
 
     def run(self, schedule: Sequence[FaultPhase]) -> None:
         """Let the callers ask while the faults change, then let all become quiet."""
-        callers = [threading.Thread(target=self._call_on, args=(n,)) for n in range(CALLERS)]
+        callers = [threading.Thread(target=self._run_caller, args=(n,)) for n in range(CALLERS)]
         for thread in callers:
             thread.start()
         for phase in schedule:
-            self._put_in_force(phase)
-            time.sleep(PHASE_S / 2)
+            self._apply_faults(phase)
+            time.sleep(FAULT_PHASE_S / 2)
             if phase.crash is not None:
                 self.workers[phase.crash].crash()
-            time.sleep(PHASE_S / 2)
-        self._put_in_force(FaultPhase(workers=(WorkerFault.NONE,) * WORKERS, crash=None, store=()))
+            time.sleep(FAULT_PHASE_S / 2)
+        self._apply_faults(FaultPhase(workers=(WorkerFault.NONE,) * WORKERS, crash=None, store=()))
         self._stop.set()
         for thread in callers:
             thread.join()
-        self._ask_keys_again()
-        self._wait_quiet()
+        self._resend_keys()
+        self._wait_idle()
 
     def runs(self) -> list[WorkerRun]:
         """Return what the workers have run."""
         return [run for worker in self.workers for run in worker.runs()]
 
-    def _put_in_force(self, phase: FaultPhase) -> None:
+    def _apply_faults(self, phase: FaultPhase) -> None:
         for worker, fault in zip(self.workers, phase.workers, strict=True):
-            worker.set_faults(WorkerFaults(fault=fault, delay_s=LATE_S))
+            worker.set_faults(WorkerFaults(fault=fault, delay_s=LATE_ANSWER_S))
         faults = StoreFaults(**dict(phase.store))  # type: ignore[arg-type]
         self._loop_thread.loop.call_soon_threadsafe(self.store.set_faults, faults)
 
-    def _call_on(self, caller: int) -> None:
+    def _run_caller(self, caller: int) -> None:
         rng = random.Random(f"{self._seed}/{caller}")
         while not self._stop.is_set():
             number = next(self._numbers)
             body = f"work {number}".encode()
             match rng.randrange(4):
                 case 0:
-                    self._ask(caller, rng.randrange(ENTRIES), b"", idempotent=True)
+                    self._send(caller, rng.randrange(ENTRIES), b"", idempotent=True)
                 case 1:
-                    self._ask(caller, rng.randrange(ENTRIES), body, idempotent=True)
+                    self._send(caller, rng.randrange(ENTRIES), body, idempotent=True)
                 case 2:
-                    self._ask(caller, rng.randrange(ENTRIES), body)
+                    self._send(caller, rng.randrange(ENTRIES), body)
                 case 3:
-                    self._order(caller, rng, body, f"order-{number}")
+                    self._send_keyed_request(caller, rng, body, f"order-{number}")
 
-    def _order(self, caller: int, rng: random.Random, body: bytes, key: str) -> None:
+    def _send_keyed_request(self, caller: int, rng: random.Random, body: bytes, key: str) -> None:
         """Order under a key, mostly more than once: at once, later, elsewhere, something else."""
-        twin = threading.Thread(target=self._ask, args=(caller, 1, body, key))
+        duplicate = threading.Thread(target=self._send, args=(caller, 1, body, key))
         if rng.random() < 0.3:
-            twin.start()
-        self._ask(caller, 0, body, key)
-        if twin.ident is not None:
-            twin.join()
+            duplicate.start()
+        self._send(caller, 0, body, key)
+        if duplicate.ident is not None:
+            duplicate.join()
         if rng.random() < 0.5:
-            self._ask(caller, rng.randrange(ENTRIES), body, key)
+            self._send(caller, rng.randrange(ENTRIES), body, key)
         if rng.random() < 0.1:
-            self._ask(caller, rng.randrange(ENTRIES), b"something else", key)
+            self._send(caller, rng.randrange(ENTRIES), b"something else", key)
 
-    def _ask(
+    def _send(
         self, caller: int, entry: int, body: bytes, key: str = "", idempotent: bool = False
     ) -> None:
         headers = {
@@ -198,15 +198,15 @@
             )
         )
 
-    def _ask_keys_again(self) -> None:
+    def _resend_keys(self) -> None:
         """Ask a part of the keys once more, when all faults are over."""
         keys = {entry.key: entry for entry in self.operations if entry.key}
-        for key in sorted(keys)[:KEYS_ASKED_AGAIN]:
+        for key in sorted(keys)[:MAX_RESENT_KEYS]:
             body = f"work {key.removeprefix('order-')}".encode()
-            self._ask(CALLERS, len(key) % ENTRIES, body, key)
+            self._send(CALLERS, len(key) % ENTRIES, body, key)
 
-    def _wait_quiet(self) -> None:
-        ends_at_s = time.monotonic() + QUIET_TIMEOUT_S
+    def _wait_idle(self) -> None:
+        ends_at_s = time.monotonic() + IDLE_TIMEOUT_S
         while time.monotonic() < ends_at_s:
             busy = sum(worker.status().in_flight for worker in self.workers)
             held = sum(entry.dispatcher.in_flight for entry in self.entries)
--- a/tests/test_config_history_reading.py
+++ b/tests/test_config_history_reading.py
@@ -26,7 +26,7 @@
     Team,
 )
 from shallotworks.standins import MemoryStore
-from tests.test_config_store import kind_of, process, run
+from tests.test_config_store import kind_of, make_process, run
 
 BASE: tuple[Change, ...] = (
     PutDataCentre(data_centre=DataCentre(name="bergen", region="vest")),
@@ -41,7 +41,7 @@
 )
 
 
-class ChangeBackTests(unittest.TestCase):
+class RevertRevisionTests(unittest.TestCase):
     @parameterized.expand(
         [
             ("put anew", PutTeam(team=Team(name="new", quota_slots=1))),
@@ -52,11 +52,11 @@
             ("another region", PutDataCentre(data_centre=DataCentre(name="bergen", region="ost"))),
         ]
     )
-    def test_back_to_what_was(self, _name: str, change: Change) -> None:
+    def test_reverted_change_restores_the_records(self, _name: str, change: Change) -> None:
         """A change taken back leaves the records as they were, two revisions on."""
 
         async def main() -> None:
-            config = process(MemoryStore(), "e1")
+            config = make_process(MemoryStore(), "e1")
             for base in BASE:
                 (await config.propose(base, author="kari")).unwrap()
             before = config.state()
@@ -80,7 +80,7 @@
         """What was changed again, what no change takes back, and what is not there is refused."""
 
         async def main() -> None:
-            config = process(MemoryStore(), "e1")
+            config = make_process(MemoryStore(), "e1")
             for base in (*BASE, then):
                 if base is not None:
                     (await config.propose(base, author="kari")).unwrap()
@@ -98,7 +98,7 @@
 
         async def main() -> None:
             store = MemoryStore()
-            config = process(store, "e1", every=10, kept=5)
+            config = make_process(store, "e1", every=10, kept=5)
             states: dict[int, FleetState] = {}
             for number in range(35):
                 (await config.propose(PutPool(pool=Pool(name=f"p{number}")), author="x")).unwrap()
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -37,7 +37,9 @@
         loop.close()
 
 
-def process(store: KeyValueStore, name: str, *, every: int = 500, kept: int = 2000) -> ConfigStore:
+def make_process(
+    store: KeyValueStore, name: str, *, every: int = 500, kept: int = 2000
+) -> ConfigStore:
     metrics = Metrics()
     return ConfigStore(
         store=store,
@@ -51,24 +53,24 @@
     )
 
 
-def put(name: str) -> PutPool:
+def put_pool(name: str) -> PutPool:
     return PutPool(pool=Pool(name=name))
 
 
-async def put_all(config: ConfigStore, *names: str) -> None:
+async def put_pools(config: ConfigStore, *names: str) -> None:
     for name in names:
-        (await config.propose(put(name), author="kari")).unwrap()
+        (await config.propose(put_pool(name), author="kari")).unwrap()
 
 
 def kind_of(outcome: Result[object, Failure]) -> ErrorKind:
     return outcome.failure().kind
 
 
-async def always(config: ConfigStore) -> None:
+async def watch_always(config: ConfigStore) -> None:
     await config.run_watch(should_watch=lambda: True)
 
 
-class Link:
+class StoreLink:
     """One process's link to a store that others still reach."""
 
     def __init__(self, store: MemoryStore) -> None:
@@ -97,11 +99,11 @@
 
         async def main() -> None:
             store = MemoryStore()
-            config = process(store, "e1")
+            config = make_process(store, "e1")
             await config.load()
-            await put_all(config, "a")
+            await put_pools(config, "a")
             store.calls.clear()
-            await put_all(config, "b", "c")
+            await put_pools(config, "b", "c")
             self.assertEqual(store.calls, {"create": 2, "list": 2})
             self.assertEqual(config.revision(), 3)
             self.assertEqual(set(config.state().pools), {"a", "b", "c"})
@@ -114,8 +116,8 @@
 
         async def main() -> None:
             store = MemoryStore()
-            first, second = process(store, "e1"), process(store, "e2")
-            await put_all(first, "a")
+            first, second = make_process(store, "e1"), make_process(store, "e2")
+            await put_pools(first, "a")
             refused = await second.propose(RemovePool(name="b"), author="ola")
             self.assertEqual(kind_of(refused), ErrorKind.NOT_FOUND)
             # The other process's pool was not known here; the look for news found it.
@@ -134,8 +136,8 @@
 
         async def main() -> None:
             store = MemoryStore()
-            processes = [process(store, f"e{n}") for n in range(6)]
-            await put_all(processes[0], "a")
+            processes = [make_process(store, f"e{n}") for n in range(6)]
+            await put_pools(processes[0], "a")
             for config in processes:
                 await config.load()
             outcomes = await asyncio.gather(
@@ -159,13 +161,13 @@
         async def main() -> None:
             store = MemoryStore()
             store.set_faults(StoreFaults(delay_s=0.002))
-            processes = [process(store, f"e{number}") for number in range(4)]
+            processes = [make_process(store, f"e{number}") for number in range(4)]
 
             async def propose_on(config: ConfigStore) -> float:
                 longest_s = 0.0
                 for number in range(75):
                     started_s = asyncio.get_running_loop().time()
-                    await put_all(config, f"p{number}")
+                    await put_pools(config, f"p{number}")
                     longest_s = max(longest_s, asyncio.get_running_loop().time() - started_s)
                 return longest_s
 
@@ -183,9 +185,9 @@
 
         async def main() -> None:
             store = MemoryStore()
-            config = process(store, "e1")
+            config = make_process(store, "e1")
             store.set_faults(StoreFaults(lost_answers=1))
-            accepted = (await config.propose(put("a"), author="kari")).unwrap()
+            accepted = (await config.propose(put_pool("a"), author="kari")).unwrap()
             self.assertEqual((accepted.revision, config.revision()), (1, 1))
             self.assertEqual(store.calls["create"], 1)
 
@@ -196,12 +198,12 @@
 
         async def main() -> None:
             store = MemoryStore()
-            config, other = process(store, "e1"), process(store, "e2")
+            config, other = make_process(store, "e1"), make_process(store, "e2")
             store.set_faults(StoreFaults(down=True))
-            refused = await config.propose(put("a"), author="kari")
+            refused = await config.propose(put_pool("a"), author="kari")
             self.assertEqual(kind_of(refused), ErrorKind.STORE_UNAVAILABLE)
             store.set_faults(StoreFaults())
-            proposing = asyncio.create_task(config.propose(put("b"), author="kari"))
+            proposing = asyncio.create_task(config.propose(put_pool("b"), author="kari"))
             while not store.version:
                 await asyncio.sleep(0)
             store.set_faults(StoreFaults(down=True))
@@ -212,7 +214,7 @@
 
         run(main)
 
-    def test_unknown_change_overtaken_by_a_snapshot(self) -> None:
+    def test_unknown_outcome_is_resolved_after_a_snapshot(self) -> None:
         """A change that was written is not written again after a snapshot went past it.
 
         Story: an answer is lost and the store goes down before it can be read back. Meanwhile a
@@ -222,12 +224,12 @@
 
         async def main() -> None:
             store = MemoryStore()
-            link = Link(store)
-            config, other = process(link, "e1"), process(store, "e2")
-            proposing = asyncio.create_task(config.propose(put("a"), author="kari"))
+            link = StoreLink(store)
+            config, other = make_process(link, "e1"), make_process(store, "e2")
+            proposing = asyncio.create_task(config.propose(put_pool("a"), author="kari"))
             await link.cut_after_write()
             await other.load()
-            await put_all(other, "b", "c")
+            await put_pools(other, "b", "c")
             config.install_snapshot(other.snapshot())
             link.is_cut = False
             self.assertEqual((await proposing).unwrap().revision, 1)
@@ -235,7 +237,7 @@
 
         run(main)
 
-    def test_unknown_change_whose_entry_is_deleted(self) -> None:
+    def test_unknown_outcome_stays_unknown_after_the_entry_is_deleted(self) -> None:
         """Where the entry is deleted behind a snapshot by then, the outcome stays unknown.
 
         Story: as before, but so many changes follow that the log no longer holds the entry. Nothing
@@ -244,12 +246,12 @@
 
         async def main() -> None:
             store = MemoryStore()
-            link = Link(store)
-            config, other = process(link, "e1"), process(store, "e2", every=10, kept=5)
-            proposing = asyncio.create_task(config.propose(put("a"), author="kari"))
+            link = StoreLink(store)
+            config, other = make_process(link, "e1"), make_process(store, "e2", every=10, kept=5)
+            proposing = asyncio.create_task(config.propose(put_pool("a"), author="kari"))
             await link.cut_after_write()
             await other.load()
-            await put_all(other, *(f"p{number}" for number in range(30)))
+            await put_pools(other, *(f"p{number}" for number in range(30)))
             await asyncio.sleep(0.1)
             config.install_snapshot(other.snapshot())
             link.is_cut = False
@@ -258,7 +260,7 @@
 
         run(main)
 
-    def test_cut_off_past_the_deleted_entries(self) -> None:
+    def test_process_cut_off_past_the_deleted_entries_reads_before_it_writes(self) -> None:
         """A process that was cut off for long reads before it writes.
 
         Story: a data centre was cut off overnight. The entry after the one it holds has been
@@ -268,12 +270,12 @@
 
         async def main() -> None:
             store = MemoryStore()
-            author, cut_off = process(store, "e1", every=10, kept=5), process(store, "e2")
-            await put_all(author, "a")
+            author, cut_off = make_process(store, "e1", every=10, kept=5), make_process(store, "e2")
+            await put_pools(author, "a")
             await cut_off.load()
-            await put_all(author, *(f"p{number}" for number in range(30)))
+            await put_pools(author, *(f"p{number}" for number in range(30)))
             await asyncio.sleep(9 * 3600)
-            accepted = (await cut_off.propose(put("b"), author="ola")).unwrap()
+            accepted = (await cut_off.propose(put_pool("b"), author="ola")).unwrap()
             self.assertEqual(accepted.revision, 32)
             self.assertEqual((await author.load()).unwrap(), 32)
 
@@ -286,11 +288,11 @@
 
         async def main() -> None:
             store = MemoryStore()
-            author, watcher = process(store, "e1"), process(store, "e2")
-            task = asyncio.create_task(always(watcher))
+            author, watcher = make_process(store, "e1"), make_process(store, "e2")
+            task = asyncio.create_task(watch_always(watcher))
             await asyncio.sleep(100)
             self.assertLessEqual(store.calls["watch"], 27)
-            await put_all(author, *(f"p{n}" for n in range(30)))
+            await put_pools(author, *(f"p{n}" for n in range(30)))
             async with asyncio.timeout(1):
                 state = await watcher.wait_for(30)
             self.assertEqual(state, author.state())
@@ -304,11 +306,11 @@
 
         async def main() -> None:
             store = MemoryStore()
-            author = process(store, "e1", every=100, kept=50)
-            watcher = process(store, "e2")
-            task = asyncio.create_task(always(watcher))
+            author = make_process(store, "e1", every=100, kept=50)
+            watcher = make_process(store, "e2")
+            task = asyncio.create_task(watch_always(watcher))
             for number in range(1_030):
-                await put_all(author, f"p{number % 7}")
+                await put_pools(author, f"p{number % 7}")
                 if number % 50 == 0:
                     await asyncio.sleep(1)
             async with asyncio.timeout(5):
@@ -324,13 +326,13 @@
 
         async def main() -> None:
             store = MemoryStore()
-            author = process(store, "e1", every=20, kept=30)
-            await put_all(author, *(f"p{number}" for number in range(150)))
+            author = make_process(store, "e1", every=20, kept=30)
+            await put_pools(author, *(f"p{number}" for number in range(150)))
             await asyncio.sleep(1)
             logged = (await store.list("config/log/")).unwrap()
             self.assertLessEqual(len(logged), 30 + 20)
             store.calls.clear()
-            newcomer = process(store, "e2")
+            newcomer = make_process(store, "e2")
             self.assertEqual((await newcomer.load()).unwrap(), 150)
             self.assertEqual(newcomer.state(), author.state())
             self.assertLessEqual(store.calls.total(), 4)
@@ -342,14 +344,14 @@
 
         async def main() -> None:
             store = MemoryStore()
-            author, peer = process(store, "e1"), process(store, "e2")
-            await put_all(author, "a", "b", "c")
+            author, peer = make_process(store, "e1"), make_process(store, "e2")
+            await put_pools(author, "a", "b", "c")
             entries = author.entries_after(0, limit=9)
             self.assertEqual(peer.append_entries(entries[1:]), 0)
             self.assertEqual(peer.append_entries(entries[:2]), 2)
             self.assertEqual(peer.install_snapshot(author.snapshot()), 3)
             self.assertIsNone(peer.entries_after(1, limit=9))
-            self.assertEqual(peer.install_snapshot(process(store, "e3").snapshot()), 3)
+            self.assertEqual(peer.install_snapshot(make_process(store, "e3").snapshot()), 3)
 
         run(main)
 
@@ -357,7 +359,7 @@
 class RegressionTests(unittest.TestCase):
     """The store comes back from an outage without what it had accepted."""
 
-    def test_back_older_or_empty(self) -> None:
+    def test_older_or_empty_store_is_reported_and_not_written(self) -> None:
         """A store that came back empty or older is reported, not adopted, and not written to.
 
         Story: the platform's people restore the store from a copy of yesterday, or set it up anew.
@@ -368,16 +370,16 @@
         async def main() -> None:
             for version in (0, 2):
                 store = MemoryStore()
-                config = process(store, "e1")
-                await put_all(config, "a", "b", "c")
-                task = asyncio.create_task(always(config))
+                config = make_process(store, "e1")
+                await put_pools(config, "a", "b", "c")
+                task = asyncio.create_task(watch_always(config))
                 await asyncio.sleep(1)
                 if version:
                     store.roll_back_to(version)
                 else:
                     store.wipe()
                 await asyncio.sleep(10)
-                refused = await config.propose(put("d"), author="kari")
+                refused = await config.propose(put_pool("d"), author="kari")
                 self.assertEqual(kind_of(refused), ErrorKind.STORE_REGRESSED)
                 self.assertEqual(config.revision(), 3)
                 self.assertGreater(config.age_s(), 5)
@@ -386,15 +388,15 @@
                 self.assertEqual(store.calls["create"], 3)
                 # An operator restores it from this process, and a newcomer finds all.
                 self.assertEqual((await config.restore_store()).unwrap(), 3)
-                await put_all(config, "e")
-                newcomer = process(store, "e2")
+                await put_pools(config, "e")
+                newcomer = make_process(store, "e2")
                 self.assertEqual((await newcomer.load()).unwrap(), 4)
                 self.assertEqual(newcomer.state(), config.state())
                 task.cancel()
 
         run(main)
 
-    def test_a_laggard_is_warned_by_its_peers(self) -> None:
+    def test_lagging_process_knows_the_newest_revision_from_its_peers(self) -> None:
         """A process that lags does not write on a store that came back at just its revision.
 
         Story: an instance held revision 1 when the store came back at revision 1; to it the store
@@ -403,38 +405,38 @@
 
         async def main() -> None:
             store = MemoryStore()
-            author, laggard = process(store, "e1"), process(store, "e2")
-            await put_all(author, "a")
-            await laggard.load()
-            await put_all(author, "b")
-            laggard.confirm_newest(2)
+            author, lagging = make_process(store, "e1"), make_process(store, "e2")
+            await put_pools(author, "a")
+            await lagging.load()
+            await put_pools(author, "b")
+            lagging.confirm_newest(2)
             store.roll_back_to(1)
-            refused = await laggard.propose(put("c"), author="kari")
+            refused = await lagging.propose(put_pool("c"), author="kari")
             self.assertEqual(kind_of(refused), ErrorKind.STORE_REGRESSED)
             self.assertEqual(store.calls["create"], 2)
 
         run(main)
 
-    def test_back_older_with_its_snapshots(self) -> None:
+    def test_older_store_with_an_older_snapshot_is_reported(self) -> None:
         """A store that came back with an older snapshot is not taken for one that was compacted."""
 
         async def main() -> None:
             store = MemoryStore()
-            config = process(store, "e1", every=2, kept=1)
-            await put_all(config, "a", "b", "c")
+            config = make_process(store, "e1", every=2, kept=1)
+            await put_pools(config, "a", "b", "c")
             await asyncio.sleep(1)
-            older = store.version
-            await put_all(config, "d", "e", "f")
+            older_version = store.version
+            await put_pools(config, "d", "e", "f")
             await asyncio.sleep(1)
-            store.roll_back_to(older)
+            store.roll_back_to(older_version)
             self.assertEqual(kind_of(await config.load()), ErrorKind.STORE_REGRESSED)
             self.assertEqual((await config.restore_store()).unwrap(), 6)
-            newcomer = process(store, "e2")
+            newcomer = make_process(store, "e2")
             self.assertEqual((await newcomer.load()).unwrap(), 6)
 
         run(main)
 
-    def test_back_older_without_a_part_of_its_snapshot(self) -> None:
+    def test_snapshot_with_a_lost_part_is_skipped_and_rewritten(self) -> None:
         """A snapshot that lost a part is passed over where the log is whole, and written anew.
 
         Story: the store comes back without its last writes just while a snapshot is written. The
@@ -444,34 +446,34 @@
 
         async def main() -> None:
             store = MemoryStore()
-            config = process(store, "e1", every=5)
-            await put_all(config, "a", "b", "c", "d", "e")
+            config = make_process(store, "e1", every=5)
+            await put_pools(config, "a", "b", "c", "d", "e")
             await asyncio.sleep(1)
             parts = (await store.list("config/snapshot/")).unwrap()
             await store.delete(parts[0].key, version=parts[0].version)
-            newcomer = process(store, "e2")
+            newcomer = make_process(store, "e2")
             self.assertEqual((await newcomer.load()).unwrap(), 5)
             entry = (await store.list("config/log/")).unwrap()[0]
             await store.delete(entry.key, version=entry.version)
-            lost = process(store, "e3")
+            lost = make_process(store, "e3")
             self.assertEqual(kind_of(await lost.load()), ErrorKind.STORE_REGRESSED)
             self.assertEqual((await config.restore_store()).unwrap(), 5)
             self.assertEqual((await lost.load()).unwrap(), 5)
 
         run(main)
 
-    def test_stale_reads_pass(self) -> None:
+    def test_stale_reads_are_a_temporary_fault(self) -> None:
         """Stale answers after a failover are taken for a fault, which ends with them."""
 
         async def main() -> None:
             store = MemoryStore()
-            config = process(store, "e1")
-            await put_all(config, "a")
+            config = make_process(store, "e1")
+            await put_pools(config, "a")
             store.set_faults(StoreFaults(stale=True))
-            outcome = await config.propose(put("b"), author="kari")
+            outcome = await config.propose(put_pool("b"), author="kari")
             self.assertEqual(kind_of(outcome), ErrorKind.OUTCOME_UNKNOWN)
             store.set_faults(StoreFaults())
-            await put_all(config, "c")
+            await put_pools(config, "c")
             self.assertEqual(set(config.state().pools), {"a", "b", "c"})
             self.assertIsNone(config.fault())
 
@@ -481,10 +483,10 @@
         """An entry with another id at a revision held is reported and changes nothing."""
 
         async def main() -> None:
-            config = process(MemoryStore(), "e1")
-            other = process(MemoryStore(), "e2")
-            await put_all(config, "a", "b")
-            await put_all(other, "x", "y", "z")
+            config = make_process(MemoryStore(), "e1")
+            other = make_process(MemoryStore(), "e2")
+            await put_pools(config, "a", "b")
+            await put_pools(other, "x", "y", "z")
             self.assertEqual(config.append_entries(other.entries_after(0, limit=9)), 2)
             self.assertEqual(set(config.state().pools), {"a", "b"})
             self.assertEqual(config._metrics.counters()["config.contradictions"], 1)
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -30,7 +30,7 @@
 RUN = WorkerRun(worker="w1", request_id="r1", attempt="1", key="", idempotent=False, began_at_s=1.5)
 REFUSED = replace(ANSWERED, answer=AnswerKind.ERROR, ran=Ran.NO, answered_id="", answered_digest="")
 UNKNOWN = replace(REFUSED, ran=Ran.UNKNOWN)
-UNHEARD = replace(UNKNOWN, answer=AnswerKind.NOTHING, request_id="")
+UNANSWERED = replace(UNKNOWN, answer=AnswerKind.NOTHING, request_id="")
 ORDER = replace(ANSWERED, key="k")
 ORDER_RUN = replace(RUN, key="k")
 REPEAT = replace(ORDER, request_id="r2", began_at_s=3.0, ended_at_s=4.0)
@@ -74,23 +74,23 @@
                 [replace(ANSWERED, answered_id="r2"), replace(UNKNOWN, request_id="r2")],
                 [replace(RUN, request_id="r2"), RUN],
             ),
-            (Rule.ONCE, [ANSWERED], [RUN, SECOND_RUN]),
+            (Rule.AT_MOST_ONCE, [ANSWERED], [RUN, SECOND_RUN]),
             (
-                Rule.ONCE,
+                Rule.AT_MOST_ONCE,
                 [ORDER, replace(UNKNOWN, key="k", request_id="r2")],
                 [ORDER_RUN, replace(ORDER_RUN, request_id="r2", worker="w2")],
             ),
             (Rule.NOT_RUN, [REFUSED], [RUN]),
             (Rule.FROM_A_RUN, [ANSWERED], []),
             (Rule.FROM_A_RUN, [ANSWERED], [replace(RUN, began_at_s=2.5)]),
-            (Rule.HEARD, [], [RUN]),
-            (Rule.HEARD, [REFUSED], [RUN]),
+            (Rule.REPORTED, [], [RUN]),
+            (Rule.REPORTED, [REFUSED], [RUN]),
             (
-                Rule.SAME,
+                Rule.SAME_ANSWER,
                 [ORDER, replace(REPEAT, answered_id="r2")],
                 [ORDER_RUN, replace(ORDER_RUN, request_id="r2")],
             ),
-            (Rule.FINAL, [UNHEARD], [RUN]),
+            (Rule.FINAL_ANSWER, [UNANSWERED], [RUN]),
         ]
     )
     def test_bad(self, rule: Rule, operations: list[Operation], runs: list[WorkerRun]) -> None:
--- a/tests/test_http_store.py
+++ b/tests/test_http_store.py
@@ -22,37 +22,39 @@
 from shallotworks.standins import MemoryStore, PlatformStandIn, StoreFaults
 from shallotworks.timeline import EventKind, Timeline
 
-FAST = PlatformLimits(attempt_timeout_s=0.3, deadline_s=1.2, watch_grace_s=0.3, rate_per_s=500)
-NOWHERE = "127.0.0.1:9"
+SHORT_LIMITS = PlatformLimits(
+    attempt_timeout_s=0.3, deadline_s=1.2, watch_grace_s=0.3, rate_per_s=500
+)
+CLOSED_ADDRESS = "127.0.0.1:9"
 
 Main = Callable[[KeyValueStore], Awaitable[None]]
 
 
 async def session(store: KeyValueStore) -> list[object]:
     """Make one call of each kind, and each refusal that a caller relies on."""
-    said: list[object] = [await store.get("a")]
-    said.append(await store.create("a/1", b"\x00\xff"))
-    said.append(await store.create("a/1", b"again"))
-    said.append(await store.compare_and_swap("a/1", b"two", version=1))
-    said.append(await store.compare_and_swap("a/1", b"three", version=1))
-    said.append(await store.create("a/2", b""))
-    said.append(await store.list("a/", after_key="a/1", limit=5))
-    said.append(await store.watch("a/", after_version=2, wait_s=1))
-    said.append(await store.watch("b/", after_version=3, wait_s=0.01))
-    said.append(await store.delete("a/2", version=9))
-    said.append(await store.delete("a/2", version=3))
-    said.append(await store.watch("a/", after_version=3, wait_s=1))
-    said.append(await store.watch("a/", after_version=99, wait_s=1))
-    said.append(await store.create("big", b"x" * 1_000_001))
+    answers: list[object] = [await store.get("a")]
+    answers.append(await store.create("a/1", b"\x00\xff"))
+    answers.append(await store.create("a/1", b"again"))
+    answers.append(await store.compare_and_swap("a/1", b"two", version=1))
+    answers.append(await store.compare_and_swap("a/1", b"three", version=1))
+    answers.append(await store.create("a/2", b""))
+    answers.append(await store.list("a/", after_key="a/1", limit=5))
+    answers.append(await store.watch("a/", after_version=2, wait_s=1))
+    answers.append(await store.watch("b/", after_version=3, wait_s=0.01))
+    answers.append(await store.delete("a/2", version=9))
+    answers.append(await store.delete("a/2", version=3))
+    answers.append(await store.watch("a/", after_version=3, wait_s=1))
+    answers.append(await store.watch("a/", after_version=99, wait_s=1))
+    answers.append(await store.create("big", b"x" * 1_000_001))
     lease = (await store.grant_lease(ttl_s=60)).unwrap()
-    said.append(lease)
-    said.append(await store.create("duty", b"me", lease_id=lease.lease_id))
-    said.append(await store.renew_lease(lease.lease_id))
-    said.append(await store.revoke_lease(lease.lease_id))
-    said.append(await store.renew_lease(lease.lease_id))
-    said.append(await store.create("duty", b"me", lease_id=lease.lease_id))
-    said.append(await store.get("duty"))
-    return [_comparable(entry) for entry in said]
+    answers.append(lease)
+    answers.append(await store.create("duty", b"me", lease_id=lease.lease_id))
+    answers.append(await store.renew_lease(lease.lease_id))
+    answers.append(await store.revoke_lease(lease.lease_id))
+    answers.append(await store.renew_lease(lease.lease_id))
+    answers.append(await store.create("duty", b"me", lease_id=lease.lease_id))
+    answers.append(await store.get("duty"))
+    return [_comparable(entry) for entry in answers]
 
 
 def _comparable(entry: object) -> object:
@@ -74,7 +76,7 @@
         async def over_http() -> list[object]:
             timeline = Timeline(process="t", wall_clock_s=time.time)
             store = HttpKeyValueStore(
-                address=standin.address, metrics=Metrics(), timeline=timeline, limits=FAST
+                address=standin.address, metrics=Metrics(), timeline=timeline, limits=SHORT_LIMITS
             )
             try:
                 return await session(store)
@@ -95,7 +97,9 @@
         self.standin.start()
         self.addCleanup(self.standin.stop)
 
-    def with_store(self, main: Main, *, limits: PlatformLimits = FAST, address: str = "") -> None:
+    def with_store(
+        self, main: Main, *, limits: PlatformLimits = SHORT_LIMITS, address: str = ""
+    ) -> None:
         async def run() -> None:
             store = HttpKeyValueStore(
                 address=address or self.standin.address,
@@ -129,8 +133,8 @@
         self.with_store(main)
         self.assertEqual(self.standin.calls()["create"], 1)
 
-    @parameterized.expand([("refused", NOWHERE), ("503", "")])
-    def test_a_write_that_surely_did_nothing_says_so(self, _name: str, address: str) -> None:
+    @parameterized.expand([("refused", CLOSED_ADDRESS), ("503", "")])
+    def test_write_without_effect_is_store_unavailable(self, _name: str, address: str) -> None:
         """A connection refused, and a 503, mean that the write took no effect."""
 
         async def main(store: KeyValueStore) -> None:
@@ -140,7 +144,7 @@
 
         self.with_store(main, address=address)
 
-    def test_slow_store_is_told_within_the_deadline(self) -> None:
+    def test_read_from_a_hung_store_ends_by_its_deadline(self) -> None:
         """A read from a store that hangs ends by its deadline."""
 
         async def main(store: KeyValueStore) -> None:
@@ -148,7 +152,7 @@
             started_s = asyncio.get_running_loop().time()
             self.assertEqual(kind_of(await store.get("a")), ErrorKind.STORE_UNAVAILABLE)
             took_s = asyncio.get_running_loop().time() - started_s
-            self.assertLess(took_s, FAST.deadline_s)
+            self.assertLess(took_s, SHORT_LIMITS.deadline_s)
 
         self.with_store(main)
 
@@ -190,7 +194,7 @@
         self.assertEqual(self.count("connections-dropped"), 1)
         self.assertEqual(self.count("outages"), 0)
 
-    def test_a_silent_watch_is_found(self) -> None:
+    def test_watch_on_a_silent_connection_times_out(self) -> None:
         """A watch on a connection that went silent ends a moment after its own wait."""
 
         async def main(store: KeyValueStore) -> None:
@@ -204,7 +208,7 @@
 
         self.with_store(main)
 
-    def test_a_store_that_is_down_is_called_seldom(self) -> None:
+    def test_circuit_breaker_limits_calls_to_a_store_that_is_down(self) -> None:
         """Callers that keep asking cost a store that is down a few calls, and see it return.
 
         Story: the store refuses everything for a while and every task of the instance keeps
@@ -258,7 +262,7 @@
                 address=self.standin.address,
                 metrics=self.metrics,
                 timeline=self.timeline,
-                limits=FAST,
+                limits=SHORT_LIMITS,
             )
             try:
                 self.assertEqual((await listed.read()).unwrap(), (entry,))
--- a/tests/test_lease_candidate.py
+++ b/tests/test_lease_candidate.py
@@ -54,7 +54,7 @@
 
         run(main)
 
-    def test_ranked_candidates_ask_as_often_as_a_few(self) -> None:
+    def test_ranked_candidates_poll_as_often_as_a_few(self) -> None:
         """Of 22 ranked candidates the waiting ones ask the store no more than five alike would."""
 
         async def main() -> None:
@@ -74,7 +74,7 @@
 
         run(main)
 
-    def test_a_stop_gives_the_duty_back(self) -> None:
+    def test_stopped_holder_revokes_its_lease(self) -> None:
         """A holder that stops ends its lease, so that the next one need not wait for the lapse."""
 
         async def main() -> None:
@@ -91,7 +91,7 @@
 
         run(main)
 
-    def test_a_holder_paused_past_its_lease_finds_out_before_acting(self) -> None:
+    def test_holder_paused_past_its_lease_no_longer_holds_it(self) -> None:
         """After the pause the first question "still held?" is answered no.
 
         Story: a conductor's process is stopped by its host for longer than its lease. Meanwhile
@@ -142,7 +142,7 @@
 
         run(main)
 
-    def test_lost_answer_of_the_take(self) -> None:
+    def test_lost_answer_of_the_key_creation(self) -> None:
         """The key is made but its answer is lost: the candidate knows its own key again."""
 
         async def main() -> None:
--- a/tests/test_memory_store.py
+++ b/tests/test_memory_store.py
@@ -46,7 +46,7 @@
 
         run(main)
 
-    def test_every_watch_hears_of_a_write(self) -> None:
+    def test_every_watch_sees_a_write(self) -> None:
         """All watches under the prefix wake with the write; one elsewhere runs out empty."""
 
         async def main() -> None:
@@ -63,7 +63,7 @@
 
         run(main)
 
-    def test_a_lapsed_lease_takes_its_keys(self) -> None:
+    def test_expired_lease_deletes_its_keys(self) -> None:
         """Without renewal a lease's key vanishes at its end, and a watch tells of it."""
 
         async def main() -> None:
@@ -72,8 +72,8 @@
             made = (await store.create("duty", b"me", lease_id=lease.lease_id)).unwrap()
             await asyncio.sleep(6)
             self.assertEqual(await store.renew_lease(lease.lease_id), Success(None))
-            told = (await store.watch("duty", after_version=made, wait_s=60)).unwrap()
-            self.assertEqual(told.deleted, ("duty",))
+            watched = (await store.watch("duty", after_version=made, wait_s=60)).unwrap()
+            self.assertEqual(watched.deleted, ("duty",))
             self.assertEqual(asyncio.get_running_loop().time(), 15)
             self.assertEqual(kind_of(await store.renew_lease(lease.lease_id)), ErrorKind.LEASE_LOST)
             later = (await store.grant_lease(ttl_s=9)).unwrap()
@@ -117,8 +117,8 @@
             self.assertEqual((await store.get("a")).unwrap().value, b"1")
             store.wipe()
             self.assertEqual(await store.get("a"), Success(None))
-            told = (await store.watch("a", after_version=first, wait_s=60)).unwrap()
-            self.assertEqual(told.version, 0)
+            watched = (await store.watch("a", after_version=first, wait_s=60)).unwrap()
+            self.assertEqual(watched.version, 0)
 
         run(main)
 
