--- a/src/shallotworks/config/__init__.py
+++ b/src/shallotworks/config/__init__.py
@@ -1,8 +1,9 @@
-"""The configuration in force: the log in the platform's service and the state it leads to.
+"""The replicated configuration: a log in the platform's key-value service, and its state.
 
-`ConfigView` is what every other package reads: the state at the newest revision this process
-holds, and a way to wait for the next. `ConfigLog` is how a change is made, `ConfigReplica` what
-peers pass on to each other. `ConfigStore` is all three, built once by the daemon.
+Other packages read the configuration through `ConfigView`, which returns the state at the newest
+revision that this process holds and can wait for a later one. `ConfigLog` appends a change, and
+`ConfigReplica` exchanges entries and snapshots with peers. `ConfigStore` implements all three; the
+daemon creates one of them.
 """
 
 from ._compactor import Compactor
--- a/src/shallotworks/config/_backoff.py
+++ b/src/shallotworks/config/_backoff.py
@@ -1,4 +1,4 @@
-"""How long to wait after some failures in a row."""
+"""Exponential backoff with full jitter."""
 
 from __future__ import annotations
 
@@ -12,6 +12,11 @@
 
 
 def backoff_s(rng: random.Random, failures: int) -> float:
-    """Return a wait with full jitter, its bound doubled by each failure."""
+    """Return a random delay between zero and a bound that doubles with each failure.
+
+    Args:
+        rng: Source of jitter.
+        failures: Number of consecutive failures.
+    """
     max_backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** min(failures, MAX_DOUBLINGS))
     return rng.uniform(0, max_backoff_s)
--- a/src/shallotworks/config/_compactor.py
+++ b/src/shallotworks/config/_compactor.py
@@ -1,4 +1,4 @@
-"""Keeping the log in the platform's service bounded: snapshots, and deleting what they cover."""
+"""Compaction of the configuration log: writing snapshots and deleting entries behind them."""
 
 from __future__ import annotations
 
@@ -24,21 +24,22 @@
 
 SNAPSHOT_INTERVAL_REVISIONS = 500
 LOG_RETENTION_REVISIONS = 2_000
-"""Entries kept behind the newest snapshot: eight hours at 6,000 changes a day, so that a process
-that was cut off for that long catches up entry by entry."""
+"""Entries kept behind the newest snapshot. They span eight hours at 6,000 changes a day, so that a
+process that was cut off for that long can catch up from entries alone."""
 MAX_ENTRIES_PER_COMPACTION = 1_000
+"""Entries that one compaction lists, and therefore the most that it deletes."""
 
 
 class Compactor:
     """Writes a snapshot at each Nth revision, then deletes the entries far behind it.
 
-    Whoever appends the Nth revision does it. Where that process dies half-way, the next Nth
-    revision's does what was left; until then the log is only longer.
+    The process that appends the Nth revision compacts the log. If that process stops part way, the
+    compaction at the next Nth revision deletes what was left; until then the log is longer.
 
     Args:
         store: The platform's key-value service.
-        metrics: Where it is counted, under ``config``.
-        every_revisions: The N.
+        metrics: Counts snapshots and deletions, under ``config``.
+        every_revisions: Revisions between two snapshots.
         kept_revisions: Entries kept behind the newest snapshot.
     """
 
@@ -58,14 +59,15 @@
         self._retention_revisions = kept_revisions
 
     def is_due(self, revision: int) -> bool:
-        """Say whether whoever appended this revision writes a snapshot."""
+        """Return whether the process that appended this revision has to write a snapshot."""
         return revision % self._interval_revisions == 0
 
     async def compact(self, snapshot: Snapshot) -> Result[int, Failure]:
-        """Write a snapshot, read it back, and delete what it makes superfluous.
+        """Write a snapshot, read it back, and delete the snapshots and entries that it supersedes.
 
         Returns:
-            The number of entries deleted; a failure after which nothing needed is missing.
+            The number of entries deleted, or the store's failure. After a failure the store still
+            has every snapshot and entry that a reader needs.
         """
         before = await read_pointer(self._store)
         if not isinstance(before, Success):
@@ -77,7 +79,7 @@
             return Err(written.failure())
         self._metrics.count("config.snapshots-written")
         if previous is not None:
-            # The previous one stays, for readers that have just read its pointer.
+            # The previous snapshot is kept for readers that have just read its pointer.
             await delete_older_snapshots(self._store, below=previous.pointer.revision)
         return await self._delete_entries(written.unwrap().revision - self._retention_revisions)
 
@@ -90,7 +92,7 @@
 
     async def _delete_each(self, items: Iterable[Versioned]) -> int:
         deleted = 0
-        # Oldest first, so that what remains is always without a gap.
+        # The oldest entry is deleted first, so that the remaining log never has a gap.
         for item in items:
             outcome = await self._store.delete(item.key, version=item.version)
             if not isinstance(outcome, Success) and outcome.failure().kind is not _ALREADY_DELETED:
@@ -101,3 +103,4 @@
 
 
 _ALREADY_DELETED = ErrorKind.CONFLICT
+"""Kind of failure of a delete when another process has deleted the entry since it was listed."""
--- a/src/shallotworks/config/_entries.py
+++ b/src/shallotworks/config/_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the configuration log and snapshots of the state, and how they are encoded."""
+"""Entries of the configuration log, snapshots of the state, and their encoding as JSON."""
 
 from __future__ import annotations
 
@@ -35,17 +35,21 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Entry:
-        """Read an entry; raises ``pydantic.ValidationError`` where it is not one."""
+        """Decode an entry from JSON.
+
+        Raises:
+            pydantic.ValidationError: The data is not a valid entry.
+        """
         return _ENTRY.validate_json(data)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Snapshot:
-    """The whole state at one revision, for newcomers.
+    """The whole state at one revision, for processes that can't catch up from entries.
 
     Args:
         state: The state.
-        last_change_id: Id of the change that led to it.
+        last_change_id: Id of the change that led to the state's revision.
     """
 
     state: FleetState
@@ -57,7 +61,11 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Snapshot:
-        """Read a snapshot; raises ``pydantic.ValidationError`` where it is not one."""
+        """Decode a snapshot from JSON.
+
+        Raises:
+            pydantic.ValidationError: The data is not a valid snapshot.
+        """
         return _SNAPSHOT.validate_json(data)
 
 
--- a/src/shallotworks/config/_history.py
+++ b/src/shallotworks/config/_history.py
@@ -1,4 +1,4 @@
-"""Reading past revisions back from the platform's service."""
+"""Reading past entries and past states from the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -24,7 +24,16 @@
 async def read_entries(
     store: KeyValueStore, *, after: int, limit: int
 ) -> Result[tuple[Entry, ...], Failure]:
-    """Read the entries that the log still holds after a revision, oldest first."""
+    """Read the entries after a revision that the log still holds, oldest first.
+
+    Args:
+        store: The platform's key-value service.
+        after: Revision before the first entry read.
+        limit: Most entries read.
+
+    Returns:
+        The entries; the store's failure; ``INTERNAL`` if an entry can't be decoded.
+    """
     outcome = await store.list(LOG_PREFIX, after_key=log_key(after), limit=limit)
     if not isinstance(outcome, Success):
         return Err(outcome.failure())
@@ -37,10 +46,12 @@
 async def state_at(store: KeyValueStore, revision: int) -> Result[FleetState, Failure]:
     """Return the state at a past revision.
 
-    Costs a read of the snapshots and one for each thousand entries from there on.
+    This takes one read of the snapshots, and one for each thousand entries between the newest
+    usable snapshot and the revision.
 
     Returns:
-        The state; ``NOT_FOUND`` where snapshots and log don't reach back to it.
+        The state; the store's failure; ``NOT_FOUND`` if the snapshots and the log don't reach back
+        to the revision, or the revision has not been written yet.
     """
     base = await _snapshot_before(store, revision)
     if not isinstance(base, Success):
@@ -82,7 +93,8 @@
 
 
 def _decode(data: bytes) -> FleetState | None:
-    # A snapshot of which a part is missing was never pointed to.
+    # A snapshot with a missing part can't be decompressed. It is skipped: the pointer, which is
+    # written after all parts, never named it.
     try:
         return Snapshot.decode(zlib.decompress(data)).state
     except (ValidationError, zlib.error):
--- a/src/shallotworks/config/_log_reader.py
+++ b/src/shallotworks/config/_log_reader.py
@@ -1,4 +1,4 @@
-"""Reading and following the log in the platform's service, into the replica."""
+"""Reading and watching the log in the platform's service, and applying it to the replica."""
 
 from __future__ import annotations
 
@@ -21,22 +21,27 @@
 
 PAGE_ENTRIES = 1_000
 MAX_CATCH_UP_ROUNDS = 20
-"""Pages and snapshots read before a read gives up catching up with a log that runs ahead of it."""
+"""Pages and snapshots that one read processes before it fails, if the log grows faster than this
+process reads it."""
 WATCH_WAIT_S = 4.0
-"""Half of the 8 s in which a change must be in force: a watch that went silent ends by then."""
+"""Half of the 8 s within which a change must be in force, so that a watch on a connection that went
+silent ends in time."""
 WATCHED_BLOCK_DIGITS = 3
-"""A watch covers the thousand revisions around the next one only. Old entries are deleted far
-behind it, and a watch over the whole log would wake every watcher for each of these."""
+"""Trailing digits of a revision that a watch leaves open, so that it covers only the block of a
+thousand revisions that the next revision is in. Compaction deletes entries far behind that block,
+and a watch over the whole log would wake every watcher for each of these deletions."""
 
 
 @unique
 class _LogStart(Enum):
+    """How the start of the stored log relates to the replica's revision."""
+
     AGREES = "agrees"
-    """The store's log goes on from what is held."""
+    """The stored log continues the replica's revision."""
     MOVED = "moved"
-    """A snapshot was taken, or has to be looked for again."""
+    """A snapshot was installed, or the pointer to it has changed; the log has to be read again."""
     REGRESSED = "regressed"
-    """The store has come back empty or older."""
+    """The store was restored empty or with an older state."""
 
 
 class LogReader:
@@ -44,8 +49,8 @@
 
     Args:
         store: The platform's key-value service.
-        replica: The replica.
-        metrics: Where events are counted, under ``config``.
+        replica: The replica that entries and snapshots are applied to.
+        metrics: Counts events, under ``config``.
     """
 
     __slots__ = ("_metrics", "_replica", "_store", "_version")
@@ -57,15 +62,17 @@
         self._version = 0
 
     async def read(self) -> Result[int, Failure]:
-        """Read what follows the revision held; one call where nothing is amiss.
+        """Read the entries that follow the replica's revision; takes one call in the normal case.
 
-        The entry of the revision held is read along. If the store shows another there, or none and
-        no snapshot to explain it, or ends before a revision that it is known to have had, it has
-        come back empty, older or contradicting: that is reported as the replica's fault, and
-        nothing is taken. The fault is cleared by the first read that agrees.
+        The entry of the replica's own revision is read as well. The store was restored empty, with
+        an older state or with another history if it has another change at that revision, if it has
+        neither the entry nor a snapshot that replaces it, or if its log ends before a revision that
+        it is known to have had. That is reported as the replica's fault, and nothing more is
+        applied. The first read that agrees clears the fault.
 
         Returns:
-            The revision held; or why the store can't be read.
+            The replica's revision, also when a fault was reported; or ``STORE_UNAVAILABLE`` or
+            another failure of the store.
         """
         expected_revision = self._replica.newest_known_revision()
         for _ in range(MAX_CATCH_UP_ROUNDS):
@@ -78,7 +85,11 @@
         return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason=reason, retry_after_s=1.0))
 
     async def follow(self) -> Result[int, Failure]:
-        """Wait for the next entries by one watch, and take them; returns the revision held."""
+        """Wait for the next entries with one watch and apply them.
+
+        Returns:
+            The replica's revision, or the store's failure.
+        """
         prefix = self._watched_prefix()
         outcome = await self._store.watch(prefix, after_version=self._version, wait_s=WATCH_WAIT_S)
         if not isinstance(outcome, Success):
@@ -89,22 +100,22 @@
         if result.items:
             self._version = result.items[-1].version
         elif prefix == self._watched_prefix():
-            # Beyond a block's end there may be entries that this watch didn't cover.
+            # Past the end of a block there may be entries that this watch didn't cover.
             self._version = result.version
         if not result.items and self._replica.revision() < self._replica.newest_known_revision():
-            # Others have newer revisions that the watch will never show: a store that came back
-            # older and was restored by a snapshot, with its counter past the version watched from.
+            # Peers have newer revisions that no watch will return: a store that lost writes was
+            # restored from a snapshot, and its counter is past the version watched from.
             return await self.read()
         if prefix == self._watched_prefix():
             self._replica.confirm_newest(self._replica.revision())
         return Success(self._replica.revision())
 
     async def change_id_in_log(self, revision: int) -> str | None:
-        """Return the id of the change under a revision's key, where the log surely goes on from it.
+        """Return the id of the change at a revision if the stored log provably continues from it.
 
-        The failure: an entry is written so late that its revision had been written before by
-        another, and deleted behind a snapshot. Its key then exists, but the next one is missing or
-        was written before it.
+        An entry can be written so late that another entry of its revision was written before, and
+        deleted behind a snapshot. The key then exists, but the next key is missing or was written
+        before it. Such an entry is not part of the log, and the result is ``None``.
         """
         outcome = await self._store.list(LOG_PREFIX, after_key=log_key(revision - 1), limit=2)
         items = outcome.value_or(())
@@ -115,7 +126,15 @@
         return Entry.decode(items[0].value).change_id
 
     async def _read_page(self, expected_revision: int) -> Result[bool, Failure]:
-        """Read and take one page of the log; says whether that was all there is to do."""
+        """Read and apply one page of the log.
+
+        Args:
+            expected_revision: Newest revision that the store was known to have before the read.
+
+        Returns:
+            Whether the read is complete, either because the log's end is reached or because a fault
+            was reported; or the store's failure.
+        """
         held = self._replica.revision()
         held_id = self._replica.change_id_at(held)
         after_key = log_key(held - 1) if held > 0 else ""
@@ -182,10 +201,14 @@
     async def _install_stored_snapshot(
         self, pointer: Pointer, *, follows: bool
     ) -> Result[_LogStart, Failure]:
-        """Take a snapshot; where it has lost a part, go on by the log if that follows.
+        """Install a stored snapshot; if it has lost a part, continue from the log if possible.
+
+        If the store loses its last writes while a snapshot is being written, the pointer that is
+        written next can name a part that is gone. A process without peers could then never load.
 
-        The failure: the store comes back without its last writes just as a snapshot is written, and
-        keeps the pointer that is written next but not the part. Nobody without peers could load.
+        Args:
+            pointer: The pointer to the snapshot.
+            follows: Whether the stored log continues directly from the replica's revision.
         """
         outcome = await read_snapshot(self._store, pointer)
         if isinstance(outcome, Success):
@@ -198,7 +221,7 @@
             return Err(again.failure())
         stored = again.unwrap()
         if stored is None or stored.pointer != pointer:
-            # A newer snapshot took its place while it was read.
+            # A newer snapshot replaced this one while it was being read.
             return Success(_LogStart.MOVED)
         if follows:
             return Success(_LogStart.AGREES)
@@ -208,7 +231,16 @@
     async def _install_newer_snapshot(
         self, newest: int, expected_revision: int
     ) -> Result[bool, Failure]:
-        """Look for a snapshot beyond the log's end or gap, as a restored store has it."""
+        """Install a snapshot beyond the log's end or gap, which a restored store can have.
+
+        Args:
+            newest: Revision of the last entry that the log has.
+            expected_revision: Newest revision that the store was known to have before the read.
+
+        Returns:
+            Whether the log has to be read again; or the store's failure. Without a newer snapshot a
+            regression is reported.
+        """
         held = self._replica.revision()
         outcome = await read_pointer(self._store)
         if not isinstance(outcome, Success):
--- a/src/shallotworks/config/_proposer.py
+++ b/src/shallotworks/config/_proposer.py
@@ -1,4 +1,4 @@
-"""Bringing one change into the log, through lost answers and lost races."""
+"""Appending one change to the log, with recovery from lost answers and lost races."""
 
 from __future__ import annotations
 
@@ -25,9 +25,11 @@
 __all__ = ["Proposer"]
 
 LOST_RACE_JITTER_S = 0.02
-"""A few proposals' time, over which those who lost a race spread their next tries."""
+"""Longest random delay after a lost race, which spreads the losers over the time of a few
+proposals."""
 MAX_UNCONFIRMED_AGE_S = 300.0
-"""A state known as the newest so recently can't lie behind the entries that are deleted."""
+"""Age up to which a state that was known to be the newest can't be older than the entries that
+compaction has deleted since."""
 CHANGE_ID_BITS = 96
 
 
@@ -36,10 +38,10 @@
 
     Args:
         store: The platform's key-value service.
-        replica: What this process holds.
+        replica: The state and the last entries of this process.
         reader: Reads the log into the replica.
-        metrics: Where events are counted, under ``config``.
-        wall_clock_s: Returns the Unix time, for the entries.
+        metrics: Counts lost answers and lost races, under ``config``.
+        wall_clock_s: Returns the Unix time, which the entries record.
         rng: Source of jitter and of change ids.
     """
 
@@ -65,12 +67,20 @@
     async def propose(
         self, change: Change, *, author: str, ends_at_s: float
     ) -> Result[Accepted, Failure]:
-        """Create the entry of the next revision until it is there, another's is, or time is over.
+        """Create the entry of the next revision until it is in the log or the deadline has passed.
 
-        The failure: an answer is lost, and the entry may or may not have been written, or may yet
-        be. The same entry is created again under the same key: whichever attempt takes effect, it
-        is the same change at the same revision. Only when another's entry is seen under that key is
-        it sure that this one can't take effect there any more, and the next revision is tried.
+        When an answer is lost, the entry may have been written, or may still be written later. The
+        same entry is therefore created again under the same key: whichever attempt takes effect,
+        the result is the same change at the same revision. Only when the log has another change
+        under that key can this entry no longer take effect there; the next revision is tried then.
+
+        Args:
+            change: The change to append.
+            author: Who proposes the change.
+            ends_at_s: Deadline, by the clock of the event loop.
+
+        Returns:
+            As `ConfigLog.propose`; also the replica's fault, such as ``STORE_REGRESSED``.
         """
         proposal = _Proposal(change_id=f"{self._rng.getrandbits(CHANGE_ID_BITS):024x}")
         while True:
@@ -81,8 +91,9 @@
             if not isinstance(written, Success) and not proposal.is_unresolved:
                 return Err(written.failure())
             if written.value_or(_CreateOutcome.SENT) is _CreateOutcome.TAKEN:
-                # Losers spread out before they read, not after: what is read is out of date
-                # within the time of one proposal, and a winner that goes on would win each time.
+                # The delay comes before the read and not after it. What is read is out of date
+                # within the time of one proposal, so that with a delay after the read a winner that
+                # continues to propose would win every race.
                 await asyncio.sleep(self._rng.uniform(0, LOST_RACE_JITTER_S))
             held = self._replica.revision()
             await self._reader.read()
@@ -98,7 +109,10 @@
             await asyncio.sleep(backoff_s(self._rng, proposal.failures))
 
     async def _check_change(self, proposal: _Proposal, change: Change) -> Failure | None:
-        """Check the change against the newest revision; one that may be written is past that."""
+        """Check the change against the newest revision; return why it is refused, or ``None``.
+
+        A change whose entry may already have been written is not checked again.
+        """
         if proposal.is_unresolved:
             return None
         if self._must_read_first():
@@ -107,7 +121,7 @@
                 return read.failure()
         checked = apply(self._replica.state(), change)
         if not isinstance(checked, Success):
-            # Only the newest state may refuse it; what is held may be a moment old.
+            # Only the newest state may refuse the change, and the replica may be out of date.
             read = await self._reader.read()
             if not isinstance(read, Success):
                 return read.failure()
@@ -117,11 +131,12 @@
         return None if isinstance(checked, Success) else checked.failure()
 
     def _must_read_first(self) -> bool:
-        """Say whether an entry written after what is held could begin a second history.
+        """Return whether writing after the replica's revision could fork the log's history.
 
-        A store that came back at just the revision held here looks right to this process, unless
-        it has heard of a newer one. And where this process was cut off for so long that the next
-        entry has been written, and deleted behind a snapshot, its key could be created again.
+        A store that was restored to exactly the replica's revision looks correct to this process,
+        unless a peer has reported a newer revision. And if this process was cut off for so long
+        that the next entry was written, and deleted behind a snapshot, the key of that entry could
+        be created a second time.
         """
         behind = self._replica.revision() < self._replica.newest_known_revision()
         return (
@@ -133,9 +148,13 @@
     async def _create(
         self, proposal: _Proposal, change: Change, author: str
     ) -> Result[_CreateOutcome, Failure]:
-        """Create the entry; fails only where this attempt surely wrote nothing."""
+        """Create the entry of the next revision.
+
+        Returns:
+            What is known of the key; a failure only if this attempt certainly wrote nothing.
+        """
         if proposal.is_unresolved and proposal.unresolved_revision <= self._replica.revision():
-            # Its revision is past, and whose entry it was can't be read just now.
+            # The log has passed the entry's revision, but the change there can't be read yet.
             return Success(_CreateOutcome.SENT)
         entry = Entry(
             revision=self._replica.revision() + 1,
@@ -160,11 +179,14 @@
         return Err(failure)
 
     async def _is_logged(self, proposal: _Proposal) -> bool:
-        """Say whether the entry that may have been written is in the log."""
+        """Return whether the entry that may have been written is in the log.
+
+        If another change is at its revision, the proposal becomes free to try the next one.
+        """
         revision = proposal.unresolved_revision
         if revision == 0 or revision > self._replica.revision():
             return False
-        # A snapshot may have carried this process past the revision without its entry.
+        # A snapshot may have advanced the replica past the revision without the entry.
         change_id = self._replica.change_id_at(revision) or await self._reader.change_id_in_log(
             revision
         )
@@ -175,6 +197,7 @@
         return False
 
     def _failure_to_return(self, proposal: _Proposal, ends_at_s: float) -> Failure | None:
+        """Return the failure that ends the proposal; ``None`` if it may be tried again."""
         fault = self._replica.fault()
         is_expired = asyncio.get_running_loop().time() >= ends_at_s
         if not is_expired and fault is None:
@@ -187,17 +210,19 @@
 
 @unique
 class _CreateOutcome(Enum):
+    """What is known of an entry's key after an attempt to create it."""
+
     SENT = "sent"
-    """The entry was written, or may have been."""
+    """This proposal's entry was written, or may have been."""
     TAKEN = "taken"
-    """There is an entry under that key."""
+    """The key exists; its entry is another's, or this one from an attempt with a lost answer."""
 
 
 class _Proposal:
-    """Where one change stands.
+    """Progress of one change on its way into the log.
 
     Args:
-        change_id: Its id.
+        change_id: Id of the change.
     """
 
     __slots__ = ("change_id", "failures", "unresolved_revision")
@@ -205,12 +230,12 @@
     def __init__(self, *, change_id: str) -> None:
         self.change_id = change_id
         self.unresolved_revision = 0
-        """The revision under which it may have been written; 0 for none."""
+        """Revision at which the entry may have been written; 0 for none."""
         self.failures = 0
 
     @property
     def is_unresolved(self) -> bool:
-        """Whether the entry may have been written, or may yet be, and is not found so far."""
+        """Whether the entry may have been written, or may still be, and has not been found yet."""
         return self.unresolved_revision > 0
 
 
--- a/src/shallotworks/config/_protocols.py
+++ b/src/shallotworks/config/_protocols.py
@@ -1,4 +1,4 @@
-"""How other packages read and change the configuration."""
+"""Interfaces through which other packages read, change and distribute the configuration."""
 
 from __future__ import annotations
 
@@ -30,82 +30,86 @@
 
 
 class ConfigView(Protocol):
-    """The configuration as this process holds it; only ever moves forward."""
+    """The configuration in this process; its revision never decreases."""
 
     def state(self) -> FleetState:
-        """Return the state at the newest revision held."""
+        """Return the state at this process's newest revision."""
         ...
 
     def age_s(self) -> float:
-        """Return how long ago the state was last known to be the newest."""
+        """Return the time since the state was last known to be the newest, in seconds."""
         ...
 
     async def wait_for(self, revision: int) -> FleetState:
-        """Wait until a revision is held; returns the state, which may be newer."""
+        """Wait until this process has a revision; return the state, which may be newer."""
         ...
 
 
 class ConfigLog(Protocol):
-    """How a change becomes a revision."""
+    """Appends changes to the configuration log."""
 
     async def propose(self, change: Change, *, author: str) -> Result[Accepted, Failure]:
         """Append one change.
 
         Args:
-            change: The change; checked against the newest revision, again after each lost race.
-            author: Who wants it, for the history.
+            change: The change; it is checked against the newest revision, and again after each
+                lost race.
+            author: Who proposes the change, recorded in its entry.
 
         Returns:
-            The revision it became; or why it is refused (see `shallotworks.fleet.apply`);
-            ``STORE_UNAVAILABLE`` if it was surely not accepted; ``OUTCOME_UNKNOWN`` if that can't
-            be told, in which case it may yet come into force.
+            The revision that the change became; the reason for which it is refused (see
+            `shallotworks.fleet.apply`); ``STORE_UNAVAILABLE`` if it was certainly not accepted;
+            ``OUTCOME_UNKNOWN`` if it may have been accepted, or may still come into force.
         """
         ...
 
 
 class ConfigReplica(Protocol):
-    """What peers pass on to each other of the configuration."""
+    """Exchanges configuration entries and snapshots with peers."""
 
     def revision(self) -> int:
-        """Return the newest revision held."""
+        """Return this process's newest revision."""
         ...
 
     def entries_after(self, revision: int, *, limit: int) -> tuple[Entry, ...] | None:
-        """Return the entries that follow a revision; ``None`` where they are not kept any more."""
+        """Return the entries that follow a revision; ``None`` if the next one is not kept."""
         ...
 
     def snapshot(self) -> Snapshot:
-        """Return the whole state, for a peer whose gap is too large."""
+        """Return the whole state, for a peer that lags too far behind to catch up from entries."""
         ...
 
     def append_entries(self, entries: tuple[Entry, ...]) -> int:
-        """Take those entries that directly follow what is held; returns the revision held then.
+        """Apply those entries that directly follow this process's revision.
 
-        An entry that contradicts one held (same revision, other change id) is reported, never
-        adopted.
+        An entry that contradicts a known one (same revision, other change id) is reported and
+        never applied.
+
+        Returns:
+            The newest revision afterwards.
         """
         ...
 
     def install_snapshot(self, snapshot: Snapshot) -> int:
-        """Take a snapshot that is newer than what is held; returns the revision held then."""
+        """Install a snapshot if it is newer; return the newest revision afterwards."""
         ...
 
     def subscribe(self, listener: Callable[[Entry], None]) -> None:
-        """Call a listener with each entry taken from now on, on the event loop."""
+        """Call a listener on the event loop with each entry that is applied from now on."""
         ...
 
     def age_s(self) -> float:
-        """Return how long ago the revision held was last known to be the newest."""
+        """Return the time since the revision was last known to be the newest, in seconds."""
         ...
 
     def confirm_newest(self, revision: int, *, age_s: float = 0.0) -> None:
-        """Note that a revision was the store's newest a while ago, for `ConfigView.age_s`.
+        """Record that a revision was the store's newest some time ago, for `ConfigView.age_s`.
 
-        A peer that passes this on names its own age, so that two processes which are both cut off
-        from the store can't keep each other's state looking fresh.
+        A peer that forwards this also sends its own age, so that two processes which are both cut
+        off from the store can't keep each other's state looking fresh.
 
         Args:
             revision: The revision.
-            age_s: How long ago it was the newest; 0 where the store itself has just said so.
+            age_s: How long ago it was the newest; 0 if the store itself has just reported it.
         """
         ...
--- a/src/shallotworks/config/_replica.py
+++ b/src/shallotworks/config/_replica.py
@@ -1,7 +1,7 @@
-"""The configuration as one process holds it: the state, the last entries, and who waits for more.
+"""One process's replica of the configuration: the state, the last entries, and their listeners.
 
-Only the next revision is ever taken, or a snapshot that is newer; so whatever the store or a peer
-offers, a process can't go back.
+A replica applies only the next revision, or installs a newer snapshot. Its revision therefore never
+decreases, whatever the store or a peer sends.
 """
 
 from __future__ import annotations
@@ -27,24 +27,26 @@
 
 @unique
 class EntryOutcome(Enum):
-    """What became of an entry that was offered."""
+    """Result of applying an entry to the replica."""
 
     TAKEN = "taken"
+    """The entry was applied."""
     KNOWN = "known"
+    """The entry's revision was applied before, and no other change is known there."""
     GAP = "gap"
-    """It doesn't follow directly on what is held."""
+    """The entry doesn't directly follow the replica's revision."""
     CONTRADICTS = "contradicts"
-    """Another change led to that revision here."""
+    """The replica has another change at the entry's revision."""
     UNUSABLE = "unusable"
-    """The state refuses it, so that this process must not go on."""
+    """The entry can't be decoded, or the state refuses it; the replica must not advance past it."""
 
 
 class Replica:
     """Implements `ConfigView` and `ConfigReplica`; lives on the event loop.
 
     Args:
-        metrics: Where events are counted, under ``config``.
-        timeline: Where revisions and faults of the store are recorded.
+        metrics: Counts revisions, snapshots and faults, under ``config``.
+        timeline: Records revisions and faults of the store.
     """
 
     __slots__ = (
@@ -73,31 +75,31 @@
         self._fault: Failure | None = None
 
     def state(self) -> FleetState:
-        """Return the state at the newest revision held."""
+        """Return the state at this process's newest revision."""
         return self._state
 
     def revision(self) -> int:
-        """Return the newest revision held."""
+        """Return this process's newest revision."""
         return self._state.revision
 
     def age_s(self) -> float:
-        """Return how long ago the state was last known to be the newest; infinite for never."""
+        """Return the time since the state was last known to be the newest; infinite for never."""
         return asyncio.get_running_loop().time() - self._newest_confirmed_at_s
 
     async def wait_for(self, revision: int) -> FleetState:
-        """Wait until a revision is held; returns the state, which may be newer."""
+        """Wait until this process has a revision; return the state, which may be newer."""
         while self._state.revision < revision:
             await self._revision_advanced.wait()
         return self._state
 
     def entries_after(self, revision: int, *, limit: int) -> tuple[Entry, ...] | None:
-        """Return the entries that follow a revision; ``None`` where they are not kept any more."""
+        """Return the entries that follow a revision; ``None`` if the next one is not kept."""
         if revision >= self.revision():
             return ()
         return self._window.after(revision, limit=limit)
 
     def snapshot(self) -> Snapshot:
-        """Return the whole state, for a peer whose gap is too large."""
+        """Return the whole state, for a peer that lags too far behind to catch up from entries."""
         return Snapshot(state=self._state, last_change_id=self._last_change_id)
 
     def history(self, *, limit: int) -> tuple[Entry, ...]:
@@ -105,14 +107,17 @@
         return self._window.newest(limit)
 
     def subscribe(self, listener: Callable[[Entry], None]) -> None:
-        """Call a listener with each entry taken from now on, on the event loop."""
+        """Call a listener on the event loop with each entry that is applied from now on."""
         self._listeners.append(listener)
 
     def append_entries(self, entries: tuple[Entry, ...]) -> int:
-        """Take those entries that directly follow what is held; returns the revision held then.
+        """Apply those entries that directly follow this process's revision.
 
-        An entry that contradicts one held (same revision, other change id) is reported, never
-        adopted.
+        An entry that contradicts a known one (same revision, other change id) is reported and
+        never applied.
+
+        Returns:
+            The newest revision afterwards.
         """
         for entry in entries:
             if self.apply_entry(entry) not in (EntryOutcome.TAKEN, EntryOutcome.KNOWN):
@@ -120,7 +125,7 @@
         return self.revision()
 
     def install_snapshot(self, snapshot: Snapshot) -> int:
-        """Take a snapshot that is newer than what is held; returns the revision held then."""
+        """Install a snapshot if it is newer; return the newest revision afterwards."""
         revision = snapshot.state.revision
         if revision == self.revision() and snapshot.last_change_id != self._last_change_id:
             self._note_contradiction(revision, snapshot.last_change_id)
@@ -131,9 +136,9 @@
         return self.revision()
 
     def confirm_newest(self, revision: int, *, age_s: float = 0.0) -> None:
-        """Note that a revision was the store's newest a while ago.
+        """Record that a revision was the store's newest some time ago.
 
-        A store that later shows an older one has come back with an older state.
+        A store that later shows only an older one was restored with an older state.
         """
         self._newest_known_revision = max(self._newest_known_revision, revision)
         if revision == self.revision():
@@ -145,11 +150,11 @@
         return self._newest_known_revision
 
     def fault(self) -> Failure | None:
-        """Return what is wrong with the store's configuration, while something is."""
+        """Return the reported fault of the stored configuration; ``None`` while there is none."""
         return self._fault
 
     def apply_entry(self, entry: Entry) -> EntryOutcome:
-        """Take one entry if it directly follows what is held."""
+        """Apply one entry if it directly follows the replica's revision."""
         if entry.revision <= self.revision():
             return self._compare_with_held(entry)
         if entry.revision > self.revision() + 1:
@@ -166,17 +171,17 @@
         return EntryOutcome.TAKEN
 
     def change_id_at(self, revision: int) -> str | None:
-        """Return the id of the change that led to a revision, where it is still known."""
+        """Return the id of the change that led to a revision; ``None`` if it is not kept."""
         if revision == self.revision():
             return self._last_change_id
         return self._window.change_id_at(revision)
 
     def revision_of(self, change_id: str) -> int | None:
-        """Return the revision that a change became, where it is among the last entries."""
+        """Return the revision of a change; ``None`` if it is not among the last entries."""
         return self._window.revision_of(change_id)
 
     def report_fault(self, failure: Failure) -> None:
-        """Keep a fault of the store's configuration, and record it once."""
+        """Set the fault of the stored configuration; record it unless its kind is already set."""
         if self._fault is not None and self._fault.kind is failure.kind:
             return
         self._fault = failure
@@ -185,12 +190,12 @@
         logging.error("%s", failure)
 
     def clear_fault(self) -> None:
-        """Note that the store agrees with what is held."""
+        """Clear the fault after a read in which the store agreed with the replica."""
         if self._fault is None:
             return
         self._fault = None
         self._record(EventKind.STORE_UP, f"the store agrees again at revision {self.revision()}")
-        logging.info("the store's configuration agrees again")
+        logging.info("the stored configuration agrees with this process again")
 
     def _compare_with_held(self, entry: Entry) -> EntryOutcome:
         held = self.change_id_at(entry.revision)
--- a/src/shallotworks/config/_restore.py
+++ b/src/shallotworks/config/_restore.py
@@ -1,4 +1,4 @@
-"""Restoring a store that came back empty or older from what a process holds."""
+"""Restoring the store's configuration from a replica after the store has lost writes."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 
 async def restore(store: KeyValueStore, replica: Replica) -> Result[int, Failure]:
-    """Bring a store to the revision held here.
+    """Bring the store's configuration to the replica's revision.
 
-    Where the last entries held here go on from the store's log, those that it lacks are written;
-    it is then as if it had never lost them. Else the state is written as a snapshot and the log
-    before it is deleted, so that a process which lags finds no old end of the log to go on from.
+    If the replica's last entries continue the stored log or snapshot, the missing entries are
+    written, and the store is as if it had never lost them. Otherwise the state is written as a
+    snapshot and the log before it is deleted, so that a lagging process finds no old end of the log
+    to continue from.
 
     Returns:
-        The number of entries written, 0 for a snapshot; ``CONFLICT`` where nothing is missing; a
-        failure of the store, after which it can be tried again.
+        The number of entries written, 0 for a snapshot; ``CONFLICT`` if nothing is missing; a
+        failure of the store, after which the restore can be tried again.
     """
     listed = await _list_log(store)
     if not isinstance(listed, Success):
@@ -56,7 +57,7 @@
 
 
 def _newest_missing_revision(held: int, known: set[int]) -> int:
-    """Return the newest revision up to the one held whose entry nobody has; 0 for none."""
+    """Return the newest revision up to ``held`` that is not in ``known``; 0 for none."""
     revision = held
     while revision in known:
         revision -= 1
--- a/src/shallotworks/config/_snapshots.py
+++ b/src/shallotworks/config/_snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots of the configuration in the platform's service, and the keys they live under.
+"""Snapshots of the configuration in the platform's service, and the keys of the stored log.
 
-A snapshot is written in parts that are never changed, then the pointer to it is swapped; so a
-reader sees the old one or the new one, whole.
+A snapshot is written in parts that never change, and then the pointer to it is replaced by a
+compare-and-swap. A reader therefore sees either the old snapshot or the new one, each complete.
 """
 
 from __future__ import annotations
@@ -38,20 +38,21 @@
 PARTS_PREFIX = "config/snapshot/"
 REVISION_DIGITS = 20
 PART_BYTES = 700_000
-"""Below the service's 1 MB with room for base64."""
+"""Below the service's limit of 1 MB, with room for the base64 encoding."""
 COMPRESSION_LEVEL = 6
 MAX_LISTED_PARTS = 64
+"""Most parts of snapshots that one call lists."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Pointer:
-    """Which snapshot is the newest.
+    """Names the newest snapshot.
 
     Args:
-        revision: Its revision.
-        last_change_id: Id of the change that led to it.
-        name: Key of its parts without their numbers.
-        parts: How many there are.
+        revision: The snapshot's revision.
+        last_change_id: Id of the change that led to the revision.
+        name: Key of the snapshot's parts without their numbers.
+        parts: Number of parts.
     """
 
     revision: int
@@ -62,11 +63,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoredPointer:
-    """The pointer with the version to swap it by.
+    """The pointer as read, with the version that a compare-and-swap needs.
 
     Args:
         pointer: The pointer.
-        version: Its key's version.
+        version: Version of the pointer's key.
     """
 
     pointer: Pointer
@@ -78,7 +79,7 @@
 
 
 def log_key(revision: int) -> str:
-    """Return the key of the entry that led to a revision; keys sort as revisions do."""
+    """Return the key of a revision's entry; keys sort in the order of revisions."""
     return f"{LOG_PREFIX}{revision:0{REVISION_DIGITS}d}"
 
 
@@ -88,7 +89,7 @@
 
 
 async def read_pointer(store: KeyValueStore) -> Result[StoredPointer | None, Failure]:
-    """Read which snapshot is the newest; ``None`` where there is none."""
+    """Read the pointer to the newest snapshot; ``None`` if there is none."""
     outcome = await store.get(POINTER_KEY)
     if not isinstance(outcome, Success):
         return Err(outcome.failure())
@@ -106,7 +107,8 @@
     """Read the parts of a snapshot.
 
     Returns:
-        The snapshot; ``CONFLICT`` where a part is gone because a newer one has taken its place.
+        The snapshot; ``CONFLICT`` if a part is gone, because a newer snapshot has replaced this one
+        or the store has lost the part.
     """
     parts = []
     for number in range(pointer.parts):
@@ -125,7 +127,7 @@
 
 
 async def is_complete(store: KeyValueStore, pointer: Pointer) -> bool:
-    """Say whether no part of a snapshot is gone, as in a store that came back without it."""
+    """Return whether a snapshot has all its parts; a store that lost writes may lack some."""
     outcome = await read_snapshot(store, pointer)
     return isinstance(outcome, Success) or outcome.failure().kind is not ErrorKind.CONFLICT
 
@@ -134,8 +136,8 @@
     """Write a snapshot, read it back, and return the pointer to it.
 
     Returns:
-        The pointer; ``CONFLICT`` where the store's is as new or newer; a failure of the store. On a
-        failure nothing that a reader uses has been changed.
+        The pointer; ``CONFLICT`` if the store has a complete snapshot that is as new or newer; a
+        failure of the store. After a failure nothing that a reader uses has changed.
     """
     data = zlib.compress(snapshot.encode(), COMPRESSION_LEVEL)
     chunks = [data[start : start + PART_BYTES] for start in range(0, len(data), PART_BYTES)]
@@ -158,7 +160,7 @@
         outcome = await store.create(_part_key(pointer.name, number), chunk)
         if not isinstance(outcome, Success) and not _may_exist(outcome.failure()):
             return Err(outcome.failure())
-    # Also settles parts whose answers were lost, and those that another process wrote.
+    # The read also confirms parts whose answers were lost, and parts that another process wrote.
     read_back = await read_snapshot(store, pointer)
     if not isinstance(read_back, Success):
         return Err(read_back.failure())
@@ -168,7 +170,7 @@
 
 
 async def delete_older_snapshots(store: KeyValueStore, *, below: int) -> Result[int, Failure]:
-    """Delete the parts of snapshots below a revision; returns how many there were."""
+    """Delete the parts of snapshots below a revision; return the number of such parts."""
     outcome = await store.list(PARTS_PREFIX, limit=MAX_LISTED_PARTS)
     if not isinstance(outcome, Success):
         return Err(outcome.failure())
--- a/src/shallotworks/config/_store.py
+++ b/src/shallotworks/config/_store.py
@@ -1,4 +1,4 @@
-"""The configuration log: proposing changes, following it, and keeping it bounded."""
+"""The configuration store: proposing changes, watching the log, and compacting it."""
 
 from __future__ import annotations
 
@@ -30,29 +30,30 @@
 
 PROPOSE_DEADLINE_S = 8.0
 IDLE_POLL_S = 0.5
-"""How often a process that need not watch looks whether it must."""
+"""Interval at which a process that does not watch the log checks whether it has to."""
 REGRESSED_RECHECK_S = 3.0
-"""How often a watcher looks whether a store that came back empty or older agrees again."""
+"""Longest interval at which a watcher reads a regressed store, to see whether it agrees again."""
 LOG_CHECK_INTERVAL_S = 60.0
-"""How often a watcher reads the end of the log, to see whether the store still agrees."""
+"""Interval at which a watcher reads the end of the log, to check that the store still agrees."""
 MIN_WATCH_ROUND_S = 0.05
-"""Least time of a round of the watch that brought nothing, so that no fault makes it spin."""
+"""Least time between two watches if the first returned nothing, so that no fault of the store makes
+the watcher spin."""
 
 
 class ConfigStore(Replica):
     """Implements `ConfigView`, `ConfigLog` and `ConfigReplica` over the platform's service.
 
-    A change costs two calls where nothing is amiss: the entry is created, and read back together
-    with the one before it. Each lost race costs two more, and a process that has not heard for
-    some minutes what the newest revision is reads first.
+    In the normal case a change takes two calls: the entry is created, and it is read back together
+    with the entry before it. Each lost race takes two more. A process whose state has not been
+    confirmed as the newest for some minutes reads the log first.
 
     Args:
         store: The platform's key-value service.
-        metrics: Where events are counted, under ``config``.
-        timeline: Where accepted changes and faults are recorded.
-        wall_clock_s: Returns the Unix time, for the entries.
-        rng: Source of jitter and of change ids; never shared by two processes.
-        compactor: Keeps the log bounded; the default where not given.
+        metrics: Counts events, under ``config``.
+        timeline: Records accepted changes and faults.
+        wall_clock_s: Returns the Unix time, which the entries record.
+        rng: Source of jitter and of change ids; two processes must not share it.
+        compactor: Keeps the log bounded; ``None`` for one with the default limits.
     """
 
     __slots__ = (
@@ -94,11 +95,12 @@
     async def load(self) -> Result[int, Failure]:
         """Bring the state to the store's newest revision.
 
-        At a start call `install_snapshot` with what peers hold first: a store that has come back
-        older is only recognised by a process that knows of a newer revision.
+        At a start, `install_snapshot` with the peers' state has to come first: only a process that
+        knows of a newer revision recognises a store that was restored with an older state.
 
         Returns:
-            The revision held; why the store can't be read; ``STORE_REGRESSED``.
+            The newest revision; the store's failure; or the replica's fault, such as
+            ``STORE_REGRESSED``.
         """
         outcome = await self._reader.read()
         fault = self.fault()
@@ -107,16 +109,17 @@
         return outcome
 
     async def run_watch(self, *, should_watch: Callable[[], bool]) -> None:
-        """Follow the log while told to, until cancelled.
+        """Watch the log and apply its entries, until cancelled.
 
         Args:
-            should_watch: Asked before each watch; only few processes of a data centre need to.
+            should_watch: Called before each watch; returns whether this process has to watch, which
+                only few processes of a data centre need to.
         """
         loop = asyncio.get_running_loop()
         failures = 0
-        # After a start, an outage or a time without a watch the store may have come back older. A
-        # watch alone would not show that once its counter has grown again, so the first look is a
-        # read, and one now and then.
+        # After a start, an outage or a time without a watch, the store may have been restored with
+        # an older state. A watch does not show that once the store's counter has grown again.
+        # Therefore the first call is a read, and it is repeated at an interval.
         checked_at_s = -math.inf
         while True:
             if not should_watch():
@@ -143,8 +146,8 @@
     async def propose(self, change: Change, *, author: str) -> Result[Accepted, Failure]:
         """Append one change; see `ConfigLog.propose`.
 
-        Besides what that names, ``STORE_REGRESSED`` where the store has come back empty, older or
-        with another history.
+        In addition this returns ``STORE_REGRESSED`` if the store was restored empty, with an older
+        state or with another history.
         """
         started_s = asyncio.get_running_loop().time()
         ends_at_s = started_s + PROPOSE_DEADLINE_S
@@ -161,17 +164,17 @@
         return outcome
 
     async def state_at(self, revision: int) -> Result[FleetState, Failure]:
-        """Return the state at a revision; ``NOT_FOUND`` where it is not kept any more."""
+        """Return the state at a revision; ``NOT_FOUND`` if it is not kept or not written yet."""
         if revision == self.revision():
             return Success(self.state())
         return await state_at(self._store, revision)
 
     async def revert_revision(self, revision: int, *, author: str) -> Result[Accepted, Failure]:
-        """Take the change of a revision back, as a new revision.
+        """Revert the change of a revision by a new revision.
 
         Returns:
-            As `propose`; ``NOT_FOUND`` where the revision is not kept any more; as
-            `shallotworks.config.undo` where it can't be taken back.
+            As `propose`; ``NOT_FOUND`` if the revision is not kept any more; as
+            `shallotworks.config.undo` if no change reverts it.
         """
         listed = await read_entries(self._store, after=revision - 1, limit=1)
         before = await state_at(self._store, revision - 1)
@@ -192,14 +195,14 @@
         return await self.propose(change.unwrap(), author=author)
 
     async def restore_store(self) -> Result[int, Failure]:
-        """Bring a store that came back empty or older to the revision held here.
+        """Bring a store that was restored empty or with an older state to this process's revision.
 
-        Only ever at an operator's word, and at the process with the highest revision. The log then
-        goes on from there.
+        An operator calls this, at the process with the highest revision. The log then continues
+        from that revision.
 
         Returns:
-            The revision; ``CONFLICT`` where the store lacks nothing, or a newer revision than the
-            one held here is known; ``STORE_REGRESSED`` where the store has another history.
+            The revision; ``CONFLICT`` if the store lacks nothing, or a revision newer than this
+            process's is known; ``STORE_REGRESSED`` if the store has another history.
         """
         read = await self._reader.read()
         if not isinstance(read, Success):
@@ -216,7 +219,7 @@
         return await self.load()
 
     async def close(self) -> None:
-        """End what runs in the background."""
+        """Cancel a compaction that runs in the background."""
         if self._compacting is not None:
             self._compacting.cancel()
             await asyncio.gather(self._compacting, return_exceptions=True)
--- a/src/shallotworks/config/_undo.py
+++ b/src/shallotworks/config/_undo.py
@@ -1,4 +1,4 @@
-"""Which change takes an earlier one back, and how two states differ."""
+"""Computing the change that reverts an earlier one, and the difference of two states."""
 
 from __future__ import annotations
 
@@ -52,10 +52,10 @@
     """One record that differs between two states.
 
     Args:
-        kind: What it is.
-        name: Its name, or a plan's digest.
-        before: The record in the first state; ``None`` where it has none.
-        after: The record in the second state; ``None`` where it has none.
+        kind: Kind of the record.
+        name: Name of the record, or the digest of a plan.
+        before: The record in the first state; ``None`` if it is not there.
+        after: The record in the second state; ``None`` if it is not there.
     """
 
     kind: RecordKind
@@ -65,7 +65,7 @@
 
 
 def diff(before: FleetState, after: FleetState) -> tuple[Difference, ...]:
-    """Return the records that differ, by kind and name."""
+    """Return the records that differ between two states, ordered by kind and name."""
     found = []
     for kind in RecordKind:
         old, new = _records(before, kind), _records(after, kind)
@@ -80,18 +80,18 @@
 def undo(
     change: Change, *, before: FleetState, after: FleetState, newest: FleetState
 ) -> Result[Change, Failure]:
-    """Return the change that takes an earlier one back.
+    """Return the change that reverts an earlier one.
 
     Args:
         change: The earlier change.
-        before: The state that it followed.
-        after: The state that it led to.
+        before: The state before the change.
+        after: The state after the change.
         newest: The newest state.
 
     Returns:
-        The change; ``CONFLICT`` where the record has been changed again since;
-        ``INVALID_REQUEST`` where no single change takes it back: conditions, moves and plans go by
-        an intent of their own, a report of health is a fact.
+        The change; ``CONFLICT`` if the record has been changed again since; ``INVALID_REQUEST`` if
+        no single change reverts it. Conditions, moves and plans are changed through an intent of
+        their own, and a report of health is a fact that can't be reverted.
     """
     differences = diff(before, after)
     if len(differences) != 1:
--- a/src/shallotworks/config/_window.py
+++ b/src/shallotworks/config/_window.py
@@ -1,4 +1,4 @@
-"""The last entries that a process holds, for peers that lag and for operators."""
+"""The last entries that a process has applied, kept for lagging peers and for operators."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 __all__ = ["EntryWindow"]
 
 WINDOW_ENTRIES = 1_000
-"""Four hours of the 6,000 changes a day that the design is for."""
+"""Four hours at the 6,000 changes a day that the design is for."""
 
 
 class EntryWindow:
-    """Consecutive entries, the oldest dropped when it is full."""
+    """The last `WINDOW_ENTRIES` consecutive entries; a new entry displaces the oldest one."""
 
     __slots__ = ("_entries", "_revisions")
 
@@ -31,12 +31,12 @@
             del self._revisions[oldest.change_id]
 
     def clear(self) -> None:
-        """Forget all entries, since the next one won't follow them."""
+        """Remove all entries, because the next entry will not directly follow them."""
         self._entries.clear()
         self._revisions.clear()
 
     def after(self, revision: int, *, limit: int) -> tuple[Entry, ...] | None:
-        """Return entries that follow a revision; ``None`` where the next one is not here."""
+        """Return the entries that follow a revision; ``None`` if the next one was dropped."""
         if not self._entries:
             return None
         start = revision + 1 - self._entries[0].revision
@@ -45,16 +45,16 @@
         return tuple(islice(self._entries, start, start + limit))
 
     def newest(self, limit: int) -> tuple[Entry, ...]:
-        """Return the last entries, oldest first."""
+        """Return up to ``limit`` of the last entries, oldest first."""
         return tuple(islice(self._entries, max(0, len(self._entries) - limit), None))
 
     def change_id_at(self, revision: int) -> str | None:
-        """Return the id of the change that led to a revision, if it is here."""
+        """Return the id of the change that led to a revision; ``None`` if it is not kept."""
         if not self._entries:
             return None
         index = revision - self._entries[0].revision
         return self._entries[index].change_id if 0 <= index < len(self._entries) else None
 
     def revision_of(self, change_id: str) -> int | None:
-        """Return the revision that a change became, if it is here."""
+        """Return the revision of a change; ``None`` if it is not kept."""
         return self._revisions.get(change_id)
