--- a/src/shallotworks/kv/__init__.py
+++ b/src/shallotworks/kv/__init__.py
@@ -1,7 +1,8 @@
-"""The platform as its users meet it: the key-value service and the list of instances.
+"""Clients of the platform's services: the key-value store and the list of instances.
 
-Everything that must last or be agreed goes through `KeyValueStore`. Other packages see only the
-protocols named here; the HTTP client behind them is built once, by the daemon.
+All state that must be durable or agreed on between processes goes through `KeyValueStore`. Other
+packages depend only on the protocols exported here; the daemon creates the HTTP clients that
+implement them.
 """
 
 from ._calls import PlatformLimits
--- a/src/shallotworks/kv/_breaker.py
+++ b/src/shallotworks/kv/_breaker.py
@@ -1,4 +1,4 @@
-"""A circuit breaker: while the service is down, few calls are spent on finding that out."""
+"""A circuit breaker, which limits the calls made to a service that is down."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 FAILURES_TO_OPEN = 3
 FIRST_PAUSE_S = 0.5
 MAX_PAUSE_S = 4.0
-"""Half of the 8 s in which a change must be in force, so that an outage's end is seen in time."""
+"""Half of the 8 s within which a change must be in force, so that the end of an outage is noticed
+in time."""
 
 
 class CircuitBreaker:
-    """Opens after some failures in a row; then lets one call through after each pause.
+    """Opens after `FAILURES_TO_OPEN` consecutive failures; then admits one call after each pause.
 
-    The pause doubles up to `MAX_PAUSE_S` and is drawn from its upper half, so that many
-    instances that saw the service fail together don't come back to it together.
+    The pause doubles up to `MAX_PAUSE_S`. Its length is drawn from the upper half, so that
+    instances that saw the service fail at the same time don't all call it again at the same time.
 
     Args:
         rng: Source of jitter.
-        on_change: Called with whether the service is up, at each change.
+        on_change: Called each time the breaker opens (with false) or closes (with true).
     """
 
     __slots__ = ("_failures", "_on_change", "_open", "_pause_s", "_probing", "_retry_at_s", "_rng")
@@ -38,11 +39,15 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the service is taken to be down."""
+        """Whether the service is considered down."""
         return self._open
 
     def admit(self) -> bool:
-        """Say whether a call may be made now; its end must be told by one of the next three."""
+        """Return whether a call may be made now.
+
+        The caller must report the end of an admitted call by `record_success`, `record_failure` or
+        `record_abandoned`.
+        """
         if not self._open:
             return True
         if self._probing or asyncio.get_running_loop().time() < self._retry_at_s:
@@ -51,7 +56,7 @@
         return True
 
     def record_success(self) -> None:
-        """Note that the service answered."""
+        """Record that the service answered; closes the breaker."""
         self._failures = 0
         self._probing = False
         self._pause_s = FIRST_PAUSE_S
@@ -60,10 +65,10 @@
             self._on_change(True)
 
     def record_failure(self) -> None:
-        """Note that it did not."""
+        """Record that the service did not answer, or refused the call as unavailable."""
         self._failures += 1
         if self._open and not self._probing:
-            # A call from before the opening; its end says nothing new.
+            # The call was made before the breaker opened; its failure is not a failed probe.
             return
         self._probing = False
         if self._open:
@@ -77,9 +82,9 @@
             self._on_change(False)
 
     def record_abandoned(self) -> None:
-        """Note that the call was given up and says nothing."""
+        """Record that the call was cancelled, so that another one may probe the service."""
         self._probing = False
 
     def retry_after_s(self) -> float:
-        """Return when a call may next be let through."""
+        """Return the time until the next call is admitted, in seconds."""
         return max(0.0, self._retry_at_s - asyncio.get_running_loop().time())
--- a/src/shallotworks/kv/_budget.py
+++ b/src/shallotworks/kv/_budget.py
@@ -1,4 +1,4 @@
-"""The budget of calls that one instance may make to the platform."""
+"""Rate limit on the calls that one instance makes to the platform."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class CallBudget:
-    """Spaces calls out to a rate, with a burst, in the order they came.
+    """Limits calls to a rate with a burst; calls are admitted in the order of their reservations.
 
     Args:
         rate_per_s: Calls per second in the long run.
-        burst: Calls that may be made at once after a quiet time.
+        burst: Calls that may be made at once after a time without calls.
     """
 
     __slots__ = ("_burst_s", "_earliest_s", "_interval_s")
@@ -26,11 +26,11 @@
         """Reserve one call.
 
         Args:
-            max_wait_s: The longest wait that is of use.
+            max_wait_s: Longest wait that the caller accepts.
 
         Returns:
-            How long to wait before the call; ``None``, and nothing is reserved, if that is longer
-            than the patience.
+            Time to wait before the call, in seconds; ``None`` if that is more than ``max_wait_s``,
+            in which case nothing is reserved.
         """
         now_s = asyncio.get_running_loop().time()
         after_s = max(self._earliest_s, now_s) + self._interval_s
@@ -41,11 +41,11 @@
         return wait_s
 
     def reserve_urgent(self) -> None:
-        """Reserve one call that must not wait; later ones wait for longer instead."""
+        """Reserve one call that must not wait; later calls wait longer instead."""
         now_s = asyncio.get_running_loop().time()
         self._earliest_s = max(self._earliest_s, now_s) + self._interval_s
 
     def spend_burst(self) -> None:
-        """Spend the burst, so that after an outage calls begin at the steady rate."""
+        """Use up the burst, so that calls after an outage start at the steady rate."""
         now_s = asyncio.get_running_loop().time()
         self._earliest_s = max(self._earliest_s, now_s + self._burst_s - self._interval_s)
--- a/src/shallotworks/kv/_calls.py
+++ b/src/shallotworks/kv/_calls.py
@@ -1,4 +1,4 @@
-"""One call to the platform with its budget, circuit breaker, deadline, retries and counters."""
+"""Calls to the platform, with a rate limit, circuit breaker, deadline, retries and counters."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 DEADLINE_MARGIN_S = 0.05
-"""Kept from the last attempt's time for the way back from its thread."""
+"""Subtracted from the time of an attempt, so that its result returns from the thread in time."""
 MAX_TIMEOUT_FACTOR = 4.0
-"""The multiple of the attempt's time that a slow service is given at the most."""
+"""Most by which the time of one attempt is multiplied for a slow service."""
 QUICK_ANSWER_FRACTION = 0.5
-"""An answer within this part of the attempt's time ends the patience."""
+"""An answer within this part of `PlatformLimits.attempt_timeout_s` resets the factor to 1."""
 HTTP_OK = 200
 
 
@@ -37,16 +37,16 @@
     """Limits of the calls that one instance makes to one of the platform's services.
 
     Args:
-        deadline_s: Time in which a call ends, retries included.
-        attempt_timeout_s: Time for one attempt; the service answers in milliseconds, so that a
-            longer silence means a connection that has gone silent. Up to four times as long while
-            the service is slow on fresh connections too.
-        watch_grace_s: Time beyond its own wait after which a watch counts as silent.
-        attempts: Attempts of one read; a write has one.
-        threads: Calls in flight at once, besides watches.
-        watch_threads: Watches at once.
+        deadline_s: Time within which a call ends, retries included.
+        attempt_timeout_s: Time for one attempt. The service answers within milliseconds, so that a
+            longer silence means that the connection has gone silent. The time is up to four times
+            as long while the service is slow on fresh connections too.
+        watch_grace_s: Time beyond its own wait after which a watch times out.
+        attempts: Attempts for one read; a write has one.
+        threads: Calls in flight at once, not counting watches.
+        watch_threads: Watches in flight at once.
         rate_per_s: Calls per second in the long run.
-        burst: Calls that may be made at once after a quiet time.
+        burst: Calls that may be made at once after a time without calls.
     """
 
     deadline_s: float = 3.0
@@ -61,13 +61,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallKind:
-    """What sort of call it is.
+    """Properties of one kind of call.
 
     Args:
-        name: For its counters.
-        is_write: Whether it may change something.
-        is_urgent: Whether it may overdraw the budget, as a lease's renewal must.
-        is_watch: Whether it is a watch.
+        name: Name in the counters.
+        is_write: Whether the call may change something; it is then never retried.
+        is_urgent: Whether the call may overdraw the budget, as the renewal of a lease must.
+        is_watch: Whether the call is a watch, which is never retried either.
     """
 
     name: str
@@ -81,11 +81,11 @@
     """One call.
 
     Args:
-        kind: What sort of call it is.
+        kind: Kind of the call.
         method: HTTP method.
         path: Path and query.
-        body: JSON.
-        wait_s: How long a watch waits at the service.
+        body: Body as JSON.
+        wait_s: Time that a watch waits at the service.
     """
 
     kind: CallKind
@@ -96,14 +96,14 @@
 
 
 class PlatformCalls:
-    """Makes the calls to one service of the platform; lives on the event loop.
+    """Makes the calls to one service of the platform; must be used on the event loop.
 
     Args:
-        service: The service's name, which begins its counters.
+        service: The service's name, which is the prefix of its counters.
         address: ``ip:port``.
         limits: The limits.
-        metrics: Where calls are counted.
-        timeline: Where the service's ups and downs are recorded.
+        metrics: Counts calls.
+        timeline: Records when the service goes down and comes up.
         rng: Source of jitter.
     """
 
@@ -144,12 +144,12 @@
         )
 
     async def make(self, call: Call) -> Result[bytes, Failure]:
-        """Make one call; a read is retried, a write is not.
+        """Make one call; a read is retried, a write or a watch is not.
 
         Returns:
-            The answer's body; ``STORE_UNAVAILABLE`` where the call surely took no effect (each
-            read that failed, too); ``OUTCOME_UNKNOWN`` where a write was sent and its answer lost;
-            what the service answered otherwise (see `shallotworks.kv.wire`).
+            The answer's body; ``STORE_UNAVAILABLE`` if the call certainly took no effect, which
+            includes each failed read; ``OUTCOME_UNKNOWN`` if a write was sent and its answer was
+            lost; otherwise the failure that the service answered (see `shallotworks.kv.wire`).
         """
         if call.kind.is_write or call.kind.is_watch:
             return await self._attempt(call, max_wait_s=self._limits.deadline_s)
@@ -170,11 +170,11 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether the service answered when it was last asked."""
+        """Whether the service is considered up, because the circuit breaker is closed."""
         return not self._breaker.is_open
 
     def close(self) -> None:
-        """Cut all connections and end the threads."""
+        """Close all connections and end the threads."""
         self._transport.close()
         self._watch_transport.close()
 
@@ -229,11 +229,11 @@
         return exchange
 
     def _adapt_timeout(self, exchange: ExchangeResult, duration_s: float) -> None:
-        """Wait longer for a service that is slow, and not for a connection that is silent.
+        """Lengthen the timeout for a slow service, and reset it after a silent connection.
 
-        The failure: a store that takes 1.5 s for each call answers everything, and with a fixed
-        time-out of 1 s nothing would ever be answered. After a silent connection the next call
-        finds a fresh one and a quick answer, which ends the patience at once.
+        A store that takes 1.5 s for each call answers all of them, but with a fixed timeout of 1 s
+        no call would ever succeed. After a connection went silent, the next call uses a fresh one
+        and gets a quick answer, which resets the factor at once.
         """
         if exchange.outcome is ExchangeOutcome.TIMED_OUT:
             self._timeout_factor = min(MAX_TIMEOUT_FACTOR, self._timeout_factor * 2)
@@ -285,10 +285,10 @@
         self._timeline.record(kind, subject=Subject(), detail=self._service)
         if up:
             self._budget.spend_burst()
-            logging.info("%s answers again", self._service)
+            logging.info("%s is available again", self._service)
         else:
             self._count("outages")
-            logging.warning("%s does not answer", self._service)
+            logging.warning("%s is unavailable; the circuit breaker is open", self._service)
 
 
 def _describe(exchange: ExchangeResult) -> str:
--- a/src/shallotworks/kv/_http_store.py
+++ b/src/shallotworks/kv/_http_store.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP."""
+"""HTTP clients of the platform's services."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 
 
 class _HttpService:
-    """One of the platform's services; made on the event loop.
+    """Base of the clients; must be created on the event loop.
 
     Args:
         address: ``ip:port`` of the service.
-        metrics: Where calls are counted.
-        timeline: Where the service's ups and downs are recorded.
-        limits: Limits of this instance's calls; the service's own by default.
+        metrics: Counts calls.
+        timeline: Records when the service goes down and comes up.
+        limits: Limits of this instance's calls; ``None`` for the default limits of the service.
         rng: Source of jitter.
     """
 
@@ -71,7 +71,7 @@
         )
 
     def close(self) -> None:
-        """Cut all connections and end the threads."""
+        """Close all connections and end the threads."""
         self._calls.close()
 
 
@@ -88,41 +88,41 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether the service answered when it was last asked."""
+        """Whether the service is considered up, because the circuit breaker is closed."""
         return self._calls.is_up
 
     async def get(self, key: str) -> Result[Versioned | None, Failure]:
-        """Read one key; ``None`` where it does not exist."""
+        """Read one key; ``None`` if it does not exist."""
         return await self._read(GET, wire.GET_PATH, {"key": key}, wire.ITEM)
 
     async def list(
         self, prefix: str, *, after_key: str = "", limit: int = 1000
     ) -> Result[tuple[Versioned, ...], Failure]:
-        """Read the keys under a prefix, in key order, from the one after ``after_key``."""
+        """Read the keys under a prefix in key order, starting after ``after_key``."""
         query = {"prefix": prefix, "after_key": after_key, "limit": str(limit)}
         return await self._read(LIST, wire.LIST_PATH, query, wire.ITEMS)
 
     async def create(self, key: str, value: bytes, *, lease_id: str = "") -> Result[int, Failure]:
-        """Create a key; ``CONFLICT`` where it exists. Returns its version."""
+        """Create a key and return its version; ``CONFLICT`` if the key exists."""
         body = wire.CreateCall(key=key, value=value, lease_id=lease_id)
         return _version(await self._write(CREATE, wire.CREATE_PATH, body, wire.WRITTEN))
 
     async def compare_and_swap(
         self, key: str, value: bytes, *, version: int
     ) -> Result[int, Failure]:
-        """Write a key that still has this version; else ``CONFLICT``. Returns the new version."""
+        """Write a key and return its new version; ``CONFLICT`` if it has another version."""
         body = wire.SwapCall(key=key, value=value, version=version)
         return _version(await self._write(SWAP, wire.SWAP_PATH, body, wire.WRITTEN))
 
     async def delete(self, key: str, *, version: int) -> Result[None, Failure]:
-        """Delete a key that still has this version; else ``CONFLICT``."""
+        """Delete a key; ``CONFLICT`` if it has another version."""
         body = wire.DeleteCall(key=key, version=version)
         return _discard_version(await self._write(DELETE, wire.DELETE_PATH, body, wire.WRITTEN))
 
     async def watch(
         self, prefix: str, *, after_version: int, wait_s: float
     ) -> Result[WatchResult, Failure]:
-        """Wait until something under a prefix is written after a version, or the wait ends."""
+        """Wait until a key under a prefix is written or deleted after a version, or time is up."""
         query = {"prefix": prefix, "after_version": str(after_version), "wait_s": f"{wait_s:.3f}"}
         path = f"{wire.WATCH_PATH}?{urlencode(query)}"
         call = Call(kind=WATCH, method="GET", path=path, wait_s=wait_s)
@@ -133,7 +133,7 @@
         return await self._write(GRANT, wire.GRANT_PATH, wire.GrantCall(ttl_s=ttl_s), wire.LEASE)
 
     async def renew_lease(self, lease_id: str) -> Result[None, Failure]:
-        """Renew a lease; ``LEASE_LOST`` where it has lapsed."""
+        """Renew a lease; ``LEASE_LOST`` if it has expired."""
         body = wire.LeaseCall(lease_id=lease_id)
         return _discard_version(await self._write(RENEW, wire.RENEW_PATH, body, wire.WRITTEN))
 
@@ -168,7 +168,7 @@
     _default_limits = INSTANCE_LIST_LIMITS
 
     async def read(self) -> Result[tuple[ListedInstance, ...], Failure]:
-        """Read the whole list, as it was a while ago."""
+        """Read the whole list, which lags behind the platform's own state."""
         call = Call(kind=READ_INSTANCES, method="GET", path=wire.INSTANCES_PATH)
         return _decode(await self._calls.make(call), wire.INSTANCES, _UNREADABLE_READ)
 
--- a/src/shallotworks/kv/_lease_candidate.py
+++ b/src/shallotworks/kv/_lease_candidate.py
@@ -1,4 +1,4 @@
-"""Holding a named duty by a lease in the platform's service."""
+"""Leader election for a named duty, by a lease in the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -21,22 +21,23 @@
 
 DEFAULT_TTL_S = 12.0
 EXPIRY_MARGIN_FRACTION = 0.2
-"""Part of the time to live by which a holder counts itself expired early, for clocks that drift."""
+"""Part of the time to live by which a holder considers its lease expired early, to allow for clock
+drift."""
 RENEWALS_PER_TTL = 3
 RENEWAL_RETRIES_PER_TTL = 12
 INITIAL_JITTER_S = 0.5
 REVOKE_TIMEOUT_S = 1.0
-"""Time that a stop spends on giving the lease back; else it lapses by itself."""
+"""Longest time that a stop spends on revoking the lease; if that fails, the lease expires."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseRecord:
-    """A duty that is held; also the value of its key.
+    """A held lease on a duty; this is also the value of the duty's key.
 
     Args:
-        duty: The duty's name.
-        holder: Name of the process that holds it.
-        fencing_token: Grows with each holder; goes along with every act of the duty.
+        duty: Name of the duty.
+        holder: Name of the process that holds the lease.
+        fencing_token: Increases with each holder; every action for the duty carries it.
     """
 
     duty: str
@@ -56,20 +57,20 @@
 
 
 class LeaseCandidate:
-    """One candidate for one duty; lives on the event loop.
+    """One candidate for the lease on one duty; must be used on the event loop.
 
-    Whoever acts for the duty asks `is_held` before each act, and sends the fencing token along,
-    so that an act that was under way when the lease lapsed is refused where it arrives.
+    Code that acts for the duty checks `is_held` before each action and sends the fencing token with
+    it, so that the receiver refuses an action that was under way when the lease expired.
 
-    A candidate that waits costs one read per half to whole time to live, so let only a few
-    processes stand for one duty.
+    A waiting candidate reads the key once per half to whole time to live, so that only a few
+    processes should be candidates for one duty, or be ranked by ``pause_factor`` of `run`.
 
     Args:
         store: The platform's key-value service.
         duty: Name of the duty; its key is ``lease/<duty>``.
         holder: Name of this process.
-        metrics: Where events are counted, under ``lease``.
-        timeline: Where taking and losing the duty is recorded.
+        metrics: Counts events, under ``lease``.
+        timeline: Records when the lease is acquired and lost.
         rng: Source of jitter.
         ttl_s: Time to live of the lease.
     """
@@ -115,22 +116,23 @@
         return self._duty
 
     def lease_record(self) -> LeaseRecord | None:
-        """Return the duty with its token while it is held, by this process's own clock."""
+        """Return the lease with its token while it is held by this process's own clock."""
         return self._held.lease_record if self._held is not None and self.is_held() else None
 
     def is_held(self) -> bool:
-        """Say whether the duty may be acted for now.
+        """Return whether this process may act for the duty now.
 
-        The failure: this process is paused past its lease and another one takes the duty over; on
-        waking it would go on as if nothing had happened. The expiry is counted from before the
-        last renewal was sent, on a clock that runs on through the pause, and so lies before the
-        service's own. A machine that stops its clock too is caught by the fencing token.
+        A process that is paused past the end of its lease, while another process acquires it, would
+        continue as before when it resumes. Therefore the expiry is computed from the time at which
+        the last successful renewal was sent, on a clock that continues during the pause, and so it
+        lies before the service's own expiry. If the machine's clock stops too, the fencing token
+        protects the receiver.
         """
         held = self._held
         return held is not None and asyncio.get_running_loop().time() < held.expires_at_s
 
     async def wait_until_held(self) -> LeaseRecord:
-        """Wait until the duty is held."""
+        """Wait until the lease is held, and return it."""
         while True:
             lease_record = self.lease_record()
             if lease_record is not None:
@@ -144,21 +146,21 @@
         is_eligible: Callable[[], bool] = lambda: True,
         pause_factor: Callable[[], float] = lambda: 1.0,
     ) -> None:
-        """Stand for the duty, keep it, and stand again when it is lost, until cancelled.
+        """Acquire the lease, renew it, and try again when it is lost, until cancelled.
 
         Args:
-            is_eligible: Asked before each attempt and renewal; when it says no, a duty that is
-                held is given back.
-            pause_factor: Multiplies the pauses between attempts. Candidates that are ranked, each
-                with the patience of its rank, together ask as often as a few do, and the first in
-                the ranking that is alive mostly takes the duty.
+            is_eligible: Called before each attempt and renewal; when it returns false, a held lease
+                is revoked.
+            pause_factor: Multiplies the pauses between attempts. If each candidate's factor grows
+                with its rank, all of them together poll as often as a few do, and the first in the
+                ranking that is alive usually acquires the lease.
         """
         await asyncio.sleep(self._rng.uniform(0, INITIAL_JITTER_S))
         try:
             while True:
                 if is_eligible() and await self._try_acquire():
                     await self._renew_until_lost(is_eligible)
-                # Candidates spread their tries, so that a lapse is not met by all at once.
+                # The random pause keeps candidates from trying all at once when a lease expires.
                 pause_s = self._rng.uniform(self._ttl_s / 2, self._ttl_s)
                 await asyncio.sleep(pause_s * pause_factor())
         finally:
@@ -194,7 +196,7 @@
             return True
         if outcome.failure().kind is not ErrorKind.OUTCOME_UNKNOWN:
             return False
-        # The answer was lost. The token in the value says whose key it is.
+        # The answer was lost. The token in the value shows which process created the key.
         present = (await self._store.get(self._key)).value_or(None)
         return present is not None and present.value == value
 
@@ -227,7 +229,7 @@
 
     def _mark_lost(self, why: str) -> None:
         self._record_event(EventKind.LEASE_LOST, f"lost: {why}")
-        logging.warning("duty %s is lost: %s", self._duty, why)
+        logging.warning("lost the lease for duty %s: %s", self._duty, why)
         self._held = None
 
     async def _revoke(self) -> None:
--- a/src/shallotworks/kv/_protocols.py
+++ b/src/shallotworks/kv/_protocols.py
@@ -1,7 +1,7 @@
-"""What the platform's services offer, as `Protocol` types and the values they return.
+"""Protocols of the platform's services, and the values that they return.
 
-Failures that every call may return: ``STORE_UNAVAILABLE`` (it surely took no effect) and
-``OUTCOME_UNKNOWN`` (a write was sent and its answer was lost; reads return the former).
+Every call may return ``STORE_UNAVAILABLE``, which means that it certainly took no effect. A write
+may also return ``OUTCOME_UNKNOWN``, which means that it was sent and its answer was lost.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 ]
 
 BASE64_BYTES = ConfigDict(ser_json_bytes="base64", val_json_bytes="base64")
-"""Values are base64 with the URL-safe alphabet where they travel as JSON."""
+"""Encodes values as base64 with the URL-safe alphabet in JSON."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -33,9 +33,9 @@
 
     Args:
         key: The key.
-        value: At most 1 MB.
-        version: The service's counter at the key's last write; grows over all keys, so that it
-            also orders writes to different keys.
+        value: The value, at most 1 MB.
+        version: The service's counter at the key's last write. One counter serves all keys, so that
+            it also orders writes to different keys.
     """
 
     __pydantic_config__: ClassVar[ConfigDict] = BASE64_BYTES
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Lease:
-    """A lease granted by the service; its keys vanish when it lapses.
+    """A lease granted by the service, which deletes the lease's keys when it expires.
 
     Args:
-        lease_id: Names it in later calls.
-        ttl_s: Time after the last renewal at which it lapses.
-        fencing_token: Grows with every lease granted.
+        lease_id: Identifies the lease in later calls.
+        ttl_s: Time after the last renewal at which the lease expires.
+        fencing_token: Increases with every lease granted.
     """
 
     lease_id: str
@@ -62,13 +62,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WatchResult:
-    """What a watch has to say.
+    """Result of a watch.
 
     Args:
-        version: The service's counter; pass it as ``after_version`` of the next watch.
-        items: Keys under the prefix written after ``after_version``, by version; empty when the
-            wait ran out.
-        deleted: Keys under the prefix deleted after it.
+        version: The service's counter, for ``after_version`` of the next watch.
+        items: Keys under the prefix that were written after ``after_version``, in order of version;
+            empty if none was written within the wait.
+        deleted: Keys under the prefix that were deleted after ``after_version``.
     """
 
     version: int
@@ -78,13 +78,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListedInstance:
-    """One line of the platform's list of instances, which lags behind the truth.
+    """One line of the platform's list of instances, which lags behind the actual state.
 
     Args:
         name: The instance's name.
         address: ``ip:port``.
-        leaving: Whether the platform is about to take it away.
-        incarnation: Differs when another machine came back under the same name.
+        leaving: Whether the platform is about to remove the instance.
+        incarnation: Changes when another machine takes over the same name.
     """
 
     name: str
@@ -94,39 +94,42 @@
 
 
 class KeyValueStore(Protocol):
-    """The platform's key-value service; every call counts against its rates."""
+    """The platform's key-value service; every call counts against its rate limits."""
 
     async def get(self, key: str) -> Result[Versioned | None, Failure]:
-        """Read one key; ``None`` where it does not exist."""
+        """Read one key; ``None`` if it does not exist."""
         ...
 
     async def list(
         self, prefix: str, *, after_key: str = "", limit: int = 1000
     ) -> Result[tuple[Versioned, ...], Failure]:
-        """Read the keys under a prefix, in key order, from the one after ``after_key``."""
+        """Read the keys under a prefix in key order, starting after ``after_key``."""
         ...
 
     async def create(self, key: str, value: bytes, *, lease_id: str = "") -> Result[int, Failure]:
-        """Create a key; ``CONFLICT`` where it exists. Returns its version."""
+        """Create a key and return its version; ``CONFLICT`` if the key exists.
+
+        With a ``lease_id`` the service deletes the key when that lease ends.
+        """
         ...
 
     async def compare_and_swap(
         self, key: str, value: bytes, *, version: int
     ) -> Result[int, Failure]:
-        """Write a key that still has this version; else ``CONFLICT``. Returns the new version."""
+        """Write a key and return its new version; ``CONFLICT`` if it has another version."""
         ...
 
     async def delete(self, key: str, *, version: int) -> Result[None, Failure]:
-        """Delete a key that still has this version; else ``CONFLICT``."""
+        """Delete a key; ``CONFLICT`` if it has another version."""
         ...
 
     async def watch(
         self, prefix: str, *, after_version: int, wait_s: float
     ) -> Result[WatchResult, Failure]:
-        """Wait until something under a prefix is written after a version, or the wait ends.
+        """Wait until a key under a prefix is written or deleted after a version, or time is up.
 
-        Answers at once, with a lower version, where the service's counter is below
-        ``after_version``: the service has come back with an older state.
+        If the service's counter is below ``after_version``, the service was restored with an older
+        state; the watch then returns at once, with the lower version.
         """
         ...
 
@@ -135,7 +138,7 @@
         ...
 
     async def renew_lease(self, lease_id: str) -> Result[None, Failure]:
-        """Renew a lease; ``LEASE_LOST`` where it has lapsed."""
+        """Renew a lease; ``LEASE_LOST`` if it has expired."""
         ...
 
     async def revoke_lease(self, lease_id: str) -> Result[None, Failure]:
@@ -147,5 +150,5 @@
     """The platform's list of live and leaving instances."""
 
     async def read(self) -> Result[tuple[ListedInstance, ...], Failure]:
-        """Read the whole list, as it was a while ago."""
+        """Read the whole list, which lags behind the platform's own state."""
         ...
--- a/src/shallotworks/kv/_transport.py
+++ b/src/shallotworks/kv/_transport.py
@@ -1,4 +1,4 @@
-"""Blocking HTTP exchanges with one address, on a bounded number of threads."""
+"""Blocking HTTP requests to one address, on a bounded number of threads."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 __all__ = ["ExchangeOutcome", "ExchangeResult", "HttpRequest", "HttpTransport"]
 
 MAX_CONNECTION_AGE_S = 60.0
-"""Connections are replaced at this age, so that few of them can have gone silent unnoticed."""
+"""Age at which connections are replaced, so that few can have gone silent without being noticed."""
 MIN_TIMEOUT_S = 0.001
 DEADLINE_GRACE_S = 0.02
-"""The library times each read of a socket; an answer that drips in is ended this long after the
-request's time."""
+"""Time after a request's timeout at which a slow answer is given up. The library's timeout applies
+to each read of the socket, so that an answer that arrives in small pieces could exceed it."""
 
 
 @unique
 class ExchangeOutcome(Enum):
-    """How an exchange ended."""
+    """How one request ended."""
 
     ANSWERED = "answered"
     NOT_SENT = "not-sent"
     """No byte of the request left this process."""
     BROKEN = "broken"
-    """Sent, and the connection ended without a whole answer."""
+    """The request was sent, and the connection ended without a complete answer."""
     TIMED_OUT = "timed-out"
-    """Sent, and nothing came in time."""
+    """The request was sent, and no complete answer arrived in time."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -45,8 +45,8 @@
     Args:
         method: HTTP method.
         path: Path and query.
-        body: The whole body.
-        timeout_s: Time for connecting, sending and the answer.
+        body: The complete body.
+        timeout_s: Time for connecting, sending and receiving the answer.
     """
 
     method: str
@@ -57,13 +57,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExchangeResult:
-    """What came of a request.
+    """Result of one request.
 
     Args:
-        outcome: How it ended.
-        status: HTTP status, where it was answered.
-        body: The whole body, where it was answered.
-        detail: What the library said, where it was not.
+        outcome: How the request ended.
+        status: HTTP status, if the request was answered.
+        body: The complete body, if the request was answered.
+        detail: Error text, if the request was not answered.
     """
 
     outcome: ExchangeOutcome
@@ -73,7 +73,7 @@
 
 
 class _TrackedConnection(HTTPConnection):
-    """A connection that can be found again, to be cut when the transport closes."""
+    """A connection that is recorded, so that the transport can shut it down when it closes."""
 
     alive: ClassVar[WeakSet[HTTPConnection]]
 
@@ -83,12 +83,12 @@
 
 
 class HttpTransport:
-    """Sends requests to one address from threads of its own.
+    """Sends requests to one address from its own thread pool.
 
     Args:
         address: ``ip:port``.
-        threads: Requests in flight at once; later ones wait on the event loop.
-        name: Prefix of the threads' names.
+        threads: Requests in flight at once; further ones wait on the event loop.
+        name: Prefix of the names of the threads.
     """
 
     __slots__ = (
@@ -117,8 +117,8 @@
     async def exchange(self, request: HttpRequest) -> ExchangeResult:
         """Send one request and wait for its answer, on one of the threads.
 
-        Waiting for a thread counts against the request's time; a request that finds none in that
-        time was not sent.
+        The wait for a free thread counts against the request's timeout. If none becomes free in
+        time, the result is `ExchangeOutcome.NOT_SENT`.
         """
         loop = asyncio.get_running_loop()
         started_s = loop.time()
@@ -133,7 +133,7 @@
         pool = self._pool
         left_s = max(MIN_TIMEOUT_S, started_s + request.timeout_s - loop.time())
         sending = loop.run_in_executor(self._executor, _send, pool, request, left_s)
-        # The slot is given back when the thread is free, also where the caller has given up.
+        # The semaphore is released when the thread is free, even if the caller no longer waits.
         sending.add_done_callback(lambda _: self._free_threads.release())
         ends_at_s = loop.time() + left_s + DEADLINE_GRACE_S
         try:
@@ -148,7 +148,7 @@
         return exchange
 
     def close(self) -> None:
-        """Cut every connection, those that wait for an answer too, and end the threads."""
+        """Shut down every connection, also those that wait for an answer, and end the threads."""
         self._pool.close()
         for connection in list(self._alive):
             if connection.sock is not None:
@@ -157,11 +157,12 @@
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _drop_connections(self, suspect: urllib3.HTTPConnectionPool) -> None:
-        """Start over with fresh connections after one of the old ones failed.
+        """Replace the connection pool after a request on one of its connections failed.
 
-        The failure: something between the two ends loses track of open connections, which go
-        silent for good while new ones work; it shows as one time-out after another. All idle ones
-        of this path are dropped at the first, so that it costs one time-out and not one for each.
+        A device on the network path, such as a firewall, can lose its state of open connections.
+        These then never carry another byte, while new connections work, and each request on one of
+        them times out. Dropping all idle connections at the first failure costs one timeout
+        instead of one for each connection.
         """
         if suspect is not self._pool:
             return
--- a/src/shallotworks/kv/wire.py
+++ b/src/shallotworks/kv/wire.py
@@ -1,4 +1,7 @@
-"""The platform's HTTP protocol as both ends need it; the page is ``docs/protocol-platform.md``."""
+"""Paths and messages of the platform's HTTP protocol, for both the client and the stand-in.
+
+``docs/protocol-platform.md`` describes the protocol.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +58,7 @@
     413: ErrorKind.TOO_LARGE,
     503: ErrorKind.STORE_UNAVAILABLE,
 }
-"""What a status says for certain; 503 means that the call was refused before it acted."""
+"""Kinds of failure by HTTP status; 503 means that the call was refused before it took effect."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -90,14 +93,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GrantCall:
-    """Body of a lease's grant."""
+    """Body of a request for a new lease."""
 
     ttl_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseCall:
-    """Body of a lease's renewal or end."""
+    """Body of a renewal or revocation of a lease."""
 
     lease_id: str
 
@@ -107,7 +110,7 @@
     """Answer to a write.
 
     Args:
-        version: The key's new version; 0 where the call has none to tell.
+        version: The key's new version; 0 if the call has none.
     """
 
     version: int
