--- a/tests/history.py
+++ b/tests/history.py
@@ -1,4 +1,4 @@
-"""Histories of concurrent requests, and the checker that decides whether a promise was broken."""
+"""Histories of concurrent requests, and a checker for the guarantees that callers rely on."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @unique
 class AnswerKind(Enum):
-    """What a caller received."""
+    """Kind of answer that a caller received."""
 
     WHOLE = "whole"
-    """The target's answer, status 200, in the form in which the stand-in answers."""
+    """The target's complete answer: status 200, in the stand-in's format."""
     TARGET_FAULT = "target-fault"
-    """The target's own answer that it failed."""
+    """The target's own answer that it failed, status 500."""
     MALFORMED = "malformed"
-    """Something in the target's name that no target says."""
+    """An answer passed on as the target's that no target sends."""
     ERROR = "error"
     """An error of this system."""
     NOTHING = "nothing"
@@ -29,15 +29,15 @@
 
 @unique
 class Rule(Enum):
-    """What must always hold towards callers."""
+    """Guarantees that must always hold towards callers."""
 
-    WHOLE = "an answer is whole"
+    WHOLE = "an answer is complete"
     OWN = "an answer is to the caller's own request"
     AT_MOST_ONCE = "a non-idempotent request runs at most once"
-    NOT_RUN = "what is told as not run was not run"
+    NOT_RUN = "a request that is reported as not run was not run"
     FROM_A_RUN = "an answer comes from a run that began before it"
-    REPORTED = "whose request ran is answered, or told that the outcome is unknown"
-    SAME_ANSWER = "the same key gives one and the same answer"
+    REPORTED = "the caller of a request that ran gets its answer, or that the outcome is unknown"
+    SAME_ANSWER = "all requests with the same key get the same answer"
     FINAL_ANSWER = "every request gets a final answer"
 
 
@@ -47,17 +47,17 @@
 
     Args:
         caller: Number of the caller.
-        request_id: Id that the answer carries; empty where it carries none.
+        request_id: Id in the answer's header; empty if there is none.
         key: Idempotency key; empty for none.
-        idempotent: Whether it was marked as idempotent.
+        idempotent: Whether the request was marked as idempotent.
         digest: Digest of the body that was sent.
-        began_at_s: Invocation, by `time.monotonic`.
-        ended_at_s: Completion.
-        answer: What was received.
-        ran: What the answer says of the run.
-        answered_id: Request id that the target's answer names.
-        answered_digest: Body digest that the target's answer names.
-        error: Kind of the error, for the counts.
+        began_at_s: Time of the invocation, by `time.monotonic`.
+        ended_at_s: Time of the completion, by `time.monotonic`.
+        answer: Kind of the answer.
+        ran: Whether the request ran, according to the answer.
+        answered_id: Request id in the body of the target's answer.
+        answered_digest: Digest of the request's body in the body of the target's answer.
+        error: Kind of the error; empty for an answer of the target.
     """
 
     caller: int
@@ -76,18 +76,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Violation:
-    """One broken rule."""
+    """One broken guarantee."""
 
     rule: Rule
     detail: str
 
 
 def find_violations(operations: Sequence[Operation], runs: Sequence[WorkerRun]) -> list[Violation]:
-    """Return every violation in a history; to be called when nothing is under way any more.
+    """Return every violation in a history in which all requests and runs have ended.
 
     Args:
-        operations: What the callers did and saw.
-        runs: What the workers ran.
+        operations: The callers' requests and their answers.
+        runs: The runs on the workers.
     """
     runs_of: dict[str, list[WorkerRun]] = defaultdict(list)
     for run in runs:
@@ -111,13 +111,13 @@
 def _check_operation(
     operation: Operation, runs_of: dict[str, list[WorkerRun]], ids_of_key: set[str]
 ) -> Iterator[Violation]:
-    """Judge one operation by itself and the runs."""
+    """Check the guarantees that need one operation and the runs."""
     if operation.answer is AnswerKind.NOTHING:
         yield Violation(rule=Rule.FINAL_ANSWER, detail=str(operation))
     if operation.answer is AnswerKind.MALFORMED:
         yield Violation(rule=Rule.WHOLE, detail=str(operation))
     if operation.answer is AnswerKind.WHOLE:
-        # A repeat under a key receives the first run's answer, which names the first request.
+        # A repeat with the same key receives the answer of the first run, with that request's id.
         own_ids = ids_of_key if operation.key else {operation.request_id}
         own = operation.answered_id in own_ids and operation.answered_digest == operation.digest
         if not own:
@@ -142,9 +142,9 @@
 def _unreported_runs(
     operations: Sequence[Operation], runs: Sequence[WorkerRun]
 ) -> Iterator[Violation]:
-    """Find runs whose callers know nothing of them."""
+    """Find runs whose callers were told that nothing ran, or whose requests are unknown."""
     by_id = {operation.request_id: operation for operation in operations}
-    # A caller that received nothing knows no request id; its key tells that it may be meant.
+    # A caller that received no answer has no request id; its key links the run to it.
     keys_left_open = {
         operation.key for operation in operations if operation.answer is AnswerKind.NOTHING
     }
--- a/tests/history_run.py
+++ b/tests/history_run.py
@@ -1,4 +1,4 @@
-"""Concurrent runs through real ports under drawn faults, recorded as a history."""
+"""Concurrent requests over TCP with injected faults, recorded as a history."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FaultPhase:
-    """Faults that are in force together for a while.
+    """Faults that are injected at the same time, for `FAULT_PHASE_S`.
 
     Args:
         workers: The fault of each worker.
-        crash: Number of a worker that goes down in the middle; ``None`` for none.
-        store: Faults of the store, by their names.
+        crash: Index of a worker that crashes halfway through the phase; ``None`` for none.
+        store: Names and values of the fields of the store's `StoreFaults`.
     """
 
     workers: tuple[WorkerFault, ...]
@@ -52,11 +52,11 @@
 
 
 class ConcurrentRun:
-    """Two entry instances that share a store and three workers, and callers on threads.
+    """Two entry instances that share a store and three workers, with callers on threads.
 
     Args:
-        seed: Seed of what the callers ask.
-        attempt_timeout_s: Longest attempt.
+        seed: Seed of the callers' requests.
+        attempt_timeout_s: Timeout of one attempt.
         deadline_s: Deadline of each request.
     """
 
@@ -115,7 +115,7 @@
         self._loop_thread.stop()
 
     def run(self, schedule: Sequence[FaultPhase]) -> None:
-        """Let the callers ask while the faults change, then let all become quiet."""
+        """Send requests while the faults change, then end the faults and wait until all is idle."""
         callers = [threading.Thread(target=self._run_caller, args=(n,)) for n in range(CALLERS)]
         for thread in callers:
             thread.start()
@@ -133,7 +133,7 @@
         self._wait_idle()
 
     def runs(self) -> list[WorkerRun]:
-        """Return what the workers have run."""
+        """Return the runs on all workers."""
         return [run for worker in self.workers for run in worker.runs()]
 
     def _apply_faults(self, phase: FaultPhase) -> None:
@@ -158,7 +158,10 @@
                     self._send_keyed_request(caller, rng, body, f"order-{number}")
 
     def _send_keyed_request(self, caller: int, rng: random.Random, body: bytes, key: str) -> None:
-        """Order under a key, mostly more than once: at once, later, elsewhere, something else."""
+        """Send a request with a key, and at random further ones with the same key.
+
+        A duplicate goes out at the same time; a repeat or a request with another body afterwards.
+        """
         duplicate = threading.Thread(target=self._send, args=(caller, 1, body, key))
         if rng.random() < 0.3:
             duplicate.start()
@@ -199,7 +202,7 @@
         )
 
     def _resend_keys(self) -> None:
-        """Ask a part of the keys once more, when all faults are over."""
+        """Repeat the requests of some keys after all faults have ended."""
         keys = {entry.key: entry for entry in self.operations if entry.key}
         for key in sorted(keys)[:MAX_RESENT_KEYS]:
             body = f"work {key.removeprefix('order-')}".encode()
@@ -216,7 +219,7 @@
 
 
 def _read(answer: urllib3.BaseHTTPResponse | None) -> dict[str, object]:
-    """Return what an answer says, as fields of an operation."""
+    """Return the fields of an `Operation` that come from the answer."""
     if answer is None:
         return {"request_id": "", "answer": AnswerKind.NOTHING, "ran": Ran.UNKNOWN}
     seen: dict[str, object] = {"request_id": answer.headers.get("Shallot-Request-Id", "")}
--- a/tests/test_config_history_reading.py
+++ b/tests/test_config_history_reading.py
@@ -1,4 +1,4 @@
-"""Tests of past revisions: reading them, comparing them, and taking a change back."""
+"""Tests of past revisions: reading and comparing them, and reverting a change."""
 
 import unittest
 
@@ -53,7 +53,7 @@
         ]
     )
     def test_reverted_change_restores_the_records(self, _name: str, change: Change) -> None:
-        """A change taken back leaves the records as they were, two revisions on."""
+        """A reverted change leaves the records as they were, at a revision of its own."""
 
         async def main() -> None:
             config = make_process(MemoryStore(), "e1")
@@ -77,7 +77,7 @@
         ]
     )
     def test_refused(self, _name: str, revision: int, then: Change | None, kind: str) -> None:
-        """What was changed again, what no change takes back, and what is not there is refused."""
+        """A revert is refused if the record changed again, or no change reverts it."""
 
         async def main() -> None:
             config = make_process(MemoryStore(), "e1")
@@ -94,7 +94,7 @@
 
 class PastStateTests(unittest.TestCase):
     def test_past_states_while_they_are_kept(self) -> None:
-        """States back to the snapshot before the last one can be read; older ones are told gone."""
+        """States back to the previous snapshot can be read; older ones are not found."""
 
         async def main() -> None:
             store = MemoryStore()
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.config.ConfigStore`: one log for all, through the store's faults."""
+"""Tests of `shallotworks.config.ConfigStore` on one shared log, with faults of the store."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 def run(main: Callable[[], Awaitable[None]]) -> None:
-    """Run on a loop whose clock jumps to the next timer, and end what is left running."""
+    """Run on a loop with a virtual clock, and cancel the tasks that are still running."""
 
     async def run_and_end() -> None:
         try:
@@ -71,7 +71,7 @@
 
 
 class StoreLink:
-    """One process's link to a store that others still reach."""
+    """One process's connection to a store, which can be cut while others still reach the store."""
 
     def __init__(self, store: MemoryStore) -> None:
         self.is_cut = False
@@ -86,7 +86,7 @@
         return call
 
     async def cut_after_write(self) -> None:
-        """Cut the link once the first write has arrived and before its answer is read."""
+        """Cut the link after the first write has arrived and before its answer is read."""
         while not self._store.calls["create"]:
             await asyncio.sleep(0)
         self.is_cut = True
@@ -95,7 +95,7 @@
 
 class ProposeTests(unittest.TestCase):
     def test_a_change_costs_two_calls(self) -> None:
-        """An accepted change is in force here, in the history, and took a write and a read."""
+        """An accepted change is in the state and the history, and takes one write and one read."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -112,7 +112,7 @@
         run(main)
 
     def test_a_refused_change_is_not_written(self) -> None:
-        """A change that breaks a rule is refused, after a look for news, with nothing written."""
+        """An invalid change is refused after a read of the newest revision, and not written."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -120,18 +120,16 @@
             await put_pools(first, "a")
             refused = await second.propose(RemovePool(name="b"), author="ola")
             self.assertEqual(kind_of(refused), ErrorKind.NOT_FOUND)
-            # The other process's pool was not known here; the look for news found it.
+            # The read before the refusal also brought the first process's pool.
             (await second.propose(RemovePool(name="a"), author="ola")).unwrap()
             self.assertEqual(store.calls["create"], 2)
 
         run(main)
 
     def test_a_race_has_one_winner_per_revision(self) -> None:
-        """Of operators who act at once each gets a revision of their own; conflicts are told.
+        """Of six processes that remove the same pool at once, one writes the entry.
 
-        Story: six operators remove the same pool at six instances at the same moment. All pass
-        the check against what their instance holds; one entry is written, the others lose the
-        race, catch up, check again, and are told that the pool is gone.
+        All pass the local check; the losers read the entry, check again and report the pool gone.
         """
 
         async def main() -> None:
@@ -151,11 +149,9 @@
         run(main)
 
     def test_a_loser_is_not_starved(self) -> None:
-        """Of processes that propose without pause none waits long for its turn.
+        """A process that loses races is not starved by one that writes change after change.
 
-        Story: one conductor drains a rack and writes change after change; an operator elsewhere
-        makes one. Each time the operator's process has caught up, and waits a little longer before
-        it tries again, the conductor has written the next entry; the change takes over a second.
+        If it delayed after its read and not before, it would lose races for over a second.
         """
 
         async def main() -> None:
@@ -177,10 +173,9 @@
         run(main)
 
     def test_a_lost_answer_is_resolved(self) -> None:
-        """A write whose answer is lost is found by its id, and counts once.
+        """A write whose answer is lost is found by its change id and counts once.
 
-        Story: the entry is written, the answer is lost. Proposed anew it would take a second
-        revision; told as refused it would come into force behind the operator's back.
+        Proposed again it would take a second revision; reported as refused it would be in force.
         """
 
         async def main() -> None:
@@ -194,7 +189,7 @@
         run(main)
 
     def test_store_down_before_and_after_the_write(self) -> None:
-        """Down before the write: surely not accepted. Down after it: unknown, and it may appear."""
+        """A change is refused if the store is down before the write, and unknown if after it."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -215,11 +210,9 @@
         run(main)
 
     def test_unknown_outcome_is_resolved_after_a_snapshot(self) -> None:
-        """A change that was written is not written again after a snapshot went past it.
+        """A written change is not written again after a snapshot has passed its revision.
 
-        Story: an answer is lost and the store goes down before it can be read back. Meanwhile a
-        peer hands over a snapshot that is three revisions further. The change is in it, but its
-        entry is not in this process; only the log can tell, so the log is asked.
+        A peer's snapshot has the change but not its entry, so that only the stored log can tell.
         """
 
         async def main() -> None:
@@ -238,10 +231,9 @@
         run(main)
 
     def test_unknown_outcome_stays_unknown_after_the_entry_is_deleted(self) -> None:
-        """Where the entry is deleted behind a snapshot by then, the outcome stays unknown.
+        """The outcome stays unknown if the entry is deleted before it can be read back.
 
-        Story: as before, but so many changes follow that the log no longer holds the entry. Nothing
-        can tell any more whether it was this change, so neither answer may be given.
+        Accepted and refused could both be wrong, since no entry shows whose change it was.
         """
 
         async def main() -> None:
@@ -261,11 +253,9 @@
         run(main)
 
     def test_process_cut_off_past_the_deleted_entries_reads_before_it_writes(self) -> None:
-        """A process that was cut off for long reads before it writes.
+        """A process that was cut off overnight does not create the key of a deleted entry again.
 
-        Story: a data centre was cut off overnight. The entry after the one it holds has been
-        written and deleted behind a snapshot since. A change proposed in the first moment would be
-        created under that key again, look accepted, and be in force nowhere else.
+        Without a read first, its change would look accepted and be in force nowhere else.
         """
 
         async def main() -> None:
@@ -284,7 +274,7 @@
 
 class FollowTests(unittest.TestCase):
     def test_a_watcher_sees_changes_and_costs_little(self) -> None:
-        """A change is in force at a watcher at once; a quiet watch costs a call each 4 s."""
+        """A watcher sees a change at once; without changes it makes one call every 4 s."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -302,7 +292,7 @@
         run(main)
 
     def test_entries_past_the_watched_block_are_seen(self) -> None:
-        """A watcher goes on past the thousandth revision, with deletions far behind it."""
+        """A watcher continues past the thousandth revision while old entries are deleted."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -315,14 +305,14 @@
                     await asyncio.sleep(1)
             async with asyncio.timeout(5):
                 await watcher.wait_for(1_030)
-            # Deleted entries do not wake it: about one watch per change, not two.
+            # Deletions do not wake the watcher: it makes about one watch per change, not two.
             self.assertLess(store.calls["watch"], 1_100)
             task.cancel()
 
         run(main)
 
     def test_a_newcomer_loads_snapshot_and_log(self) -> None:
-        """The log stays bounded, and a newcomer arrives at the same state with few calls."""
+        """The log stays bounded, and a new process loads the same state with at most four calls."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -340,7 +330,7 @@
         run(main)
 
     def test_peers_pass_entries_and_snapshots(self) -> None:
-        """Entries are taken in order only; a gap too large is filled by a snapshot."""
+        """Entries are applied in order only; a snapshot covers a gap that is too large."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -357,14 +347,12 @@
 
 
 class RegressionTests(unittest.TestCase):
-    """The store comes back from an outage without what it had accepted."""
+    """The store is restored after an outage without writes that it had accepted."""
 
     def test_older_or_empty_store_is_reported_and_not_written(self) -> None:
-        """A store that came back empty or older is reported, not adopted, and not written to.
+        """A store restored from an old backup or set up empty is neither adopted nor written to.
 
-        Story: the platform's people restore the store from a copy of yesterday, or set it up anew.
-        Every instance still holds today's configuration. If one took the store's word, cordons and
-        moves would be undone; if one wrote on, two histories would begin.
+        Adopting it would undo cordons and moves; writing to it would fork the history.
         """
 
         async def main() -> None:
@@ -386,7 +374,7 @@
                 kinds = [event.kind for event in config._timeline.events()]
                 self.assertEqual(kinds.count(EventKind.STORE_REGRESSED), 1)
                 self.assertEqual(store.calls["create"], 3)
-                # An operator restores it from this process, and a newcomer finds all.
+                # An operator restores the store from this process, and a new one loads everything.
                 self.assertEqual((await config.restore_store()).unwrap(), 3)
                 await put_pools(config, "e")
                 newcomer = make_process(store, "e2")
@@ -397,10 +385,9 @@
         run(main)
 
     def test_lagging_process_knows_the_newest_revision_from_its_peers(self) -> None:
-        """A process that lags does not write on a store that came back at just its revision.
+        """A process at revision 1 does not write to a store that was rolled back to revision 1.
 
-        Story: an instance held revision 1 when the store came back at revision 1; to it the store
-        looks right. Its peers' heartbeats have told it of revision 2, so it knows better.
+        The store looks correct to it, but its peers' heartbeats have reported revision 2.
         """
 
         async def main() -> None:
@@ -418,7 +405,7 @@
         run(main)
 
     def test_older_store_with_an_older_snapshot_is_reported(self) -> None:
-        """A store that came back with an older snapshot is not taken for one that was compacted."""
+        """A store restored with an older snapshot is not mistaken for one that was compacted."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -437,11 +424,9 @@
         run(main)
 
     def test_snapshot_with_a_lost_part_is_skipped_and_rewritten(self) -> None:
-        """A snapshot that lost a part is passed over where the log is whole, and written anew.
+        """A snapshot that lost a part is skipped if the log is complete, and can be rewritten.
 
-        Story: the store comes back without its last writes just while a snapshot is written. The
-        pointer written next names a part that is gone. A newcomer without peers would look for it
-        for ever, though every entry is in the log.
+        A store that loses its last writes during a snapshot keeps a pointer that names lost parts.
         """
 
         async def main() -> None:
@@ -463,7 +448,7 @@
         run(main)
 
     def test_stale_reads_are_a_temporary_fault(self) -> None:
-        """Stale answers after a failover are taken for a fault, which ends with them."""
+        """Stale reads after a failover are reported as a fault, which a fresh read clears."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -480,7 +465,7 @@
         run(main)
 
     def test_another_history_is_refused(self) -> None:
-        """An entry with another id at a revision held is reported and changes nothing."""
+        """An entry with another change id at a known revision is reported and not applied."""
 
         async def main() -> None:
             config = make_process(MemoryStore(), "e1")
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.config` entries: what one process writes, every other reads."""
+"""Tests of the encoding of entries and snapshots of `shallotworks.config`."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 class EncodingTests(unittest.TestCase):
     def test_entry_survives_encoding(self) -> None:
-        """An entry read back equals the one written, down to the kind of its change."""
+        """A decoded entry equals the encoded one, including the kind of its change."""
         entry = Entry(
             revision=3,
             change_id="c1",
@@ -19,7 +19,7 @@
         self.assertEqual(Entry.decode(entry.encode()), entry)
 
     def test_snapshot_survives_encoding(self) -> None:
-        """A snapshot read back equals the one written."""
+        """A decoded snapshot equals the encoded one."""
         centre = PutDataCentre(data_centre=DataCentre(name="bergen", region="vest")).data_centre
         state = FleetState(revision=9, data_centres={"bergen": centre})
         snapshot = Snapshot(state=state, last_change_id="c9")
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""History checking of concurrent runs, and of the checker itself."""
+"""Checks of the histories of concurrent requests, and tests of the checker."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         ]
     )
     def test_good(self, _name: str, operations: list[Operation], runs: list[WorkerRun]) -> None:
-        """A history that keeps every rule is passed."""
+        """A history without a violation passes."""
         self.assertEqual(find_violations(operations, runs), [])
 
     @parameterized.expand(
@@ -94,7 +94,7 @@
         ]
     )
     def test_bad(self, rule: Rule, operations: list[Operation], runs: list[WorkerRun]) -> None:
-        """A history that breaks a rule is found, by that rule."""
+        """A violation of a rule is reported under that rule."""
         found = {violation.rule for violation in find_violations(operations, runs)}
         self.assertIn(rule, found)
 
@@ -126,12 +126,12 @@
 
 
 class ConcurrentRunTests(unittest.TestCase):
-    """Runs through real ports, judged by what the workers have run."""
+    """Requests over TCP, checked against the runs on the workers."""
 
     maxDiff = None
 
     def check(self, run: ConcurrentRun, schedule: list[FaultPhase]) -> None:
-        """Run a schedule and fail where a promise was broken or a slot is lost."""
+        """Run a schedule; fail if a guarantee is violated or a slot is not released."""
         with run:
             run.run(schedule)
         violations = find_violations(run.operations, run.runs())
@@ -142,7 +142,7 @@
         self.assertGreaterEqual(len(run.operations), CALLERS)
 
     def test_nothing_fails(self) -> None:
-        """Without a fault every request is answered, but for repeats while the key is running."""
+        """Without faults every request is answered, except a repeat while its key is running."""
         run = ConcurrentRun(seed=1, attempt_timeout_s=10.0, deadline_s=10.0)
         self.check(run, [QUIET] * 2)
         without_key = {entry.answer for entry in run.operations if not entry.key}
@@ -154,11 +154,8 @@
     @example(schedule=[RUN_THEN_REFUSED] * 3, seed=0)
     @given(schedule=st.lists(PHASES, min_size=4, max_size=4), seed=st.integers(0, 99))
     def test_any_schedule(self, schedule: list[FaultPhase], seed: int) -> None:
-        """No promise to a caller is broken, whichever workers fail how, and the store too.
+        """No guarantee to a caller is violated, whichever faults the workers and the store have.
 
-        Story: twelve callers ask two instances for traces, sweeps and orders, with and without a
-        key, and repeat orders at once, later and elsewhere, while workers fail, answer late, in
-        part, or to someone else, fall silent, refuse or crash, and the store is down, slow, stale
-        or loses its answers.
+        Workers fail, answer late, partly or wrongly, hang, refuse or crash; the store fails too.
         """
         self.check(ConcurrentRun(seed=seed), schedule)
--- a/tests/test_http_store.py
+++ b/tests/test_http_store.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.kv`'s HTTP client against the stand-in."""
+"""Tests of the HTTP clients of `shallotworks.kv` against the platform stand-in."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 
 async def session(store: KeyValueStore) -> list[object]:
-    """Make one call of each kind, and each refusal that a caller relies on."""
+    """Make each kind of call, and provoke each refusal that callers rely on."""
     answers: list[object] = [await store.get("a")]
     answers.append(await store.create("a/1", b"\x00\xff"))
     answers.append(await store.create("a/1", b"again"))
@@ -58,7 +58,7 @@
 
 
 def _comparable(entry: object) -> object:
-    # The reason is for people, and differs.
+    # Only the kinds of failures are compared: their reasons differ between the two stores.
     return entry.failure().kind if isinstance(entry, Err) else entry
 
 
@@ -68,7 +68,7 @@
 
 class SameBehaviourTests(unittest.TestCase):
     def test_http_and_memory_answer_alike(self) -> None:
-        """The same session is answered alike over HTTP and in memory."""
+        """The HTTP client and the in-memory store answer the same calls alike."""
         standin = PlatformStandIn(threads=4, watch_threads=2)
         standin.start()
         self.addCleanup(standin.stop)
@@ -119,10 +119,9 @@
         return self.metrics.counters().get(f"store.{name}", 0)
 
     def test_lost_answer_is_unknown_and_not_retried(self) -> None:
-        """A write whose answer is lost is unknown, and is sent once.
+        """A write whose connection ends before the answer is unknown, and is sent once.
 
-        Story: an operator's change reaches the store and takes effect; the connection ends before
-        the answer. Sent again blindly it would be told that it conflicts with itself.
+        If it took effect, a second attempt would conflict with the first.
         """
 
         async def main(store: KeyValueStore) -> None:
@@ -135,7 +134,7 @@
 
     @parameterized.expand([("refused", CLOSED_ADDRESS), ("503", "")])
     def test_write_without_effect_is_store_unavailable(self, _name: str, address: str) -> None:
-        """A connection refused, and a 503, mean that the write took no effect."""
+        """A refused connection or a 503 means that the write took no effect."""
 
         async def main(store: KeyValueStore) -> None:
             self.standin.set_faults(StoreFaults(down=True))
@@ -145,7 +144,7 @@
         self.with_store(main, address=address)
 
     def test_read_from_a_hung_store_ends_by_its_deadline(self) -> None:
-        """A read from a store that hangs ends by its deadline."""
+        """A read from a store that does not answer in time ends by its deadline."""
 
         async def main(store: KeyValueStore) -> None:
             self.standin.set_faults(StoreFaults(delay_s=3))
@@ -157,11 +156,9 @@
         self.with_store(main)
 
     def test_a_slow_store_that_answers_is_used(self) -> None:
-        """A store slower than one attempt's time is waited for longer, and then answers all.
+        """The timeout grows for a store that answers every call, but later than the timeout.
 
-        Story: the platform's store has a bad hour and takes longer than the time-out for each
-        call. It answers everything, but with a fixed time-out no change could be made and no watch
-        would end; the instances would take it for down.
+        With a fixed timeout no change or watch would succeed, and the store would count as down.
         """
 
         async def main(store: KeyValueStore) -> None:
@@ -175,11 +172,9 @@
         self.assertEqual(self.count("outages"), 0)
 
     def test_silent_connections_cost_one_time_out(self) -> None:
-        """All connections go silent: one read times out, its retry and all later calls work.
+        """When a firewall drops its state of all connections, one read times out; its retry works.
 
-        Story: a firewall between the instance and the store forgets every open connection. Each
-        one then swallows what is sent into it, while a new one works at once. Without dropping
-        them together each idle connection would cost another time-out.
+        Unless all idle connections are dropped together, each of them costs another timeout.
         """
 
         async def main(store: KeyValueStore) -> None:
@@ -195,7 +190,7 @@
         self.assertEqual(self.count("outages"), 0)
 
     def test_watch_on_a_silent_connection_times_out(self) -> None:
-        """A watch on a connection that went silent ends a moment after its own wait."""
+        """A watch on a connection that went silent times out soon after its own wait."""
 
         async def main(store: KeyValueStore) -> None:
             first = await store.watch("a", after_version=0, wait_s=0.01)
@@ -209,11 +204,9 @@
         self.with_store(main)
 
     def test_circuit_breaker_limits_calls_to_a_store_that_is_down(self) -> None:
-        """Callers that keep asking cost a store that is down a few calls, and see it return.
+        """While many callers retry on a store that is down, three calls fail, then one per pause.
 
-        Story: the store refuses everything for a while and every task of the instance keeps
-        retrying. The circuit breaker lets three calls fail, then one after each pause; the first
-        one that succeeds closes it, and the time line shows both ends of the outage.
+        The first success closes the breaker, and the time line shows both ends of the outage.
         """
 
         async def main(store: KeyValueStore) -> None:
@@ -235,7 +228,7 @@
         self.assertEqual(self.count("outages"), 1)
 
     def test_calls_keep_to_the_budget(self) -> None:
-        """Past the burst calls wait their turn; a renewal of a lease does not."""
+        """Calls beyond the burst wait for the rate limit; the renewal of a lease does not."""
         limits = PlatformLimits(rate_per_s=20, burst=2)
 
         async def main(store: KeyValueStore) -> None:
@@ -253,7 +246,7 @@
         self.assertGreaterEqual(self.count("delayed.budget"), 4)
 
     def test_list_of_instances(self) -> None:
-        """The list is read as the platform has it; down, it says so."""
+        """The list is returned as the platform has it; a platform that is down is reported."""
         entry = ListedInstance(name="e1", address="127.0.0.1:1", leaving=True, incarnation="2")
         self.standin.set_instances((entry,))
 
--- a/tests/test_lease_candidate.py
+++ b/tests/test_lease_candidate.py
@@ -37,7 +37,7 @@
         )
 
     def test_one_of_many_holds_and_keeps_it(self) -> None:
-        """Of five candidates one holds the duty, at any time, and keeps it by renewing."""
+        """Of five candidates the same one holds the lease all the time, by renewing it."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -48,14 +48,14 @@
             for _ in range(100):
                 await asyncio.sleep(1)
                 self.assertEqual([each for each in candidates if each.is_held()], holder)
-            # At most one read per half time to live from each that waits, and the renewals.
+            # After its first read a candidate reads at most once per half time to live.
             self.assertLessEqual(store.calls["get"], 5 + 5 * 100 / (TTL_S / 2))
             await stop(tasks)
 
         run(main)
 
     def test_ranked_candidates_poll_as_often_as_a_few(self) -> None:
-        """Of 22 ranked candidates the waiting ones ask the store no more than five alike would."""
+        """22 candidates ranked by their pauses poll no more often than five unranked ones."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -75,7 +75,7 @@
         run(main)
 
     def test_stopped_holder_revokes_its_lease(self) -> None:
-        """A holder that stops ends its lease, so that the next one need not wait for the lapse."""
+        """A holder that stops revokes its lease; the next one need not wait for its expiry."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -92,11 +92,9 @@
         run(main)
 
     def test_holder_paused_past_its_lease_no_longer_holds_it(self) -> None:
-        """After the pause the first question "still held?" is answered no.
+        """A holder that its host paused past its lease does not hold it when it resumes.
 
-        Story: a conductor's process is stopped by its host for longer than its lease. Meanwhile
-        another one takes the plan over. The first wakes in the midst of its step and would go on
-        to reboot an instance; its clock has moved on, so it sees that its lease is over.
+        Otherwise a conductor would go on to reboot an instance after another took over its plan.
         """
 
         async def main() -> None:
@@ -117,10 +115,9 @@
         run(main)
 
     def test_store_down_for_longer_than_the_lease(self) -> None:
-        """A holder that can't renew stops acting before the lease lapses, and takes it up later.
+        """A holder stops acting before its lease expires while the store is down for a minute.
 
-        Story: the store is down for a minute. The conductor can't renew; the service will let the
-        lease lapse, and whoever comes first takes the duty when the store is back.
+        It can't renew the lease, and acquires a new one when the store is back.
         """
 
         async def main() -> None:
@@ -143,7 +140,7 @@
         run(main)
 
     def test_lost_answer_of_the_key_creation(self) -> None:
-        """The key is made but its answer is lost: the candidate knows its own key again."""
+        """A candidate recognises its own key when the answer to the key's creation was lost."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -161,7 +158,7 @@
 
 
 class PausableStore:
-    """A store as seen by a process that can be paused: its renewals then never leave it."""
+    """A store through which a process that is paused sends no renewals."""
 
     def __init__(self, store: MemoryStore) -> None:
         self.paused = False
--- a/tests/test_memory_store.py
+++ b/tests/test_memory_store.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.standins.MemoryStore`: what the product may rely on, and its faults."""
+"""Tests of `shallotworks.standins.MemoryStore`: the guarantees of a store, and injected faults."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 def run(main: Callable[[], Awaitable[None]]) -> None:
-    """Run on a loop whose clock jumps to the next timer."""
+    """Run on a loop with a virtual clock, which advances to the next timer."""
     loop = looptime.new_event_loop()
     try:
         loop.run_until_complete(main())
@@ -28,7 +28,7 @@
 
 class MemoryStoreTests(unittest.TestCase):
     def test_writes_need_the_version_they_saw(self) -> None:
-        """Create only makes new keys; swap and delete only act on the version they name."""
+        """Create refuses an existing key; compare-and-swap and delete refuse another version."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -47,7 +47,7 @@
         run(main)
 
     def test_every_watch_sees_a_write(self) -> None:
-        """All watches under the prefix wake with the write; one elsewhere runs out empty."""
+        """All watches on the prefix return the write; one on another prefix times out empty."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -64,7 +64,7 @@
         run(main)
 
     def test_expired_lease_deletes_its_keys(self) -> None:
-        """Without renewal a lease's key vanishes at its end, and a watch tells of it."""
+        """A lease that is not renewed expires with its keys, and a watch reports their deletion."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -90,7 +90,7 @@
     def test_a_failed_write(
         self, _name: str, faults: StoreFaults, kind: ErrorKind, kept: bytes | None
     ) -> None:
-        """Down means that nothing was written; a lost answer that it was."""
+        """A write to a store that is down has no effect; one with a lost answer takes effect."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -103,7 +103,7 @@
         run(main)
 
     def test_older_stale_and_empty(self) -> None:
-        """A stale store shows its past; one that came back older or empty has lost writes."""
+        """A stale store returns old values; one rolled back or wiped has lost writes."""
 
         async def main() -> None:
             store = MemoryStore()
@@ -125,7 +125,7 @@
 
 class MemoryInstanceListTests(unittest.TestCase):
     def test_a_change_shows_after_the_lag(self) -> None:
-        """A read shows the list as it was the lag ago."""
+        """A read returns the list as it was one lag earlier."""
 
         async def main() -> None:
             entry = ListedInstance(name="e1", address="127.0.0.1:1", leaving=False, incarnation="1")
