--- a/tests/history.py
+++ b/tests/history.py
@@ -145,13 +145,15 @@
     """Find runs whose callers were told that nothing ran, or whose requests are unknown."""
     by_id = {operation.request_id: operation for operation in operations}
     # A caller that received no answer has no request id; its key links the run to it.
-    keys_left_open = {
+    unanswered_keys = {
         operation.key for operation in operations if operation.answer is AnswerKind.NOTHING
     }
     for run in runs:
         operation = by_id.get(run.request_id)
-        heard = run.key in keys_left_open if operation is None else operation.ran is not Ran.NO
-        if not heard:
+        is_reported = (
+            run.key in unanswered_keys if operation is None else operation.ran is not Ran.NO
+        )
+        if not is_reported:
             yield Violation(rule=Rule.REPORTED, detail=f"{run}: {operation}")
 
 
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -311,7 +311,7 @@
 
         run(main)
 
-    def test_a_newcomer_loads_snapshot_and_log(self) -> None:
+    def test_a_new_process_loads_snapshot_and_log(self) -> None:
         """The log stays bounded, and a new process loads the same state with at most four calls."""
 
         async def main() -> None:
@@ -322,9 +322,9 @@
             logged = (await store.list("config/log/")).unwrap()
             self.assertLessEqual(len(logged), 30 + 20)
             store.calls.clear()
-            newcomer = make_process(store, "e2")
-            self.assertEqual((await newcomer.load()).unwrap(), 150)
-            self.assertEqual(newcomer.state(), author.state())
+            new_process = make_process(store, "e2")
+            self.assertEqual((await new_process.load()).unwrap(), 150)
+            self.assertEqual(new_process.state(), author.state())
             self.assertLessEqual(store.calls.total(), 4)
 
         run(main)
@@ -377,9 +377,9 @@
                 # An operator restores the store from this process, and a new one loads everything.
                 self.assertEqual((await config.restore_store()).unwrap(), 3)
                 await put_pools(config, "e")
-                newcomer = make_process(store, "e2")
-                self.assertEqual((await newcomer.load()).unwrap(), 4)
-                self.assertEqual(newcomer.state(), config.state())
+                new_process = make_process(store, "e2")
+                self.assertEqual((await new_process.load()).unwrap(), 4)
+                self.assertEqual(new_process.state(), config.state())
                 task.cancel()
 
         run(main)
@@ -418,8 +418,8 @@
             store.roll_back_to(older_version)
             self.assertEqual(kind_of(await config.load()), ErrorKind.STORE_REGRESSED)
             self.assertEqual((await config.restore_store()).unwrap(), 6)
-            newcomer = make_process(store, "e2")
-            self.assertEqual((await newcomer.load()).unwrap(), 6)
+            new_process = make_process(store, "e2")
+            self.assertEqual((await new_process.load()).unwrap(), 6)
 
         run(main)
 
@@ -436,8 +436,8 @@
             await asyncio.sleep(1)
             parts = (await store.list("config/snapshot/")).unwrap()
             await store.delete(parts[0].key, version=parts[0].version)
-            newcomer = make_process(store, "e2")
-            self.assertEqual((await newcomer.load()).unwrap(), 5)
+            new_process = make_process(store, "e2")
+            self.assertEqual((await new_process.load()).unwrap(), 5)
             entry = (await store.list("config/log/")).unwrap()[0]
             await store.delete(entry.key, version=entry.version)
             lost = make_process(store, "e3")
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -135,8 +135,8 @@
         with run:
             run.run(schedule)
         violations = find_violations(run.operations, run.runs())
-        told = [f"{violation.rule.value}: {violation.detail}" for violation in violations[:5]]
-        self.assertEqual("\n".join(told), "")
+        details = [f"{violation.rule.value}: {violation.detail}" for violation in violations[:5]]
+        self.assertEqual("\n".join(details), "")
         self.assertEqual([entry.dispatcher.in_flight for entry in run.entries], [0, 0])
         self.assertEqual([entry.dispatcher.waiting for entry in run.entries], [0, 0])
         self.assertGreaterEqual(len(run.operations), CALLERS)
