--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -1,8 +1,8 @@
-"""History checking of several `ConfigStore` processes over one store with faults.
+"""Checks of the histories of several `ConfigStore` processes that share a store with faults.
 
-What must hold, whatever the order of faults, restarts, gossip and races: revisions only grow, no
-revision has two values, every accepted change is in every process once the faults end, and a change
-that was told as surely not accepted is in none.
+Whatever the order of faults, restarts, gossip and races, revisions only increase, no revision has
+two values, every accepted change is in every process once the faults end, and a change that was
+reported as not accepted is in none.
 """
 
 import asyncio
