--- a/src/shallotworks/demo/_fleet.py
+++ b/src/shallotworks/demo/_fleet.py
@@ -24,8 +24,8 @@
 SERVICES = ("traces", "orders")
 DRAINED_RACK = RACKS[0]
 ENTRIES_PER_DATA_CENTRE = 2
-SLOTS = 8
-CALLERS_THREADS = 48
+SLOTS_PER_WORKER = 8
+CALLERS_LISTENER_THREADS = 48
 START_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 20.0
 TOKEN_BYTES = 24
@@ -74,7 +74,7 @@
         self.token = secrets.token_hex(TOKEN_BYTES)
         self.platform = PlatformStandIn()
         self.workers = [
-            WorkerStandIn(name=f"{data_centre}-{rack}-{service}", slots=SLOTS)
+            WorkerStandIn(name=f"{data_centre}-{rack}-{service}", slots=SLOTS_PER_WORKER)
             for data_centre in DATA_CENTRES
             for rack in RACKS
             for service in SERVICES
@@ -91,11 +91,11 @@
         for worker in self.workers:
             worker.start()
         self._thread.start()
-        self._run(self._start_nodes(), START_TIMEOUT_S)
+        self._run_on_loop(self._start_nodes(), START_TIMEOUT_S)
 
     def stop(self) -> None:
         """Stop the entry instances gracefully, then the rest."""
-        self._run(self._stop_nodes(), STOP_TIMEOUT_S)
+        self._run_on_loop(self._stop_nodes(), STOP_TIMEOUT_S)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
         self._loop.close()
@@ -112,7 +112,7 @@
             name=name,
             data_centre=data_centre,
             region=REGION,
-            threads=CALLERS_THREADS,
+            threads=CALLERS_LISTENER_THREADS,
             folder=self._folder,
             peers_port=port,
             seeds=", ".join(f"127.0.0.1:{seed}" for seed in seeds if seed != port),
@@ -125,9 +125,9 @@
         return settings
 
     async def _start_nodes(self) -> None:
-        places = [name for name in DATA_CENTRES for _ in range(ENTRIES_PER_DATA_CENTRE)]
-        ports = free_ports(len(places))
-        for number, (data_centre, port) in enumerate(zip(places, ports, strict=True)):
+        node_data_centres = [name for name in DATA_CENTRES for _ in range(ENTRIES_PER_DATA_CENTRE)]
+        ports = free_ports(len(node_data_centres))
+        for number, (data_centre, port) in enumerate(zip(node_data_centres, ports, strict=True)):
             name = f"{data_centre}-entry-{number % ENTRIES_PER_DATA_CENTRE + 1}"
             self.nodes.append(Node(settings=self._settings(name, data_centre, port, ports)))
         await asyncio.gather(*(node.start() for node in self.nodes))
@@ -135,5 +135,5 @@
     async def _stop_nodes(self) -> None:
         await asyncio.gather(*(node.stop() for node in self.nodes))
 
-    def _run(self, work: Coroutine[Any, Any, _Value], timeout_s: float) -> _Value:
-        return asyncio.run_coroutine_threadsafe(work, self._loop).result(timeout=timeout_s)
+    def _run_on_loop(self, coroutine: Coroutine[Any, Any, _Value], timeout_s: float) -> _Value:
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(timeout=timeout_s)
--- a/src/shallotworks/demo/_operator.py
+++ b/src/shallotworks/demo/_operator.py
@@ -13,14 +13,14 @@
 
 __all__ = ["DemoOperator"]
 
-OPERATOR = "kari"
-TIMEOUT_S = 35.0
-HTTP_ERROR = 400
+OPERATOR_NAME = "kari"
+READ_TIMEOUT_S = 35.0
+FIRST_HTTP_ERROR_STATUS = 400
 
-_CHANGES: TypeAdapter[list[Change]] = TypeAdapter(list[Change])
-_PLAN = TypeAdapter(PlanView)
-_INSTANCES = TypeAdapter(InstancesView)
-_STATUS = TypeAdapter(StatusView)
+_CHANGES_ADAPTER: TypeAdapter[list[Change]] = TypeAdapter(list[Change])
+_PLAN_ADAPTER = TypeAdapter(PlanView)
+_INSTANCES_ADAPTER = TypeAdapter(InstancesView)
+_STATUS_ADAPTER = TypeAdapter(StatusView)
 
 
 class DemoOperator:
@@ -35,10 +35,10 @@
         self._base = f"http://127.0.0.1:{port}/v1"
         self._headers = {
             "Authorization": f"Bearer {token}",
-            "Operator": OPERATOR,
+            "Operator": OPERATOR_NAME,
             "Content-Type": "application/json",
         }
-        self._http = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
+        self._http = urllib3.PoolManager(retries=False, timeout=READ_TIMEOUT_S)
 
     def close(self) -> None:
         """Close the connections."""
@@ -46,27 +46,27 @@
 
     def apply(self, changes: Sequence[Change]) -> None:
         """Append changes."""
-        self._call("POST", "/changes", _CHANGES.dump_json(list(changes)))
+        self._call("POST", "/changes", _CHANGES_ADAPTER.dump_json(list(changes)))
 
     def status(self) -> StatusView:
         """Return how the instance is doing."""
-        return _STATUS.validate_json(self._call("GET", "/status"))
+        return _STATUS_ADAPTER.validate_json(self._call("GET", "/status"))
 
     def instances(self) -> InstancesView:
         """Return all worker instances."""
-        return _INSTANCES.validate_json(self._call("GET", "/instances"))
+        return _INSTANCES_ADAPTER.validate_json(self._call("GET", "/instances"))
 
     def propose(self, intent: Intent) -> PlanView:
         """Ask for a plan."""
-        return _PLAN.validate_json(self._call("POST", "/plans", encode_intent(intent)))
+        return _PLAN_ADAPTER.validate_json(self._call("POST", "/plans", encode_intent(intent)))
 
     def confirm(self, digest: str) -> PlanView:
         """Confirm a plan."""
-        return _PLAN.validate_json(self._call("POST", f"/plans/{digest}/confirm"))
+        return _PLAN_ADAPTER.validate_json(self._call("POST", f"/plans/{digest}/confirm"))
 
     def plan(self, digest: str) -> PlanView:
         """Return a plan as it stands."""
-        return _PLAN.validate_json(self._call("GET", f"/plans/{digest}"))
+        return _PLAN_ADAPTER.validate_json(self._call("GET", f"/plans/{digest}"))
 
     def timeline(self) -> bytes:
         """Return the instance's events as JSON."""
@@ -74,6 +74,6 @@
 
     def _call(self, method: str, path: str, body: bytes | None = None) -> bytes:
         answer = self._http.request(method, self._base + path, body=body, headers=self._headers)
-        if answer.status >= HTTP_ERROR:
+        if answer.status >= FIRST_HTTP_ERROR_STATUS:
             raise RuntimeError(f"{method} {path}: {answer.status} {answer.data.decode()}")
         return answer.data
--- a/src/shallotworks/demo/_report.py
+++ b/src/shallotworks/demo/_report.py
@@ -44,7 +44,7 @@
     interactive_p99_s: float
 
     @property
-    def promises_kept(self) -> bool:
+    def has_no_violations(self) -> bool:
         """Whether nothing was lost, doubled, cut off or given to the wrong caller."""
         broken = sum(astuple(self.violations)) + self.late_work
         return broken == 0 and self.answered > 0
--- a/src/shallotworks/demo/_run.py
+++ b/src/shallotworks/demo/_run.py
@@ -24,16 +24,16 @@
 SEED = 7
 WARM_UP_S = 3.0
 """How long requests run before a plan is proposed."""
-UNCONFIRMED_S = 2.0
+UNCONFIRMED_WAIT_S = 2.0
 """How long the plan stays unconfirmed, to show that nothing acts on it."""
 COOL_DOWN_S = 3.0
 """How long requests run on after the plan."""
-IN_FORCE_TIMEOUT_S = 8.0
+CONFIGURATION_TIMEOUT_S = 8.0
 PLAN_TIMEOUT_S = 30.0
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 TIMELINE_NAME = "shallotworks-demo-timeline.json"
-EXIT_KEPT = 0
-EXIT_BROKEN = 1
+EXIT_NO_VIOLATIONS = 0
+EXIT_VIOLATIONS = 1
 
 
 def run_demo() -> int:
@@ -47,20 +47,20 @@
         fleet = DemoFleet(folder=Path(folder))
         fleet.start()
         try:
-            report = _play(fleet, console)
+            report = _drain_under_load(fleet, console)
         finally:
             fleet.stop()
     timeline_path = _write_timeline(fleet)
     print_report(report, console=console, timeline_path=timeline_path)
-    console.print("All promises kept." if report.promises_kept else "A PROMISE BROKE.")
-    return EXIT_KEPT if report.promises_kept else EXIT_BROKEN
+    console.print("All promises kept." if report.has_no_violations else "A PROMISE BROKE.")
+    return EXIT_NO_VIOLATIONS if report.has_no_violations else EXIT_VIOLATIONS
 
 
-def _play(fleet: DemoFleet, console: Console) -> Report:
+def _drain_under_load(fleet: DemoFleet, console: Console) -> Report:
     operator = DemoOperator(port=fleet.nodes[0].operators_port, token=fleet.token)
     changes = fleet.changes()
     operator.apply(changes)
-    _wait_for(lambda: _all_hold(fleet, len(changes)), IN_FORCE_TIMEOUT_S)
+    _wait_for(lambda: _have_all_nodes_revision(fleet, len(changes)), CONFIGURATION_TIMEOUT_S)
     console.print(
         f"{len(fleet.nodes)} entry instances in {len(DATA_CENTRES)} data centres hold revision"
         f" {len(changes)}; {len(fleet.workers)} workers serve."
@@ -69,12 +69,12 @@
     callers.start()
     try:
         time.sleep(WARM_UP_S)
-        view, took_s, drained_runs = _drain(fleet, operator, console)
+        view, took_s, drained_runs = _drain_rack(fleet, operator, console)
         time.sleep(COOL_DOWN_S)
     finally:
         callers.stop()
         operator.close()
-    drained = _drained(fleet)
+    drained = _drained_workers(fleet)
     late_work = sum(worker.status().counts.runs for worker in drained) - drained_runs
     return make_report(
         ledger=callers.ledger,
@@ -85,7 +85,7 @@
     )
 
 
-def _drain(
+def _drain_rack(
     fleet: DemoFleet, operator: DemoOperator, console: Console
 ) -> tuple[PlanView, float, int]:
     """Propose, wait, confirm, wait for the end.
@@ -98,10 +98,10 @@
     proposed = operator.propose(Drain(selection=rack))
     console.print("\nThe operator states an intent and is shown a plan:\n")
     console.print(render_plan(proposed.plan), highlight=False, markup=False)
-    time.sleep(UNCONFIRMED_S)
-    cordoned = _cordoned(operator)
+    time.sleep(UNCONFIRMED_WAIT_S)
+    cordoned = _cordoned_instances(operator)
     console.print(
-        f"{UNCONFIRMED_S:g} s later, not confirmed: {len(cordoned)} instances cordoned,"
+        f"{UNCONFIRMED_WAIT_S:g} s later, not confirmed: {len(cordoned)} instances cordoned,"
         f" revision {operator.status().revision} as before."
     )
     if cordoned:
@@ -115,10 +115,10 @@
     )
     took_s = time.monotonic() - started_s
     view = operator.plan(proposed.plan.digest)
-    drained_runs = sum(worker.status().counts.runs for worker in _drained(fleet))
+    drained_runs = sum(worker.status().counts.runs for worker in _drained_workers(fleet))
     console.print(
         f"The plan is {view.stage} after {took_s:.1f} s;"
-        f" cordoned: {', '.join(_cordoned(operator))}.\n"
+        f" cordoned: {', '.join(_cordoned_instances(operator))}.\n"
     )
     return view, took_s, drained_runs
 
@@ -127,16 +127,16 @@
     return view.record.state if view.record is not None else None
 
 
-def _all_hold(fleet: DemoFleet, revision: int) -> bool:
+def _have_all_nodes_revision(fleet: DemoFleet, revision: int) -> bool:
     return all(node.config.revision() >= revision for node in fleet.nodes)
 
 
-def _cordoned(operator: DemoOperator) -> list[str]:
+def _cordoned_instances(operator: DemoOperator) -> list[str]:
     instances = operator.instances().instances
     return [entry.name for entry in instances if entry.condition is Condition.CORDONED]
 
 
-def _drained(fleet: DemoFleet) -> list[WorkerStandIn]:
+def _drained_workers(fleet: DemoFleet) -> list[WorkerStandIn]:
     prefix = f"{DATA_CENTRES[0]}-{DRAINED_RACK}-"
     return [worker for worker in fleet.workers if worker.name.startswith(prefix)]
 
@@ -146,7 +146,7 @@
     while not condition():
         if time.monotonic() > ends_at_s:
             raise TimeoutError(f"not reached within {timeout_s:g} s")
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 def _write_timeline(fleet: DemoFleet) -> str:
--- a/src/shallotworks/standins/_callers.py
+++ b/src/shallotworks/standins/_callers.py
@@ -22,13 +22,13 @@
 
 __all__ = ["Callers", "Ledger"]
 
-TIMEOUT_S = 15.0
+READ_TIMEOUT_S = 15.0
 """Longest wait for the next bytes of an answer."""
-PAUSE_S = 0.01
+REQUEST_INTERVAL_S = 0.01
 """Pause of each thread between two requests."""
-LEFT_ALONE_S = 1.5
+STOPPING_AVOIDANCE_S = 1.5
 """A little longer than a stopping instance goes on answering that it stops."""
-REPEAT_PART = 0.2
+REPEATED_ORDER_RATIO = 0.2
 """Part of the orders that their caller sends a second time, under the same key."""
 
 
@@ -41,8 +41,8 @@
     MODEL = "model"
 
 
-_WORK_MS = {_Kind.TRACE: "5", _Kind.ORDER: "5", _Kind.MODEL: "150"}
-_THREADS = {_Kind.TRACE: 8, _Kind.ORDER: 4, _Kind.MODEL: 8}
+_WORK_MS_BY_KIND = {_Kind.TRACE: "5", _Kind.ORDER: "5", _Kind.MODEL: "150"}
+_THREADS_BY_KIND = {_Kind.TRACE: 8, _Kind.ORDER: 4, _Kind.MODEL: 8}
 
 
 @dataclass(slots=True, kw_only=True)
@@ -89,14 +89,16 @@
         self.ledger = Ledger()
         self._ports = ports
         self._repeat_unknown = repeat_unknown
-        self._left_alone_until_s = dict.fromkeys(ports, 0.0)
+        self._avoided_until_s = dict.fromkeys(ports, 0.0)
         self._lock = threading.Lock()
         self._stop = threading.Event()
-        self._numbers = itertools.count(1)
-        self._http = urllib3.PoolManager(maxsize=64, retries=False, timeout=TIMEOUT_S)
+        self._request_numbers = itertools.count(1)
+        self._http = urllib3.PoolManager(maxsize=64, retries=False, timeout=READ_TIMEOUT_S)
         self._threads = [
-            threading.Thread(target=self._call_on, args=(kind, random.Random(f"{seed}{kind}{n}")))
-            for kind, count in _THREADS.items()
+            threading.Thread(
+                target=self._send_until_stopped, args=(kind, random.Random(f"{seed}{kind}{n}"))
+            )
+            for kind, count in _THREADS_BY_KIND.items()
             for n in range(count)
         ]
 
@@ -112,22 +114,22 @@
             thread.join()
         self._http.clear()
 
-    def _call_on(self, kind: _Kind, rng: random.Random) -> None:
+    def _send_until_stopped(self, kind: _Kind, rng: random.Random) -> None:
         while not self._stop.is_set():
             key = secrets.token_hex(8) if kind is _Kind.ORDER else ""
-            body = f"{kind.value} {next(self._numbers)}".encode()
-            known = self._ask(kind, body, key, self._choose(rng))
-            lost_on_the_way = rng.random() < REPEAT_PART
-            if key and (lost_on_the_way or (self._repeat_unknown and not known)):
-                self._ask(kind, body, key, self._choose(rng))
-            self._stop.wait(PAUSE_S)
-
-    def _choose(self, rng: random.Random) -> int:
+            body = f"{kind.value} {next(self._request_numbers)}".encode()
+            known = self._send_request(kind, body, key, self._choose_port(rng))
+            is_answer_lost = rng.random() < REPEATED_ORDER_RATIO
+            if key and (is_answer_lost or (self._repeat_unknown and not known)):
+                self._send_request(kind, body, key, self._choose_port(rng))
+            self._stop.wait(REQUEST_INTERVAL_S)
+
+    def _choose_port(self, rng: random.Random) -> int:
         now_s = time.monotonic()
-        open_ports = [port for port in self._ports if self._left_alone_until_s[port] <= now_s]
-        return rng.choice(open_ports or self._ports)
+        available_ports = [port for port in self._ports if self._avoided_until_s[port] <= now_s]
+        return rng.choice(available_ports or self._ports)
 
-    def _ask(self, kind: _Kind, body: bytes, key: str, port: int) -> bool:
+    def _send_request(self, kind: _Kind, body: bytes, key: str, port: int) -> bool:
         """Send one request and note what became of it; returns whether its outcome is known."""
         request_class = RequestClass.INTERACTIVE
         if kind is _Kind.MODEL:
@@ -137,11 +139,11 @@
             "Shallot-Team": TEAM,
             "Shallot-Class": request_class.value,
             "Shallot-Idempotent": "no" if key else "yes",
-            "Work-Ms": _WORK_MS[kind],
+            "Work-Ms": _WORK_MS_BY_KIND[kind],
         }
         if key:
             headers["Idempotency-Key"] = key
-            self._note(lambda ledger: ledger.keys.add(key))
+            self._update_ledger(lambda ledger: ledger.keys.add(key))
         started_s = time.monotonic()
         try:
             answer = self._http.request(
@@ -151,28 +153,28 @@
             # Not a byte was sent; a balancer would have tried the next instance.
             return True
         except urllib3.exceptions.HTTPError as error:
-            ending = type(error).__name__
-            self._note(lambda ledger: _note_unknown(ledger, request_class, ending))
+            error_name = type(error).__name__
+            self._update_ledger(lambda ledger: _record_unknown(ledger, request_class, error_name))
             return False
         duration_s = time.monotonic() - started_s
-        self._note(
-            lambda ledger: _note_answer(ledger, request_class, answer, body, key, duration_s)
+        self._update_ledger(
+            lambda ledger: _record_answer(ledger, request_class, answer, body, key, duration_s)
         )
         if answer.headers.get("Shallot-Error-Kind") == ErrorKind.STOPPING.value:
-            self._left_alone_until_s[port] = time.monotonic() + LEFT_ALONE_S
+            self._avoided_until_s[port] = time.monotonic() + STOPPING_AVOIDANCE_S
         return answer.headers.get("Shallot-Ran") != "unknown"
 
-    def _note(self, change: Callable[[Ledger], None]) -> None:
+    def _update_ledger(self, change: Callable[[Ledger], None]) -> None:
         with self._lock:
             change(self.ledger)
 
 
-def _note_unknown(ledger: Ledger, request_class: RequestClass, ending: str) -> None:
+def _record_unknown(ledger: Ledger, request_class: RequestClass, error_name: str) -> None:
     ledger.sent[request_class.value] += 1
-    ledger.unknown[ending] += 1
+    ledger.unknown[error_name] += 1
 
 
-def _note_answer(
+def _record_answer(
     ledger: Ledger,
     request_class: RequestClass,
     answer: urllib3.BaseHTTPResponse,
@@ -190,11 +192,11 @@
         else:
             ledger.unknown[answer.headers["Shallot-Error-Kind"]] += 1
         return
-    words = answer.data.decode().split()
-    if answer.status != 200 or words[-1:] != [hashlib.sha256(body).hexdigest()]:
+    body_fields = answer.data.decode().split()
+    if answer.status != 200 or body_fields[-1:] != [hashlib.sha256(body).hexdigest()]:
         ledger.foreign += 1
         return
     ledger.answered[request_class.value] += 1
-    ledger.answered_runs.add(key or words[1])
+    ledger.answered_runs.add(key or body_fields[1])
     if request_class is RequestClass.INTERACTIVE:
         ledger.latencies_s.append(duration_s)
--- a/src/shallotworks/standins/_crashing_workers.py
+++ b/src/shallotworks/standins/_crashing_workers.py
@@ -12,8 +12,8 @@
 
 __all__ = ["CrashingWorkers"]
 
-CRASH_AFTER_S = 0.01
-MOST_STARTS = 5
+CRASH_DELAY_S = 0.01
+MAX_STARTS_OF_CRASHING_TASK = 5
 """Three starts that crash their workers and two more. Source: the users' rules."""
 
 
@@ -29,19 +29,21 @@
         self.crashing: set[TaskName] = set()
         self.crashes: Counter[TaskName] = Counter()
         """Workers that each task in ``crashing`` has crashed."""
-        self.starts_of: Counter[TaskName] = Counter()
+        self.start_counts: Counter[TaskName] = Counter()
 
     def check_start(self, worker: TaskWorker, name: TaskName) -> None:
         """Judge a start; crash the worker shortly after it where the task is one that does."""
         super().check_start(worker, name)
-        self.starts_of[name] += 1
+        self.start_counts[name] += 1
         if name not in self.crashing:
             return
-        if self.starts_of[name] > MOST_STARTS:
+        if self.start_counts[name] > MAX_STARTS_OF_CRASHING_TASK:
             self.violations.append(f"{name} starts after {self.crashes[name]} workers have crashed")
-        asyncio.get_running_loop().call_later(CRASH_AFTER_S, self._crash_under, worker, name)
+        asyncio.get_running_loop().call_later(
+            CRASH_DELAY_S, self._crash_running_worker, worker, name
+        )
 
-    def _crash_under(self, worker: TaskWorker, name: TaskName) -> None:
+    def _crash_running_worker(self, worker: TaskWorker, name: TaskName) -> None:
         if worker.is_alive:
             self.crashes[name] += 1
             self.crash(worker)
--- a/src/shallotworks/standins/_description.py
+++ b/src/shallotworks/standins/_description.py
@@ -27,9 +27,9 @@
 
 REGION = "vestland"
 TEAM = "crews"
-LOWEST_PORT = 20_000
-HIGHEST_PORT = 32_000
-PORTS_DRAWN = 200
+MIN_PORT = 20_000
+PORT_RANGE_END = 32_000
+CANDIDATE_PORT_COUNT = 200
 
 
 def describe_fleet(workers: Sequence[WorkerStandIn]) -> tuple[Change, ...]:
@@ -64,8 +64,8 @@
     They lie below those that the system gives to outgoing connections: one of these might take a
     port between here and the moment at which it is listened at.
     """
-    drawn = random.sample(range(LOWEST_PORT, HIGHEST_PORT), k=PORTS_DRAWN)
-    return list(itertools.islice(filter(_is_free, drawn), count))
+    candidate_ports = random.sample(range(MIN_PORT, PORT_RANGE_END), k=CANDIDATE_PORT_COUNT)
+    return list(itertools.islice(filter(_is_free, candidate_ports), count))
 
 
 def _is_free(port: int) -> bool:
--- a/src/shallotworks/standins/_fault_injecting_orders.py
+++ b/src/shallotworks/standins/_fault_injecting_orders.py
@@ -18,8 +18,8 @@
 
 __all__ = ["OrderFaults", "FaultInjectingOrders"]
 
-CALL_S = 0.002
-TIMEOUT_S = 0.7
+CALL_LATENCY_S = 0.002
+ORDER_TIMEOUT_S = 0.7
 
 
 @dataclass(slots=True, kw_only=True)
@@ -50,7 +50,7 @@
     def __init__(self, *, fleet: TaskWorkers, faults: OrderFaults | None = None) -> None:
         self._fleet = fleet
         self.faults = faults or OrderFaults()
-        self._late: set[asyncio.Task[None]] = set()
+        self._delayed_starts: set[asyncio.Task[None]] = set()
 
     async def poll(
         self,
@@ -64,81 +64,87 @@
     ) -> OrderOutcome:
         """Ask what runs."""
         loop = asyncio.get_running_loop()
-        ends_s, lost_s = loop.time() + wait_s, loop.time() + timeout_s
-        reached = await self._reach(worker, lost_s)
+        wait_ends_at_s, times_out_at_s = loop.time() + wait_s, loop.time() + timeout_s
+        reached = await self._reach_worker(worker, times_out_at_s)
         if isinstance(reached, OrderOutcome):
             return reached
         outcome = reached.poll(token, acknowledged, lease_until_ms)
-        while outcome.report is not None and not outcome.report.ended and loop.time() < ends_s:
-            await reached.wait_for_end(ends_s - loop.time())
+        while (
+            outcome.report is not None and not outcome.report.ended and loop.time() < wait_ends_at_s
+        ):
+            await reached.wait_for_end(wait_ends_at_s - loop.time())
             outcome = reached.poll(token, acknowledged, None)
         if not reached.is_alive or worker.worker_id in self.faults.cut:
-            return await self._answer_of_absent(worker, lost_s)
+            return await self._answer_for_absent_worker(worker, times_out_at_s)
         return outcome
 
     async def start(
         self, worker: WorkerView, order: StartOrder, *, token: int, lease_until_ms: int
     ) -> OrderOutcome:
         """Start a run."""
-        reached = await self._reach(worker)
+        reached = await self._reach_worker(worker)
         if isinstance(reached, OrderOutcome):
             return reached
         if self._fleet.rng.random() < self.faults.late_part:
-            task = asyncio.create_task(self._start_late(reached, order, token, lease_until_ms))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
-            return await self._lose()
+            task = asyncio.create_task(
+                self._start_after_delay(reached, order, token, lease_until_ms)
+            )
+            self._delayed_starts.add(task)
+            task.add_done_callback(self._delayed_starts.discard)
+            return await self._lose_answer()
         outcome = reached.start(order, token, lease_until_ms)
         if self._fleet.rng.random() < self.faults.lost_part:
-            return await self._lose()
+            return await self._lose_answer()
         return outcome
 
     async def stop(self, worker: WorkerView, order: StopOrder, *, token: int) -> OrderOutcome:
         """Stop a run."""
-        reached = await self._reach(worker)
+        reached = await self._reach_worker(worker)
         if isinstance(reached, OrderOutcome):
             return reached
         outcome = reached.stop(order, token)
         if self._fleet.rng.random() < self.faults.lost_part:
-            return await self._lose()
+            return await self._lose_answer()
         return outcome
 
     async def pace(self, worker: WorkerView, order: PaceOrder, *, token: int) -> OrderOutcome:
         """Obey without effect."""
         return OrderOutcome(status=OrderStatus.OBEYED)
 
-    async def _reach(
-        self, worker: WorkerView, lost_s: float | None = None
+    async def _reach_worker(
+        self, worker: WorkerView, times_out_at_s: float | None = None
     ) -> TaskWorker | OrderOutcome:
         """Return a worker, or what becomes of a call that doesn't reach it.
 
         Args:
             worker: The worker.
-            lost_s: When such a call is given up; after the time for an order if left out.
+            times_out_at_s: When such a call is given up; after the time for an order if left out.
         """
-        await asyncio.sleep(CALL_S)
+        await asyncio.sleep(CALL_LATENCY_S)
         reached = self._fleet.workers.get(worker.worker_id)
         is_absent = worker.worker_id in self._fleet.absences
         if reached is None or not reached.is_alive or is_absent:
-            return await self._answer_of_absent(worker, lost_s)
+            return await self._answer_for_absent_worker(worker, times_out_at_s)
         if worker.worker_id in self.faults.cut:
-            return await self._lose(lost_s)
+            return await self._lose_answer(times_out_at_s)
         return reached
 
-    async def _answer_of_absent(
-        self, worker: WorkerView, lost_s: float | None = None
+    async def _answer_for_absent_worker(
+        self, worker: WorkerView, times_out_at_s: float | None = None
     ) -> OrderOutcome:
         absence = self._fleet.absences.get(worker.worker_id)
         if absence is not None and worker.worker_id not in self.faults.cut:
             return OrderOutcome(status=absence)
-        return await self._lose(lost_s)
+        return await self._lose_answer(times_out_at_s)
 
-    async def _lose(self, lost_s: float | None = None) -> OrderOutcome:
+    async def _lose_answer(self, times_out_at_s: float | None = None) -> OrderOutcome:
         now_s = asyncio.get_running_loop().time()
-        await asyncio.sleep(TIMEOUT_S if lost_s is None else max(0.0, lost_s - now_s))
+        await asyncio.sleep(
+            ORDER_TIMEOUT_S if times_out_at_s is None else max(0.0, times_out_at_s - now_s)
+        )
         return OrderOutcome(status=OrderStatus.UNANSWERED)
 
-    async def _start_late(
+    async def _start_after_delay(
         self, worker: TaskWorker, order: StartOrder, token: int, lease_until_ms: int
     ) -> None:
         await asyncio.sleep(self.faults.late_s)
--- a/src/shallotworks/standins/_http_listener.py
+++ b/src/shallotworks/standins/_http_listener.py
@@ -10,7 +10,7 @@
 
 __all__ = ["HttpListener", "answer_json", "drop_connection"]
 
-CLOSE_S = 0.1
+SHUTDOWN_TIMEOUT_S = 0.1
 """Requests in flight get this long when a stand-in closes."""
 
 
@@ -44,7 +44,7 @@
     ) -> None:
         self.address = ""
         self._host = host
-        self._runner = web.ServerRunner(web.Server(handle), shutdown_timeout=CLOSE_S)
+        self._runner = web.ServerRunner(web.Server(handle), shutdown_timeout=SHUTDOWN_TIMEOUT_S)
 
     async def start(self) -> str:
         """Listen; return ``ip:port``."""
--- a/src/shallotworks/standins/_machines_http.py
+++ b/src/shallotworks/standins/_machines_http.py
@@ -35,7 +35,7 @@
     """An order for a machine that is up.
 
     Args:
-        machine: Its row.
+        machine: Its encoded.
         holder: Who gave it.
         token: With which fencing token.
         pool: Where it moves; empty for an upkeep.
@@ -55,7 +55,7 @@
     Args:
         machines: All machines by name; changed in place.
         execute_order: Carries out an order; returns whether the machine took it.
-        host: Address to listen on; the port is any free one.
+        host: Address to listen on; the port is any free listed.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         host: str = "127.0.0.1",
     ) -> None:
         self._machines = machines
-        self._obey = execute_order
+        self._execute_order = execute_order
         self.listener = HttpListener(handle=self._handle, host=host)
         self.is_down = False
 
@@ -74,7 +74,9 @@
         if self.is_down:
             return web.Response(status=503)
         if request.path == "/v1/machines":
-            return answer_json({"machines": [_row(one) for one in self._machines.values()]})
+            return answer_json(
+                {"machines": [_encode_machine(listed) for listed in self._machines.values()]}
+            )
         body = await request.json()
         machine = self._machines.get(body["machine"])
         if machine is None:
@@ -88,17 +90,17 @@
             pool=body.get("pool", ""),
             wave=body.get("wave", 0),
         )
-        if not self._obey(order):
+        if not self._execute_order(order):
             return answer_json({"reason": "wave"}, status=409)
         return answer_json({})
 
 
-def _row(machine: ListedMachine) -> dict[str, Any]:
-    row: dict[str, Any] = {
+def _encode_machine(machine: ListedMachine) -> dict[str, Any]:
+    encoded: dict[str, Any] = {
         "machine": machine.name,
         "pool": machine.pool,
         "state": machine.state,
     }
     if machine.worker_id:
-        row["id"] = machine.worker_id
-    return row
+        encoded["id"] = machine.worker_id
+    return encoded
--- a/src/shallotworks/standins/_memory_instances.py
+++ b/src/shallotworks/standins/_memory_instances.py
@@ -20,17 +20,17 @@
         lag_s: How long a change takes to show.
     """
 
-    __slots__ = ("_past", "down", "lag_s", "reads")
+    __slots__ = ("_history", "down", "lag_s", "reads")
 
     def __init__(self, *, lag_s: float = 0.0) -> None:
         self.lag_s = lag_s
         self.down = False
         self.reads = 0
-        self._past: list[tuple[float, tuple[ListedInstance, ...]]] = []
+        self._history: list[tuple[float, tuple[ListedInstance, ...]]] = []
 
     def replace_all(self, instances: tuple[ListedInstance, ...]) -> None:
         """Change the truth; reads show it once the lag has passed."""
-        self._past.append((asyncio.get_running_loop().time(), instances))
+        self._history.append((asyncio.get_running_loop().time(), instances))
 
     async def read(self) -> Result[tuple[ListedInstance, ...], Failure]:
         """Read the list as it was ``lag_s`` ago."""
@@ -38,9 +38,9 @@
         await asyncio.sleep(0)
         if self.down:
             return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason="the list is down"))
-        shown_until_s = asyncio.get_running_loop().time() - self.lag_s
-        while len(self._past) > 1 and self._past[1][0] <= shown_until_s:
-            del self._past[0]
-        if not self._past or self._past[0][0] > shown_until_s:
+        visible_until_s = asyncio.get_running_loop().time() - self.lag_s
+        while len(self._history) > 1 and self._history[1][0] <= visible_until_s:
+            del self._history[0]
+        if not self._history or self._history[0][0] > visible_until_s:
             return Success(())
-        return Success(self._past[0][1])
+        return Success(self._history[0][1])
--- a/src/shallotworks/standins/_memory_store.py
+++ b/src/shallotworks/standins/_memory_store.py
@@ -16,9 +16,9 @@
 __all__ = ["MAX_VALUE_BYTES", "MemoryStore", "StoreFaults"]
 
 MAX_VALUE_BYTES = 1_000_000
-UNDO_LIMIT = 10_000
+MAX_UNDO_ENTRIES = 10_000
 """Writes that `MemoryStore.roll_back_to` can take back."""
-TOMBSTONE_LIMIT = 10_000
+MAX_TOMBSTONES = 10_000
 """Deleted keys that a watch can still tell of."""
 
 _Value = TypeVar("_Value")
@@ -49,14 +49,14 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Undo:
+class _UndoEntry:
     version: int
     key: str
     before: _Record | None
 
 
 @dataclass(slots=True, kw_only=True)
-class _HeldLease:
+class _GrantedLease:
     ttl_s: float
     expires_at_s: float
     keys: set[str]
@@ -72,14 +72,14 @@
 
     __slots__ = (
         "_faults",
-        "_frozen",
         "_leases",
         "_next_lease",
         "_records",
+        "_stale_state",
         "_tombstones",
         "_undo",
         "_version",
-        "_wakeups",
+        "_watch_wakeups",
         "calls",
     )
 
@@ -89,11 +89,11 @@
         self._version = 0
         self._next_lease = 1
         self._records: dict[str, _Record] = {}
-        self._frozen: tuple[int, dict[str, _Record]] | None = None
+        self._stale_state: tuple[int, dict[str, _Record]] | None = None
         self._tombstones: dict[str, int] = {}
-        self._undo: deque[_Undo] = deque(maxlen=UNDO_LIMIT)
-        self._leases: dict[str, _HeldLease] = {}
-        self._wakeups: set[asyncio.Event] = set()
+        self._undo: deque[_UndoEntry] = deque(maxlen=MAX_UNDO_ENTRIES)
+        self._leases: dict[str, _GrantedLease] = {}
+        self._watch_wakeups: set[asyncio.Event] = set()
 
     @property
     def faults(self) -> StoreFaults:
@@ -108,11 +108,11 @@
     def set_faults(self, faults: StoreFaults) -> None:
         """Replace the faults that are on, and wake the watches that they end."""
         if not faults.stale:
-            self._frozen = None
-        elif self._frozen is None:
-            self._frozen = (self._version, dict(self._records))
+            self._stale_state = None
+        elif self._stale_state is None:
+            self._stale_state = (self._version, dict(self._records))
         self._faults = faults
-        self._wake()
+        self._wake_watches()
 
     def wipe(self) -> None:
         """Lose every key and lease, as a store that was set up anew."""
@@ -121,7 +121,7 @@
         self._tombstones.clear()
         self._undo.clear()
         self._leases.clear()
-        self._wake()
+        self._wake_watches()
 
     def roll_back_to(self, version: int) -> None:
         """Take back every write after a version, as a store restored from an older copy."""
@@ -133,15 +133,15 @@
                 self._records[undo.key] = undo.before
         self._version = min(self._version, version)
         self._tombstones = {k: at for k, at in self._tombstones.items() if at <= version}
-        self._wake()
+        self._wake_watches()
 
     async def get(self, key: str) -> Result[Versioned | None, Failure]:
         """Read one key; ``None`` where it does not exist."""
         self.calls["get"] += 1
-        if not await self._arrive():
-            return _down()
-        record = self._shown()[1].get(key)
-        await self._answer_slowly()
+        if not await self._begin_call():
+            return _unavailable()
+        record = self._visible_state()[1].get(key)
+        await self._delay_answer()
         return Success(record.item if record is not None else None)
 
     async def list(
@@ -149,19 +149,19 @@
     ) -> Result[tuple[Versioned, ...], Failure]:
         """Read the keys under a prefix, in key order, from the one after ``after_key``."""
         self.calls["list"] += 1
-        if not await self._arrive():
-            return _down()
-        records = self._shown()[1]
+        if not await self._begin_call():
+            return _unavailable()
+        records = self._visible_state()[1]
         keys = sorted(key for key in records if key.startswith(prefix) and key > after_key)
         items = tuple(records[key].item for key in keys[:limit])
-        await self._answer_slowly()
+        await self._delay_answer()
         return Success(items)
 
     async def create(self, key: str, value: bytes, *, lease_id: str = "") -> Result[int, Failure]:
         """Create a key; ``CONFLICT`` where it exists. Returns its version."""
         self.calls["create"] += 1
-        if not await self._arrive():
-            return _down()
+        if not await self._begin_call():
+            return _unavailable()
         return await self._finish_write(self._create(key, value, lease_id))
 
     async def compare_and_swap(
@@ -169,15 +169,15 @@
     ) -> Result[int, Failure]:
         """Write a key that still has this version; else ``CONFLICT``. Returns the new version."""
         self.calls["swap"] += 1
-        if not await self._arrive():
-            return _down()
+        if not await self._begin_call():
+            return _unavailable()
         return await self._finish_write(self._swap(key, value, version))
 
     async def delete(self, key: str, *, version: int) -> Result[None, Failure]:
         """Delete a key that still has this version; else ``CONFLICT``."""
         self.calls["delete"] += 1
-        if not await self._arrive():
-            return _down()
+        if not await self._begin_call():
+            return _unavailable()
         record = self._records.get(key)
         if record is None or record.item.version != version:
             return await self._finish_write(_conflict(key))
@@ -192,60 +192,60 @@
         A counter that is below ``after_version`` is answered at once: the store came back older.
         """
         self.calls["watch"] += 1
-        if not await self._arrive():
-            return _down()
-        ends_at_s = asyncio.get_running_loop().time() + wait_s
+        if not await self._begin_call():
+            return _unavailable()
+        wait_ends_at_s = asyncio.get_running_loop().time() + wait_s
         while True:
             if self._faults.down:
-                return _down()
+                return _unavailable()
             self._expire_leases()
-            result = self._written_after(prefix, after_version)
+            result = self._changes_after(prefix, after_version)
             if result.items or result.deleted or result.version < after_version:
                 return Success(result)
-            if not await self._wait_for_write(ends_at_s):
+            if not await self._wait_for_write(wait_ends_at_s):
                 return Success(result)
 
     async def grant_lease(self, *, ttl_s: float) -> Result[Lease, Failure]:
         """Grant a new lease."""
         self.calls["grant_lease"] += 1
-        if not await self._arrive():
-            return _down()
+        if not await self._begin_call():
+            return _unavailable()
         self._version += 1
         lease = Lease(
             lease_id=f"lease-{self._next_lease}", ttl_s=ttl_s, fencing_token=self._version
         )
         self._next_lease += 1
-        held = _HeldLease(ttl_s=ttl_s, expires_at_s=0.0, keys=set())
+        held = _GrantedLease(ttl_s=ttl_s, expires_at_s=0.0, keys=set())
         self._leases[lease.lease_id] = held
-        self._prolong(held)
+        self._extend_lease(held)
         return await self._finish_write(Success(lease))
 
     async def renew_lease(self, lease_id: str) -> Result[None, Failure]:
         """Renew a lease; ``LEASE_LOST`` where it has lapsed."""
         self.calls["renew_lease"] += 1
-        if not await self._arrive():
-            return _down()
+        if not await self._begin_call():
+            return _unavailable()
         held = self._leases.get(lease_id)
         if held is None:
-            return await self._finish_write(_lapsed(lease_id))
-        self._prolong(held)
+            return await self._finish_write(_lease_lost(lease_id))
+        self._extend_lease(held)
         return await self._finish_write(Success(None))
 
     async def revoke_lease(self, lease_id: str) -> Result[None, Failure]:
         """End a lease and delete its keys."""
         self.calls["revoke_lease"] += 1
-        if not await self._arrive():
-            return _down()
-        self._end_lease(lease_id)
+        if not await self._begin_call():
+            return _unavailable()
+        self._remove_lease(lease_id)
         return await self._finish_write(Success(None))
 
-    async def _arrive(self) -> bool:
+    async def _begin_call(self) -> bool:
         # Other tasks get their turn before each call acts, as they would on a network.
         await asyncio.sleep(self._faults.delay_s / 2)
         self._expire_leases()
         return not self._faults.down
 
-    async def _answer_slowly(self) -> None:
+    async def _delay_answer(self) -> None:
         if self._faults.delay_s:
             await asyncio.sleep(self._faults.delay_s / 2)
 
@@ -253,13 +253,15 @@
         lost = self._faults.lost_answers > 0
         if lost:
             self._faults.lost_answers -= 1
-        await self._answer_slowly()
+        await self._delay_answer()
         if lost:
             return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="the answer was lost"))
         return outcome
 
-    def _shown(self) -> tuple[int, dict[str, _Record]]:
-        return self._frozen if self._frozen is not None else (self._version, self._records)
+    def _visible_state(self) -> tuple[int, dict[str, _Record]]:
+        return (
+            self._stale_state if self._stale_state is not None else (self._version, self._records)
+        )
 
     def _create(self, key: str, value: bytes, lease_id: str) -> Result[int, Failure]:
         if len(value) > MAX_VALUE_BYTES:
@@ -267,7 +269,7 @@
         if key in self._records:
             return _conflict(key)
         if lease_id and lease_id not in self._leases:
-            return _lapsed(lease_id)
+            return _lease_lost(lease_id)
         return Success(self._write(key, value, lease_id))
 
     def _swap(self, key: str, value: bytes, version: int) -> Result[int, Failure]:
@@ -280,28 +282,28 @@
 
     def _write(self, key: str, value: bytes, lease_id: str) -> int:
         self._version += 1
-        self._undo.append(_Undo(version=self._version, key=key, before=self._records.get(key)))
+        self._undo.append(_UndoEntry(version=self._version, key=key, before=self._records.get(key)))
         item = Versioned(key=key, value=value, version=self._version)
         self._records[key] = _Record(item=item, lease_id=lease_id)
         self._tombstones.pop(key, None)
         if lease_id:
             self._leases[lease_id].keys.add(key)
-        self._wake()
+        self._wake_watches()
         return self._version
 
     def _remove(self, key: str) -> None:
         self._version += 1
         record = self._records.pop(key)
-        self._undo.append(_Undo(version=self._version, key=key, before=record))
+        self._undo.append(_UndoEntry(version=self._version, key=key, before=record))
         self._tombstones[key] = self._version
-        while len(self._tombstones) > TOMBSTONE_LIMIT:
+        while len(self._tombstones) > MAX_TOMBSTONES:
             del self._tombstones[next(iter(self._tombstones))]
         if record.lease_id in self._leases:
             self._leases[record.lease_id].keys.discard(key)
-        self._wake()
+        self._wake_watches()
 
-    def _written_after(self, prefix: str, after_version: int) -> WatchResult:
-        version, records = self._shown()
+    def _changes_after(self, prefix: str, after_version: int) -> WatchResult:
+        version, records = self._visible_state()
         items = [
             record.item
             for key, record in records.items()
@@ -315,23 +317,23 @@
         )
         return WatchResult(version=version, items=tuple(items), deleted=deleted)
 
-    async def _wait_for_write(self, ends_at_s: float) -> bool:
+    async def _wait_for_write(self, wait_ends_at_s: float) -> bool:
         wakeup = asyncio.Event()
-        self._wakeups.add(wakeup)
+        self._watch_wakeups.add(wakeup)
         try:
-            async with asyncio.timeout_at(ends_at_s):
+            async with asyncio.timeout_at(wait_ends_at_s):
                 await wakeup.wait()
         except TimeoutError:
             return False
         finally:
-            self._wakeups.discard(wakeup)
+            self._watch_wakeups.discard(wakeup)
         return True
 
-    def _wake(self) -> None:
-        for wakeup in self._wakeups:
+    def _wake_watches(self) -> None:
+        for wakeup in self._watch_wakeups:
             wakeup.set()
 
-    def _prolong(self, held: _HeldLease) -> None:
+    def _extend_lease(self, held: _GrantedLease) -> None:
         loop = asyncio.get_running_loop()
         held.expires_at_s = loop.time() + held.ttl_s
         # Watches must hear of a lease that lapses while nobody calls.
@@ -341,9 +343,9 @@
         now_s = asyncio.get_running_loop().time()
         due = [name for name, held in self._leases.items() if held.expires_at_s <= now_s]
         for lease_id in due:
-            self._end_lease(lease_id)
+            self._remove_lease(lease_id)
 
-    def _end_lease(self, lease_id: str) -> None:
+    def _remove_lease(self, lease_id: str) -> None:
         held = self._leases.pop(lease_id, None)
         if held is None:
             return
@@ -352,7 +354,7 @@
                 self._remove(key)
 
 
-def _down() -> Result[_Value, Failure]:
+def _unavailable() -> Result[_Value, Failure]:
     return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason="the store is down"))
 
 
@@ -364,5 +366,5 @@
     return Err(Failure(kind=ErrorKind.TOO_LARGE, reason=f"{key}: a value is at most 1 MB"))
 
 
-def _lapsed(lease_id: str) -> Result[_Value, Failure]:
+def _lease_lost(lease_id: str) -> Result[_Value, Failure]:
     return Err(Failure(kind=ErrorKind.LEASE_LOST, reason=f"{lease_id} has lapsed"))
--- a/src/shallotworks/standins/_platform.py
+++ b/src/shallotworks/standins/_platform.py
@@ -22,16 +22,16 @@
 __all__ = ["PlatformStandIn", "serve_platform"]
 
 DEFAULT_THREADS = 48
-DEFAULT_WATCH_THREADS = 32
+DEFAULT_MAX_WATCH_THREADS = 32
 """Threads that waiting watches may hold at once; the others are left to calls that answer now."""
-SILENT_THREADS = 8
+MAX_SILENT_THREADS = 8
 """Threads that silent connections may hold; a call on one above that is dropped instead."""
-KEPT_CONNECTIONS = 1_000
+MAX_KEEP_ALIVE_CONNECTIONS = 1_000
 LISTEN_BACKLOG = 512
 """Cheroot's own defaults of 10 and 5 close and drop connections under more than ten callers."""
 CONNECTION_TIMEOUT_S = 120
 SHUTDOWN_TIMEOUT_S = 1
-EXPIRATION_CHECK_S = 0.1
+IDLE_CHECK_INTERVAL_S = 0.1
 """How often idle connections are looked over; a stop waits for one such look."""
 
 _Value = TypeVar("_Value")
@@ -56,11 +56,11 @@
         "_bind_address",
         "_instances",
         "_loop",
-        "_open",
+        "_open_connections",
         "_routes",
         "_server",
-        "_silence_slots",
-        "_silent",
+        "_silent_connections",
+        "_silent_slots",
         "_stopping",
         "_store",
         "_thread_count",
@@ -75,7 +75,7 @@
         port: int = 0,
         lag_s: float = 0.0,
         threads: int = DEFAULT_THREADS,
-        watch_threads: int = DEFAULT_WATCH_THREADS,
+        watch_threads: int = DEFAULT_MAX_WATCH_THREADS,
     ) -> None:
         self._bind_address = (host, port)
         self._thread_count = threads
@@ -84,9 +84,9 @@
         self._instances = MemoryInstanceList(lag_s=lag_s)
         self._routes = PlatformRoutes(store=self._store, instances=self._instances)
         self._watch_slots = threading.BoundedSemaphore(watch_threads)
-        self._silence_slots = threading.BoundedSemaphore(SILENT_THREADS)
-        self._open: WeakSet[Any] = WeakSet()
-        self._silent: WeakSet[Any] = WeakSet()
+        self._silent_slots = threading.BoundedSemaphore(MAX_SILENT_THREADS)
+        self._open_connections: WeakSet[Any] = WeakSet()
+        self._silent_connections: WeakSet[Any] = WeakSet()
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
         self._server: HTTPServer | None = None
@@ -104,15 +104,15 @@
         # is that those open now fall silent and new ones work.
         server = HTTPServer(
             self._bind_address,
-            _gateway_of(self),
+            _make_gateway(self),
             minthreads=self._thread_count,
             maxthreads=self._thread_count,
         )
-        server.keep_alive_conn_limit = KEPT_CONNECTIONS
+        server.keep_alive_conn_limit = MAX_KEEP_ALIVE_CONNECTIONS
         server.request_queue_size = LISTEN_BACKLOG
         server.timeout = CONNECTION_TIMEOUT_S
         server.shutdown_timeout = SHUTDOWN_TIMEOUT_S
-        server.expiration_interval = EXPIRATION_CHECK_S
+        server.expiration_interval = IDLE_CHECK_INTERVAL_S
         server.prepare()
         self._bind_address = (server.bind_addr[0], server.bind_addr[1])
         self._server = server
@@ -124,11 +124,11 @@
     def stop(self) -> None:
         """Stop serving, end waiting watches, and give the port back."""
         self._stopping.set()
-        self._call(self._end_tasks)
+        self._call_on_loop(self._cancel_tasks)
         if self._server is not None:
             self._server.stop()
         # A call that slipped in before the server stopped must not keep its thread waiting.
-        self._call(self._end_tasks)
+        self._call_on_loop(self._cancel_tasks)
         self._loop.call_soon_threadsafe(self._loop.stop)
         for thread in self._threads:
             thread.join()
@@ -136,46 +136,46 @@
 
     def set_faults(self, faults: StoreFaults) -> None:
         """Replace the faults that are on; the list of instances is down with the store."""
-        self._call(lambda: self._store.set_faults(faults))
+        self._call_on_loop(lambda: self._store.set_faults(faults))
         self._instances.down = faults.down
 
     def wipe(self) -> None:
         """Lose every key and lease."""
-        self._call(self._store.wipe)
+        self._call_on_loop(self._store.wipe)
 
     def roll_back_to(self, version: int) -> None:
         """Take back every write after a version."""
-        self._call(lambda: self._store.roll_back_to(version))
+        self._call_on_loop(lambda: self._store.roll_back_to(version))
 
     def set_instances(self, instances: tuple[ListedInstance, ...]) -> None:
         """Change the list of instances; reads show it once the lag has passed."""
-        self._call(lambda: self._instances.replace_all(instances))
+        self._call_on_loop(lambda: self._instances.replace_all(instances))
 
     def silence_connections(self) -> None:
         """Let every connection that is open now go silent for good; new ones work."""
-        self._silent |= self._open
+        self._silent_connections |= self._open_connections
 
     def calls(self) -> dict[str, int]:
         """Return the number of calls so far by name."""
-        return self._call(lambda: dict(self._store.calls))
+        return self._call_on_loop(lambda: dict(self._store.calls))
 
     def serve_call(self, connection: Any, call: HttpCall) -> HttpAnswer:
         """Answer one call of one connection; called on the server's threads."""
-        self._open.add(connection)
-        if connection in self._silent:
-            return self._stay_silent()
+        self._open_connections.add(connection)
+        if connection in self._silent_connections:
+            return self._hold_without_answer()
         if call.path != wire.WATCH_PATH:
-            return self._run(call)
+            return self._answer_on_loop(call)
         # Each waiting watch holds a thread. Without this bound enough of them would hold all, and
         # writes would wait behind watches that wait for writes.
         if not self._watch_slots.acquire(blocking=False):
             return HttpAnswer(status=503, body=b'{"reason": "too many watches"}')
         try:
-            return self._run(call)
+            return self._answer_on_loop(call)
         finally:
             self._watch_slots.release()
 
-    def _run(self, call: HttpCall) -> HttpAnswer:
+    def _answer_on_loop(self, call: HttpCall) -> HttpAnswer:
         if self._stopping.is_set():
             return HttpAnswer(drop=True)
         future = asyncio.run_coroutine_threadsafe(self._routes.answer(call), self._loop)
@@ -184,17 +184,17 @@
         except CancelledError:
             return HttpAnswer(drop=True)
 
-    def _stay_silent(self) -> HttpAnswer:
-        if self._silence_slots.acquire(blocking=False):
+    def _hold_without_answer(self) -> HttpAnswer:
+        if self._silent_slots.acquire(blocking=False):
             self._stopping.wait(CONNECTION_TIMEOUT_S)
-            self._silence_slots.release()
+            self._silent_slots.release()
         return HttpAnswer(drop=True)
 
-    def _end_tasks(self) -> None:
+    def _cancel_tasks(self) -> None:
         for task in asyncio.all_tasks(self._loop):
             task.cancel()
 
-    def _call(self, function: Callable[[], _Value]) -> _Value:
+    def _call_on_loop(self, function: Callable[[], _Value]) -> _Value:
         done: Future[_Value] = Future()
 
         def run() -> None:
@@ -220,7 +220,7 @@
     return standin
 
 
-def _gateway_of(standin: PlatformStandIn) -> type[Gateway]:
+def _make_gateway(standin: PlatformStandIn) -> type[Gateway]:
     class BoundGateway(_Gateway):
         owner = standin
 
--- a/src/shallotworks/standins/_platform_routes.py
+++ b/src/shallotworks/standins/_platform_routes.py
@@ -20,13 +20,13 @@
 __all__ = ["HttpAnswer", "HttpCall", "PlatformRoutes"]
 
 FAULTS_PATH = "/admin/v1/faults"
-COME_BACK_PATH = "/admin/v1/come-back"
+RESTORE_PATH = "/admin/v1/come-back"
 ADMIN_INSTANCES_PATH = "/admin/v1/instances"
 CALLS_PATH = "/admin/v1/calls"
 
 STATUS_BY_KIND = {kind: status for status, kind in wire.KIND_BY_STATUS.items()}
 
-_FAULTS = TypeAdapter(StoreFaults)
+_FAULTS_ADAPTER = TypeAdapter(StoreFaults)
 _Value = TypeVar("_Value")
 
 
@@ -71,12 +71,12 @@
     version: int
 
 
-_COME_BACK = TypeAdapter(_ComeBack)
-_CREATE = TypeAdapter(wire.CreateCall)
-_SWAP = TypeAdapter(wire.SwapCall)
-_DELETE = TypeAdapter(wire.DeleteCall)
-_GRANT = TypeAdapter(wire.GrantCall)
-_LEASE_CALL = TypeAdapter(wire.LeaseCall)
+_RESTORE_ADAPTER = TypeAdapter(_ComeBack)
+_CREATE_ADAPTER = TypeAdapter(wire.CreateCall)
+_SWAP_ADAPTER = TypeAdapter(wire.SwapCall)
+_DELETE_ADAPTER = TypeAdapter(wire.DeleteCall)
+_GRANT_ADAPTER = TypeAdapter(wire.GrantCall)
+_LEASE_CALL_ADAPTER = TypeAdapter(wire.LeaseCall)
 
 _Handler = Callable[[HttpCall], Awaitable[HttpAnswer]]
 
@@ -107,20 +107,20 @@
             ("POST", wire.REVOKE_PATH): self._revoke,
             ("GET", wire.INSTANCES_PATH): self._read_instances,
             ("PUT", FAULTS_PATH): self._set_faults,
-            ("POST", COME_BACK_PATH): self._come_back,
+            ("POST", RESTORE_PATH): self._restore_store,
             ("PUT", ADMIN_INSTANCES_PATH): self._set_instances,
-            ("GET", CALLS_PATH): self._calls,
+            ("GET", CALLS_PATH): self._read_state,
         }
 
     async def answer(self, call: HttpCall) -> HttpAnswer:
         """Answer one call."""
         handler = self._handlers.get((call.method, call.path))
         if handler is None:
-            return HttpAnswer(status=404, body=_reason(f"no {call.method} {call.path}"))
+            return HttpAnswer(status=404, body=_encode_reason(f"no {call.method} {call.path}"))
         try:
             return await handler(call)
         except (ValidationError, ValueError) as error:
-            return HttpAnswer(status=400, body=_reason(str(error)))
+            return HttpAnswer(status=400, body=_encode_reason(str(error)))
 
     async def _get(self, call: HttpCall) -> HttpAnswer:
         return _encode(await self.store.get(call.parameter("key")), wire.ITEM)
@@ -142,43 +142,45 @@
         return _encode(outcome, wire.WATCH_RESULT)
 
     async def _create(self, call: HttpCall) -> HttpAnswer:
-        body = _CREATE.validate_json(call.body)
-        return _written(await self.store.create(body.key, body.value, lease_id=body.lease_id))
+        body = _CREATE_ADAPTER.validate_json(call.body)
+        return _encode_version(
+            await self.store.create(body.key, body.value, lease_id=body.lease_id)
+        )
 
     async def _swap(self, call: HttpCall) -> HttpAnswer:
-        body = _SWAP.validate_json(call.body)
-        return _written(
+        body = _SWAP_ADAPTER.validate_json(call.body)
+        return _encode_version(
             await self.store.compare_and_swap(body.key, body.value, version=body.version)
         )
 
     async def _delete(self, call: HttpCall) -> HttpAnswer:
-        body = _DELETE.validate_json(call.body)
+        body = _DELETE_ADAPTER.validate_json(call.body)
         outcome = await self.store.delete(body.key, version=body.version)
-        return _written(outcome.map(lambda _: 0))
+        return _encode_version(outcome.map(lambda _: 0))
 
     async def _grant(self, call: HttpCall) -> HttpAnswer:
-        body = _GRANT.validate_json(call.body)
+        body = _GRANT_ADAPTER.validate_json(call.body)
         return _encode(await self.store.grant_lease(ttl_s=body.ttl_s), wire.LEASE)
 
     async def _renew(self, call: HttpCall) -> HttpAnswer:
-        body = _LEASE_CALL.validate_json(call.body)
-        return _written((await self.store.renew_lease(body.lease_id)).map(lambda _: 0))
+        body = _LEASE_CALL_ADAPTER.validate_json(call.body)
+        return _encode_version((await self.store.renew_lease(body.lease_id)).map(lambda _: 0))
 
     async def _revoke(self, call: HttpCall) -> HttpAnswer:
-        body = _LEASE_CALL.validate_json(call.body)
-        return _written((await self.store.revoke_lease(body.lease_id)).map(lambda _: 0))
+        body = _LEASE_CALL_ADAPTER.validate_json(call.body)
+        return _encode_version((await self.store.revoke_lease(body.lease_id)).map(lambda _: 0))
 
     async def _read_instances(self, _call: HttpCall) -> HttpAnswer:
         return _encode(await self.instances.read(), wire.INSTANCES)
 
     async def _set_faults(self, call: HttpCall) -> HttpAnswer:
-        faults = _FAULTS.validate_json(call.body)
+        faults = _FAULTS_ADAPTER.validate_json(call.body)
         self.store.set_faults(faults)
         self.instances.down = faults.down
         return HttpAnswer()
 
-    async def _come_back(self, call: HttpCall) -> HttpAnswer:
-        version = _COME_BACK.validate_json(call.body).version
+    async def _restore_store(self, call: HttpCall) -> HttpAnswer:
+        version = _RESTORE_ADAPTER.validate_json(call.body).version
         if version == 0:
             self.store.wipe()
         else:
@@ -189,13 +191,13 @@
         self.instances.replace_all(wire.INSTANCES.validate_json(call.body))
         return HttpAnswer()
 
-    async def _calls(self, _call: HttpCall) -> HttpAnswer:
-        shown = {"calls": dict(self.store.calls), "list_reads": self.instances.reads}
-        shown["faults"] = asdict(self.store.faults)
-        return HttpAnswer(body=json.dumps(shown).encode())
+    async def _read_state(self, _call: HttpCall) -> HttpAnswer:
+        state = {"calls": dict(self.store.calls), "list_reads": self.instances.reads}
+        state["faults"] = asdict(self.store.faults)
+        return HttpAnswer(body=json.dumps(state).encode())
 
 
-def _written(outcome: Result[int, Failure]) -> HttpAnswer:
+def _encode_version(outcome: Result[int, Failure]) -> HttpAnswer:
     return _encode(outcome.map(lambda version: wire.Written(version=version)), wire.WRITTEN)
 
 
@@ -205,8 +207,8 @@
     failure = outcome.failure()
     if failure.kind is ErrorKind.OUTCOME_UNKNOWN:
         return HttpAnswer(drop=True)
-    return HttpAnswer(status=STATUS_BY_KIND[failure.kind], body=_reason(failure.reason))
+    return HttpAnswer(status=STATUS_BY_KIND[failure.kind], body=_encode_reason(failure.reason))
 
 
-def _reason(reason: str) -> bytes:
+def _encode_reason(reason: str) -> bytes:
     return json.dumps({"reason": reason}).encode()
--- a/src/shallotworks/standins/_record_store.py
+++ b/src/shallotworks/standins/_record_store.py
@@ -25,9 +25,9 @@
 
 __all__ = ["RecordFaults", "RecordStore", "FaultInjectingStore"]
 
-PAGE_ITEMS = 500
-CALL_S = 0.004
-WATCH_GRACE_S = 0.6
+MAX_PAGE_ITEMS = 500
+CALL_LATENCY_S = 0.004
+WATCH_TIMEOUT_MARGIN_S = 0.6
 """A watch counts as silent this long after its own wait."""
 
 
@@ -55,7 +55,7 @@
 @dataclass(slots=True, kw_only=True)
 class _Lease:
     ttl_s: float
-    ends_s: float
+    ends_at_s: float
 
 
 class RecordStore:
@@ -71,56 +71,56 @@
         self.revision = 1
         self.commits = 0
         self.are_leases_paused = False
-        self._paused_s = 0.0
+        self._paused_at_s = 0.0
         self._history: list[Item | Deletion] = []
-        self._kept_from = 0
+        self._compacted_revision = 0
         self._leases: dict[int, _Lease] = {}
-        self._last_lease = 0
-        self._news = asyncio.Event()
+        self._last_lease_id = 0
+        self._state_changed = asyncio.Event()
 
     # ---- what tests do to it
 
     def put(self, key: str, value: bytes) -> None:
         """Write a key, as an operator or a worker does."""
         self._write(Write(key=key, value=value))
-        self._tell()
+        self._wake_watches()
 
     def delete(self, key: str) -> None:
         """Delete a key."""
         self._delete(key)
-        self._tell()
+        self._wake_watches()
 
     def compact_history(self) -> None:
         """Drop all history: watches from earlier revisions are told so."""
-        self._kept_from = self.revision
+        self._compacted_revision = self.revision
         self._history.clear()
-        self._tell()
+        self._wake_watches()
 
     def revoke(self, prefix: str) -> None:
         """Take away all leased keys under a prefix, without ending their leases."""
         for key in [key for key, item in self.items.items() if key.startswith(prefix)]:
             if self.items[key].lease_id:
                 self._delete(key)
-        self._tell()
+        self._wake_watches()
 
     def pause_leases(self) -> None:
         """Let no lease lose time from now on."""
         self.are_leases_paused = True
-        self._paused_s = asyncio.get_running_loop().time()
+        self._paused_at_s = asyncio.get_running_loop().time()
 
     def resume_leases(self) -> None:
         """Let leases go on with the time that they had left at the pause."""
         self.are_leases_paused = False
         for lease in self._leases.values():
-            lease.ends_s += asyncio.get_running_loop().time() - self._paused_s
+            lease.ends_at_s += asyncio.get_running_loop().time() - self._paused_at_s
 
     def expire(self) -> None:
-        """End the leases whose time is over."""
+        """End the leases whose time is expired."""
         if self.are_leases_paused:
             return
         now_s = asyncio.get_running_loop().time()
-        over = [lease_id for lease_id, lease in self._leases.items() if lease.ends_s <= now_s]
-        for lease_id in over:
+        expired = [lease_id for lease_id, lease in self._leases.items() if lease.ends_at_s <= now_s]
+        for lease_id in expired:
             self.revoke_lease(lease_id)
 
     # ---- what callers do
@@ -128,8 +128,8 @@
     def read_page(self, prefix: str, after: str) -> Page:
         """Return keys under a prefix."""
         keys = sorted(key for key in self.items if key.startswith(prefix) and key > after)
-        items = tuple(self.items[key] for key in keys[:PAGE_ITEMS])
-        return Page(items=items, has_more=len(keys) > PAGE_ITEMS, revision=self.revision)
+        items = tuple(self.items[key] for key in keys[:MAX_PAGE_ITEMS])
+        return Page(items=items, has_more=len(keys) > MAX_PAGE_ITEMS, revision=self.revision)
 
     def apply_commit(self, commit: Commit) -> Committed | Conflicted | None:
         """Carry out a commit; ``None`` where a lease of it has ended."""
@@ -137,7 +137,7 @@
         self.commits += 1
         if any(write.lease_id and write.lease_id not in self._leases for write in commit.writes):
             return None
-        if not all(self._holds(condition) for condition in commit.conditions):
+        if not all(self._is_condition_met(condition) for condition in commit.conditions):
             current = [self.items.get(condition.key) for condition in commit.conditions]
             return Conflicted(current=tuple(item for item in current if item is not None))
         self.revision += 1
@@ -146,15 +146,15 @@
         for key in commit.deletes:
             if key in self.items:
                 self._delete(key, self.revision)
-        self._tell()
+        self._wake_watches()
         return Committed(revision=self.revision)
 
     def grant_lease(self, ttl_s: float) -> int:
         """Grant a lease."""
-        self._last_lease += 1
-        ends_s = asyncio.get_running_loop().time() + ttl_s
-        self._leases[self._last_lease] = _Lease(ttl_s=ttl_s, ends_s=ends_s)
-        return self._last_lease
+        self._last_lease_id += 1
+        ends_at_s = asyncio.get_running_loop().time() + ttl_s
+        self._leases[self._last_lease_id] = _Lease(ttl_s=ttl_s, ends_at_s=ends_at_s)
+        return self._last_lease_id
 
     def renew_lease(self, lease_id: int) -> bool:
         """Renew a lease; whether it still was."""
@@ -162,7 +162,7 @@
         lease = self._leases.get(lease_id)
         if lease is None:
             return False
-        lease.ends_s = asyncio.get_running_loop().time() + lease.ttl_s
+        lease.ends_at_s = asyncio.get_running_loop().time() + lease.ttl_s
         return True
 
     def revoke_lease(self, lease_id: int) -> None:
@@ -170,38 +170,38 @@
         self._leases.pop(lease_id, None)
         for key in [key for key, item in self.items.items() if item.lease_id == lease_id]:
             self._delete(key)
-        self._tell()
+        self._wake_watches()
 
     async def watch(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
         """Wait for changes."""
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + wait_s
+        ends_at_s = loop.time() + wait_s
         while True:
             self.expire()
-            if after_revision < self._kept_from:
+            if after_revision < self._compacted_revision:
                 return Changes(events=(), revision=after_revision, is_history_lost=True)
             events = tuple(
                 event
                 for event in self._history
                 if event.revision > after_revision and event.key.startswith(prefix)
             )
-            if events or loop.time() >= ends_s:
+            if events or loop.time() >= ends_at_s:
                 return Changes(events=events, revision=self.revision)
-            await self._wait(min(ends_s, self._next_expiry_s()) - loop.time())
+            await self._wait_for_change(min(ends_at_s, self._next_expiry_at_s()) - loop.time())
 
-    def _next_expiry_s(self) -> float:
+    def _next_expiry_at_s(self) -> float:
         if self.are_leases_paused:
             return float("inf")
-        return min((lease.ends_s for lease in self._leases.values()), default=float("inf"))
+        return min((lease.ends_at_s for lease in self._leases.values()), default=float("inf"))
 
-    async def _wait(self, longest_s: float) -> None:
-        news = self._news
-        # Not `wait_for`, which loses a cancellation that comes with the news.
+    async def _wait_for_change(self, max_wait_s: float) -> None:
+        state_changed = self._state_changed
+        # Not `wait_for`, which loses a cancellation that comes with the state_changed.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(max(0.001, longest_s)):
-                await news.wait()
+            async with asyncio.timeout(max(0.001, max_wait_s)):
+                await state_changed.wait()
 
-    def _holds(self, condition: Condition) -> bool:
+    def _is_condition_met(self, condition: Condition) -> bool:
         item = self.items.get(condition.key)
         return condition.revision == (item.revision if item is not None else 0)
 
@@ -227,9 +227,9 @@
         del self.items[key]
         self._history.append(Deletion(key=key, revision=revision))
 
-    def _tell(self) -> None:
-        self._news.set()
-        self._news = asyncio.Event()
+    def _wake_watches(self) -> None:
+        self._state_changed.set()
+        self._state_changed = asyncio.Event()
 
 
 class FaultInjectingStore:
@@ -247,23 +247,23 @@
         self.store = store
         self.faults = faults or RecordFaults()
         self._timeout_s = timeout_s
-        self._late: set[asyncio.Task[None]] = set()
+        self._delayed_commits: set[asyncio.Task[None]] = set()
 
     async def get(self, key: str) -> Result[Item | None, Failure]:
         """Read one key."""
-        failure = await self._pass()
+        failure = await self._simulate_call()
         return Err(failure) if failure else Success(self.store.items.get(key))
 
     async def read_page(self, prefix: str, *, after: str = "") -> Result[Page, Failure]:
         """Read keys under a prefix."""
-        failure = await self._pass()
+        failure = await self._simulate_call()
         return Err(failure) if failure else Success(self.store.read_page(prefix, after))
 
     async def watch(
         self, prefix: str, *, after_revision: int, wait_s: float
     ) -> Result[Changes, Failure]:
         """Wait for changes."""
-        failure = await self._pass(silence_s=wait_s + WATCH_GRACE_S)
+        failure = await self._simulate_call(no_answer_s=wait_s + WATCH_TIMEOUT_MARGIN_S)
         if failure:
             return Err(failure)
         changes = await self.store.watch(prefix, after_revision, wait_s)
@@ -273,13 +273,13 @@
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflicted, Failure]:
         """Carry out a commit."""
-        failure = await self._pass()
+        failure = await self._simulate_call()
         if failure:
             return Err(failure)
         if self.store.rng.random() < self.faults.late_part:
-            task = asyncio.create_task(self._carry_out_late(commit))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
+            task = asyncio.create_task(self._commit_after_delay(commit))
+            self._delayed_commits.add(task)
+            task.add_done_callback(self._delayed_commits.discard)
             await asyncio.sleep(self._timeout_s)
             return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="no answer"))
         outcome = self.store.apply_commit(commit)
@@ -292,12 +292,12 @@
 
     async def grant_lease(self, *, ttl_s: float) -> Result[int, Failure]:
         """Grant a lease."""
-        failure = await self._pass()
+        failure = await self._simulate_call()
         return Err(failure) if failure else Success(self.store.grant_lease(ttl_s))
 
     async def renew_lease(self, lease_id: int) -> Result[None, Failure]:
         """Renew a lease."""
-        failure = await self._pass()
+        failure = await self._simulate_call()
         if failure:
             return Err(failure)
         if not self.store.renew_lease(lease_id):
@@ -306,20 +306,20 @@
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Failure]:
         """End a lease."""
-        failure = await self._pass()
+        failure = await self._simulate_call()
         if failure:
             return Err(failure)
         self.store.revoke_lease(lease_id)
         return Success(None)
 
-    async def _carry_out_late(self, commit: Commit) -> None:
+    async def _commit_after_delay(self, commit: Commit) -> None:
         await asyncio.sleep(self.faults.late_s)
         self.store.apply_commit(commit)
 
-    async def _pass(self, silence_s: float | None = None) -> Failure | None:
-        await asyncio.sleep(CALL_S + self.faults.delay_s)
+    async def _simulate_call(self, no_answer_s: float | None = None) -> Failure | None:
+        await asyncio.sleep(CALL_LATENCY_S + self.faults.delay_s)
         if self.faults.is_silent:
-            await asyncio.sleep(silence_s or self._timeout_s)
+            await asyncio.sleep(no_answer_s or self._timeout_s)
             return _unavailable("no answer")
         return _unavailable("down") if self.faults.is_down else None
 
--- a/src/shallotworks/standins/_store_http.py
+++ b/src/shallotworks/standins/_store_http.py
@@ -18,16 +18,16 @@
 
 __all__ = ["StoreServer"]
 
-SILENCE_S = 3.0
+LOST_ANSWER_DELAY_S = 3.0
 """An answer that `StoreServer.lose_answers` holds back: longer than any caller waits."""
 
 
 class StoreServer:
-    """Serves one caller's view of a store, with that view's faults.
+    """Serves found_page caller's view of a store, with that view's faults.
 
     Args:
         view: The store as the caller meets it.
-        host: Address to listen on; the port is any free one.
+        host: Address to listen on; the port is any free found_page.
     """
 
     def __init__(self, *, view: FaultInjectingStore, host: str = "127.0.0.1") -> None:
@@ -43,13 +43,13 @@
             return web.Response(status=self.status)
         outcome = await self._answer(request)
         if self.lose_answers:
-            await asyncio.sleep(SILENCE_S)
+            await asyncio.sleep(LOST_ANSWER_DELAY_S)
         if isinstance(outcome, Success):
             answer: web.StreamResponse = outcome.unwrap()
             return answer
-        return self._refuse(request, outcome.failure())
+        return self._answer_failure(request, outcome.failure())
 
-    def _refuse(self, request: web.BaseRequest, failure: Failure) -> web.StreamResponse:
+    def _answer_failure(self, request: web.BaseRequest, failure: Failure) -> web.StreamResponse:
         if failure.kind is ErrorKind.LEASE_LOST:
             return web.Response(status=404)
         if failure.kind is ErrorKind.STORE_UNAVAILABLE and self.view.faults.is_down:
@@ -60,38 +60,42 @@
         query = request.query
         if request.path == "/v1/kv-key":
             found = await self.view.get(query["key"])
-            return found.map(self._item_answer)
+            return found.map(self._answer_item)
         if request.path == "/v1/kv-range":
             page = await self.view.read_page(query["prefix"], after=query.get("after", ""))
             return page.map(
-                lambda one: answer_json(
+                lambda found_page: answer_json(
                     {
-                        "items": [_row(item) for item in one.items],
-                        "hasMore": one.has_more,
-                        "atRev": one.revision,
+                        "items": [_encode_item(item) for item in found_page.items],
+                        "hasMore": found_page.has_more,
+                        "atRev": found_page.revision,
                     }
                 )
             )
         if request.path == "/v1/kv-watch":
-            return await self._watch(request)
+            return await self._answer_watch(request)
         if request.path == "/v1/kv-txn":
-            outcome = await self.view.commit(_commit(await request.json()))
-            return outcome.map(_commit_answer)
-        return await self._lease_call(request)
+            outcome = await self.view.commit(_decode_commit(await request.json()))
+            return outcome.map(_encode_commit_outcome)
+        return await self._answer_lease_call(request)
 
-    async def _lease_call(self, request: web.BaseRequest) -> Result[web.StreamResponse, Failure]:
+    async def _answer_lease_call(
+        self, request: web.BaseRequest
+    ) -> Result[web.StreamResponse, Failure]:
         if request.path == "/v1/kv-lease":
             ttl_ms = (await request.json())["ttlMs"]
             granted = await self.view.grant_lease(ttl_s=ttl_ms / 1000)
-            return granted.map(lambda number: answer_json({"lease": number, "ttlMs": ttl_ms}))
-        number = int(request.path.rsplit("/", 1)[1])
+            return granted.map(
+                lambda lease_number: answer_json({"lease": lease_number, "ttlMs": ttl_ms})
+            )
+        lease_number = int(request.path.rsplit("/", 1)[1])
         if request.method == "DELETE":
-            ended = await self.view.revoke_lease(number)
+            ended = await self.view.revoke_lease(lease_number)
             return ended.map(lambda _: answer_json({}))
-        renewed = await self.view.renew_lease(number)
+        renewed = await self.view.renew_lease(lease_number)
         return renewed.map(lambda _: answer_json({"ttlMs": 1}))
 
-    async def _watch(self, request: web.BaseRequest) -> Result[web.StreamResponse, Failure]:
+    async def _answer_watch(self, request: web.BaseRequest) -> Result[web.StreamResponse, Failure]:
         query = request.query
         outcome = await self.view.watch(
             query["prefix"],
@@ -103,16 +107,16 @@
         changes = outcome.unwrap()
         if changes.is_history_lost:
             return Success(web.Response(status=410))
-        rows = [_event(event) for event in changes.events]
-        return Success(answer_json({"events": rows, "atRev": changes.revision}))
+        encoded_events = [_encode_event(event) for event in changes.events]
+        return Success(answer_json({"events": encoded_events, "atRev": changes.revision}))
 
-    def _item_answer(self, item: Item | None) -> web.StreamResponse:
+    def _answer_item(self, item: Item | None) -> web.StreamResponse:
         if item is None:
             return web.Response(status=404)
-        return answer_json(_row(item) | {"atRev": self.store.revision})
+        return answer_json(_encode_item(item) | {"atRev": self.store.revision})
 
 
-def _commit(body: dict[str, list[Any]]) -> Commit:
+def _decode_commit(body: dict[str, list[Any]]) -> Commit:
     return Commit(
         conditions=tuple(
             Condition(key=row["key"], revision=row["revision"]) for row in body["expected"]
@@ -125,19 +129,19 @@
     )
 
 
-def _commit_answer(outcome: Any) -> web.StreamResponse:
+def _encode_commit_outcome(outcome: Any) -> web.StreamResponse:
     if isinstance(outcome, Conflicted):
-        return answer_json({"items": [_row(item) for item in outcome.current]}, status=412)
+        return answer_json({"items": [_encode_item(item) for item in outcome.current]}, status=412)
     return answer_json({"revision": outcome.revision})
 
 
-def _event(event: Item | Deletion) -> dict[str, object]:
+def _encode_event(event: Item | Deletion) -> dict[str, object]:
     if isinstance(event, Deletion):
         return {"key": event.key, "revision": event.revision, "deleted": True}
-    return _row(event)
+    return _encode_item(event)
 
 
-def _row(item: Item) -> dict[str, object]:
+def _encode_item(item: Item) -> dict[str, object]:
     return {
         "key": item.key,
         "value": base64.b64encode(item.value).decode(),
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -24,9 +24,9 @@
 
 __all__ = ["TaskWorker", "TaskWorkers"]
 
-LONGEST_LEASE_S = 6.0
-STOP_S = 0.2
-SHRUNK_COUNTS_AFTER_S = 4.5
+MAX_LEASE_S = 6.0
+STOP_DURATION_S = 0.2
+CAPACITY_REDUCTION_GRACE_S = 4.5
 """Capacity that has shrunk counts this long after. Source: the users' rules."""
 
 
@@ -35,15 +35,15 @@
     name: TaskName
     run_id: int
     work_s: float
-    began_s: float
+    began_at_s: float
     is_lasting: bool
     fails: bool
-    stop_s: float = float("inf")
+    stops_at_s: float = float("inf")
 
     def percent(self, now_s: float) -> int:
         if self.is_lasting:
-            return 100 if now_s - self.began_s > 0.3 else 0
-        return min(99, int((now_s - self.began_s) / self.work_s * 100))
+            return 100 if now_s - self.began_at_s > 0.3 else 0
+        return min(99, int((now_s - self.began_at_s) / self.work_s * 100))
 
 
 class TaskWorker:
@@ -59,14 +59,14 @@
         self.is_alive = True
         self._fleet = fleet
         self._token = 0
-        self._lease_ends_s = 0.0
+        self._lease_ends_at_s = 0.0
         self._runs: dict[tuple[TaskName, int], _Run] = {}
-        self._highest: dict[TaskName, int] = {}
+        self._highest_run_ids: dict[TaskName, int] = {}
         self._ended: list[EndedTask] = []
-        self._count = 0
-        self._news = asyncio.Event()
+        self._end_count = 0
+        self._state_changed = asyncio.Event()
         self._clock_offset_s = fleet.rng.uniform(100, 1000)
-        self._capacities: list[tuple[float, int]] = []
+        self._former_capacities: list[tuple[float, int]] = []
         """Until when it had which capacity, in millicores."""
         self.is_guarded = True
         """Whether it refuses what does not fit."""
@@ -78,15 +78,17 @@
 
     def resize(self, cpu_millicores: int) -> None:
         """Change its capacity, which discovery tells."""
-        self._capacities.append((self._now_s(), self.view.cpu_millicores))
+        self._former_capacities.append((self._now_s(), self.view.cpu_millicores))
         self.view = replace(self.view, cpu_millicores=cpu_millicores)
 
-    def _is_over_capacity(self, used: int) -> bool:
+    def _is_over_capacity(self, used_millicores: int) -> bool:
         if self.is_guarded:
-            return used > self.view.cpu_millicores
-        since_s = self._now_s() - SHRUNK_COUNTS_AFTER_S
-        earlier = [size for until_s, size in self._capacities if until_s > since_s]
-        return used > max(self.view.cpu_millicores, *earlier, 0)
+            return used_millicores > self.view.cpu_millicores
+        since_s = self._now_s() - CAPACITY_REDUCTION_GRACE_S
+        earlier = [
+            size for replaced_at_s, size in self._former_capacities if replaced_at_s > since_s
+        ]
+        return used_millicores > max(self.view.cpu_millicores, *earlier, 0)
 
     def names(self) -> set[TaskName]:
         """Return the tasks that run."""
@@ -95,8 +97,10 @@
     def serving_tasks(self) -> set[TaskName]:
         """Return the lasting tasks that serve and are not being stopped."""
         now_s = self._now_s()
-        staying = (run for run in self._runs.values() if run.is_lasting and isinf(run.stop_s))
-        return {run.name for run in staying if run.percent(now_s) == 100}
+        serving_runs = (
+            run for run in self._runs.values() if run.is_lasting and isinf(run.stops_at_s)
+        )
+        return {run.name for run in serving_runs if run.percent(now_s) == 100}
 
     def crash(self) -> None:
         """End, with all that runs."""
@@ -105,44 +109,48 @@
 
     def wake(self) -> None:
         """Let calls that wait for an end see what has become of the worker."""
-        self._tell()
+        self._wake_waiters()
 
     def fail(self, name: TaskName) -> None:
         """Let what runs of a task fail now."""
         for run in [run for run in self._runs.values() if run.name == name]:
-            self._end(run, EndKind.FAILED)
-        self._tell()
+            self._end_run(run, EndKind.FAILED)
+        self._wake_waiters()
 
     def end_due_runs(self) -> None:
         """End runs whose time has come."""
         now_s = self._now_s()
         for run in list(self._runs.values()):
-            ends_s, kind = self._first_end_s(run)
-            if ends_s <= now_s:
-                self._end(run, kind)
+            ends_at_s, kind = self._first_end(run)
+            if ends_at_s <= now_s:
+                self._end_run(run, kind)
 
-    async def wait_for_end(self, longest_s: float) -> None:
+    async def wait_for_end(self, max_wait_s: float) -> None:
         """Wait until a run may have ended, or a new one or a stop may end sooner."""
         now_s = self._now_s()
-        ends_s = min((self._first_end_s(run)[0] for run in self._runs.values()), default=now_s + 9)
-        wait_s = max(0.001, min(longest_s, ends_s - now_s))
-        news = self._news
-        # Not `wait_for`, which loses a cancellation that comes with the news.
+        ends_at_s = min((self._first_end(run)[0] for run in self._runs.values()), default=now_s + 9)
+        wait_s = max(0.001, min(max_wait_s, ends_at_s - now_s))
+        state_changed = self._state_changed
+        # Not `wait_for`, which loses a cancellation that comes with the state_changed.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
-                await news.wait()
+                await state_changed.wait()
 
-    def _first_end_s(self, run: _Run) -> tuple[float, EndKind]:
+    def _first_end(self, run: _Run) -> tuple[float, EndKind]:
         own = EndKind.FAILED if run.fails else EndKind.DONE
-        done_s = float("inf") if run.is_lasting else run.began_s + run.work_s
+        done_s = float("inf") if run.is_lasting else run.began_at_s + run.work_s
         return min(
-            ((done_s, own), (run.stop_s, EndKind.STOPPED), (self._lease_ends_s, EndKind.LAPSED)),
+            (
+                (done_s, own),
+                (run.stops_at_s, EndKind.STOPPED),
+                (self._lease_ends_at_s, EndKind.LAPSED),
+            ),
             key=lambda end: end[0],
         )
 
-    def _tell(self) -> None:
-        self._news.set()
-        self._news = asyncio.Event()
+    def _wake_waiters(self) -> None:
+        self._state_changed.set()
+        self._state_changed = asyncio.Event()
 
     def poll(self, token: int, acknowledged: int, lease_until_ms: int | None) -> OrderOutcome:
         """Carry out a look."""
@@ -155,7 +163,7 @@
                 self._fleet.note_acknowledged(end)
         self._ended = [end for end in self._ended if end.number > acknowledged]
         if lease_until_ms is not None:
-            self._extend(lease_until_ms)
+            self._extend_lease(lease_until_ms)
         now_s = self._now_s()
         report = WorkerReport(
             clock_ms=self.clock_ms,
@@ -180,18 +188,18 @@
             return self._refuse(OrderStatus.TOO_LATE)
         if (run.name, run.run_id) in self._runs:
             return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms)
-        self._extend(lease_until_ms)
-        if run.run_id <= self._highest.get(run.name, 0):
+        self._extend_lease(lease_until_ms)
+        if run.run_id <= self._highest_run_ids.get(run.name, 0):
             return self._refuse(OrderStatus.STALE_RUN)
-        used = sum(self._fleet.cpu_millicores_of(name) for name, _ in self._runs)
-        if self._is_over_capacity(used + self._fleet.cpu_millicores_of(run.name)):
+        used_millicores = sum(self._fleet.cpu_millicores_of(name) for name, _ in self._runs)
+        if self._is_over_capacity(used_millicores + self._fleet.cpu_millicores_of(run.name)):
             if self.is_guarded:
                 return self._refuse(OrderStatus.NO_ROOM)
             if not is_late:
                 self._fleet.note_overfilled(self, run.name)
         self._fleet.check_start(self, run.name)
         self._runs[(run.name, run.run_id)] = self._fleet.make_run(run.name, run.run_id)
-        self._tell()
+        self._wake_waiters()
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms)
 
     def stop(self, order: StopOrder, token: int) -> OrderOutcome:
@@ -201,24 +209,24 @@
             return self._refuse(OrderStatus.FENCED)
         self._token = token
         name, run_id = order.run.name, order.run.run_id
-        self._highest[name] = max(run_id, self._highest.get(name, 0))
+        self._highest_run_ids[name] = max(run_id, self._highest_run_ids.get(name, 0))
         run = self._runs.get((name, run_id))
         if run is not None:
             self._fleet.check_stop(self, name)
-            run.stop_s = min(run.stop_s, self._now_s() + STOP_S)
-            self._tell()
+            run.stops_at_s = min(run.stops_at_s, self._now_s() + STOP_DURATION_S)
+            self._wake_waiters()
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms)
 
-    def _extend(self, lease_until_ms: int) -> None:
-        ends_s = lease_until_ms / 1000 - self._clock_offset_s
-        longest_s = self._now_s() + LONGEST_LEASE_S
-        self._lease_ends_s = max(self._lease_ends_s, min(ends_s, longest_s))
+    def _extend_lease(self, lease_until_ms: int) -> None:
+        ends_at_s = lease_until_ms / 1000 - self._clock_offset_s
+        latest_end_s = self._now_s() + MAX_LEASE_S
+        self._lease_ends_at_s = max(self._lease_ends_at_s, min(ends_at_s, latest_end_s))
 
-    def _end(self, run: _Run, kind: EndKind) -> None:
+    def _end_run(self, run: _Run, kind: EndKind) -> None:
         del self._runs[(run.name, run.run_id)]
-        self._highest[run.name] = max(run.run_id, self._highest.get(run.name, 0))
-        self._count += 1
-        end = EndedTask(number=self._count, name=run.name, run_id=run.run_id, kind=kind)
+        self._highest_run_ids[run.name] = max(run.run_id, self._highest_run_ids.get(run.name, 0))
+        self._end_count += 1
+        end = EndedTask(number=self._end_count, name=run.name, run_id=run.run_id, kind=kind)
         self._ended.append(end)
         self._fleet.note_end(end)
 
@@ -258,7 +266,7 @@
         """What becomes of calls for workers that are over; by default they get no answer."""
         self.most_attempts = 0
         """Failed ends of a task after which no run of it may start; 0 for no limit."""
-        self._failures_noted: Counter[TaskName] = Counter()
+        self._acknowledged_failures: Counter[TaskName] = Counter()
 
     def add(self, view: WorkerView) -> TaskWorker:
         """Add a worker."""
@@ -303,7 +311,7 @@
             name=name,
             run_id=run_id,
             work_s=self.work_s.get(name.job_id, 0.8) * self.rng.uniform(0.7, 1.4),
-            began_s=asyncio.get_running_loop().time(),
+            began_at_s=asyncio.get_running_loop().time(),
             is_lasting=name.job_id in self.lasting,
             fails=name in self.failing,
         )
@@ -322,7 +330,7 @@
             self.violations.append(f"{now_s:.3f} {name} starts after its end was acknowledged")
         if any(earlier not in self.done for earlier in self.after.get(name, ())):
             self.violations.append(f"{now_s:.3f} {name} starts before its turn")
-        if self.most_attempts and self._failures_noted[name] >= self.most_attempts:
+        if self.most_attempts and self._acknowledged_failures[name] >= self.most_attempts:
             self.violations.append(f"{now_s:.3f} {name} starts after its last attempt has failed")
         if now_s > self.cancelled.get(name.job_id, now_s) + 3.0:
             self.violations.append(f"{now_s:.3f} {name} starts after its job was cancelled")
@@ -346,4 +354,4 @@
         if end.kind is EndKind.DONE:
             self.noted.add(end.name)
         elif end.kind is EndKind.FAILED:
-            self._failures_noted[end.name] += 1
+            self._acknowledged_failures[end.name] += 1
--- a/src/shallotworks/standins/_violations.py
+++ b/src/shallotworks/standins/_violations.py
@@ -38,22 +38,22 @@
 def count_violations(ledger: Ledger, workers: Sequence[WorkerStandIn]) -> Violations:
     """Count broken promises; to be called when no request is under way any more."""
     runs: Counter[str] = Counter()
-    places: Counter[str] = Counter()
+    worker_counts: Counter[str] = Counter()
     doubled = 0
     cut_off = 0
     for worker in workers:
         own_runs = worker.runs_by_key()
         runs.update(own_runs)
-        places.update(own_runs.keys())
+        worker_counts.update(own_runs.keys())
         counts = worker.status().counts
         doubled += counts.doubled
         cut_off += counts.cut_off
     # A worker counts what it has run twice itself; a key run at two workers shows only here. The
     # id of an idempotent request may be run at several: that is a retry.
-    keys_at_two = sum(1 for key in ledger.keys if places[key] > 1)
+    keys_at_several = sum(1 for key in ledger.keys if worker_counts[key] > 1)
     return Violations(
         lost=len(runs.keys() - ledger.answered_runs),
-        doubled=doubled + keys_at_two,
+        doubled=doubled + keys_at_several,
         cut_off=cut_off,
         foreign=ledger.foreign,
         untrue=len(runs.keys() & ledger.refused_runs),
--- a/src/shallotworks/standins/_worker.py
+++ b/src/shallotworks/standins/_worker.py
@@ -15,7 +15,7 @@
 
 from ._worker_control import RebootOrder, WorkerCounts, WorkerStatus, answer_control
 from ._worker_faults import WorkerFault, WorkerFaults
-from ._worker_runs import RunLog, WorkerRun, run_of
+from ._worker_runs import RunLog, WorkerRun, make_run
 from ._worker_tasks import TaskState, TaskTable
 
 __all__ = ["WorkerStandIn", "serve_worker"]
@@ -24,7 +24,7 @@
 CONTROL_THREADS = 16
 """Threads beyond the slots, so that control calls are answered while all slots are busy."""
 MS_PER_S = 1000
-LONGEST_SILENCE_S = 60.0
+MAX_SILENCE_S = 60.0
 
 _Start = Callable[..., Any]
 _Environ = dict[str, Any]
@@ -78,7 +78,7 @@
         self._in_flight: set[str] = set()
         self._usage: deque[tuple[float, int]] = deque(maxlen=4096)
         self._counts: Counter[str] = Counter()
-        self._runs = RunLog()
+        self._run_log = RunLog()
 
     @property
     def address(self) -> str:
@@ -161,12 +161,12 @@
     def runs_by_key(self) -> Counter[str]:
         """Return how often each request was run, by idempotency key or else by request id."""
         with self._lock:
-            return self._runs.by_key()
+            return self._run_log.by_key()
 
     def runs(self) -> tuple[WorkerRun, ...]:
         """Return every run that has begun here."""
         with self._lock:
-            return self._runs.all()
+            return self._run_log.all()
 
     def _usage_at(self, past_s: float) -> int:
         earlier = [count for at_s, count in self._usage if at_s <= past_s]
@@ -177,66 +177,68 @@
             down = time.monotonic() < self._down_until_s
             self._seen_ports.add(environ["REMOTE_PORT"])
         if down:
-            raise _reset("rebooting")
+            raise _make_reset_error("rebooting")
         body: bytes = environ["wsgi.input"].read(int(environ.get("CONTENT_LENGTH") or 0))
         path: str = environ["PATH_INFO"]
         if path.startswith(CONTROL_PREFIX):
-            words = path.removeprefix(CONTROL_PREFIX).split("/")
-            told = answer_control(self, environ["REQUEST_METHOD"], words, body)
-            return _answer(start_response, told.status, told.body, [])
-        return self._run(environ, body, start_response)
+            path_parts = path.removeprefix(CONTROL_PREFIX).split("/")
+            control_answer = answer_control(self, environ["REQUEST_METHOD"], path_parts, body)
+            return _answer(start_response, control_answer.status, control_answer.body, [])
+        return self._run_request(environ, body, start_response)
 
-    def _run(self, environ: _Environ, body: bytes, start_response: _Start) -> Iterable[bytes]:
+    def _run_request(
+        self, environ: _Environ, body: bytes, start_response: _Start
+    ) -> Iterable[bytes]:
         request_id = environ.get("HTTP_SHALLOT_REQUEST_ID", "")
         attempt = environ.get("HTTP_SHALLOT_ATTEMPT", "")
         echo = [("Shallot-Request-Id", request_id), ("Shallot-Attempt", attempt)]
         run_id = f"{request_id}/{attempt}"
-        if not self._begin(run_id, environ):
+        if not self._begin_run(run_id, environ):
             return _answer(start_response, "503 Busy", b"", [*echo, ("Shallot-Ran", "no")])
         try:
-            self._work(environ)
+            self._simulate_work(environ)
             text = f"{self.name} {request_id} {hashlib.sha256(body).hexdigest()}\n"
         finally:
-            cut_off = self._end(run_id)
+            cut_off = self._end_run(run_id)
         if cut_off:
-            raise _reset("rebooted while in flight")
+            raise _make_reset_error("rebooted while in flight")
         return self._answer_run(start_response, text.encode(), echo)
 
-    def _begin(self, run_id: str, environ: _Environ) -> bool:
+    def _begin_run(self, run_id: str, environ: _Environ) -> bool:
         with self._lock:
             refuse = self._faults.fault is WorkerFault.REFUSE
             if refuse or len(self._in_flight) >= self.slots:
                 self._counts["refused"] += 1
                 return False
             self._in_flight.add(run_id)
-            self._note_usage()
+            self._record_usage()
             self._counts["runs"] += 1
-            if self._runs.add(run_of(self.name, run_id, environ)):
+            if self._run_log.add(make_run(self.name, run_id, environ)):
                 self._counts["doubled"] += 1
             return True
 
-    def _end(self, run_id: str) -> bool:
+    def _end_run(self, run_id: str) -> bool:
         """Take a run out of the table; says whether a reboot had cut it off."""
         with self._lock:
             cut_off = run_id not in self._in_flight
             self._in_flight.discard(run_id)
-            self._note_usage()
+            self._record_usage()
             return cut_off
 
-    def _note_usage(self) -> None:
+    def _record_usage(self) -> None:
         self._usage.append((time.monotonic(), len(self._in_flight)))
 
-    def _work(self, environ: _Environ) -> None:
+    def _simulate_work(self, environ: _Environ) -> None:
         faults = self._faults
         if environ["REMOTE_PORT"] in self._silent_ports:
-            self._silence_ended.wait(LONGEST_SILENCE_S)
-            raise _reset("this connection was silent")
+            self._silence_ended.wait(MAX_SILENCE_S)
+            raise _make_reset_error("this connection was silent")
         if faults.fault is WorkerFault.FAIL_ALL:
             return
-        asked_ms = environ.get("HTTP_WORK_MS")
-        work_s = int(asked_ms) / MS_PER_S if asked_ms else self._service_time_s
-        late_s = faults.delay_s if faults.fault is WorkerFault.LATE else 0.0
-        self._stopped.wait(work_s + late_s)
+        requested_ms = environ.get("HTTP_WORK_MS")
+        work_s = int(requested_ms) / MS_PER_S if requested_ms else self._service_time_s
+        extra_delay_s = faults.delay_s if faults.fault is WorkerFault.LATE else 0.0
+        self._stopped.wait(work_s + extra_delay_s)
 
     def _answer_run(
         self, start_response: _Start, body: bytes, echo: list[tuple[str, str]]
@@ -248,7 +250,7 @@
             echo = [("Shallot-Request-Id", "someone-elses"), ("Shallot-Attempt", "1")]
         if fault is WorkerFault.PARTIAL:
             start_response("200 OK", [*echo, ("Content-Length", str(len(body)))])
-            return _cut(body[: len(body) // 2])
+            return _send_cut_off(body[: len(body) // 2])
         return _answer(start_response, "200 OK", body, echo)
 
 
@@ -259,14 +261,14 @@
     return [body]
 
 
-def _reset(why: str) -> ConnectionResetError:
+def _make_reset_error(why: str) -> ConnectionResetError:
     """Return what ends a connection without a byte; without its number cheroot would answer 500."""
     return ConnectionResetError(errno.ECONNRESET, why)
 
 
-def _cut(part: bytes) -> Iterator[bytes]:
+def _send_cut_off(part: bytes) -> Iterator[bytes]:
     yield part
-    raise _reset("the answer is cut off here")
+    raise _make_reset_error("the answer is cut off here")
 
 
 def serve_worker(*, name: str, host: str, port: int, slots: int = 8) -> WorkerStandIn:
--- a/src/shallotworks/standins/_worker_control.py
+++ b/src/shallotworks/standins/_worker_control.py
@@ -109,51 +109,53 @@
     speed: float = 1.0
 
 
-_STATUS = TypeAdapter(WorkerStatus)
-_FAULTS = TypeAdapter(WorkerFaults)
-_ORDER = TypeAdapter(TaskOrder)
-_TASKS: TypeAdapter[tuple[Task, ...]] = TypeAdapter(tuple[Task, ...])
-_TASK_CALL = TypeAdapter(_TaskCall)
-_REBOOT = TypeAdapter(RebootOrder)
+_STATUS_ADAPTER = TypeAdapter(WorkerStatus)
+_FAULTS_ADAPTER = TypeAdapter(WorkerFaults)
+_ORDER_ADAPTER = TypeAdapter(TaskOrder)
+_TASKS_ADAPTER: TypeAdapter[tuple[Task, ...]] = TypeAdapter(tuple[Task, ...])
+_TASK_CALL_ADAPTER = TypeAdapter(_TaskCall)
+_REBOOT_ADAPTER = TypeAdapter(RebootOrder)
 
 
 def answer_control(
-    worker: ControlledWorker, method: str, words: list[str], body: bytes
+    worker: ControlledWorker, method: str, path_parts: list[str], body: bytes
 ) -> ControlAnswer:
     """Carry out one control call.
 
     Args:
         worker: The worker that is called.
         method: HTTP method.
-        words: Parts of the path after the prefix of control calls.
+        path_parts: Parts of the path after the prefix of control calls.
         body: The whole body; answered with 400 where it is not what the call takes.
     """
     try:
-        return _call(worker, method, words, body)
+        return _dispatch_call(worker, method, path_parts, body)
     except ValidationError as error:
         return ControlAnswer(status="400 Bad Request", body=str(error).encode())
 
 
-def _call(worker: ControlledWorker, method: str, words: list[str], body: bytes) -> ControlAnswer:
-    match (method, words):
+def _dispatch_call(
+    worker: ControlledWorker, method: str, path_parts: list[str], body: bytes
+) -> ControlAnswer:
+    match (method, path_parts):
         case ("GET", ["status"]):
-            return ControlAnswer(status="200 OK", body=_STATUS.dump_json(worker.status()))
+            return ControlAnswer(status="200 OK", body=_STATUS_ADAPTER.dump_json(worker.status()))
         case ("PUT", ["faults"]):
-            worker.set_faults(_FAULTS.validate_json(body))
+            worker.set_faults(_FAULTS_ADAPTER.validate_json(body))
             return ControlAnswer(status="204 No Content")
         case ("POST", ["reboot"]):
-            return _taken(worker.reboot(_REBOOT.validate_json(body)))
+            return _answer_accepted(worker.reboot(_REBOOT_ADAPTER.validate_json(body)))
         case ("GET", ["tasks"]):
-            return ControlAnswer(status="200 OK", body=_TASKS.dump_json(worker.tasks.all()))
+            return ControlAnswer(status="200 OK", body=_TASKS_ADAPTER.dump_json(worker.tasks.all()))
         case ("POST", ["tasks"]):
-            return _taken(worker.tasks.start(_ORDER.validate_json(body)))
+            return _answer_accepted(worker.tasks.start(_ORDER_ADAPTER.validate_json(body)))
         case ("POST", ["tasks", task_id, verb]):
-            call = _TASK_CALL.validate_json(body)
-            return _taken(_task_call(worker.tasks, task_id, verb, call))
+            call = _TASK_CALL_ADAPTER.validate_json(body)
+            return _answer_accepted(_call_task(worker.tasks, task_id, verb, call))
     return ControlAnswer(status="404 Not Found")
 
 
-def _task_call(tasks: TaskTable, task_id: str, verb: str, call: _TaskCall) -> bool:
+def _call_task(tasks: TaskTable, task_id: str, verb: str, call: _TaskCall) -> bool:
     match verb:
         case "renew":
             return tasks.renew(task_id, call.epoch)
@@ -166,5 +168,5 @@
     return False
 
 
-def _taken(taken: bool) -> ControlAnswer:
-    return ControlAnswer(status="204 No Content" if taken else "409 Conflict")
+def _answer_accepted(is_accepted: bool) -> ControlAnswer:
+    return ControlAnswer(status="204 No Content" if is_accepted else "409 Conflict")
--- a/src/shallotworks/standins/_worker_http.py
+++ b/src/shallotworks/standins/_worker_http.py
@@ -23,9 +23,9 @@
 
 __all__ = ["WorkerServer"]
 
-ANSWER_S = 5.0
+POLL_TIMEOUT_S = 5.0
 INCARNATION_HEADER = "Shallotworks-Expect-Instance"
-_REFUSALS = {
+_REASON_BY_STATUS = {
     OrderStatus.FENCED: "fence",
     OrderStatus.STALE_RUN: "old",
     OrderStatus.TOO_LATE: "late",
@@ -53,15 +53,15 @@
         if request.headers.get(INCARNATION_HEADER, "") != self._view.worker_id:
             return web.Response(status=421)
         body = await request.json()
-        outcome = await self._carry_out(request.path, body)
+        outcome = await self._execute_order(request.path, body)
         if outcome.status is OrderStatus.OBEYED:
-            return answer_json(_report(outcome))
-        reason = _REFUSALS.get(outcome.status)
+            return answer_json(_encode_report(outcome))
+        reason = _REASON_BY_STATUS.get(outcome.status)
         if reason is None:
             return drop_connection(request)
         return answer_json({"clockMs": outcome.clock_ms, "reason": reason}, status=409)
 
-    async def _carry_out(self, path: str, body: dict[str, Any]) -> OrderOutcome:
+    async def _execute_order(self, path: str, body: dict[str, Any]) -> OrderOutcome:
         token = body["fencingToken"]
         if path == "/v1/hold":
             return await self._orders.poll(
@@ -70,9 +70,9 @@
                 acknowledged=body["lastSeen"],
                 lease_until_ms=body.get("expiresMs"),
                 wait_s=body.get("waitMs", 0) / 1000,
-                timeout_s=ANSWER_S,
+                timeout_s=POLL_TIMEOUT_S,
             )
-        run = self._run(body)
+        run = self._parse_run(body)
         if path == "/v1/run-start":
             order = StartOrder(run=run, spec=body["spec"], checkpoint=body.get("checkpoint", ""))
             return await self._orders.start(
@@ -83,7 +83,7 @@
         pace = PaceOrder(run=run, percent=body["percent"])
         return await self._orders.pace(self._view, pace, token=token)
 
-    def _run(self, body: dict[str, Any]) -> Run:
+    def _parse_run(self, body: dict[str, Any]) -> Run:
         job_id, occurrence, step, number = body["task"].split(".")
         return Run(
             name=TaskName(job_id, int(occurrence), int(step), int(number)),
@@ -95,19 +95,25 @@
         )
 
 
-def _report(outcome: OrderOutcome) -> dict[str, Any]:
+def _encode_report(outcome: OrderOutcome) -> dict[str, Any]:
     answer: dict[str, Any] = {"clockMs": outcome.clock_ms}
     if outcome.report is not None:
         answer["running"] = [
-            [_text(row.name), row.run_id, row.checkpoint, row.percent, row.figure]
-            for row in outcome.report.running
+            [
+                _format_task_name(running_task.name),
+                running_task.run_id,
+                running_task.checkpoint,
+                running_task.percent,
+                running_task.figure,
+            ]
+            for running_task in outcome.report.running
         ]
         answer["ended"] = [
-            [end.number, _text(end.name), end.run_id, end.kind.value, end.checkpoint]
+            [end.number, _format_task_name(end.name), end.run_id, end.kind.value, end.checkpoint]
             for end in outcome.report.ended
         ]
     return answer
 
 
-def _text(name: TaskName) -> str:
+def _format_task_name(name: TaskName) -> str:
     return ".".join(str(part) for part in name)
--- a/src/shallotworks/standins/_worker_runs.py
+++ b/src/shallotworks/standins/_worker_runs.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["RunLog", "WorkerRun", "run_of"]
+__all__ = ["RunLog", "WorkerRun", "make_run"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -32,7 +32,7 @@
     began_at_s: float
 
 
-def run_of(worker: str, run_id: str, environ: Mapping[str, Any]) -> WorkerRun:
+def make_run(worker: str, run_id: str, environ: Mapping[str, Any]) -> WorkerRun:
     """Return the run that begins now.
 
     Args:
@@ -41,13 +41,13 @@
         environ: The WSGI environment of the request.
     """
     request_id, _, attempt = run_id.partition("/")
-    safe = environ["REQUEST_METHOD"] == "GET"
+    is_safe = environ["REQUEST_METHOD"] == "GET"
     return WorkerRun(
         worker=worker,
         request_id=request_id,
         attempt=attempt,
         key=environ.get("HTTP_IDEMPOTENCY_KEY", ""),
-        idempotent=environ.get("HTTP_SHALLOT_IDEMPOTENT", "yes" if safe else "no") == "yes",
+        idempotent=environ.get("HTTP_SHALLOT_IDEMPOTENT", "yes" if is_safe else "no") == "yes",
         began_at_s=time.monotonic(),
     )
 
@@ -55,18 +55,18 @@
 class RunLog:
     """The runs of one worker, in the order in which they began; its owner holds a lock."""
 
-    __slots__ = ("_by_key", "_runs")
+    __slots__ = ("_counts_by_key", "_runs")
 
     def __init__(self) -> None:
         self._runs: list[WorkerRun] = []
-        self._by_key: Counter[str] = Counter()
+        self._counts_by_key: Counter[str] = Counter()
 
     def add(self, run: WorkerRun) -> bool:
         """Note a run that begins; says whether a non-idempotent request runs again by it."""
         self._runs.append(run)
-        known_by = run.key or run.request_id
-        self._by_key[known_by] += 1
-        return not run.idempotent and self._by_key[known_by] > 1
+        request_key = run.key or run.request_id
+        self._counts_by_key[request_key] += 1
+        return not run.idempotent and self._counts_by_key[request_key] > 1
 
     def all(self) -> tuple[WorkerRun, ...]:
         """Return every run."""
@@ -74,4 +74,4 @@
 
     def by_key(self) -> Counter[str]:
         """Return how often each request was run, by idempotency key or else by request id."""
-        return Counter(self._by_key)
+        return Counter(self._counts_by_key)
--- a/src/shallotworks/standins/_worker_tasks.py
+++ b/src/shallotworks/standins/_worker_tasks.py
@@ -99,28 +99,32 @@
 
     def renew(self, task_id: str, epoch: int) -> bool:
         """Renew a task's lease; refused for another epoch or a task that has ended."""
-        return self._change(task_id, epoch, lambda task: replace(task, renewed_at_s=self.clock_s()))
+        return self._update_running(
+            task_id, epoch, lambda task: replace(task, renewed_at_s=self.clock_s())
+        )
 
     def throttle(self, task_id: str, epoch: int, speed: float) -> bool:
         """Set a task's speed, above 0 and at most 1."""
         if not 0 < speed <= 1:
             return False
-        return self._change(task_id, epoch, lambda task: replace(task, speed=speed))
+        return self._update_running(task_id, epoch, lambda task: replace(task, speed=speed))
 
     def checkpoint(self, task_id: str, epoch: int) -> bool:
         """Keep what a task has done so far."""
-        return self._change(
+        return self._update_running(
             task_id, epoch, lambda task: replace(task, checkpoint_s=task.progress_s)
         )
 
     def stop(self, task_id: str, epoch: int) -> bool:
         """Stop a task."""
-        return self._change(task_id, epoch, lambda task: replace(task, state=TaskState.STOPPED))
+        return self._update_running(
+            task_id, epoch, lambda task: replace(task, state=TaskState.STOPPED)
+        )
 
     def all(self) -> tuple[Task, ...]:
         """Return all tasks as they stand now."""
         with self._lock:
-            self._tasks = {name: self._advanced(task) for name, task in self._tasks.items()}
+            self._tasks = {name: self._with_progress(task) for name, task in self._tasks.items()}
             return tuple(self._tasks.values())
 
     def clear(self) -> None:
@@ -128,26 +132,26 @@
         with self._lock:
             self._tasks.clear()
 
-    def _change(self, task_id: str, epoch: int, change: Callable[[Task], Task]) -> bool:
+    def _update_running(self, task_id: str, epoch: int, change: Callable[[Task], Task]) -> bool:
         with self._lock:
             task = self._tasks.get(task_id)
             if task is None or task.order.epoch != epoch:
                 return False
-            task = self._advanced(task)
+            task = self._with_progress(task)
             if task.state is TaskState.RUNNING:
                 self._tasks[task_id] = change(task)
                 return True
             self._tasks[task_id] = task
             return False
 
-    def _advanced(self, task: Task) -> Task:
+    def _with_progress(self, task: Task) -> Task:
         if task.state is not TaskState.RUNNING:
             return task
         now_s = self.clock_s()
-        lapses_at_s = task.renewed_at_s + task.order.lease_ttl_s
-        until_s = min(now_s, lapses_at_s)
-        progress_s = task.progress_s + max(0.0, until_s - task.advanced_at_s) * task.speed
+        expires_at_s = task.renewed_at_s + task.order.lease_ttl_s
+        runs_until_s = min(now_s, expires_at_s)
+        progress_s = task.progress_s + max(0.0, runs_until_s - task.advanced_at_s) * task.speed
         if progress_s >= task.order.run_s:
             return replace(task, state=TaskState.DONE, progress_s=task.order.run_s)
-        state = TaskState.LAPSED if now_s >= lapses_at_s else TaskState.RUNNING
+        state = TaskState.LAPSED if now_s >= expires_at_s else TaskState.RUNNING
         return replace(task, state=state, progress_s=progress_s, advanced_at_s=now_s)
