--- a/src/shallotworks/standins/__init__.py
+++ b/src/shallotworks/standins/__init__.py
@@ -1,10 +1,11 @@
-"""Small stand-ins for what the product runs beside, for development and tests.
+"""Test doubles of the systems that Shallotworks depends on, for development and tests.
 
-The platform's key-value service and its list of instances, and worker instances, each with faults
-that can be switched on. `RecordStore` and `TaskWorkers` stand for the users' platform in memory, on
-the loop's clock, and judge what schedulers do there; `StoreServer`, `WorkerServer` and
-`MachinesServer` speak its protocol before them. The product never imports this package; only
-the command line and the demo start it.
+`PlatformStandIn` replaces the platform's key-value service and its list of instances, and
+`WorkerStandIn` replaces a worker instance. Both inject faults on request. `RecordStore` and
+`TaskWorkers` simulate the users' platform in memory on the event loop's clock; `TaskWorkers` also
+checks the orders that schedulers send. `StoreServer`, `WorkerServer` and `MachinesServer` serve
+the users' platform's HTTP protocol in front of these simulations. Outside of tests, benchmarks and
+soak runs only the command line and the demo import this package.
 """
 
 from ._callers import Callers, Ledger
--- a/src/shallotworks/standins/_callers.py
+++ b/src/shallotworks/standins/_callers.py
@@ -1,4 +1,4 @@
-"""Callers for the demo and tests: a stream of requests, and a ledger of what became of each."""
+"""Callers that send a stream of requests and record the outcome of each, for the demo."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 __all__ = ["Callers", "Ledger"]
 
 READ_TIMEOUT_S = 15.0
-"""Longest wait for the next bytes of an answer."""
+"""Limit for connecting and for each read of an answer."""
 REQUEST_INTERVAL_S = 0.01
-"""Pause of each thread between two requests."""
+"""Pause of each thread after a request and its repeat, if any."""
 STOPPING_AVOIDANCE_S = 1.5
-"""A little longer than a stopping instance goes on answering that it stops."""
+"""Slightly longer than a stopping instance keeps answering that it is stopping."""
 REPEATED_ORDER_RATIO = 0.2
-"""Part of the orders that their caller sends a second time, under the same key."""
+"""Ratio of the orders that their caller sends a second time with the same idempotency key."""
 
 
 @unique
 class _Kind(Enum):
-    """What a caller asks for."""
+    """Kind of a request."""
 
     TRACE = "trace"
     ORDER = "order"
@@ -47,19 +47,21 @@
 
 @dataclass(slots=True, kw_only=True)
 class Ledger:
-    """What the callers have seen.
+    """The outcomes of requests as their callers observed them.
 
     Args:
-        sent: Requests sent, repeats included, by class.
-        answered: Whole answers to the caller's own request, by class.
-        refused: Refusals that said "not run", by kind.
-        refused_runs: Ids of the runs that were told as not run.
-        unknown: Requests whose outcome was told as unknown, by kind, or that had no answer at all,
-            by what ended the connection.
-        foreign: Answers that were not to the caller's own request.
-        keys: All keys of orders.
-        answered_runs: Ids of the runs that the answers name: a key for orders, else a request id.
-        latencies_s: How long each interactive answer took.
+        sent: Number of requests sent, repeats included, by request class.
+        answered: Number of complete answers to the caller's own request, by request class.
+        refused: Number of refusals that state that the request was not run, by error kind.
+        refused_runs: Ids of the requests without an idempotency key that such a refusal answered.
+        unknown: Number of requests that were answered with an unknown outcome, by error kind, or
+            that got no complete answer, by the name of the HTTP client's exception.
+        foreign: Number of answers that had another status than 200 and no error kind, or that were
+            not to the caller's own request.
+        keys: The idempotency keys of all orders.
+        answered_runs: Ids of the answered runs: the idempotency key of an order, otherwise the
+            request id that the answer names.
+        latencies_s: Latency of each complete answer to an interactive request.
     """
 
     sent: Counter[str] = field(default_factory=Counter)
@@ -74,15 +76,17 @@
 
 
 class Callers:
-    """Threads that ask the entry instances in turn, as a balancer would spread them.
+    """Threads that send each request to a random entry instance, as a load balancer would.
 
-    An instance that says it is stopping is left alone for a while, as a balancer's health check
-    would have it.
+    An instance that answers that it is stopping gets no requests for `STOPPING_AVOIDANCE_S`, as
+    if a load balancer's health check had removed it. Where all instances are avoided, requests go
+    to any of them.
 
     Args:
         ports: Callers' ports of the entry instances.
-        seed: Seed of what they ask.
-        repeat_unknown: Whether an order whose outcome is not known is sent again, under its key.
+        seed: Seed of the random choices of all threads.
+        repeat_unknown: Whether an order with an unknown outcome is sent again with the same
+            idempotency key.
     """
 
     def __init__(self, *, ports: list[int], seed: int, repeat_unknown: bool = False) -> None:
@@ -103,12 +107,12 @@
         ]
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending requests."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Send no more and wait for what is under way."""
+        """Stop sending requests and wait for those in flight."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
@@ -130,7 +134,7 @@
         return rng.choice(available_ports or self._ports)
 
     def _send_request(self, kind: _Kind, body: bytes, key: str, port: int) -> bool:
-        """Send one request and note what became of it; returns whether its outcome is known."""
+        """Send one request and record its outcome; return whether the outcome is known."""
         request_class = RequestClass.INTERACTIVE
         if kind is _Kind.MODEL:
             request_class = RequestClass.LONG_RUNNING
@@ -150,7 +154,7 @@
                 "POST", f"http://127.0.0.1:{port}/{kind.value}", body=body, headers=headers
             )
         except urllib3.exceptions.NewConnectionError:
-            # Not a byte was sent; a balancer would have tried the next instance.
+            # No byte was sent; a load balancer would have tried the next instance.
             return True
         except urllib3.exceptions.HTTPError as error:
             error_name = type(error).__name__
@@ -187,7 +191,7 @@
         if answer.headers.get("Shallot-Ran") == "no":
             ledger.refused[answer.headers["Shallot-Error-Kind"]] += 1
             if not key:
-                # Of a key, an earlier request may have run; of an id, there is one request only.
+                # An earlier request with the same key may have run; a request id names one request.
                 ledger.refused_runs.add(answer.headers.get("Shallot-Request-Id", ""))
         else:
             ledger.unknown[answer.headers["Shallot-Error-Kind"]] += 1
--- a/src/shallotworks/standins/_crashing_workers.py
+++ b/src/shallotworks/standins/_crashing_workers.py
@@ -1,4 +1,4 @@
-"""Workers in memory that crash under some tasks, judged by a retry budget."""
+"""Workers in memory that crash under some tasks, and a check of the retry budget."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
 
 CRASH_DELAY_S = 0.01
 MAX_STARTS_OF_CRASHING_TASK = 5
-"""Three starts that crash their workers and two more. Source: the users' rules."""
+"""Three starts that crash their worker, and two more. Source: the users' rules."""
 
 
 class CrashingWorkers(TaskWorkers):
-    """Workers that crash under the tasks in ``crashing``; what `crash` does says how.
+    """Workers of which each crashes shortly after it starts a task in ``crashing``.
+
+    Subclasses override `crash` to change how a worker crashes.
 
     Args:
-        rng: Draws lengths and faults.
+        rng: Draws durations of runs and faults.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
         super().__init__(rng=rng)
         self.crashing: set[TaskName] = set()
         self.crashes: Counter[TaskName] = Counter()
-        """Workers that each task in ``crashing`` has crashed."""
+        """Number of workers that each task in ``crashing`` has crashed."""
         self.start_counts: Counter[TaskName] = Counter()
 
     def check_start(self, worker: TaskWorker, name: TaskName) -> None:
-        """Judge a start; crash the worker shortly after it where the task is one that does."""
+        """Check a start, and schedule the crash of the worker if the task is in ``crashing``."""
         super().check_start(worker, name)
         self.start_counts[name] += 1
         if name not in self.crashing:
@@ -49,5 +51,5 @@
             self.crash(worker)
 
     def crash(self, worker: TaskWorker) -> None:
-        """Crash a worker; a subclass may bring another incarnation."""
+        """Crash a worker; a subclass may start another incarnation of it."""
         worker.crash()
--- a/src/shallotworks/standins/_description.py
+++ b/src/shallotworks/standins/_description.py
@@ -1,4 +1,4 @@
-"""The configuration of a fleet of stand-ins, for the demo and tests."""
+"""The configuration of a fleet of worker stand-ins, and free ports, for the demo and tests."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 def describe_fleet(workers: Sequence[WorkerStandIn]) -> tuple[Change, ...]:
-    """Return the changes by which an operator describes these workers.
+    """Return the configuration changes that describe these workers.
 
     Args:
-        workers: Named ``DATA_CENTRE-RACK-SERVICE``; each service has a pool of its own name, whose
-            budget is one instance.
+        workers: Workers named ``DATA_CENTRE-RACK-SERVICE``. Each service has a pool of the same
+            name and a disruption budget of one instance.
     """
     names = [worker.name.split("-") for worker in workers]
     places = [
@@ -59,10 +59,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free now; peers need to know each other's before they listen.
+    """Return ports that are free now, for peers that need each other's ports before they listen.
 
-    They lie below those that the system gives to outgoing connections: one of these might take a
-    port between here and the moment at which it is listened at.
+    The ports lie below the range from which Linux assigns ports to outgoing connections.
+    Otherwise an outgoing connection could take a port before the peer listens on it.
     """
     candidate_ports = random.sample(range(MIN_PORT, PORT_RANGE_END), k=CANDIDATE_PORT_COUNT)
     return list(itertools.islice(filter(_is_free, candidate_ports), count))
--- a/src/shallotworks/standins/_fault_injecting_orders.py
+++ b/src/shallotworks/standins/_fault_injecting_orders.py
@@ -1,4 +1,4 @@
-"""The workers in memory as one instance reaches them, with faults on the way."""
+"""Orders from one instance to the workers in memory, with injected network faults."""
 
 from __future__ import annotations
 
@@ -24,13 +24,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class OrderFaults:
-    """Faults on the way of one instance's orders.
+    """Network faults between one instance and the workers.
 
     Args:
-        late_part: Part of the orders that are not answered and carried out ``late_s`` later.
-        late_s: See there.
-        lost_part: Part of the orders that are carried out and not answered.
-        cut: Workers that this instance can't reach.
+        late_part: Ratio of the start orders that are not answered and are executed ``late_s``
+            later.
+        late_s: Delay of these start orders.
+        lost_part: Ratio of the other start orders and of the stop orders that are executed but
+            not answered.
+        cut: Ids of the workers that this instance can't reach.
     """
 
     late_part: float = 0.0
@@ -40,11 +42,11 @@
 
 
 class FaultInjectingOrders:
-    """The workers as one instance reaches them; implements `WorkerOrders`.
+    """Implements `WorkerOrders` for one instance, with faults between it and the workers.
 
     Args:
-        fleet: The workers.
-        faults: Faults on this instance's way.
+        fleet: The workers that the orders are sent to.
+        faults: Network faults of this instance; no faults if omitted.
     """
 
     def __init__(self, *, fleet: TaskWorkers, faults: OrderFaults | None = None) -> None:
@@ -62,7 +64,11 @@
         wait_s: float,
         timeout_s: float,
     ) -> OrderOutcome:
-        """Ask what runs."""
+        """Poll a worker, which answers as soon as a run has ended or when ``wait_s`` has passed.
+
+        A worker that can't be reached is `UNANSWERED` after ``timeout_s``, or has the status that
+        `TaskWorkers.absences` gives.
+        """
         loop = asyncio.get_running_loop()
         wait_ends_at_s, times_out_at_s = loop.time() + wait_s, loop.time() + timeout_s
         reached = await self._reach_worker(worker, times_out_at_s)
@@ -81,7 +87,7 @@
     async def start(
         self, worker: WorkerView, order: StartOrder, *, token: int, lease_until_ms: int
     ) -> OrderOutcome:
-        """Start a run."""
+        """Order a worker to start a run."""
         reached = await self._reach_worker(worker)
         if isinstance(reached, OrderOutcome):
             return reached
@@ -98,7 +104,7 @@
         return outcome
 
     async def stop(self, worker: WorkerView, order: StopOrder, *, token: int) -> OrderOutcome:
-        """Stop a run."""
+        """Order a worker to stop a run."""
         reached = await self._reach_worker(worker)
         if isinstance(reached, OrderOutcome):
             return reached
@@ -108,17 +114,18 @@
         return outcome
 
     async def pace(self, worker: WorkerView, order: PaceOrder, *, token: int) -> OrderOutcome:
-        """Obey without effect."""
+        """Accept a pace order without any effect."""
         return OrderOutcome(status=OrderStatus.OBEYED)
 
     async def _reach_worker(
         self, worker: WorkerView, times_out_at_s: float | None = None
     ) -> TaskWorker | OrderOutcome:
-        """Return a worker, or what becomes of a call that doesn't reach it.
+        """Return the worker, or the outcome of a call that doesn't reach it.
 
         Args:
-            worker: The worker.
-            times_out_at_s: When such a call is given up; after the time for an order if left out.
+            worker: The worker that is called.
+            times_out_at_s: Loop time at which a call that is not answered ends; if omitted, it
+                ends after `ORDER_TIMEOUT_S`.
         """
         await asyncio.sleep(CALL_LATENCY_S)
         reached = self._fleet.workers.get(worker.worker_id)
--- a/src/shallotworks/standins/_http_listener.py
+++ b/src/shallotworks/standins/_http_listener.py
@@ -1,4 +1,4 @@
-"""What the stand-ins that speak the users' platform's protocol share: listening and answering."""
+"""An HTTP listener and answers for the servers of the users' platform's protocol."""
 
 from __future__ import annotations
 
@@ -11,29 +11,32 @@
 __all__ = ["HttpListener", "answer_json", "drop_connection"]
 
 SHUTDOWN_TIMEOUT_S = 0.1
-"""Requests in flight get this long when a stand-in closes."""
+"""Time for requests in flight to finish when the listener stops."""
 
 
 def answer_json(body: dict[str, Any], status: int = 200) -> web.Response:
-    """Return a JSON answer."""
+    """Return a response with a JSON body."""
     return web.Response(
         status=status, body=json.dumps(body).encode(), content_type="application/json"
     )
 
 
 def drop_connection(request: web.BaseRequest) -> web.Response:
-    """Reset the connection of a request that gets no answer."""
+    """Abort the connection of a request.
+
+    The returned response only satisfies the type of a handler; the client doesn't get it.
+    """
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
 
 
 class HttpListener:
-    """Listens on a free port of one address.
+    """Serves HTTP on a free port of one address.
 
     Args:
-        handle: Answers requests.
-        host: The address.
+        handle: Answers each request.
+        host: Address to listen on.
     """
 
     def __init__(
@@ -47,7 +50,7 @@
         self._runner = web.ServerRunner(web.Server(handle), shutdown_timeout=SHUTDOWN_TIMEOUT_S)
 
     async def start(self) -> str:
-        """Listen; return ``ip:port``."""
+        """Start listening; return the address as ``ip:port``."""
         await self._runner.setup()
         await web.TCPSite(self._runner, self._host, 0).start()
         host, port = self._runner.addresses[0][:2]
@@ -55,5 +58,5 @@
         return self.address
 
     async def stop(self) -> None:
-        """Close."""
+        """Stop listening, and wait up to `SHUTDOWN_TIMEOUT_S` for requests in flight."""
         await self._runner.cleanup()
--- a/src/shallotworks/standins/_machines_http.py
+++ b/src/shallotworks/standins/_machines_http.py
@@ -1,4 +1,4 @@
-"""The platform's machines over HTTP: listed, moved between pools, taken down for upkeep."""
+"""The platform's HTTP service that lists machines, moves them and takes them down for upkeep."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
     """A machine as the platform lists it.
 
     Args:
-        name: Names it.
-        pool: The service whose worker runs on it.
+        name: Unique name.
+        pool: Service whose worker runs on the machine.
         state: ``up``, ``moving``, ``upkeep`` or ``down``.
-        worker_id: Its worker; empty for none.
+        worker_id: Id of the machine's worker; empty if there is none.
     """
 
     name: str
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MachineOrder:
-    """An order for a machine that is up.
+    """An order to move a machine that is up, or to take it down for upkeep.
 
     Args:
-        machine: Its encoded.
-        holder: Who gave it.
-        token: With which fencing token.
-        pool: Where it moves; empty for an upkeep.
-        wave: Whose upkeep it is; 0 for a move.
+        machine: The machine.
+        holder: Lease holder that sent the order.
+        token: Fencing token of the holder.
+        pool: Service that the machine moves to; empty for upkeep.
+        wave: Number of the wave that the upkeep belongs to; 0 for a move.
     """
 
     machine: ListedMachine
@@ -50,11 +50,11 @@
 
 
 class MachinesServer:
-    """Serves machines.
+    """Serves the list of machines and passes on the orders for them.
 
     Args:
-        machines: All machines by name; changed in place.
-        execute_order: Carries out an order; returns whether the machine took it.
+        machines: All machines by name; the owner changes them in place.
+        execute_order: Executes an order; returns whether it was accepted.
         host: Address to listen on; the port is any free listed.
     """
 
--- a/src/shallotworks/standins/_memory_instances.py
+++ b/src/shallotworks/standins/_memory_instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances in memory, with its lag."""
+"""The platform's list of instances in memory, with a replication lag."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class MemoryInstanceList:
-    """Implements `shallotworks.kv.InstanceList`; every read is as old as the lag.
+    """Implements `shallotworks.kv.InstanceList`; every read returns the list ``lag_s`` ago.
 
     Args:
-        lag_s: How long a change takes to show.
+        lag_s: Time until a change is visible to reads.
     """
 
     __slots__ = ("_history", "down", "lag_s", "reads")
@@ -29,7 +29,7 @@
         self._history: list[tuple[float, tuple[ListedInstance, ...]]] = []
 
     def replace_all(self, instances: tuple[ListedInstance, ...]) -> None:
-        """Change the truth; reads show it once the lag has passed."""
+        """Replace the list; reads return the new one once the lag has passed."""
         self._history.append((asyncio.get_running_loop().time(), instances))
 
     async def read(self) -> Result[tuple[ListedInstance, ...], Failure]:
--- a/src/shallotworks/standins/_memory_store.py
+++ b/src/shallotworks/standins/_memory_store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service in memory, with faults that can be switched on."""
+"""The platform's key-value service in memory, with fault injection."""
 
 from __future__ import annotations
 
@@ -17,23 +17,26 @@
 
 MAX_VALUE_BYTES = 1_000_000
 MAX_UNDO_ENTRIES = 10_000
-"""Writes that `MemoryStore.roll_back_to` can take back."""
+"""Number of the latest writes and deletions that `MemoryStore.roll_back_to` can undo."""
 MAX_TOMBSTONES = 10_000
-"""Deleted keys that a watch can still tell of."""
+"""Number of the latest deleted keys that a watch can report."""
 
 _Value = TypeVar("_Value")
 
 
 @dataclass(slots=True, kw_only=True)
 class StoreFaults:
-    """Which faults are on; changed in place while the store runs.
+    """The active faults of a `MemoryStore`.
 
     Args:
-        down: Every call fails before it acts, and waiting watches end.
-        delay_s: Every call takes this long, half before it acts and half after, so that a caller
-            who gives up can't know whether a write took effect.
-        stale: Reads and watches show the store as it was when this was switched on.
-        lost_answers: That many writes to come take effect and then fail as ``OUTCOME_UNKNOWN``.
+        down: Every call fails without any effect, and waiting watches fail.
+        delay_s: Latency of every call, half of it before the call acts and half after, so that a
+            caller that times out can't know whether a write took effect. A watch has only the
+            first half.
+        stale: Reads and watches see the store as it was when `MemoryStore.set_faults` switched
+            this fault on.
+        lost_answers: Number of the next calls for writes, deletions and leases that act as usual
+            but fail with ``OUTCOME_UNKNOWN``. The store decrements it in place.
     """
 
     down: bool = False
@@ -66,8 +69,8 @@
     """Implements `shallotworks.kv.KeyValueStore` on the event loop's clock.
 
     Attributes:
-        faults: The faults that are on.
-        calls: Number of calls so far by their name; a waiting watch is one.
+        faults: The active faults.
+        calls: Number of calls so far, by the name of the call; a waiting watch counts once.
     """
 
     __slots__ = (
@@ -97,16 +100,16 @@
 
     @property
     def faults(self) -> StoreFaults:
-        """The faults that are on."""
+        """The active faults."""
         return self._faults
 
     @property
     def version(self) -> int:
-        """The counter of writes."""
+        """The version of the last write; grants of leases and deletions raise it, too."""
         return self._version
 
     def set_faults(self, faults: StoreFaults) -> None:
-        """Replace the faults that are on, and wake the watches that they end."""
+        """Replace the active faults, and wake all watches so that they check for an outage."""
         if not faults.stale:
             self._stale_state = None
         elif self._stale_state is None:
@@ -115,7 +118,7 @@
         self._wake_watches()
 
     def wipe(self) -> None:
-        """Lose every key and lease, as a store that was set up anew."""
+        """Remove every key and lease and reset the version, like a newly installed store."""
         self._version = 0
         self._records.clear()
         self._tombstones.clear()
@@ -124,7 +127,7 @@
         self._wake_watches()
 
     def roll_back_to(self, version: int) -> None:
-        """Take back every write after a version, as a store restored from an older copy."""
+        """Undo every write and deletion after a version, like a store restored from a backup."""
         while self._undo and self._undo[-1].version > version:
             undo = self._undo.pop()
             if undo.before is None:
@@ -136,7 +139,7 @@
         self._wake_watches()
 
     async def get(self, key: str) -> Result[Versioned | None, Failure]:
-        """Read one key; ``None`` where it does not exist."""
+        """Return the item of a key; ``None`` if it does not exist."""
         self.calls["get"] += 1
         if not await self._begin_call():
             return _unavailable()
@@ -147,7 +150,7 @@
     async def list(
         self, prefix: str, *, after_key: str = "", limit: int = 1000
     ) -> Result[tuple[Versioned, ...], Failure]:
-        """Read the keys under a prefix, in key order, from the one after ``after_key``."""
+        """Return the items under a prefix in key order, starting after ``after_key``."""
         self.calls["list"] += 1
         if not await self._begin_call():
             return _unavailable()
@@ -158,7 +161,7 @@
         return Success(items)
 
     async def create(self, key: str, value: bytes, *, lease_id: str = "") -> Result[int, Failure]:
-        """Create a key; ``CONFLICT`` where it exists. Returns its version."""
+        """Create a key and return its version; ``CONFLICT`` if the key exists."""
         self.calls["create"] += 1
         if not await self._begin_call():
             return _unavailable()
@@ -167,14 +170,14 @@
     async def compare_and_swap(
         self, key: str, value: bytes, *, version: int
     ) -> Result[int, Failure]:
-        """Write a key that still has this version; else ``CONFLICT``. Returns the new version."""
+        """Write a key and return its new version; ``CONFLICT`` if it has another version."""
         self.calls["swap"] += 1
         if not await self._begin_call():
             return _unavailable()
         return await self._finish_write(self._swap(key, value, version))
 
     async def delete(self, key: str, *, version: int) -> Result[None, Failure]:
-        """Delete a key that still has this version; else ``CONFLICT``."""
+        """Delete a key; ``CONFLICT`` if it has another version."""
         self.calls["delete"] += 1
         if not await self._begin_call():
             return _unavailable()
@@ -187,9 +190,10 @@
     async def watch(
         self, prefix: str, *, after_version: int, wait_s: float
     ) -> Result[WatchResult, Failure]:
-        """Wait until something under a prefix is written after a version, or the wait ends.
+        """Return the changes under a prefix after a version, waiting up to ``wait_s`` for one.
 
-        A counter that is below ``after_version`` is answered at once: the store came back older.
+        If the store's version is below ``after_version``, the watch returns at once: the store was
+        wiped or rolled back.
         """
         self.calls["watch"] += 1
         if not await self._begin_call():
@@ -221,7 +225,7 @@
         return await self._finish_write(Success(lease))
 
     async def renew_lease(self, lease_id: str) -> Result[None, Failure]:
-        """Renew a lease; ``LEASE_LOST`` where it has lapsed."""
+        """Renew a lease; ``LEASE_LOST`` if it has expired or was revoked."""
         self.calls["renew_lease"] += 1
         if not await self._begin_call():
             return _unavailable()
@@ -232,7 +236,7 @@
         return await self._finish_write(Success(None))
 
     async def revoke_lease(self, lease_id: str) -> Result[None, Failure]:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         self.calls["revoke_lease"] += 1
         if not await self._begin_call():
             return _unavailable()
@@ -240,7 +244,7 @@
         return await self._finish_write(Success(None))
 
     async def _begin_call(self) -> bool:
-        # Other tasks get their turn before each call acts, as they would on a network.
+        # Lets other tasks run before each call acts, as network latency would.
         await asyncio.sleep(self._faults.delay_s / 2)
         self._expire_leases()
         return not self._faults.down
@@ -336,7 +340,7 @@
     def _extend_lease(self, held: _GrantedLease) -> None:
         loop = asyncio.get_running_loop()
         held.expires_at_s = loop.time() + held.ttl_s
-        # Watches must hear of a lease that lapses while nobody calls.
+        # Watches must return the deletions of an expired lease even if no call arrives.
         loop.call_at(held.expires_at_s, self._expire_leases)
 
     def _expire_leases(self) -> None:
--- a/src/shallotworks/standins/_platform.py
+++ b/src/shallotworks/standins/_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in as an HTTP server: the key-value service and the list of instances."""
+"""HTTP server of the platform stand-in: the key-value service and the list of instances."""
 
 from __future__ import annotations
 
@@ -23,33 +23,34 @@
 
 DEFAULT_THREADS = 48
 DEFAULT_MAX_WATCH_THREADS = 32
-"""Threads that waiting watches may hold at once; the others are left to calls that answer now."""
+"""Threads that waiting watches may occupy; the others serve calls that are answered at once."""
 MAX_SILENT_THREADS = 8
-"""Threads that silent connections may hold; a call on one above that is dropped instead."""
+"""Threads that silent connections may occupy; beyond them, a silent connection is closed."""
 MAX_KEEP_ALIVE_CONNECTIONS = 1_000
 LISTEN_BACKLOG = 512
-"""Cheroot's own defaults of 10 and 5 close and drop connections under more than ten callers."""
+"""Cheroot's defaults of 10 kept connections and a backlog of 5 fail with more than ten callers:
+connections are closed or dropped."""
 CONNECTION_TIMEOUT_S = 120
 SHUTDOWN_TIMEOUT_S = 1
 IDLE_CHECK_INTERVAL_S = 0.1
-"""How often idle connections are looked over; a stop waits for one such look."""
+"""Interval of the check for idle connections; a stop waits for one such check."""
 
 _Value = TypeVar("_Value")
 
 
 class PlatformStandIn:
-    """One HTTP server over a `MemoryStore` and a `MemoryInstanceList`.
+    """Serves a `MemoryStore` and a `MemoryInstanceList` over HTTP.
 
-    The two live on an event loop of their own, in a thread of this process; every method here may
-    be called from any thread but that one.
+    The store and the list run on an event loop in a thread of their own. Every method may be
+    called from any thread except that one.
 
     Args:
-        host: IP number to listen on.
-        port: Port; 0 for any free one.
-        lag_s: Lag of the list of instances.
-        threads: Threads that serve connections.
-        watch_threads: How many of them waiting watches may hold; a watch above that is refused
-            with 503.
+        host: IP address to listen on.
+        port: Port to listen on; 0 for any free port.
+        lag_s: Replication lag of the list of instances.
+        threads: Number of threads that serve connections.
+        watch_threads: Number of these threads that waiting watches may occupy; further watches
+            are refused with status 503.
     """
 
     __slots__ = (
@@ -93,15 +94,15 @@
 
     @property
     def address(self) -> str:
-        """``ip:port``, once started."""
+        """Address as ``ip:port``; valid once the server has started."""
         host, port = self._bind_address
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Listen and serve on threads of this process; returns once connections are taken."""
-        # Not a `Listener`: that serves WSGI, which shows no connection but only the port number of
-        # its other end. A later connection may have the same, and would be silent too; the fault
-        # is that those open now fall silent and new ones work.
+        """Start serving on threads of this process; return once connections are accepted."""
+        # A `Listener` can't be used: WSGI identifies a connection only by the client's port number.
+        # A later connection may reuse that port and would be silent, too, but the fault must affect
+        # only the connections that are open when it is injected.
         server = HTTPServer(
             self._bind_address,
             _make_gateway(self),
@@ -122,12 +123,12 @@
             self._threads.append(thread)
 
     def stop(self) -> None:
-        """Stop serving, end waiting watches, and give the port back."""
+        """Stop the server, cancel waiting watches, and release the port."""
         self._stopping.set()
         self._call_on_loop(self._cancel_tasks)
         if self._server is not None:
             self._server.stop()
-        # A call that slipped in before the server stopped must not keep its thread waiting.
+        # Cancels calls that arrived before the server stopped; their threads would wait for them.
         self._call_on_loop(self._cancel_tasks)
         self._loop.call_soon_threadsafe(self._loop.stop)
         for thread in self._threads:
@@ -135,39 +136,39 @@
         self._loop.close()
 
     def set_faults(self, faults: StoreFaults) -> None:
-        """Replace the faults that are on; the list of instances is down with the store."""
+        """Replace the active faults; ``down`` applies to the list of instances, too."""
         self._call_on_loop(lambda: self._store.set_faults(faults))
         self._instances.down = faults.down
 
     def wipe(self) -> None:
-        """Lose every key and lease."""
+        """Remove every key and lease."""
         self._call_on_loop(self._store.wipe)
 
     def roll_back_to(self, version: int) -> None:
-        """Take back every write after a version."""
+        """Undo every write and deletion after a version."""
         self._call_on_loop(lambda: self._store.roll_back_to(version))
 
     def set_instances(self, instances: tuple[ListedInstance, ...]) -> None:
-        """Change the list of instances; reads show it once the lag has passed."""
+        """Replace the list of instances; reads return the new one once the lag has passed."""
         self._call_on_loop(lambda: self._instances.replace_all(instances))
 
     def silence_connections(self) -> None:
-        """Let every connection that is open now go silent for good; new ones work."""
+        """Stop answering on all connections that have carried a call; new ones are answered."""
         self._silent_connections |= self._open_connections
 
     def calls(self) -> dict[str, int]:
-        """Return the number of calls so far by name."""
+        """Return the number of calls to the store so far, by the name of the call."""
         return self._call_on_loop(lambda: dict(self._store.calls))
 
     def serve_call(self, connection: Any, call: HttpCall) -> HttpAnswer:
-        """Answer one call of one connection; called on the server's threads."""
+        """Answer one call on a connection; runs on the server's threads."""
         self._open_connections.add(connection)
         if connection in self._silent_connections:
             return self._hold_without_answer()
         if call.path != wire.WATCH_PATH:
             return self._answer_on_loop(call)
-        # Each waiting watch holds a thread. Without this bound enough of them would hold all, and
-        # writes would wait behind watches that wait for writes.
+        # Each waiting watch occupies a thread. Without this limit, watches could occupy all threads
+        # and block the writes that they wait for.
         if not self._watch_slots.acquire(blocking=False):
             return HttpAnswer(status=503, body=b'{"reason": "too many watches"}')
         try:
@@ -211,9 +212,9 @@
     """Start a platform stand-in; the caller stops it.
 
     Args:
-        host: IP number to listen on.
-        port: Port; 0 for any free one.
-        lag_s: Lag of the list of instances.
+        host: IP address to listen on.
+        port: Port to listen on; 0 for any free port.
+        lag_s: Replication lag of the list of instances.
     """
     standin = PlatformStandIn(host=host, port=port, lag_s=lag_s)
     standin.start()
@@ -228,7 +229,7 @@
 
 
 class _Gateway(Gateway):
-    """Reads one request, asks the stand-in and writes its answer."""
+    """Reads one request, passes it to the stand-in and writes the answer."""
 
     owner: PlatformStandIn
 
@@ -253,7 +254,7 @@
         request.write(answer.body)
 
     def _drop(self) -> None:
-        # With its headers marked as sent cheroot writes nothing more to this connection.
+        # Cheroot writes nothing more to a connection whose headers are marked as sent.
         self.req.sent_headers = True
         self.req.close_connection = True
         self.req.conn.socket.shutdown(socket.SHUT_RDWR)
--- a/src/shallotworks/standins/_platform_routes.py
+++ b/src/shallotworks/standins/_platform_routes.py
@@ -1,4 +1,4 @@
-"""What the platform stand-in answers to each call of its HTTP protocol."""
+"""Handlers for each call of the platform stand-in's HTTP protocol."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
 
     Args:
         method: HTTP method.
-        path: Path without its query.
-        query: Raw query.
-        body: The whole body.
+        path: Path without the query string.
+        query: Raw query string.
+        body: The complete body.
     """
 
     method: str
@@ -47,18 +47,18 @@
     body: bytes = b""
 
     def parameter(self, name: str, default: str = "") -> str:
-        """Return one query parameter."""
+        """Return the first value of a query parameter."""
         return parse_qs(self.query, keep_blank_values=True).get(name, [default])[0]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HttpAnswer:
-    """What to answer.
+    """The answer to one HTTP request.
 
     Args:
         status: HTTP status.
-        body: JSON.
-        drop: Whether to close the connection without an answer instead.
+        body: JSON body.
+        drop: Whether the connection is closed without an answer.
     """
 
     status: int = 200
@@ -83,11 +83,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class PlatformRoutes:
-    """Finds and runs the handler of a call, on the stand-in's event loop.
+    """Finds and runs the handler of each call, on the stand-in's event loop.
 
     Args:
-        store: The store behind it.
-        instances: The list behind it.
+        store: The key-value store that the handlers use.
+        instances: The list of instances that the handlers use.
     """
 
     store: MemoryStore
@@ -113,7 +113,7 @@
         }
 
     async def answer(self, call: HttpCall) -> HttpAnswer:
-        """Answer one call."""
+        """Answer one call: 404 for an unknown route, 400 for invalid parameters or body."""
         handler = self._handlers.get((call.method, call.path))
         if handler is None:
             return HttpAnswer(status=404, body=_encode_reason(f"no {call.method} {call.path}"))
--- a/src/shallotworks/standins/_record_store.py
+++ b/src/shallotworks/standins/_record_store.py
@@ -1,4 +1,4 @@
-"""A store in memory with the faults that the platform's store may have."""
+"""The store of the users' platform in memory, with fault injection."""
 
 from __future__ import annotations
 
@@ -28,20 +28,21 @@
 MAX_PAGE_ITEMS = 500
 CALL_LATENCY_S = 0.004
 WATCH_TIMEOUT_MARGIN_S = 0.6
-"""A watch counts as silent this long after its own wait."""
+"""A watch of a silent store fails this long after the end of its wait."""
 
 
 @dataclass(slots=True, kw_only=True)
 class RecordFaults:
-    """Faults of the store, as one caller of it meets them.
+    """Faults of the store that affect one caller.
 
     Args:
-        is_down: Each call is refused, and nothing is done.
-        is_silent: No call is answered; nothing is done.
-        lost_part: Part of the commits that are done and not answered.
-        late_part: Part of the commits that are not answered and done ``late_s`` later.
-        late_s: See there.
-        delay_s: Added to each answer.
+        is_down: Every call fails without any effect.
+        is_silent: Every call times out without any effect.
+        lost_part: Ratio of the commits, other than the late ones, that are applied but not
+            answered.
+        late_part: Ratio of the commits that are not answered and are applied ``late_s`` later.
+        late_s: Delay of these commits.
+        delay_s: Latency that is added to every call.
     """
 
     is_down: bool = False
@@ -59,10 +60,12 @@
 
 
 class RecordStore:
-    """The store itself, on the loop's clock; callers use a `FaultInjectingStore` each.
+    """The store's data and leases on the event loop's clock.
+
+    Each caller accesses it through a `FaultInjectingStore` of its own.
 
     Args:
-        rng: Draws which answers are lost.
+        rng: Draws which commits are late and which answers are lost.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -78,44 +81,44 @@
         self._last_lease_id = 0
         self._state_changed = asyncio.Event()
 
-    # ---- what tests do to it
+    # ---- direct access for tests
 
     def put(self, key: str, value: bytes) -> None:
-        """Write a key, as an operator or a worker does."""
+        """Write a key without a condition or a lease, as an operator or a worker does."""
         self._write(Write(key=key, value=value))
         self._wake_watches()
 
     def delete(self, key: str) -> None:
-        """Delete a key."""
+        """Delete a key without a condition."""
         self._delete(key)
         self._wake_watches()
 
     def compact_history(self) -> None:
-        """Drop all history: watches from earlier revisions are told so."""
+        """Drop all history; watches from earlier revisions return `Changes.is_history_lost`."""
         self._compacted_revision = self.revision
         self._history.clear()
         self._wake_watches()
 
     def revoke(self, prefix: str) -> None:
-        """Take away all leased keys under a prefix, without ending their leases."""
+        """Delete all leased keys under a prefix without revoking their leases."""
         for key in [key for key, item in self.items.items() if key.startswith(prefix)]:
             if self.items[key].lease_id:
                 self._delete(key)
         self._wake_watches()
 
     def pause_leases(self) -> None:
-        """Let no lease lose time from now on."""
+        """Suspend the expiry of all leases."""
         self.are_leases_paused = True
         self._paused_at_s = asyncio.get_running_loop().time()
 
     def resume_leases(self) -> None:
-        """Let leases go on with the time that they had left at the pause."""
+        """Resume the expiry of leases, each with the time that remained when it was suspended."""
         self.are_leases_paused = False
         for lease in self._leases.values():
             lease.ends_at_s += asyncio.get_running_loop().time() - self._paused_at_s
 
     def expire(self) -> None:
-        """End the leases whose time is expired."""
+        """Revoke the leases that have expired."""
         if self.are_leases_paused:
             return
         now_s = asyncio.get_running_loop().time()
@@ -123,16 +126,16 @@
         for lease_id in expired:
             self.revoke_lease(lease_id)
 
-    # ---- what callers do
+    # ---- calls of a `FaultInjectingStore`
 
     def read_page(self, prefix: str, after: str) -> Page:
-        """Return keys under a prefix."""
+        """Return up to `MAX_PAGE_ITEMS` items under a prefix, in key order."""
         keys = sorted(key for key in self.items if key.startswith(prefix) and key > after)
         items = tuple(self.items[key] for key in keys[:MAX_PAGE_ITEMS])
         return Page(items=items, has_more=len(keys) > MAX_PAGE_ITEMS, revision=self.revision)
 
     def apply_commit(self, commit: Commit) -> Committed | Conflicted | None:
-        """Carry out a commit; ``None`` where a lease of it has ended."""
+        """Apply a commit; return ``None`` if a lease that it writes with has ended."""
         self.expire()
         self.commits += 1
         if any(write.lease_id and write.lease_id not in self._leases for write in commit.writes):
@@ -157,7 +160,7 @@
         return self._last_lease_id
 
     def renew_lease(self, lease_id: int) -> bool:
-        """Renew a lease; whether it still was."""
+        """Renew a lease; return whether it still existed."""
         self.expire()
         lease = self._leases.get(lease_id)
         if lease is None:
@@ -166,14 +169,14 @@
         return True
 
     def revoke_lease(self, lease_id: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         self._leases.pop(lease_id, None)
         for key in [key for key, item in self.items.items() if item.lease_id == lease_id]:
             self._delete(key)
         self._wake_watches()
 
     async def watch(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
-        """Wait for changes."""
+        """Return the changes under a prefix, waiting up to ``wait_s`` for the first one."""
         loop = asyncio.get_running_loop()
         ends_at_s = loop.time() + wait_s
         while True:
@@ -196,7 +199,7 @@
 
     async def _wait_for_change(self, max_wait_s: float) -> None:
         state_changed = self._state_changed
-        # Not `wait_for`, which loses a cancellation that comes with the state_changed.
+        # `asyncio.wait_for` would lose a cancellation that arrives together with the event.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.001, max_wait_s)):
                 await state_changed.wait()
@@ -233,12 +236,12 @@
 
 
 class FaultInjectingStore:
-    """The store as one instance meets it; implements `Store`.
+    """Implements `Store` for one instance, with faults between it and the store.
 
     Args:
-        store: The store.
-        faults: What this instance meets.
-        timeout_s: Time after which an answer counts as lost.
+        store: The store that the calls act on.
+        faults: Faults that affect this instance; no faults if omitted.
+        timeout_s: Time after which a call that is not answered fails.
     """
 
     def __init__(
@@ -250,29 +253,29 @@
         self._delayed_commits: set[asyncio.Task[None]] = set()
 
     async def get(self, key: str) -> Result[Item | None, Failure]:
-        """Read one key."""
+        """Return the item of a key; ``None`` if it does not exist."""
         failure = await self._simulate_call()
         return Err(failure) if failure else Success(self.store.items.get(key))
 
     async def read_page(self, prefix: str, *, after: str = "") -> Result[Page, Failure]:
-        """Read keys under a prefix."""
+        """Return a page of the items under a prefix."""
         failure = await self._simulate_call()
         return Err(failure) if failure else Success(self.store.read_page(prefix, after))
 
     async def watch(
         self, prefix: str, *, after_revision: int, wait_s: float
     ) -> Result[Changes, Failure]:
-        """Wait for changes."""
+        """Return the changes under a prefix, waiting up to ``wait_s`` for the first one."""
         failure = await self._simulate_call(no_answer_s=wait_s + WATCH_TIMEOUT_MARGIN_S)
         if failure:
             return Err(failure)
         changes = await self.store.watch(prefix, after_revision, wait_s)
         if self.faults.is_down or self.faults.is_silent:
-            return Err(_unavailable("cut while it waited"))
+            return Err(_unavailable("the store became unavailable during the watch"))
         return Success(changes)
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflicted, Failure]:
-        """Carry out a commit."""
+        """Apply a commit."""
         failure = await self._simulate_call()
         if failure:
             return Err(failure)
@@ -281,13 +284,13 @@
             self._delayed_commits.add(task)
             task.add_done_callback(self._delayed_commits.discard)
             await asyncio.sleep(self._timeout_s)
-            return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="no answer"))
+            return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="the store did not answer"))
         outcome = self.store.apply_commit(commit)
         if self.store.rng.random() < self.faults.lost_part:
             await asyncio.sleep(self._timeout_s)
             return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="the answer was lost"))
         if outcome is None:
-            return Err(Failure(kind=ErrorKind.LEASE_LOST, reason="a lease has ended"))
+            return Err(Failure(kind=ErrorKind.LEASE_LOST, reason="a lease of the commit has ended"))
         return Success(outcome)
 
     async def grant_lease(self, *, ttl_s: float) -> Result[int, Failure]:
@@ -296,7 +299,7 @@
         return Err(failure) if failure else Success(self.store.grant_lease(ttl_s))
 
     async def renew_lease(self, lease_id: int) -> Result[None, Failure]:
-        """Renew a lease."""
+        """Renew a lease; ``LEASE_LOST`` if it has ended."""
         failure = await self._simulate_call()
         if failure:
             return Err(failure)
@@ -305,7 +308,7 @@
         return Success(None)
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Failure]:
-        """End a lease."""
+        """Revoke a lease and delete its keys."""
         failure = await self._simulate_call()
         if failure:
             return Err(failure)
@@ -320,7 +323,7 @@
         await asyncio.sleep(CALL_LATENCY_S + self.faults.delay_s)
         if self.faults.is_silent:
             await asyncio.sleep(no_answer_s or self._timeout_s)
-            return _unavailable("no answer")
+            return _unavailable("the store did not answer")
         return _unavailable("down") if self.faults.is_down else None
 
 
--- a/src/shallotworks/standins/_store_http.py
+++ b/src/shallotworks/standins/_store_http.py
@@ -1,4 +1,4 @@
-"""The users' platform's store over HTTP, on the stand-in's store."""
+"""HTTP server of the users' platform's store, backed by a simulated store."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 __all__ = ["StoreServer"]
 
 LOST_ANSWER_DELAY_S = 3.0
-"""An answer that `StoreServer.lose_answers` holds back: longer than any caller waits."""
+"""Delay of an answer that `StoreServer.lose_answers` withholds; longer than any caller waits."""
 
 
 class StoreServer:
-    """Serves found_page caller's view of a store, with that view's faults.
+    """Serves the store to one caller, with the faults that affect this caller.
 
     Args:
-        view: The store as the caller meets it.
+        view: The caller's access to the store.
         host: Address to listen on; the port is any free found_page.
     """
 
@@ -34,7 +34,7 @@
         self.view = view
         self.store = view.store
         self.status = 0
-        """Answered to each call, where not 0, with nothing done."""
+        """HTTP status that is answered to every call without any effect; 0 for normal operation."""
         self.lose_answers = False
         self.listener = HttpListener(handle=self._handle, host=host)
 
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -1,4 +1,4 @@
-"""Workers in memory that run tasks under leases and fencing tokens, and judge their orders."""
+"""Workers in memory that run tasks under leases and fencing tokens, and check their orders."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 MAX_LEASE_S = 6.0
 STOP_DURATION_S = 0.2
 CAPACITY_REDUCTION_GRACE_S = 4.5
-"""Capacity that has shrunk counts this long after. Source: the users' rules."""
+"""After a reduction, the former capacity is still permitted this long. Source: the users' rules."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -50,8 +50,8 @@
     """One incarnation of a worker.
 
     Args:
-        view: What discovery says of it.
-        fleet: All workers, which judge.
+        view: The worker as discovery lists it.
+        fleet: All workers; checks the orders that this worker executes.
     """
 
     def __init__(self, *, view: WorkerView, fleet: TaskWorkers) -> None:
@@ -67,17 +67,17 @@
         self._state_changed = asyncio.Event()
         self._clock_offset_s = fleet.rng.uniform(100, 1000)
         self._former_capacities: list[tuple[float, int]] = []
-        """Until when it had which capacity, in millicores."""
+        """Former capacities in millicores, each with the loop time at which it was replaced."""
         self.is_guarded = True
-        """Whether it refuses what does not fit."""
+        """Whether the worker refuses a start that exceeds its capacity."""
 
     @property
     def clock_ms(self) -> int:
-        """Its own steady clock."""
+        """The worker's own monotonic clock, which has a random offset from the loop's clock."""
         return int((self._now_s() + self._clock_offset_s) * 1000)
 
     def resize(self, cpu_millicores: int) -> None:
-        """Change its capacity, which discovery tells."""
+        """Change the capacity that the worker has and that discovery lists."""
         self._former_capacities.append((self._now_s(), self.view.cpu_millicores))
         self.view = replace(self.view, cpu_millicores=cpu_millicores)
 
@@ -91,7 +91,7 @@
         return used_millicores > max(self.view.cpu_millicores, *earlier, 0)
 
     def names(self) -> set[TaskName]:
-        """Return the tasks that run."""
+        """Return the names of the running tasks."""
         return {name for name, _ in self._runs}
 
     def serving_tasks(self) -> set[TaskName]:
@@ -103,22 +103,22 @@
         return {run.name for run in serving_runs if run.percent(now_s) == 100}
 
     def crash(self) -> None:
-        """End, with all that runs."""
+        """Crash the worker; its runs are lost without an end."""
         self.is_alive = False
         self._runs.clear()
 
     def wake(self) -> None:
-        """Let calls that wait for an end see what has become of the worker."""
+        """Wake the polls that wait for the end of a run, so that they check the worker's state."""
         self._wake_waiters()
 
     def fail(self, name: TaskName) -> None:
-        """Let what runs of a task fail now."""
+        """End all runs of a task as failed."""
         for run in [run for run in self._runs.values() if run.name == name]:
             self._end_run(run, EndKind.FAILED)
         self._wake_waiters()
 
     def end_due_runs(self) -> None:
-        """End runs whose time has come."""
+        """End the runs that are complete, stopped, or no longer covered by the lease."""
         now_s = self._now_s()
         for run in list(self._runs.values()):
             ends_at_s, kind = self._first_end(run)
@@ -126,12 +126,16 @@
                 self._end_run(run, kind)
 
     async def wait_for_end(self, max_wait_s: float) -> None:
-        """Wait until a run may have ended, or a new one or a stop may end sooner."""
+        """Wait until a run may have ended, or until a start or a stop may bring an end forward.
+
+        Args:
+            max_wait_s: Longest wait.
+        """
         now_s = self._now_s()
         ends_at_s = min((self._first_end(run)[0] for run in self._runs.values()), default=now_s + 9)
         wait_s = max(0.001, min(max_wait_s, ends_at_s - now_s))
         state_changed = self._state_changed
-        # Not `wait_for`, which loses a cancellation that comes with the state_changed.
+        # `asyncio.wait_for` would lose a cancellation that arrives together with the event.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
                 await state_changed.wait()
@@ -153,7 +157,10 @@
         self._state_changed = asyncio.Event()
 
     def poll(self, token: int, acknowledged: int, lease_until_ms: int | None) -> OrderOutcome:
-        """Carry out a look."""
+        """Acknowledge ends up to a number, extend the lease and return a report.
+
+        A token that is older than the highest one seen is answered with `FENCED`.
+        """
         self.end_due_runs()
         if token < self._token:
             return OrderOutcome(status=OrderStatus.FENCED, clock_ms=self.clock_ms)
@@ -178,7 +185,15 @@
     def start(
         self, order: StartOrder, token: int, lease_until_ms: int, *, is_late: bool = False
     ) -> OrderOutcome:
-        """Carry out a start; one that was held up is not judged by the capacity."""
+        """Start a run, or refuse the start.
+
+        Args:
+            order: The run to start.
+            token: Fencing token of the sender.
+            lease_until_ms: End of the lease, by this worker's clock.
+            is_late: Whether the order was delayed. A delayed start that exceeds the capacity of an
+                unguarded worker is not recorded as a violation.
+        """
         self.end_due_runs()
         run = order.run
         if token < self._token:
@@ -203,7 +218,10 @@
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=self.clock_ms)
 
     def stop(self, order: StopOrder, token: int) -> OrderOutcome:
-        """Carry out a stop."""
+        """Stop a run, which takes `STOP_DURATION_S`.
+
+        Later starts of the task with the same run id or a lower one are refused as stale.
+        """
         self.end_due_runs()
         if token < self._token:
             return self._refuse(OrderStatus.FENCED)
@@ -238,10 +256,10 @@
 
 
 class TaskWorkers:
-    """All workers, and a judge of what is ordered; implements `WorkerDirectory`.
+    """All workers, and checks of the orders that they get; implements `WorkerDirectory`.
 
     Args:
-        rng: Draws lengths and faults.
+        rng: Draws durations of runs, clock offsets and faults.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -249,12 +267,12 @@
         self.workers: dict[str, TaskWorker] = {}
         self.unlisted: set[str] = set()
         self.changes = 0
-        """Raised by tests that change a worker's view."""
+        """Counter that tests increment when they change a worker's view."""
         self.violations: list[str] = []
         self.started = 0
         self.work_s: dict[str, float] = {}
         self.cpu_millicores: dict[str | TaskName, int] = {}
-        """What tasks ask of the processor, by task, or by job where its tasks ask the same."""
+        """CPU demand by task name, or by job id if all tasks of the job have the same demand."""
         self.after: dict[TaskName, tuple[TaskName, ...]] = {}
         self.lasting: set[str] = set()
         self.failing: set[TaskName] = set()
@@ -263,9 +281,9 @@
         self.noted: set[TaskName] = set()
         self.begun: set[TaskName] = set()
         self.absences: dict[str, OrderStatus] = {}
-        """What becomes of calls for workers that are over; by default they get no answer."""
+        """Outcome of orders to absent workers by worker id; no answer if there is no entry."""
         self.most_attempts = 0
-        """Failed ends of a task after which no run of it may start; 0 for no limit."""
+        """Acknowledged failures of a task after which it may not start again; 0 for no limit."""
         self._acknowledged_failures: Counter[TaskName] = Counter()
 
     def add(self, view: WorkerView) -> TaskWorker:
@@ -277,12 +295,12 @@
 
     @property
     def is_synced(self) -> bool:
-        """Whether the list was read whole."""
+        """Whether the list of workers is complete; always true here."""
         return True
 
     @property
     def version(self) -> int:
-        """Rises with each change of the list, which tests may change at any time."""
+        """Differs after each change of the list, which tests may change at any time."""
         return hash(
             (
                 self.changes,
@@ -292,21 +310,21 @@
         )
 
     def workers_of(self, service: str) -> dict[str, WorkerView]:
-        """Return the listed workers."""
+        """Return the listed workers of a service by id."""
         return {
             key: worker.view
             for key, worker in self.workers.items()
             if worker.is_alive and key not in self.unlisted and worker.view.service == service
         }
 
-    # ---- the judge
+    # ---- checks of orders
 
     def cpu_millicores_of(self, name: TaskName) -> int:
-        """Return what a task asks of the processor, in millicores."""
+        """Return the CPU demand of a task in millicores; 1000 if none is set."""
         return self.cpu_millicores.get(name, self.cpu_millicores.get(name.job_id, 1000))
 
     def make_run(self, name: TaskName, run_id: int) -> _Run:
-        """Return a run of a task."""
+        """Return a new run of a task, with a random duration."""
         return _Run(
             name=name,
             run_id=run_id,
@@ -317,7 +335,12 @@
         )
 
     def check_start(self, worker: TaskWorker, name: TaskName) -> None:
-        """Judge a start."""
+        """Record a violation if a task starts that must not.
+
+        A task must not have two runs at once. It must not start after its completion was
+        acknowledged, before the tasks that it depends on are done, after its last permitted attempt
+        has failed, or more than 3 s after its job was cancelled.
+        """
         self.started += 1
         self.begun.add(name)
         now_s = asyncio.get_running_loop().time()
@@ -329,28 +352,28 @@
         if name in self.noted:
             self.violations.append(f"{now_s:.3f} {name} starts after its end was acknowledged")
         if any(earlier not in self.done for earlier in self.after.get(name, ())):
-            self.violations.append(f"{now_s:.3f} {name} starts before its turn")
+            self.violations.append(f"{now_s:.3f} {name} starts before its dependencies")
         if self.most_attempts and self._acknowledged_failures[name] >= self.most_attempts:
             self.violations.append(f"{now_s:.3f} {name} starts after its last attempt has failed")
         if now_s > self.cancelled.get(name.job_id, now_s) + 3.0:
             self.violations.append(f"{now_s:.3f} {name} starts after its job was cancelled")
 
     def note_overfilled(self, worker: TaskWorker, name: TaskName) -> None:
-        """Take note of a start that brings an unguarded worker over its capacity."""
+        """Record as a violation that a start overloads an unguarded worker."""
         now_s = asyncio.get_running_loop().time()
         size = worker.view.cpu_millicores
-        self.violations.append(f"{now_s:.3f} {name} brings a worker over its {size} millicores")
+        self.violations.append(f"{now_s:.3f} {name} overloads a worker of {size} millicores")
 
     def check_stop(self, worker: TaskWorker, name: TaskName) -> None:
-        """Judge a stop of what runs; for judges that know more of the task."""
+        """Check the stop of a running task; subclasses that know more about tasks override it."""
 
     def note_end(self, end: EndedTask) -> None:
-        """Take note of an end."""
+        """Record the end of a run."""
         if end.kind is EndKind.DONE:
             self.done.add(end.name)
 
     def note_acknowledged(self, end: EndedTask) -> None:
-        """Take note that an end was acknowledged."""
+        """Record that an end was acknowledged."""
         if end.kind is EndKind.DONE:
             self.noted.add(end.name)
         elif end.kind is EndKind.FAILED:
--- a/src/shallotworks/standins/_violations.py
+++ b/src/shallotworks/standins/_violations.py
@@ -1,4 +1,4 @@
-"""Compares what callers have seen with what workers have run."""
+"""Compares the outcomes that callers observed with the runs of the workers."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Violations:
-    """How often a promise to callers was broken.
+    """Number of violations of each guarantee to callers.
 
     Source: the brief, "What must always hold".
 
     Args:
-        lost: Runs at a worker whose answer no caller has.
-        doubled: Runs of a non-idempotent request after its first.
-        cut_off: Requests that a stop of a worker ended in flight.
-        foreign: Answers that were not whole, or not to the caller's own request.
-        untrue: Requests that a caller was told were not run, and that ran.
-        unknown: Requests whose caller was told that the outcome is unknown, or nothing at all.
+        lost: Requests that ran at a worker but whose answer reached no caller.
+        doubled: Runs of a non-idempotent request after its first run.
+        cut_off: Requests in flight that a reboot or crash of a worker aborted.
+        foreign: Answers that were incomplete or not to the caller's own request.
+        untrue: Requests that ran although their caller was answered that they did not.
+        unknown: Requests with an unknown outcome: answered as such, or without a complete answer.
     """
 
     lost: int
@@ -36,7 +36,7 @@
 
 
 def count_violations(ledger: Ledger, workers: Sequence[WorkerStandIn]) -> Violations:
-    """Count broken promises; to be called when no request is under way any more."""
+    """Count violations; to be called when no request is in flight any more."""
     runs: Counter[str] = Counter()
     worker_counts: Counter[str] = Counter()
     doubled = 0
@@ -48,8 +48,8 @@
         counts = worker.status().counts
         doubled += counts.doubled
         cut_off += counts.cut_off
-    # A worker counts what it has run twice itself; a key run at two workers shows only here. The
-    # id of an idempotent request may be run at several: that is a retry.
+    # Each worker counts repeated runs of its own; a key that ran at two workers is detected here.
+    # The id of an idempotent request may run at several workers, because it may be retried.
     keys_at_several = sum(1 for key in ledger.keys if worker_counts[key] > 1)
     return Violations(
         lost=len(runs.keys() - ledger.answered_runs),
--- a/src/shallotworks/standins/_worker.py
+++ b/src/shallotworks/standins/_worker.py
@@ -1,4 +1,4 @@
-"""A worker instance for development and tests, on a port of its own."""
+"""A worker instance for development and tests, with fault injection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 CONTROL_PREFIX = "/.worker/"
 CONTROL_THREADS = 16
-"""Threads beyond the slots, so that control calls are answered while all slots are busy."""
+"""Threads in addition to the slots, so that control calls are answered while all slots are busy."""
 MS_PER_S = 1000
 MAX_SILENCE_S = 60.0
 
@@ -31,16 +31,16 @@
 
 
 class WorkerStandIn:
-    """One worker instance on a port of its own.
+    """A worker instance that serves requests and control calls on one port.
 
     Args:
         name: The instance's name.
-        host: IP number.
-        port: Port; 0 for any.
-        slots: Requests it runs at once; it refuses more.
-        service_time_s: How long a request runs that does not say otherwise (header ``Work-Ms``).
-        reboot_s: How long a reboot takes.
-        usage_lag_s: How far reported usage lags.
+        host: IP address to listen on.
+        port: Port to listen on; 0 for any free port.
+        slots: Requests that run at the same time; further ones are refused.
+        service_time_s: Duration of a request without a ``Work-Ms`` header.
+        reboot_s: Duration of a reboot or a crash.
+        usage_lag_s: Age of the reported usage.
     """
 
     def __init__(
@@ -82,21 +82,21 @@
 
     @property
     def address(self) -> str:
-        """``ip:port`` at which it answers."""
+        """Address as ``ip:port``."""
         return f"{self._host}:{self._listener.port}"
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._listener.start()
 
     def stop(self) -> None:
-        """End, letting requests in flight finish."""
+        """Stop the worker; requests in flight finish without their remaining delay."""
         self._stopped.set()
         self._silence_ended.set()
         self._listener.stop()
 
     def set_faults(self, faults: WorkerFaults) -> None:
-        """Put a fault in force."""
+        """Replace the active fault; ``SILENT`` affects the client ports that were seen so far."""
         with self._lock:
             self._faults = faults
             silent = faults.fault is WorkerFault.SILENT
@@ -108,10 +108,11 @@
         self.tasks.fail_all = faults.fault is WorkerFault.FAIL_ALL
 
     def reboot(self, order: RebootOrder) -> bool:
-        """Go down for the reboot time and come back without tasks.
+        """Stop answering for the duration of a reboot, and remove all tasks.
 
         Returns:
-            Whether it is done or under way; not where work is in flight, or the order is from a
+            Whether this reboot is done or in progress. It is refused while requests are in flight
+            or tasks run, and if the fencing token is lower than the highest one seen, as that of a
             former conductor.
         """
         running = any(task.state is TaskState.RUNNING for task in self.tasks.all())
@@ -129,7 +130,7 @@
         return True
 
     def crash(self) -> None:
-        """Go down at once, cutting off what is in flight, and come back without tasks."""
+        """Stop answering as in a reboot, but abort the requests in flight and the tasks."""
         with self._lock:
             self._go_down()
 
@@ -140,7 +141,7 @@
         self.tasks.clear()
 
     def status(self) -> WorkerStatus:
-        """Return what it reports of itself."""
+        """Return the status that the worker reports."""
         with self._lock:
             return WorkerStatus(
                 name=self.name,
@@ -159,12 +160,12 @@
             )
 
     def runs_by_key(self) -> Counter[str]:
-        """Return how often each request was run, by idempotency key or else by request id."""
+        """Return the number of runs of each request, by idempotency key or else by request id."""
         with self._lock:
             return self._run_log.by_key()
 
     def runs(self) -> tuple[WorkerRun, ...]:
-        """Return every run that has begun here."""
+        """Return every run that this worker has started."""
         with self._lock:
             return self._run_log.all()
 
@@ -218,7 +219,7 @@
             return True
 
     def _end_run(self, run_id: str) -> bool:
-        """Take a run out of the table; says whether a reboot had cut it off."""
+        """Remove a run from those in flight; return whether a crash has aborted it."""
         with self._lock:
             cut_off = run_id not in self._in_flight
             self._in_flight.discard(run_id)
@@ -232,7 +233,7 @@
         faults = self._faults
         if environ["REMOTE_PORT"] in self._silent_ports:
             self._silence_ended.wait(MAX_SILENCE_S)
-            raise _make_reset_error("this connection was silent")
+            raise _make_reset_error("the connection was silenced by a fault")
         if faults.fault is WorkerFault.FAIL_ALL:
             return
         requested_ms = environ.get("HTTP_WORK_MS")
@@ -262,13 +263,13 @@
 
 
 def _make_reset_error(why: str) -> ConnectionResetError:
-    """Return what ends a connection without a byte; without its number cheroot would answer 500."""
+    """Return an error that closes the connection; without the errno cheroot would answer 500."""
     return ConnectionResetError(errno.ECONNRESET, why)
 
 
 def _send_cut_off(part: bytes) -> Iterator[bytes]:
     yield part
-    raise _make_reset_error("the answer is cut off here")
+    raise _make_reset_error("the answer was truncated by a fault")
 
 
 def serve_worker(*, name: str, host: str, port: int, slots: int = 8) -> WorkerStandIn:
@@ -276,9 +277,9 @@
 
     Args:
         name: The instance's name.
-        host: IP number to listen on.
-        port: Port; 0 for any free one.
-        slots: Requests it runs at once.
+        host: IP address to listen on.
+        port: Port to listen on; 0 for any free port.
+        slots: Requests that run at the same time; further ones are refused.
     """
     worker = WorkerStandIn(name=name, host=host, port=port, slots=slots)
     worker.start()
--- a/src/shallotworks/standins/_worker_control.py
+++ b/src/shallotworks/standins/_worker_control.py
@@ -1,4 +1,4 @@
-"""Control calls of the worker stand-in; the page is ``docs/protocol-worker.md``."""
+"""Control calls of the worker stand-in, as ``docs/protocol-worker.md`` describes them."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkerCounts:
-    """What a worker has seen; the demo's table is worked out from these.
+    """Counters of a worker since its start; the demo's report is computed from them.
 
     Args:
-        runs: Requests run, retries included.
-        refused: Requests answered as not run.
-        doubled: Runs of a non-idempotent request after its first.
-        cut_off: Requests that a reboot ended in flight.
+        runs: Runs of requests, retries included.
+        refused: Requests that were answered as not run.
+        doubled: Runs of a non-idempotent request after its first run.
+        cut_off: Requests in flight that a reboot or crash aborted.
     """
 
     runs: int
@@ -39,17 +39,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkerStatus:
-    """What a worker reports of itself; its usage lags by the stated time.
+    """The status that a worker reports.
 
     Args:
-        name: The instance.
-        incarnation: Which machine it is; the same after a reboot.
-        reboot_id: Id of the reboot that it last came back from; empty for none.
-        slots: Requests it runs at once.
-        in_flight: Requests running now.
-        usage_in_flight: Requests running ``usage_lag_s`` ago.
-        usage_lag_s: The lag.
-        counts: What it has seen.
+        name: The instance's name.
+        incarnation: Random id of the machine; stays the same after a reboot.
+        reboot_id: Id of the last reboot that was accepted; empty if there was none.
+        slots: Requests that can run at the same time.
+        in_flight: Requests that run now.
+        usage_in_flight: Requests that ran ``usage_lag_s`` ago.
+        usage_lag_s: Age of ``usage_in_flight``.
+        counts: Counters since the start.
     """
 
     name: str
@@ -64,11 +64,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RebootOrder:
-    """Asks a worker to reboot.
+    """An order to reboot a worker.
 
     Args:
-        reboot_id: Names this reboot; asking again for the same one does nothing more.
-        fencing_token: Token of whoever asks; one lower than the highest seen is refused.
+        reboot_id: Id of the reboot; repeating the last accepted one has no effect.
+        fencing_token: Fencing token of the sender; one lower than the highest seen is refused.
     """
 
     reboot_id: str
@@ -77,11 +77,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControlAnswer:
-    """What a control call is answered with.
+    """The answer to a control call.
 
     Args:
-        status: HTTP status with its phrase.
-        body: The whole body.
+        status: HTTP status code and reason phrase.
+        body: The complete body.
     """
 
     status: str
@@ -89,18 +89,18 @@
 
 
 class ControlledWorker(Protocol):
-    """What control calls need of a worker."""
+    """The parts of a worker that control calls use."""
 
     tasks: TaskTable
 
     def status(self) -> WorkerStatus:
-        """Return what it reports of itself."""
+        """Return the status that the worker reports."""
 
     def reboot(self, order: RebootOrder) -> bool:
-        """Reboot; says whether it is done or under way."""
+        """Reboot the worker; return whether the reboot is done or in progress."""
 
     def set_faults(self, faults: WorkerFaults) -> None:
-        """Put a fault in force."""
+        """Replace the active fault."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -120,13 +120,13 @@
 def answer_control(
     worker: ControlledWorker, method: str, path_parts: list[str], body: bytes
 ) -> ControlAnswer:
-    """Carry out one control call.
+    """Execute one control call.
 
     Args:
         worker: The worker that is called.
         method: HTTP method.
-        path_parts: Parts of the path after the prefix of control calls.
-        body: The whole body; answered with 400 where it is not what the call takes.
+        path_parts: Segments of the path after the prefix of control calls.
+        body: The complete body; the answer is 400 if it doesn't match the call's schema.
     """
     try:
         return _dispatch_call(worker, method, path_parts, body)
--- a/src/shallotworks/standins/_worker_faults.py
+++ b/src/shallotworks/standins/_worker_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the worker stand-in can be told to show."""
+"""Faults that can be injected into the worker stand-in."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 @unique
 class WorkerFault(Enum):
-    """What goes wrong at a worker."""
+    """Kind of fault of a worker."""
 
     NONE = "none"
     FAIL_ALL = "fail-all"
-    """Fails every request at once, and so looks least loaded."""
+    """Fails every request immediately, so that the worker appears to be the least loaded."""
     LATE = "late"
-    """Answers after ``delay_s`` more."""
+    """Delays every answer by ``delay_s``."""
     PARTIAL = "partial"
-    """Sends half of the answer, then closes the connection."""
+    """Sends half of the body, then closes the connection."""
     FOREIGN = "foreign"
-    """Answers with the id of another request."""
+    """Answers with the request id of another request."""
     SILENT = "silent"
-    """Never answers on connections that are open now; new ones work."""
+    """Never answers on connections from client ports seen so far; new connections work."""
     REFUSE = "refuse"
-    """Says of every request that it was not run, which is true."""
+    """Refuses every request without running it, and answers that it was not run."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkerFaults:
-    """The fault in force.
+    """The active fault of a worker.
 
     Args:
-        fault: Which one.
-        delay_s: For ``LATE``.
+        fault: Kind of the fault.
+        delay_s: Additional delay of each answer for ``LATE``.
     """
 
     fault: WorkerFault = WorkerFault.NONE
--- a/src/shallotworks/standins/_worker_http.py
+++ b/src/shallotworks/standins/_worker_http.py
@@ -1,4 +1,4 @@
-"""One incarnation of a worker over HTTP, as the users' platform's workers speak."""
+"""HTTP server of one incarnation of a worker, with the protocol of the users' platform."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
     """Serves the orders for one worker.
 
     Args:
-        orders: Carries orders out, with the faults on the way to all workers.
-        view: The worker; its address is the one that discovery shows.
+        orders: Executes the orders, with the network faults to all workers.
+        view: The worker as discovery lists it.
         host: Address to listen on; the port is any free one.
     """
 
--- a/src/shallotworks/standins/_worker_runs.py
+++ b/src/shallotworks/standins/_worker_runs.py
@@ -1,4 +1,4 @@
-"""What a worker stand-in has run, kept so that tests can compare it with what callers were told."""
+"""The runs of a worker stand-in, which tests compare with the answers that callers got."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     """One run of a request at one worker.
 
     Args:
-        worker: The instance.
-        request_id: The request.
+        worker: Name of the worker instance.
+        request_id: Id of the request.
         attempt: Number of the attempt that was run.
-        key: The caller's idempotency key; empty for none.
-        idempotent: Whether running the request twice does no harm.
-        began_at_s: When the run began, by `time.monotonic`.
+        key: The caller's idempotency key; empty if there is none.
+        idempotent: Whether the request may safely run more than once.
+        began_at_s: Time at which the run began, by `time.monotonic`.
     """
 
     worker: str
@@ -33,11 +33,11 @@
 
 
 def make_run(worker: str, run_id: str, environ: Mapping[str, Any]) -> WorkerRun:
-    """Return the run that begins now.
+    """Return a run that begins now.
 
     Args:
-        worker: The instance.
-        run_id: Request id and attempt, with a slash between.
+        worker: Name of the worker instance.
+        run_id: Request id and attempt, separated by a slash.
         environ: The WSGI environment of the request.
     """
     request_id, _, attempt = run_id.partition("/")
@@ -53,7 +53,7 @@
 
 
 class RunLog:
-    """The runs of one worker, in the order in which they began; its owner holds a lock."""
+    """The runs of one worker in the order of their start; the owner's lock must be held."""
 
     __slots__ = ("_counts_by_key", "_runs")
 
@@ -62,7 +62,7 @@
         self._counts_by_key: Counter[str] = Counter()
 
     def add(self, run: WorkerRun) -> bool:
-        """Note a run that begins; says whether a non-idempotent request runs again by it."""
+        """Add a run; return whether it repeats a non-idempotent request."""
         self._runs.append(run)
         request_key = run.key or run.request_id
         self._counts_by_key[request_key] += 1
@@ -73,5 +73,5 @@
         return tuple(self._runs)
 
     def by_key(self) -> Counter[str]:
-        """Return how often each request was run, by idempotency key or else by request id."""
+        """Return the number of runs of each request, by idempotency key or else by request id."""
         return Counter(self._counts_by_key)
--- a/src/shallotworks/standins/_worker_tasks.py
+++ b/src/shallotworks/standins/_worker_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks under leases at the worker stand-in."""
+"""Tasks that the worker stand-in runs under leases."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 @unique
 class TaskState(Enum):
-    """Where a task stands."""
+    """State of a task."""
 
     RUNNING = "running"
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
     LAPSED = "lapsed"
-    """Its lease was not renewed; the worker has stopped it."""
+    """The lease expired without a renewal, and the worker stopped the task."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TaskOrder:
-    """What a worker is asked to run.
+    """An order to run a task.
 
     Args:
-        task_id: Unique name.
-        epoch: Grows with every placement of the task; an older one is refused.
-        lease_ttl_s: The task is stopped when its lease is not renewed for this long.
-        run_s: How long it really runs at full speed.
-        memory_bytes: Memory it really uses.
-        start_s: Part of ``run_s`` that an earlier checkpoint covers.
+        task_id: Unique id of the task.
+        epoch: Number that increases with every placement of the task; an older one is refused.
+        lease_ttl_s: The task is stopped if its lease is not renewed for this long.
+        run_s: Actual duration of the task at full speed.
+        memory_bytes: Actual memory use of the task.
+        start_s: Progress, in seconds of ``run_s``, that an earlier checkpoint saved.
     """
 
     task_id: str
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Task:
-    """A task as the worker sees it.
+    """A task in the table of a worker.
 
     Args:
-        order: What was asked.
-        state: Where it stands.
-        progress_s: Part of ``run_s`` done.
-        checkpoint_s: Part of ``run_s`` that survives a stop.
-        speed: 1 at full speed, less when throttled.
-        renewed_at_s: When the lease was last renewed.
-        advanced_at_s: When ``progress_s`` was worked out.
+        order: The order that started the task.
+        state: State of the task.
+        progress_s: Progress in seconds of ``run_s``.
+        checkpoint_s: Progress in seconds of ``run_s`` that the last checkpoint saved.
+        speed: 1 at full speed, less if throttled.
+        renewed_at_s: Time of the lease's last renewal.
+        advanced_at_s: Time at which ``progress_s`` was computed.
     """
 
     order: TaskOrder
@@ -68,10 +68,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class TaskTable:
-    """All tasks of one worker; progress is worked out from the clock when it is asked for.
+    """All tasks of one worker; the progress of a task is computed when the task is accessed.
 
     Args:
-        clock_s: Returns the time.
+        clock_s: Returns the monotonic time in seconds.
         fail_all: Whether every task fails as soon as it starts.
     """
 
@@ -81,7 +81,7 @@
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def start(self, order: TaskOrder) -> bool:
-        """Start a task; refused where this or a newer epoch of it was started."""
+        """Start a task; refused if its epoch is not newer, unless the same order is repeated."""
         with self._lock:
             present = self._tasks.get(order.task_id)
             if present is not None and present.order.epoch >= order.epoch:
@@ -98,37 +98,37 @@
             return True
 
     def renew(self, task_id: str, epoch: int) -> bool:
-        """Renew a task's lease; refused for another epoch or a task that has ended."""
+        """Renew a task's lease; refused for another epoch or if the task does not run."""
         return self._update_running(
             task_id, epoch, lambda task: replace(task, renewed_at_s=self.clock_s())
         )
 
     def throttle(self, task_id: str, epoch: int, speed: float) -> bool:
-        """Set a task's speed, above 0 and at most 1."""
+        """Set a task's speed; refused unless it is above 0 and at most 1."""
         if not 0 < speed <= 1:
             return False
         return self._update_running(task_id, epoch, lambda task: replace(task, speed=speed))
 
     def checkpoint(self, task_id: str, epoch: int) -> bool:
-        """Keep what a task has done so far."""
+        """Save a task's progress as its checkpoint."""
         return self._update_running(
             task_id, epoch, lambda task: replace(task, checkpoint_s=task.progress_s)
         )
 
     def stop(self, task_id: str, epoch: int) -> bool:
-        """Stop a task."""
+        """Stop a running task."""
         return self._update_running(
             task_id, epoch, lambda task: replace(task, state=TaskState.STOPPED)
         )
 
     def all(self) -> tuple[Task, ...]:
-        """Return all tasks as they stand now."""
+        """Return all tasks with their current state and progress."""
         with self._lock:
             self._tasks = {name: self._with_progress(task) for name, task in self._tasks.items()}
             return tuple(self._tasks.values())
 
     def clear(self) -> None:
-        """Forget everything, as a reboot does."""
+        """Remove all tasks, as a reboot does."""
         with self._lock:
             self._tasks.clear()
 
