--- a/src/shallotworks/demo/__init__.py
+++ b/src/shallotworks/demo/__init__.py
@@ -1,6 +1,7 @@
-"""A whole fleet in one process: stand-ins, entry instances, callers and an operator.
+"""A complete fleet in one process: stand-ins, entry instances, callers and an operator.
 
-For newcomers and for checking an installation; the product never imports it.
+The demo introduces new users to the system and checks an installation. Only the command line
+imports this package.
 """
 
 from ._operator import DemoOperator
--- a/src/shallotworks/demo/_fleet.py
+++ b/src/shallotworks/demo/_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the demo: a platform, workers in racks, and entry instances in two data centres."""
+"""Fleet of the demo: a platform, workers in racks, and entry instances in two data centres."""
 
 from __future__ import annotations
 
@@ -63,10 +63,12 @@
 
 
 class DemoFleet:
-    """Starts and stops everything; entry instances share one event loop on a thread of its own.
+    """Starts and stops the platform, the workers and the entry instances.
+
+    The entry instances share one event loop, which runs on a thread of its own.
 
     Args:
-        folder: Folder for the token and the key.
+        folder: Folder for the operators' token file and the peers' key file.
     """
 
     def __init__(self, *, folder: Path) -> None:
@@ -94,7 +96,7 @@
         self._run_on_loop(self._start_nodes(), START_TIMEOUT_S)
 
     def stop(self) -> None:
-        """Stop the entry instances gracefully, then the rest."""
+        """Stop the entry instances gracefully, then the workers and the platform."""
         self._run_on_loop(self._stop_nodes(), STOP_TIMEOUT_S)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
@@ -104,7 +106,7 @@
         self.platform.stop()
 
     def changes(self) -> tuple[Change, ...]:
-        """Return the changes by which an operator describes this fleet."""
+        """Return the configuration changes that describe this fleet."""
         return describe_fleet(self.workers)
 
     def _settings(self, name: str, data_centre: str, port: int, seeds: list[int]) -> Settings:
--- a/src/shallotworks/demo/_operator.py
+++ b/src/shallotworks/demo/_operator.py
@@ -1,4 +1,4 @@
-"""The operator of the demo, at the operators' API of one entry instance."""
+"""Client of the demo for the operators' API of one entry instance."""
 
 from __future__ import annotations
 
@@ -24,11 +24,13 @@
 
 
 class DemoOperator:
-    """Asks and tells one entry instance, as the command line does.
+    """Calls the operators' API of one entry instance, as the command line does.
+
+    Every method that calls the API raises `RuntimeError` for an HTTP status of 400 or higher.
 
     Args:
-        port: Operators' port.
-        token: The token.
+        port: Operators' port of the entry instance.
+        token: Operators' token.
     """
 
     def __init__(self, *, port: int, token: str) -> None:
@@ -45,11 +47,11 @@
         self._http.clear()
 
     def apply(self, changes: Sequence[Change]) -> None:
-        """Append changes."""
+        """Append changes to the configuration."""
         self._call("POST", "/changes", _CHANGES_ADAPTER.dump_json(list(changes)))
 
     def status(self) -> StatusView:
-        """Return how the instance is doing."""
+        """Return the status of the entry instance."""
         return _STATUS_ADAPTER.validate_json(self._call("GET", "/status"))
 
     def instances(self) -> InstancesView:
@@ -57,7 +59,7 @@
         return _INSTANCES_ADAPTER.validate_json(self._call("GET", "/instances"))
 
     def propose(self, intent: Intent) -> PlanView:
-        """Ask for a plan."""
+        """Request a plan for an intent."""
         return _PLAN_ADAPTER.validate_json(self._call("POST", "/plans", encode_intent(intent)))
 
     def confirm(self, digest: str) -> PlanView:
@@ -65,15 +67,17 @@
         return _PLAN_ADAPTER.validate_json(self._call("POST", f"/plans/{digest}/confirm"))
 
     def plan(self, digest: str) -> PlanView:
-        """Return a plan as it stands."""
+        """Return a plan with its current state."""
         return _PLAN_ADAPTER.validate_json(self._call("GET", f"/plans/{digest}"))
 
     def timeline(self) -> bytes:
-        """Return the instance's events as JSON."""
+        """Return the events of the entry instance as JSON."""
         return self._call("GET", "/timeline")
 
     def _call(self, method: str, path: str, body: bytes | None = None) -> bytes:
         answer = self._http.request(method, self._base + path, body=body, headers=self._headers)
         if answer.status >= FIRST_HTTP_ERROR_STATUS:
-            raise RuntimeError(f"{method} {path}: {answer.status} {answer.data.decode()}")
+            raise RuntimeError(
+                f"{method} {path} failed with {answer.status}: {answer.data.decode()}"
+            )
         return answer.data
--- a/src/shallotworks/demo/_report.py
+++ b/src/shallotworks/demo/_report.py
@@ -1,4 +1,4 @@
-"""The table at the end of the demo, counted at the workers."""
+"""The table at the end of the demo, computed from the records of callers and workers."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Report:
-    """What became of all requests, and what the plan cost.
+    """Outcomes of all requests, and the cost of the plan.
 
     Args:
-        sent: Requests sent, repeats under the same key included.
-        answered: Whole answers to the caller's own request.
-        refused: Refusals as not run.
-        violations: Broken promises, counted at the workers.
-        late_work: Requests that a drained worker began after it was drained.
+        sent: Requests sent, repeats with the same idempotency key included.
+        answered: Complete answers to the caller's own request.
+        refused: Requests that were refused without being run.
+        violations: Violations of the guarantees to callers.
+        late_work: Requests that a worker started after it was drained.
         measures: The plan's three measures.
-        took_s: How long the plan took.
-        interactive_p50_s: Median time of interactive answers.
-        interactive_p99_s: 99th percentile.
+        took_s: Duration of the plan.
+        interactive_p50_s: Median latency of interactive requests.
+        interactive_p99_s: 99th percentile of this latency.
     """
 
     sent: int
@@ -45,7 +45,7 @@
 
     @property
     def has_no_violations(self) -> bool:
-        """Whether nothing was lost, doubled, cut off or given to the wrong caller."""
+        """Whether there was no violation, no late work, and at least one answer."""
         broken = sum(astuple(self.violations)) + self.late_work
         return broken == 0 and self.answered > 0
 
@@ -58,7 +58,7 @@
     measures: Measures,
     took_s: float,
 ) -> Report:
-    """Compare what callers have seen with what workers have run."""
+    """Compute the report from the outcomes that callers observed and the runs of workers."""
     violations = count_violations(ledger, workers)
     quantiles = statistics.quantiles(ledger.latencies_s or [0.0, 0.0], n=100)
     return Report(
@@ -76,27 +76,30 @@
 
 def print_report(report: Report, *, console: Console, timeline_path: str) -> None:
     """Print the table."""
-    table = Table(title="What became of it")
+    table = Table(title="Results")
     table.add_column("measure")
     table.add_column("value", justify="right")
     rows = [
         ("requests sent", f"{report.sent}"),
-        ("answered whole, each to its own caller", f"{report.answered}"),
-        ("refused, and not run", f"{report.refused}"),
+        ("complete answers to the right caller", f"{report.answered}"),
+        ("refused without being run", f"{report.refused}"),
         ("lost (must be 0)", f"{report.violations.lost}"),
         ("doubled (must be 0)", f"{report.violations.doubled}"),
-        ("cut off (must be 0)", f"{report.violations.cut_off}"),
-        ("told as not run, and run (must be 0)", f"{report.violations.untrue}"),
+        ("aborted in flight (must be 0)", f"{report.violations.cut_off}"),
+        ("run although answered as not run (must be 0)", f"{report.violations.untrue}"),
         ("outcome unknown (must be 0 here)", f"{report.violations.unknown}"),
-        ("given to the wrong caller (must be 0)", f"{report.violations.foreign}"),
-        ("begun at a worker after it was drained (must be 0)", f"{report.late_work}"),
-        ("interactive answers, median", f"{report.interactive_p50_s * MS_PER_S:.0f} ms"),
-        ("interactive answers, p99", f"{report.interactive_p99_s * MS_PER_S:.0f} ms"),
+        ("incomplete or to the wrong caller (must be 0)", f"{report.violations.foreign}"),
+        ("started at a worker after it was drained (must be 0)", f"{report.late_work}"),
+        (
+            "latency of interactive requests, median",
+            f"{report.interactive_p50_s * MS_PER_S:.0f} ms",
+        ),
+        ("latency of interactive requests, p99", f"{report.interactive_p99_s * MS_PER_S:.0f} ms"),
         ("plan: buffer cost", f"{report.measures.buffer_slots} slots"),
         ("plan: roll-out time, expected", f"{report.measures.roll_out_s:.0f} s"),
-        ("plan: roll-out time, taken", f"{report.took_s:.1f} s"),
+        ("plan: roll-out time, actual", f"{report.took_s:.1f} s"),
         ("plan: moves, expected", f"{report.measures.moves:g}"),
-        ("time line", timeline_path),
+        ("timeline", timeline_path),
     ]
     for name, value in rows:
         table.add_row(name, value)
--- a/src/shallotworks/demo/_run.py
+++ b/src/shallotworks/demo/_run.py
@@ -1,4 +1,4 @@
-"""The demo: requests go on while an operator drains a rack."""
+"""The demo: an operator drains a rack while callers send requests."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 SEED = 7
 WARM_UP_S = 3.0
-"""How long requests run before a plan is proposed."""
+"""Time for which callers send requests before a plan is proposed."""
 UNCONFIRMED_WAIT_S = 2.0
-"""How long the plan stays unconfirmed, to show that nothing acts on it."""
+"""Time for which the plan stays unconfirmed, to show that it has no effect until then."""
 COOL_DOWN_S = 3.0
-"""How long requests run on after the plan."""
+"""Time for which callers send requests after the plan has ended."""
 CONFIGURATION_TIMEOUT_S = 8.0
 PLAN_TIMEOUT_S = 30.0
 POLL_INTERVAL_S = 0.1
@@ -37,10 +37,10 @@
 
 
 def run_demo() -> int:
-    """Run the demo and print what happens.
+    """Run the demo, print its progress and its report, and write the timeline.
 
     Returns:
-        0; 1 where a promise broke.
+        The exit code: 0 if no guarantee was violated, otherwise 1.
     """
     console = Console(width=110, soft_wrap=True)
     with tempfile.TemporaryDirectory() as folder:
@@ -52,7 +52,9 @@
             fleet.stop()
     timeline_path = _write_timeline(fleet)
     print_report(report, console=console, timeline_path=timeline_path)
-    console.print("All promises kept." if report.has_no_violations else "A PROMISE BROKE.")
+    console.print(
+        "No guarantee was violated." if report.has_no_violations else "A GUARANTEE WAS VIOLATED."
+    )
     return EXIT_NO_VIOLATIONS if report.has_no_violations else EXIT_VIOLATIONS
 
 
@@ -62,7 +64,7 @@
     operator.apply(changes)
     _wait_for(lambda: _have_all_nodes_revision(fleet, len(changes)), CONFIGURATION_TIMEOUT_S)
     console.print(
-        f"{len(fleet.nodes)} entry instances in {len(DATA_CENTRES)} data centres hold revision"
+        f"{len(fleet.nodes)} entry instances in {len(DATA_CENTRES)} data centres have revision"
         f" {len(changes)}; {len(fleet.workers)} workers serve."
     )
     callers = Callers(ports=[node.callers_port for node in fleet.nodes], seed=SEED)
@@ -88,27 +90,31 @@
 def _drain_rack(
     fleet: DemoFleet, operator: DemoOperator, console: Console
 ) -> tuple[PlanView, float, int]:
-    """Propose, wait, confirm, wait for the end.
+    """Propose a plan to drain the rack, confirm it after a pause and wait for its end.
 
     Returns:
-        The plan, how many seconds it took, and how many requests the drained workers had run at
-        its end.
+        The plan, its duration in seconds, and the number of requests that the drained workers had
+        run when it ended.
+
+    Raises:
+        RuntimeError: Instances were cordoned before the plan was confirmed.
+        TimeoutError: The plan ran for more than `PLAN_TIMEOUT_S`.
     """
     rack = InRack(data_centre=DATA_CENTRES[0], rack=DRAINED_RACK)
     proposed = operator.propose(Drain(selection=rack))
-    console.print("\nThe operator states an intent and is shown a plan:\n")
+    console.print("\nThe operator submits an intent and gets a plan:\n")
     console.print(render_plan(proposed.plan), highlight=False, markup=False)
     time.sleep(UNCONFIRMED_WAIT_S)
     cordoned = _cordoned_instances(operator)
     console.print(
-        f"{UNCONFIRMED_WAIT_S:g} s later, not confirmed: {len(cordoned)} instances cordoned,"
-        f" revision {operator.status().revision} as before."
+        f"{UNCONFIRMED_WAIT_S:g} s later, before confirmation: {len(cordoned)} instances cordoned,"
+        f" revision {operator.status().revision} unchanged."
     )
     if cordoned:
-        raise RuntimeError("a plan acted before it was confirmed")
+        raise RuntimeError("instances were cordoned before the plan was confirmed")
     operator.confirm(proposed.plan.digest)
     started_s = time.monotonic()
-    console.print("Confirmed. Requests go on while the rack is drained ...")
+    console.print("Confirmed. Callers keep sending requests while the rack is drained ...")
     _wait_for(
         lambda: _state_of(operator.plan(proposed.plan.digest)) is not PlanState.RUNNING,
         PLAN_TIMEOUT_S,
@@ -145,12 +151,12 @@
     ends_at_s = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > ends_at_s:
-            raise TimeoutError(f"not reached within {timeout_s:g} s")
+            raise TimeoutError(f"condition not met within {timeout_s:g} s")
         time.sleep(POLL_INTERVAL_S)
 
 
 def _write_timeline(fleet: DemoFleet) -> str:
-    """Write the merged events of all entry instances, to be opened in a trace viewer."""
+    """Write the merged events of all entry instances as a Chrome trace; return its path."""
     events = [event for node in fleet.nodes for event in node.timeline.events()]
     path = Path(tempfile.gettempdir()) / TIMELINE_NAME
     path.write_bytes(to_chrome_trace(merge(events)))
