--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every test, holds it against KNOWN-RED.txt, and closes with failure plain line of counts."""
+"""Runs all tests, checks the run against KNOWN-RED.txt, and prints a last line of counts."""
 
 import sys
 import unittest
@@ -11,7 +11,7 @@
 
 
 def main() -> int:
-    """Run all tests below this folder; the exit code says whether only listed ones failed."""
+    """Run all tests in this folder; return 0 if exactly the listed tests failed, otherwise 1."""
     listed = read_list(LIST.read_text() if LIST.exists() else "")
     suite = unittest.defaultTestLoader.discover(str(TOP / "tests"), top_level_dir=str(TOP))
     test_ids = collect_test_ids(suite)
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -1,4 +1,4 @@
-"""Compares text with a file that was read and found right once."""
+"""Compares text with golden files, whose content was read and approved once."""
 
 import os
 import unittest
@@ -9,14 +9,16 @@
 
 
 def assert_golden(test: unittest.TestCase, name: str, text: str, *, folder: Path = GOLDEN) -> None:
-    """Fail where the text differs from the golden file of that name in a folder.
+    """Fail if the text differs from the golden file of that name in a folder.
 
-    With ``REWRITE_GOLDEN=1`` in the environment the file is written instead, and the test fails
-    all the same, so that a run which wrote files is never taken for a pass.
+    With ``REWRITE_GOLDEN=1`` in the environment the file is rewritten and the test still fails, so
+    that a run that rewrites files can't pass.
     """
     path = folder / name
     if os.environ.get(REWRITE_VARIABLE):
         path.write_text(text)
-        test.fail(f"{path.name} was rewritten: read it, then run again without {REWRITE_VARIABLE}")
+        test.fail(
+            f"{path.name} was rewritten: review it, then run again without {REWRITE_VARIABLE}"
+        )
     test.maxDiff = None
     test.assertEqual(text, path.read_text())
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,4 +1,4 @@
-"""Reads the list of tests that fail for a known fault, and holds a run against it."""
+"""Reads the list of tests that fail because of a known fault, and checks a run against it."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KnownFailure:
-    """One listed test.
+    """A test that is listed as failing.
 
     Args:
-        test: The test's id, as unittest prints it.
-        command: How it is played again, with its seed.
-        seen: What was seen.
-        issue: Where the fault is followed up.
+        test: Id of the test, as unittest prints it.
+        command: Command that reproduces the failure, with its seed.
+        seen: The failure that was observed.
+        issue: Issue in which the fault is tracked.
     """
 
     test: str
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunSummary:
-    """What came of a run.
+    """Summary of a test run.
 
     Args:
-        passed: Tests that passed.
-        failed: Failures that count.
-        skipped: Tests that were skipped.
+        passed: Number of tests that passed.
+        failed: Number of tests that failed and are not listed.
+        skipped: Number of tests that were skipped.
         listed_failures: Listed tests that failed.
-        list_errors: Why the run fails beside its failed tests.
+        list_errors: Messages about listed tests that did not fail; each fails the run.
     """
 
     passed: int
@@ -49,19 +49,23 @@
 
     @property
     def is_green(self) -> bool:
-        """Whether only listed tests failed, and each of these did."""
+        """Whether exactly the listed tests failed, and at least one test passed."""
         return self.passed > 0 and not self.failed and not self.list_errors
 
 
 def read_list(text: str) -> list[KnownFailure]:
-    """Return the listed tests, entry a line as `LINE_FORMAT` says; raises `ValueError`."""
+    """Return the listed tests, one per line in `LINE_FORMAT`; empty lines are skipped.
+
+    Raises:
+        ValueError: A line is malformed, or a test is listed twice.
+    """
     listed: list[KnownFailure] = []
     for line in text.splitlines():
         if not line.strip():
             continue
         fields = [part.strip() for part in line.split("|")]
         if len(fields) != FIELD_COUNT or not all(fields):
-            raise ValueError(f"not of the form '{LINE_FORMAT}': {line!r}")
+            raise ValueError(f"expected '{LINE_FORMAT}': {line!r}")
         listed.append(
             KnownFailure(test=fields[0], command=fields[1], seen=fields[2], issue=fields[3])
         )
@@ -71,7 +75,10 @@
 
 
 def collect_test_ids(suite: unittest.TestSuite) -> set[str]:
-    """Return the ids of all tests of a suite, to be asked before it runs: it drops them then."""
+    """Return the ids of all tests of a suite.
+
+    It must be called before the suite runs, because a suite drops each test that has run.
+    """
     test_ids: set[str] = set()
     for entry in suite:
         test_ids |= (
@@ -83,15 +90,15 @@
 def summarise_run(
     result: unittest.TestResult, test_ids: set[str], listed: Iterable[KnownFailure]
 ) -> RunSummary:
-    """Hold a run against the list.
+    """Check a run against the list.
 
-    The failure that it guards against: a list that outlives its faults. A listed test that passes,
-    is skipped or does not exist fails the run, so that the line goes with the mend.
+    A list could outlive the faults that it names. Therefore a listed test that passes, is skipped
+    or does not exist fails the run, so that its line is removed together with the fault.
 
     Args:
-        result: What came of the run.
-        test_ids: The tests that were to run.
-        listed: The tests that may fail, and must.
+        result: Result of the run.
+        test_ids: Ids of all tests of the run.
+        listed: The tests that are expected to fail.
     """
     failed_ids = _ids(test for test, _ in (*result.failures, *result.errors))
     failed_ids |= _ids(result.unexpectedSuccesses)
@@ -100,10 +107,10 @@
     list_errors: list[str] = []
     for entry in listed:
         if entry.test not in test_ids:
-            list_errors.append(f"listed as red and not found: {entry.test}")
+            list_errors.append(f"listed as failing but not found: {entry.test}")
         elif entry.test not in failed_ids:
             state = "skipped" if entry.test in skipped else "passed"
-            list_errors.append(f"listed as red and {state}: {entry.test}")
+            list_errors.append(f"listed as failing but {state}: {entry.test}")
     return RunSummary(
         passed=result.testsRun
         - len(failed_ids & test_ids)
@@ -116,5 +123,5 @@
 
 
 def _ids(tests: Iterable[unittest.TestCase]) -> set[str]:
-    """Return the ids of tests; a part of a test stands for the whole."""
+    """Return the ids of tests; for a subtest, the id of its test case."""
     return {getattr(test, "test_case", test).id() for test in tests}
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""Tests of the list of tests that may fail."""
+"""Tests of the list of tests that are expected to fail."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class _Samples:
-    """Holds the sample away from the loader, which runs every test case of a module."""
+    """Hides the sample from the loader, which runs every test case at the top level of a module."""
 
     class Sample(unittest.TestCase):
         def test_good(self) -> None:
