--- a/src/shallotworks/operators/_application.py
+++ b/src/shallotworks/operators/_application.py
@@ -19,19 +19,19 @@
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import EventKind, Subject, Timeline
 
-from ._calls import JSON_CONTENT_TYPE, Answered, Call, Refused, error_body
+from ._calls import JSON_CONTENT_TYPE, ApiResponse, Call, Refusal, error_body
 from ._routes import Match, Route, find_route
 
-__all__ = ["BODY_LIMIT_BYTES", "OperatorsApplication"]
+__all__ = ["MAX_BODY_BYTES", "OperatorsApplication"]
 
-BODY_LIMIT_BYTES = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 """Enough for a list of 5,000 changes."""
 BEARER = "Bearer "
 OPERATOR_HEADER = "Operator"
-QUERY_PARTS_MOST = 20
+MAX_QUERY_PARAMETERS = 20
 
-_OPERATOR = re.compile(r"[A-Za-z0-9][A-Za-z0-9._@-]{0,62}", re.ASCII)
-_PHRASES = {entry.value: entry.phrase for entry in HTTPStatus}
+_OPERATOR_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._@-]{0,62}", re.ASCII)
+_REASON_PHRASES = {entry.value: entry.phrase for entry in HTTPStatus}
 
 
 class OperatorsApplication:
@@ -70,27 +70,27 @@
         status = _status(outcome)
         self._count(status)
         if isinstance(outcome, Success):
-            return _write_answer(start_response, outcome.unwrap())
+            return _write_response(start_response, outcome.unwrap())
         return _write_refusal(start_response, outcome.failure())
 
-    def _answer(self, environ: dict[str, Any]) -> Result[Answered, Refused]:
+    def _answer(self, environ: dict[str, Any]) -> Result[ApiResponse, Refusal]:
         try:
             # The token goes first: without it nobody learns which paths there are.
             self._check_token(environ)
             match = self._find(environ)
-            call = _read_call(environ, match)
+            call = _parse_call(environ, match)
         except ShallotworksError as error:
-            return Err(Refused(failure=error.failure))
+            return Err(Refusal(failure=error.failure))
         outcome = _handle(match.route, call)
         if match.route.method != "GET":
             self._record(match.route, call, outcome)
         return outcome
 
     def _check_token(self, environ: dict[str, Any]) -> None:
-        sent: str = environ.get("HTTP_AUTHORIZATION", "")
-        given = sent.removeprefix(BEARER).encode("latin-1", "replace")
+        header: str = environ.get("HTTP_AUTHORIZATION", "")
+        token = header.removeprefix(BEARER).encode("latin-1", "replace")
         # Compared in constant time: else its first wrong character shows in how long this takes.
-        if not hmac.compare_digest(given, self._token) or not sent.startswith(BEARER):
+        if not hmac.compare_digest(token, self._token) or not header.startswith(BEARER):
             raise _error(ErrorKind.UNAUTHORISED, "the bearer token is missing or wrong")
 
     def _find(self, environ: dict[str, Any]) -> Match:
@@ -103,17 +103,17 @@
             raise _error(ErrorKind.INVALID_REQUEST, reason)
         raise _error(ErrorKind.NOT_FOUND, f"there is no {path}")
 
-    def _record(self, route: Route, call: Call, outcome: Result[Answered, Refused]) -> None:
+    def _record(self, route: Route, call: Call, outcome: Result[ApiResponse, Refusal]) -> None:
         plan = call.arguments.get("digest", "")
         if isinstance(outcome, Success):
-            told = "accepted"
+            outcome_text = "accepted"
             plan = outcome.unwrap().about_plan or plan
         else:
-            told = str(outcome.failure().failure)
+            outcome_text = str(outcome.failure().failure)
         self._timeline.record(
             EventKind.OPERATOR,
             subject=Subject(plan=plan),
-            detail=f"{call.operator}: {route.method} {route.path}: {told}",
+            detail=f"{call.operator}: {route.method} {route.path}: {outcome_text}",
         )
 
     def _count(self, status: int) -> None:
@@ -125,21 +125,21 @@
             logging.debug("not counted, the loop is closed: %s", name)
 
 
-def _handle(route: Route, call: Call) -> Result[Answered, Refused]:
+def _handle(route: Route, call: Call) -> Result[ApiResponse, Refusal]:
     try:
         return route.handler(call)
     except ShallotworksError as error:
-        return Err(Refused(failure=error.failure))
+        return Err(Refusal(failure=error.failure))
     except Exception:
         logging.exception("operators: %s %s failed", route.method, route.path)
         reason = "the instance failed at this; its log says why"
-        return Err(Refused(failure=Failure(kind=ErrorKind.INTERNAL, reason=reason)))
+        return Err(Refusal(failure=Failure(kind=ErrorKind.INTERNAL, reason=reason)))
 
 
-def _read_call(environ: dict[str, Any], match: Match) -> Call:
+def _parse_call(environ: dict[str, Any], match: Match) -> Call:
     query = _read_query(environ.get("QUERY_STRING", ""), allowed=match.route.query)
     operator: str = environ.get("HTTP_OPERATOR", "")
-    if (operator or match.route.method != "GET") and not _OPERATOR.fullmatch(operator):
+    if (operator or match.route.method != "GET") and not _OPERATOR_PATTERN.fullmatch(operator):
         reason = (
             f"the header {OPERATOR_HEADER} names who calls: 1 to 63 letters, digits and . _ @ -"
         )
@@ -155,14 +155,19 @@
 def _read_query(text: str, *, allowed: Mapping[str, str]) -> Mapping[str, str]:
     try:
         pairs = parse_qsl(
-            text, keep_blank_values=True, strict_parsing=bool(text), max_num_fields=QUERY_PARTS_MOST
+            text,
+            keep_blank_values=True,
+            strict_parsing=bool(text),
+            max_num_fields=MAX_QUERY_PARAMETERS,
         )
     except ValueError:
         raise _error(ErrorKind.INVALID_REQUEST, "the query is malformed") from None
     for name, _ in pairs:
         if name not in allowed:
-            told = ", ".join(allowed) or "none"
-            raise _error(ErrorKind.INVALID_REQUEST, f"no parameter {name!r}; allowed: {told}")
+            allowed_names = ", ".join(allowed) or "none"
+            raise _error(
+                ErrorKind.INVALID_REQUEST, f"no parameter {name!r}; allowed: {allowed_names}"
+            )
     if len(dict(pairs)) < len(pairs):
         raise _error(ErrorKind.INVALID_REQUEST, "a parameter stands twice")
     return dict(pairs)
@@ -172,8 +177,8 @@
     if environ.get("HTTP_TRANSFER_ENCODING"):
         raise _error(ErrorKind.INVALID_REQUEST, "send a Content-Length, not a chunked body")
     length = int(environ.get("CONTENT_LENGTH") or 0)
-    if length > BODY_LIMIT_BYTES:
-        reason = f"the body has {length} bytes, at most {BODY_LIMIT_BYTES} are taken"
+    if length > MAX_BODY_BYTES:
+        reason = f"the body has {length} bytes, at most {MAX_BODY_BYTES} are taken"
         raise _error(ErrorKind.TOO_LARGE, reason)
     body: bytes = environ["wsgi.input"].read(length) if length > 0 else b""
     if len(body) < length:
@@ -185,26 +190,26 @@
     return ShallotworksError(Failure(kind=kind, reason=reason))
 
 
-def _status(outcome: Result[Answered, Refused]) -> int:
+def _status(outcome: Result[ApiResponse, Refusal]) -> int:
     if isinstance(outcome, Success):
         return HTTPStatus.OK.value
     return attributes_of(outcome.failure().failure.kind).status
 
 
-def _write_answer(start_response: Callable[..., Any], answered: Answered) -> Iterable[bytes]:
-    return _write(start_response, HTTPStatus.OK.value, answered.content_type, answered.body, [])
+def _write_response(start_response: Callable[..., Any], response: ApiResponse) -> Iterable[bytes]:
+    return _write(start_response, HTTPStatus.OK.value, response.content_type, response.body, [])
 
 
-def _write_refusal(start_response: Callable[..., Any], refused: Refused) -> Iterable[bytes]:
+def _write_refusal(start_response: Callable[..., Any], refusal: Refusal) -> Iterable[bytes]:
     headers = []
-    failure = refused.failure
+    failure = refusal.failure
     retry_after_s = failure_body(failure).retry_after_s
     if retry_after_s is not None:
         headers.append(("Retry-After", str(max(1, math.ceil(retry_after_s)))))
     if failure.kind is ErrorKind.UNAUTHORISED:
         headers.append(("WWW-Authenticate", "Bearer"))
     status = attributes_of(failure.kind).status
-    return _write(start_response, status, JSON_CONTENT_TYPE, error_body(refused), headers)
+    return _write(start_response, status, JSON_CONTENT_TYPE, error_body(refusal), headers)
 
 
 def _write(
@@ -214,10 +219,10 @@
     body: bytes,
     headers: list[tuple[str, str]],
 ) -> Iterable[bytes]:
-    every = [
+    common_headers = [
         ("Content-Type", content_type),
         ("Content-Length", str(len(body))),
         ("Cache-Control", "no-store"),
     ]
-    start_response(f"{status} {_PHRASES[status]}", every + headers)
+    start_response(f"{status} {_REASON_PHRASES[status]}", common_headers + headers)
     return [body]
--- a/src/shallotworks/operators/_bridge.py
+++ b/src/shallotworks/operators/_bridge.py
@@ -39,38 +39,46 @@
         self._read_timeout_s = read_timeout_s
         self._write_timeout_s = write_timeout_s
 
-    def read(self, work: Coroutine[Any, Any, _Value]) -> _Value:
+    def read(self, coroutine: Coroutine[Any, Any, _Value]) -> _Value:
         """Run work that changes nothing.
 
         Raises:
             ShallotworksError: ``DEADLINE_EXCEEDED`` or ``STOPPING``.
         """
-        return self._run(work, self._read_timeout_s, lost=ErrorKind.DEADLINE_EXCEEDED)
+        return self._run(
+            coroutine, self._read_timeout_s, unfinished_kind=ErrorKind.DEADLINE_EXCEEDED
+        )
 
-    def write(self, work: Coroutine[Any, Any, _Value]) -> _Value:
+    def write(self, coroutine: Coroutine[Any, Any, _Value]) -> _Value:
         """Run work that may change something.
 
         Raises:
             ShallotworksError: ``OUTCOME_UNKNOWN`` once it has begun, ``STOPPING`` before that.
         """
-        return self._run(work, self._write_timeout_s, lost=ErrorKind.OUTCOME_UNKNOWN)
+        return self._run(
+            coroutine, self._write_timeout_s, unfinished_kind=ErrorKind.OUTCOME_UNKNOWN
+        )
 
     def _run(
-        self, work: Coroutine[Any, Any, _Value], timeout_s: float, *, lost: ErrorKind
+        self,
+        coroutine: Coroutine[Any, Any, _Value],
+        timeout_s: float,
+        *,
+        unfinished_kind: ErrorKind,
     ) -> _Value:
         try:
-            future = asyncio.run_coroutine_threadsafe(work, self._loop)
+            future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         except RuntimeError:
             # The loop is closed: the work was never begun, so nothing can have changed.
-            work.close()
+            coroutine.close()
             raise _error(ErrorKind.STOPPING, "the instance is stopping") from None
         try:
             return future.result(timeout=timeout_s)
         except concurrent.futures.TimeoutError:
             future.cancel()
-            raise _error(lost, f"no outcome within {timeout_s:g} s") from None
+            raise _error(unfinished_kind, f"no outcome within {timeout_s:g} s") from None
         except concurrent.futures.CancelledError:
-            raise _error(lost, "cut off, since the instance is stopping") from None
+            raise _error(unfinished_kind, "cut off, since the instance is stopping") from None
 
 
 def _error(kind: ErrorKind, reason: str) -> ShallotworksError:
--- a/src/shallotworks/operators/_calls.py
+++ b/src/shallotworks/operators/_calls.py
@@ -12,7 +12,7 @@
 from shallotworks.config import Accepted
 from shallotworks.errors import Failure, FailureBody, failure_body
 
-__all__ = ["Answered", "Call", "ErrorBody", "Outcome", "Refused", "answer_json", "error_body"]
+__all__ = ["ApiResponse", "Call", "ErrorBody", "Outcome", "Refusal", "json_response", "error_body"]
 
 JSON_CONTENT_TYPE = "application/json"
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Answered:
+class ApiResponse:
     """A call's answer.
 
     Args:
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Refused:
+class Refusal:
     """Why a call is refused, and what its caller needs to go on.
 
     Args:
@@ -62,7 +62,7 @@
     accepted: tuple[Accepted, ...] = ()
 
 
-Outcome = Result[Answered, Refused]
+Outcome = Result[ApiResponse, Refusal]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -70,21 +70,21 @@
     """The JSON body of a refusal.
 
     Args:
-        accepted: See `Refused`.
+        accepted: See `Refusal`.
     """
 
     accepted: tuple[Accepted, ...] = ()
 
 
-def answer_json(view: object, *, about_plan: str = "") -> Answered:
+def json_response(view: object, *, about_plan: str = "") -> ApiResponse:
     """Return a view as a JSON answer."""
-    return Answered(body=_adapter(type(view)).dump_json(view), about_plan=about_plan)
+    return ApiResponse(body=_adapter(type(view)).dump_json(view), about_plan=about_plan)
 
 
-def error_body(refused: Refused) -> bytes:
+def error_body(refusal: Refusal) -> bytes:
     """Return a refusal as JSON."""
-    told = failure_body(refused.failure)
-    body = ErrorBody(**asdict(told), accepted=refused.accepted)
+    failure_fields = failure_body(refusal.failure)
+    body = ErrorBody(**asdict(failure_fields), accepted=refusal.accepted)
     return _adapter(ErrorBody).dump_json(body)
 
 
--- a/src/shallotworks/operators/_fleet_handlers.py
+++ b/src/shallotworks/operators/_fleet_handlers.py
@@ -20,9 +20,9 @@
 )
 
 from ._bridge import EventLoopBridge
-from ._calls import Call, Outcome, Refused, answer_json
+from ._calls import Call, Outcome, Refusal, json_response
 from ._invalid import read_body
-from ._parameters import whole_number
+from ._parameters import read_whole_number
 from ._protocols import OperatorBackend
 from ._views import (
     ChangesView,
@@ -39,9 +39,9 @@
 
 __all__ = ["FleetHandlers"]
 
-CHANGES_LIMIT = 5_000
-HISTORY_LIMIT = 1_000
-HISTORY_DEFAULT = 100
+MAX_CHANGES_PER_CALL = 5_000
+MAX_HISTORY_ENTRIES = 1_000
+DEFAULT_HISTORY_ENTRIES = 100
 
 
 class FleetHandlers:
@@ -61,70 +61,72 @@
     def instances(self, call: Call) -> Outcome:
         """Answer the instances, of one pool or data centre where that is asked."""
         state = self._bridge.read(self._backend.fleet())
-        wanted = call.query
-        chosen = [
+        query = call.query
+        selected = [
             entry
             for _, entry in sorted(state.instances.items())
-            if wanted.get("pool", entry.pool) == entry.pool
-            and wanted.get("data_centre", entry.data_centre) == entry.data_centre
+            if query.get("pool", entry.pool) == entry.pool
+            and query.get("data_centre", entry.data_centre) == entry.data_centre
         ]
-        view = InstancesView(revision=state.revision, instances=tuple(chosen))
-        return Success(answer_json(view))
+        view = InstancesView(revision=state.revision, instances=tuple(selected))
+        return Success(json_response(view))
 
     def pools(self, call: Call) -> Outcome:
         """Answer the pools with their budgets."""
         state = self._bridge.read(self._backend.fleet())
         view = PoolsView(revision=state.revision, pools=pool_views(state))
-        return Success(answer_json(view))
+        return Success(json_response(view))
 
     def services(self, call: Call) -> Outcome:
         """Answer the services."""
         state = self._bridge.read(self._backend.fleet())
         view = ServicesView(revision=state.revision, services=service_views(state))
-        return Success(answer_json(view))
+        return Success(json_response(view))
 
     def teams(self, call: Call) -> Outcome:
         """Answer the teams."""
         state = self._bridge.read(self._backend.fleet())
         teams = tuple(entry for _, entry in sorted(state.teams.items()))
-        return Success(answer_json(TeamsView(revision=state.revision, teams=teams)))
+        return Success(json_response(TeamsView(revision=state.revision, teams=teams)))
 
     def data_centres(self, call: Call) -> Outcome:
         """Answer the data centres."""
         state = self._bridge.read(self._backend.fleet())
         centres = tuple(entry for _, entry in sorted(state.data_centres.items()))
         view = DataCentresView(revision=state.revision, data_centres=centres)
-        return Success(answer_json(view))
+        return Success(json_response(view))
 
     def history(self, call: Call) -> Outcome:
         """Answer accepted changes."""
-        after = whole_number(call, "after", default=0, most=2**53)
-        limit = whole_number(call, "limit", default=HISTORY_DEFAULT, most=HISTORY_LIMIT)
+        after = read_whole_number(call, "after", default=0, maximum=2**53)
+        limit = read_whole_number(
+            call, "limit", default=DEFAULT_HISTORY_ENTRIES, maximum=MAX_HISTORY_ENTRIES
+        )
         entries = self._bridge.read(self._backend.changes_after(after, limit=limit))
-        return entries.map(lambda found: answer_json(HistoryView(entries=found))).alt(
-            lambda failure: Refused(failure=failure)
+        return entries.map(lambda found: json_response(HistoryView(entries=found))).alt(
+            lambda failure: Refusal(failure=failure)
         )
 
     def restore(self, call: Call) -> Outcome:
         """Write the state held here into a store that came back empty or older."""
         restored = self._bridge.write(self._backend.restore_store(operator=call.operator))
-        return restored.map(lambda revision: answer_json(RestoredView(revision=revision))).alt(
-            lambda failure: Refused(failure=failure)
+        return restored.map(lambda revision: json_response(RestoredView(revision=revision))).alt(
+            lambda failure: Refusal(failure=failure)
         )
 
     def change(self, call: Call) -> Outcome:
         """Propose one change or a list, in order, up to the first that is refused."""
         changes = _read_changes(call.body)
         if isinstance(changes, Err):
-            return Err(Refused(failure=changes.failure()))
+            return Err(Refusal(failure=changes.failure()))
         accepted: list[Accepted] = []
         for change in changes.unwrap():
             outcome = self._propose(change, call.operator)
             if isinstance(outcome, Err):
-                failure = _told_with_place(outcome.failure(), len(accepted), change)
-                return Err(Refused(failure=failure, accepted=tuple(accepted)))
+                failure = _add_change_index(outcome.failure(), len(accepted), change)
+                return Err(Refusal(failure=failure, accepted=tuple(accepted)))
             accepted.append(outcome.unwrap())
-        return Success(answer_json(ChangesView(accepted=tuple(accepted))))
+        return Success(json_response(ChangesView(accepted=tuple(accepted))))
 
     def _propose(self, change: Change, operator: str) -> Result[Accepted, Failure]:
         try:
@@ -135,19 +137,19 @@
 
 
 def _read_changes(body: bytes) -> Result[list[Change], Failure]:
-    read = read_body(_ONE_OR_MORE, body)
+    read = read_body(_CHANGES_ADAPTER, body)
     if isinstance(read, Err):
         return read
     one_or_more = read.unwrap()
     changes = one_or_more if isinstance(one_or_more, list) else [one_or_more]
-    for place, change in enumerate(changes):
-        if _is_a_plans_own(change):
-            reason = f"change {place} ({change.kind}) is made by a plan only; use /v1/plans"
+    for index, change in enumerate(changes):
+        if _is_reserved_for_plans(change):
+            reason = f"change {index} ({change.kind}) is made by a plan only; use /v1/plans"
             return Err(Failure(kind=ErrorKind.INVALID_REQUEST, reason=reason))
     return Success(changes)
 
 
-def _is_a_plans_own(change: Change) -> bool:
+def _is_reserved_for_plans(change: Change) -> bool:
     """Say whether a change is one that only a plan may make.
 
     An operator who could write these would confirm past the check for staleness, or raise a plan's
@@ -160,14 +162,14 @@
     return False
 
 
-def _told_with_place(failure: Failure, place: int, change: Change) -> Failure:
+def _add_change_index(failure: Failure, index: int, change: Change) -> Failure:
     return Failure(
         kind=failure.kind,
-        reason=f"change {place} ({change.kind}): {failure.reason}",
+        reason=f"change {index} ({change.kind}): {failure.reason}",
         retry_after_s=failure.retry_after_s,
     )
 
 
-_ONE_OR_MORE: TypeAdapter[Change | list[Change]] = TypeAdapter(
-    Change | Annotated[list[Change], Field(max_length=CHANGES_LIMIT)]
+_CHANGES_ADAPTER: TypeAdapter[Change | list[Change]] = TypeAdapter(
+    Change | Annotated[list[Change], Field(max_length=MAX_CHANGES_PER_CALL)]
 )
--- a/src/shallotworks/operators/_invalid.py
+++ b/src/shallotworks/operators/_invalid.py
@@ -14,7 +14,7 @@
 
 __all__ = ["read_body"]
 
-FAULTS_TOLD = 3
+MAX_PROBLEMS_SHOWN = 3
 
 _Value = TypeVar("_Value")
 
@@ -32,35 +32,39 @@
     try:
         value = adapter.validate_json(body)
     except ValidationError as error:
-        return Err(_refusal([_told(fault) for fault in error.errors(include_url=False)]))
+        return Err(
+            _invalid_request(
+                [_format_problem(problem) for problem in error.errors(include_url=False)]
+            )
+        )
     understood = adapter.dump_python(value, mode="json")
-    unknown = list(_unknown_keys(json.loads(body), understood, place=""))
+    unknown = list(_unknown_keys(json.loads(body), understood, path=""))
     if unknown:
-        return Err(_refusal([f"{place}: unknown key" for place in unknown]))
+        return Err(_invalid_request([f"{path}: unknown key" for path in unknown]))
     return Success(value)
 
 
-def _told(fault: Any) -> str:
-    place = ".".join(str(part) for part in fault["loc"]) or "body"
-    return f"{place}: {fault['msg']}"
+def _format_problem(problem: Any) -> str:
+    path = ".".join(str(part) for part in problem["loc"]) or "body"
+    return f"{path}: {problem['msg']}"
 
 
-def _refusal(faults: list[str]) -> Failure:
-    told = faults[:FAULTS_TOLD]
-    if len(faults) > FAULTS_TOLD:
-        told.append(f"and {len(faults) - FAULTS_TOLD} more")
-    return Failure(kind=ErrorKind.INVALID_REQUEST, reason="; ".join(told))
+def _invalid_request(problems: list[str]) -> Failure:
+    shown = problems[:MAX_PROBLEMS_SHOWN]
+    if len(problems) > MAX_PROBLEMS_SHOWN:
+        shown.append(f"and {len(problems) - MAX_PROBLEMS_SHOWN} more")
+    return Failure(kind=ErrorKind.INVALID_REQUEST, reason="; ".join(shown))
 
 
-def _unknown_keys(sent: Any, understood: Any, *, place: str) -> Iterator[str]:
+def _unknown_keys(sent: Any, understood: Any, *, path: str) -> Iterator[str]:
     if isinstance(sent, dict) and isinstance(understood, dict):
         for key, value in sent.items():
-            inner = f"{place}.{key}" if place else key
+            inner_path = f"{path}.{key}" if path else key
             if key not in understood:
-                yield inner
+                yield inner_path
             else:
-                yield from _unknown_keys(value, understood[key], place=inner)
+                yield from _unknown_keys(value, understood[key], path=inner_path)
     elif isinstance(sent, list) and isinstance(understood, list):
-        for number, (value, other) in enumerate(zip(sent, understood, strict=True)):
-            inner = f"{place}.{number}" if place else str(number)
-            yield from _unknown_keys(value, other, place=inner)
+        for index, (value, other) in enumerate(zip(sent, understood, strict=True)):
+            inner_path = f"{path}.{index}" if path else str(index)
+            yield from _unknown_keys(value, other, path=inner_path)
--- a/src/shallotworks/operators/_openapi.py
+++ b/src/shallotworks/operators/_openapi.py
@@ -18,7 +18,7 @@
 __all__ = ["describe_api"]
 
 OPENAPI_VERSION = "3.1.0"
-EVERY_ROUTE_ERRORS = (
+COMMON_ERRORS = (
     ErrorKind.INVALID_REQUEST,
     ErrorKind.UNAUTHORISED,
     ErrorKind.TOO_LARGE,
@@ -28,7 +28,7 @@
 )
 _REF_TEMPLATE = "#/components/schemas/{model}"
 _SchemaInput = tuple[str, Literal["validation"], TypeAdapter[Any]]
-_ARGUMENT = re.compile(r"{(\w+)}")
+_PATH_ARGUMENT = re.compile(r"{(\w+)}")
 
 
 def describe_api(routes: Iterable[Route]) -> bytes:
@@ -67,7 +67,7 @@
         self._schemas, shared = TypeAdapter.json_schemas(inputs, ref_template=_REF_TEMPLATE)
         self.definitions = dict(sorted(shared.get("$defs", {}).items()))
 
-    def of(self, kind: Any) -> Any:
+    def schema_of(self, kind: Any) -> Any:
         """Return the schema of one type."""
         return self._schemas[(repr(kind), "validation")]
 
@@ -81,35 +81,35 @@
     if route.body is not None:
         operation["requestBody"] = {
             "required": True,
-            "content": {"application/json": {"schema": schemas.of(route.body)}},
+            "content": {"application/json": {"schema": schemas.schema_of(route.body)}},
         }
     return operation
 
 
 def _parameters(route: Route) -> Iterable[dict[str, Any]]:
-    text = {"type": "string"}
-    for name in _ARGUMENT.findall(route.path):
-        yield {"name": name, "in": "path", "required": True, "schema": text}
+    string_schema = {"type": "string"}
+    for name in _PATH_ARGUMENT.findall(route.path):
+        yield {"name": name, "in": "path", "required": True, "schema": string_schema}
     for name, meaning in route.query.items():
-        yield {"name": name, "in": "query", "description": meaning, "schema": text}
+        yield {"name": name, "in": "query", "description": meaning, "schema": string_schema}
     yield {
         "name": "Operator",
         "in": "header",
         "description": "Who calls; kept in the time line.",
         "required": route.method != "GET",
-        "schema": text,
+        "schema": string_schema,
     }
 
 
 def _responses(route: Route, schemas: _Schemas) -> dict[str, Any]:
-    answer = {} if route.answer is None else schemas.of(route.answer)
+    answer = {} if route.answer is None else schemas.schema_of(route.answer)
     responses: dict[str, Any] = {
         "200": {"description": "Done.", "content": {"application/json": {"schema": answer}}}
     }
-    for kind in (*EVERY_ROUTE_ERRORS, *route.errors):
+    for kind in (*COMMON_ERRORS, *route.errors):
         status = str(attributes_of(kind).status)
-        told = responses.get(status)
-        description = f"{told['description']}, {kind.value}" if told else kind.value
-        content = {"application/json": {"schema": schemas.of(ErrorBody)}}
+        existing = responses.get(status)
+        description = f"{existing['description']}, {kind.value}" if existing else kind.value
+        content = {"application/json": {"schema": schemas.schema_of(ErrorBody)}}
         responses[status] = {"description": description, "content": content}
     return dict(sorted(responses.items()))
--- a/src/shallotworks/operators/_plan_handlers.py
+++ b/src/shallotworks/operators/_plan_handlers.py
@@ -9,7 +9,7 @@
 from shallotworks.plans import Intent
 
 from ._bridge import EventLoopBridge
-from ._calls import Answered, Call, Outcome, Refused, answer_json
+from ._calls import ApiResponse, Call, Outcome, Refusal, json_response
 from ._invalid import read_body
 from ._protocols import OperatorBackend
 from ._views import PlansView, PlanView
@@ -33,39 +33,39 @@
 
     def propose(self, call: Call) -> Outcome:
         """Answer a proposal for an intent."""
-        intent = read_body(_INTENT, call.body)
+        intent = read_body(_INTENT_ADAPTER, call.body)
         if isinstance(intent, Err):
-            return Err(Refused(failure=intent.failure()))
-        work = self._backend.propose_plan(intent.unwrap(), operator=call.operator)
-        return self._bridge.write(work).map(_answer).alt(_refuse)
+            return Err(Refusal(failure=intent.failure()))
+        coroutine = self._backend.propose_plan(intent.unwrap(), operator=call.operator)
+        return self._bridge.write(coroutine).map(_plan_response).alt(_refuse)
 
     def list_all(self, call: Call) -> Outcome:
         """Answer all plans."""
         plans = self._bridge.read(self._backend.plans())
-        return plans.map(lambda found: answer_json(PlansView(plans=found))).alt(_refuse)
+        return plans.map(lambda found: json_response(PlansView(plans=found))).alt(_refuse)
 
     def show(self, call: Call) -> Outcome:
         """Answer one plan."""
-        work = self._backend.plan(call.arguments["digest"])
-        return self._bridge.read(work).map(_answer).alt(_refuse)
+        coroutine = self._backend.plan(call.arguments["digest"])
+        return self._bridge.read(coroutine).map(_plan_response).alt(_refuse)
 
     def confirm(self, call: Call) -> Outcome:
         """Confirm a proposal; where it is stale, the reason names a new one."""
-        work = self._backend.confirm_plan(call.arguments["digest"], operator=call.operator)
-        return self._bridge.write(work).map(_answer).alt(_refuse)
+        coroutine = self._backend.confirm_plan(call.arguments["digest"], operator=call.operator)
+        return self._bridge.write(coroutine).map(_plan_response).alt(_refuse)
 
     def cancel(self, call: Call) -> Outcome:
         """Cancel a confirmed plan."""
-        work = self._backend.cancel_plan(call.arguments["digest"], operator=call.operator)
-        return self._bridge.write(work).map(_answer).alt(_refuse)
+        coroutine = self._backend.cancel_plan(call.arguments["digest"], operator=call.operator)
+        return self._bridge.write(coroutine).map(_plan_response).alt(_refuse)
 
 
-def _answer(plan: PlanView) -> Answered:
-    return answer_json(plan, about_plan=plan.plan.digest)
+def _plan_response(plan: PlanView) -> ApiResponse:
+    return json_response(plan, about_plan=plan.plan.digest)
 
 
-def _refuse(failure: Failure) -> Refused:
-    return Refused(failure=failure)
+def _refuse(failure: Failure) -> Refusal:
+    return Refusal(failure=failure)
 
 
-_INTENT: TypeAdapter[Intent] = TypeAdapter(Intent)
+_INTENT_ADAPTER: TypeAdapter[Intent] = TypeAdapter(Intent)
--- a/src/shallotworks/operators/_process_handlers.py
+++ b/src/shallotworks/operators/_process_handlers.py
@@ -12,13 +12,13 @@
 from shallotworks.timeline import EventFilter, EventKind, Timeline
 
 from ._bridge import EventLoopBridge
-from ._calls import Answered, Call, Outcome, Refused, answer_json
-from ._parameters import whole_number
+from ._calls import ApiResponse, Call, Outcome, Refusal, json_response
+from ._parameters import read_whole_number
 from ._protocols import OperatorBackend
 
 __all__ = ["ProcessHandlers"]
 
-EVENTS_LIMIT = 1_000_000
+MAX_EVENTS = 1_000_000
 
 
 class ProcessHandlers:
@@ -51,38 +51,38 @@
 
     def status(self, call: Call) -> Outcome:
         """Answer how the instance is doing."""
-        return Success(answer_json(self._bridge.read(self._backend.status())))
+        return Success(json_response(self._bridge.read(self._backend.status())))
 
     def timeline(self, call: Call) -> Outcome:
         """Answer the events asked for, read from the ring in this thread."""
         kinds = _read_kinds(call.query.get("kind", ""))
         if isinstance(kinds, Err):
-            return Err(Refused(failure=kinds.failure()))
-        wanted = EventFilter(
+            return Err(Refusal(failure=kinds.failure()))
+        event_filter = EventFilter(
             request=call.query.get("request", ""),
             plan=call.query.get("plan", ""),
             instance=call.query.get("instance", ""),
             kinds=kinds.unwrap(),
         )
-        limit = whole_number(call, "limit", default=EVENTS_LIMIT, most=EVENTS_LIMIT)
-        return Success(Answered(body=self._timeline.page(wanted, limit=limit).encode()))
+        limit = read_whole_number(call, "limit", default=MAX_EVENTS, maximum=MAX_EVENTS)
+        return Success(ApiResponse(body=self._timeline.page(event_filter, limit=limit).encode()))
 
     def metrics(self, call: Call) -> Outcome:
         """Answer all metrics; their quantiles are worked out in this thread."""
-        form = call.query.get("format", "json")
-        if form not in ("json", "text"):
-            reason = f"format = {form!r}; allowed: json, text"
-            return Err(Refused(failure=Failure(kind=ErrorKind.INVALID_REQUEST, reason=reason)))
+        output_format = call.query.get("format", "json")
+        if output_format not in ("json", "text"):
+            reason = f"format = {output_format!r}; allowed: json, text"
+            return Err(Refusal(failure=Failure(kind=ErrorKind.INVALID_REQUEST, reason=reason)))
         frozen = self._bridge.read(self._backend.metrics())
         snapshot = summarise(frozen, process=self._process)
-        if form == "json":
-            return Success(Answered(body=snapshot.encode()))
+        if output_format == "json":
+            return Success(ApiResponse(body=snapshot.encode()))
         body = to_exposition(snapshot).encode()
-        return Success(Answered(body=body, content_type=EXPOSITION_CONTENT_TYPE))
+        return Success(ApiResponse(body=body, content_type=EXPOSITION_CONTENT_TYPE))
 
     def describe(self, call: Call) -> Outcome:
         """Answer the description of this API."""
-        return Success(Answered(body=self._api_description()))
+        return Success(ApiResponse(body=self._api_description()))
 
 
 def _read_kinds(text: str) -> Result[frozenset[EventKind], Failure]:
--- a/src/shallotworks/operators/_routes.py
+++ b/src/shallotworks/operators/_routes.py
@@ -15,7 +15,7 @@
 from shallotworks.plans import Intent
 from shallotworks.timeline import TimelinePage
 
-from ._calls import Answered, Call, Refused
+from ._calls import ApiResponse, Call, Refusal
 from ._fleet_handlers import FleetHandlers
 from ._plan_handlers import PlanHandlers
 from ._process_handlers import ProcessHandlers
@@ -35,11 +35,11 @@
 
 __all__ = ["Handler", "Handlers", "Match", "Route", "build_routes", "find_route"]
 
-Handler = Callable[[Call], Result[Answered, Refused]]
+Handler = Callable[[Call], Result[ApiResponse, Refusal]]
 
 PREFIX = "/v1"
 _STORE_ERRORS = (ErrorKind.STORE_UNAVAILABLE, ErrorKind.OUTCOME_UNKNOWN)
-_DIGEST = re.compile(r"[A-Za-z0-9]{1,128}", re.ASCII)
+_DIGEST_PATTERN = re.compile(r"[A-Za-z0-9]{1,128}", re.ASCII)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -114,7 +114,7 @@
     arguments = {}
     for name, part in zip(expected, parts, strict=True):
         if name.startswith("{"):
-            if not _DIGEST.fullmatch(part):
+            if not _DIGEST_PATTERN.fullmatch(part):
                 return None
             arguments[name[1:-1]] = part
         elif name != part:
--- a/src/shallotworks/operators/_server.py
+++ b/src/shallotworks/operators/_server.py
@@ -12,7 +12,7 @@
 from shallotworks.settings import OperatorsSettings, read_token
 from shallotworks.timeline import Timeline
 
-from ._application import BODY_LIMIT_BYTES, OperatorsApplication
+from ._application import MAX_BODY_BYTES, OperatorsApplication
 from ._bridge import EventLoopBridge
 from ._fleet_handlers import FleetHandlers
 from ._openapi import describe_api
@@ -25,7 +25,7 @@
 
 RECEIVE_TIMEOUT_S = 10.0
 """A call is short: whoever has not sent it by then is cut off, and the thread is free again."""
-UNREAD_LIMIT_BYTES = 2 * BODY_LIMIT_BYTES
+MAX_DISCARDED_BODY_BYTES = 2 * MAX_BODY_BYTES
 """A refused body up to here is read and dropped, so that its sender gets to read why."""
 STOP_TIMEOUT_S = 5.0
 
@@ -82,7 +82,7 @@
             port=settings.port,
             application=application,
             threads=settings.threads,
-            body_limit_bytes=UNREAD_LIMIT_BYTES,
+            body_limit_bytes=MAX_DISCARDED_BODY_BYTES,
             receive_timeout_s=RECEIVE_TIMEOUT_S,
             stop_timeout_s=STOP_TIMEOUT_S,
         )
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,7 +13,7 @@
 from parameterized import parameterized
 
 from shallotworks.errors import ErrorKind, ShallotworksError, attributes_of
-from shallotworks.operators._application import BODY_LIMIT_BYTES
+from shallotworks.operators._application import MAX_BODY_BYTES
 from shallotworks.operators._bridge import EventLoopBridge
 from tests.fake_backend import TOKEN, ServedBackend
 from tests.fakes import LoopThread
@@ -156,7 +156,7 @@
                 "too_large",
                 "POST",
                 "/v1/changes",
-                b" " * (BODY_LIMIT_BYTES + 1),
+                b" " * (MAX_BODY_BYTES + 1),
                 ErrorKind.TOO_LARGE,
             ),
         ]
