--- a/src/shallotworks/callers/_application.py
+++ b/src/shallotworks/callers/_application.py
@@ -22,9 +22,9 @@
 
 # The rest of a request that is not read may still be on its way, and must not be taken for the
 # next one; an instance that stops sends its callers elsewhere.
-_CLOSING_KINDS = (ErrorKind.TOO_LARGE, ErrorKind.INVALID_REQUEST, ErrorKind.STOPPING)
-_BODY = TypeAdapter(FailureBody)
-_PHRASES = {entry.value: entry.phrase for entry in HTTPStatus}
+_CONNECTION_CLOSING_KINDS = (ErrorKind.TOO_LARGE, ErrorKind.INVALID_REQUEST, ErrorKind.STOPPING)
+_BODY_ADAPTER = TypeAdapter(FailureBody)
+_REASON_PHRASES = {entry.value: entry.phrase for entry in HTTPStatus}
 
 
 class CallersApplication:
@@ -73,15 +73,15 @@
     ]
     if body.retry_after_s is not None:
         headers.append(("Retry-After", str(max(1, math.ceil(body.retry_after_s)))))
-    if failure.kind in _CLOSING_KINDS:
+    if failure.kind in _CONNECTION_CLOSING_KINDS:
         headers.append(("Connection", "close"))
-    return Response(status=body.status, headers=tuple(headers), body=_BODY.dump_json(body))
+    return Response(status=body.status, headers=tuple(headers), body=_BODY_ADAPTER.dump_json(body))
 
 
 def _write(
     start_response: Callable[..., Any], response: Response, *, request_id: str = ""
 ) -> Iterable[bytes]:
-    phrase = _PHRASES.get(response.status, "Unknown")
+    phrase = _REASON_PHRASES.get(response.status, "Unknown")
     headers = [*response.headers, ("Content-Length", str(len(response.body)))]
     if request_id:
         headers.append((REQUEST_ID, request_id))
--- a/src/shallotworks/callers/_reading.py
+++ b/src/shallotworks/callers/_reading.py
@@ -31,13 +31,18 @@
 METHODS = SAFE_METHODS | {"POST", "PUT", "PATCH", "DELETE"}
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,200}")
-MS_PER_S = 1000
+MILLISECONDS_PER_S = 1000
 REQUEST_ID_BITS = 96
 
-_DROPPED = HOP_BY_HOP | {REQUEST_ID.lower(), ATTEMPT.lower(), SERVICE.lower(), "content-type"}
+_HEADERS_NOT_FORWARDED = HOP_BY_HOP | {
+    REQUEST_ID.lower(),
+    ATTEMPT.lower(),
+    SERVICE.lower(),
+    "content-type",
+}
 # Ids must be unique, not secret; reading the system's source for each would cost a system call.
-_ids = random.Random(secrets.randbits(128))
-_YES_NO = {"yes": True, "no": False}
+_request_id_source = random.Random(secrets.randbits(128))
+_YES_OR_NO = {"yes": True, "no": False}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -88,13 +93,13 @@
     method = environ["REQUEST_METHOD"]
     if method not in METHODS:
         raise _InvalidError(f"method {method} is not one of {', '.join(sorted(METHODS))}")
-    idempotent = _idempotent(environ, method)
+    idempotent = _is_idempotent(environ, method)
     key = _header(environ, IDEMPOTENCY_KEY)
     if key and not KEY_PATTERN.fullmatch(key):
         raise _InvalidError(f"{IDEMPOTENCY_KEY} takes 1 to 200 printable characters")
-    deadline_s = now_s + _time_allowed_s(environ, limits)
+    deadline_s = now_s + _relative_deadline_s(environ, limits)
     return Request(
-        request_id=f"{_ids.getrandbits(REQUEST_ID_BITS):024x}",
+        request_id=f"{_request_id_source.getrandbits(REQUEST_ID_BITS):024x}",
         service=_name(environ, SERVICE, required=True),
         team=_name(environ, TEAM, required=False),
         request_class=_request_class(environ),
@@ -103,7 +108,7 @@
         idempotency_key=key,
         method=method,
         path=_path(environ),
-        headers=_passed_on(environ),
+        headers=_forwarded_headers(environ),
         body=_body(environ, length_bytes),
     )
 
@@ -116,29 +121,29 @@
 def _content_length(environ: dict[str, Any]) -> int:
     if environ.get("HTTP_TRANSFER_ENCODING"):
         raise _InvalidError("the body needs a Content-Length; chunked bodies are not taken")
-    stated = environ.get("CONTENT_LENGTH") or "0"
-    if not stated.isascii() or not stated.isdigit():
-        raise _InvalidError(f"Content-Length {stated!r} is not a number")
-    return int(stated)
+    text = environ.get("CONTENT_LENGTH") or "0"
+    if not text.isascii() or not text.isdigit():
+        raise _InvalidError(f"Content-Length {text!r} is not a number")
+    return int(text)
 
 
-def _idempotent(environ: dict[str, Any], method: str) -> bool:
-    stated = _header(environ, IDEMPOTENT)
-    if not stated:
+def _is_idempotent(environ: dict[str, Any], method: str) -> bool:
+    text = _header(environ, IDEMPOTENT)
+    if not text:
         return method in SAFE_METHODS
-    if stated not in _YES_NO:
-        raise _InvalidError(f"{IDEMPOTENT} is yes or no, not {stated!r}")
-    return _YES_NO[stated]
+    if text not in _YES_OR_NO:
+        raise _InvalidError(f"{IDEMPOTENT} is yes or no, not {text!r}")
+    return _YES_OR_NO[text]
 
 
-def _time_allowed_s(environ: dict[str, Any], limits: RequestLimits) -> float:
-    stated = _header(environ, DEADLINE_MS)
-    if not stated:
+def _relative_deadline_s(environ: dict[str, Any], limits: RequestLimits) -> float:
+    text = _header(environ, DEADLINE_MS)
+    if not text:
         return limits.default_deadline_s
-    longest_ms = int(limits.max_deadline_s * MS_PER_S)
-    if not stated.isascii() or not stated.isdigit() or not 1 <= int(stated) <= longest_ms:
-        raise _InvalidError(f"{DEADLINE_MS} is a whole number from 1 to {longest_ms}")
-    return int(stated) / MS_PER_S
+    max_deadline_ms = int(limits.max_deadline_s * MILLISECONDS_PER_S)
+    if not text.isascii() or not text.isdigit() or not 1 <= int(text) <= max_deadline_ms:
+        raise _InvalidError(f"{DEADLINE_MS} is a whole number from 1 to {max_deadline_ms}")
+    return int(text) / MILLISECONDS_PER_S
 
 
 def _name(environ: dict[str, Any], header: str, *, required: bool) -> str:
@@ -153,12 +158,12 @@
 
 
 def _request_class(environ: dict[str, Any]) -> RequestClass:
-    stated = _header(environ, CLASS) or RequestClass.INTERACTIVE.value
+    text = _header(environ, CLASS) or RequestClass.INTERACTIVE.value
     try:
-        return RequestClass(stated)
+        return RequestClass(text)
     except ValueError:
         allowed = ", ".join(entry.value for entry in RequestClass)
-        raise _InvalidError(f"{CLASS} is one of {allowed}, not {stated!r}") from None
+        raise _InvalidError(f"{CLASS} is one of {allowed}, not {text!r}") from None
 
 
 def _path(environ: dict[str, Any]) -> str:
@@ -168,13 +173,13 @@
     return path
 
 
-def _passed_on(environ: dict[str, Any]) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(environ: dict[str, Any]) -> tuple[tuple[str, str], ...]:
     headers = []
     for key, value in environ.items():
         if not key.startswith("HTTP_"):
             continue
         name = key[len("HTTP_") :].replace("_", "-").title()
-        if name.lower() not in _DROPPED:
+        if name.lower() not in _HEADERS_NOT_FORWARDED:
             headers.append((name, value))
     if environ.get("CONTENT_TYPE"):
         headers.append(("Content-Type", environ["CONTENT_TYPE"]))
--- a/src/shallotworks/errors.py
+++ b/src/shallotworks/errors.py
@@ -149,50 +149,50 @@
 
 def attributes_of(kind: ErrorKind) -> ErrorAttributes:
     """Return the row of the table for one error kind."""
-    return _ANSWERS[kind]
+    return _ATTRIBUTES[kind]
 
 
 def failure_body(failure: Failure) -> FailureBody:
     """Return how a failure is told as JSON; one never to be sent again has no time to come back."""
-    answer = attributes_of(failure.kind)
-    retry_after_s = None if answer.advice is Advice.NEVER else failure.retry_after_s
+    attributes = attributes_of(failure.kind)
+    retry_after_s = None if attributes.advice is Advice.NEVER else failure.retry_after_s
     return FailureBody(
         kind=failure.kind.value,
-        status=answer.status,
+        status=attributes.status,
         reason=failure.reason,
-        ran=answer.ran.value,
-        advice=answer.advice.value,
+        ran=attributes.ran.value,
+        advice=attributes.advice.value,
         retry_after_s=retry_after_s,
     )
 
 
-def _row(status: int, exit_code: int, advice: Advice, ran: Ran) -> ErrorAttributes:
+def _attributes(status: int, exit_code: int, advice: Advice, ran: Ran) -> ErrorAttributes:
     return ErrorAttributes(status=status, exit_code=exit_code, advice=advice, ran=ran)
 
 
-_ANSWERS = {
-    ErrorKind.INVALID_REQUEST: _row(400, 2, Advice.NEVER, Ran.NO),
-    ErrorKind.INVALID_SETTINGS: _row(500, 2, Advice.NEVER, Ran.NO),
-    ErrorKind.UNAUTHORISED: _row(401, 3, Advice.NEVER, Ran.NO),
-    ErrorKind.NOT_FOUND: _row(404, 4, Advice.NEVER, Ran.NO),
-    ErrorKind.TOO_LARGE: _row(413, 5, Advice.NEVER, Ran.NO),
-    ErrorKind.CONFLICT: _row(409, 6, Advice.NEVER, Ran.NO),
-    ErrorKind.STALE_PLAN: _row(409, 7, Advice.NEVER, Ran.NO),
-    ErrorKind.UNSATISFIABLE: _row(422, 8, Advice.NEVER, Ran.NO),
-    ErrorKind.BUDGET_SPENT: _row(409, 9, Advice.LATER, Ran.NO),
-    ErrorKind.OVER_QUOTA: _row(429, 10, Advice.LATER, Ran.NO),
-    ErrorKind.OVERLOADED: _row(503, 11, Advice.LATER, Ran.NO),
-    ErrorKind.NO_TARGET: _row(503, 12, Advice.LATER, Ran.NO),
-    ErrorKind.STOPPING: _row(503, 13, Advice.LATER, Ran.NO),
-    ErrorKind.DEADLINE_EXCEEDED: _row(504, 14, Advice.LATER, Ran.NO),
-    ErrorKind.CANCELLED: _row(409, 15, Advice.LATER, Ran.NO),
-    ErrorKind.IN_PROGRESS: _row(409, 16, Advice.SAME_KEY, Ran.UNKNOWN),
-    ErrorKind.OUTCOME_UNKNOWN: _row(504, 17, Advice.SAME_KEY, Ran.UNKNOWN),
-    ErrorKind.TARGET_FAILED: _row(502, 18, Advice.SAME_KEY, Ran.YES),
-    ErrorKind.STORE_UNAVAILABLE: _row(503, 19, Advice.LATER, Ran.NO),
-    ErrorKind.STORE_REGRESSED: _row(503, 20, Advice.LATER, Ran.NO),
-    ErrorKind.LEASE_LOST: _row(409, 21, Advice.LATER, Ran.NO),
-    ErrorKind.UNREACHABLE: _row(502, 22, Advice.LATER, Ran.NO),
-    ErrorKind.PROTOCOL: _row(502, 23, Advice.NEVER, Ran.UNKNOWN),
-    ErrorKind.INTERNAL: _row(500, 70, Advice.SAME_KEY, Ran.UNKNOWN),
+_ATTRIBUTES = {
+    ErrorKind.INVALID_REQUEST: _attributes(400, 2, Advice.NEVER, Ran.NO),
+    ErrorKind.INVALID_SETTINGS: _attributes(500, 2, Advice.NEVER, Ran.NO),
+    ErrorKind.UNAUTHORISED: _attributes(401, 3, Advice.NEVER, Ran.NO),
+    ErrorKind.NOT_FOUND: _attributes(404, 4, Advice.NEVER, Ran.NO),
+    ErrorKind.TOO_LARGE: _attributes(413, 5, Advice.NEVER, Ran.NO),
+    ErrorKind.CONFLICT: _attributes(409, 6, Advice.NEVER, Ran.NO),
+    ErrorKind.STALE_PLAN: _attributes(409, 7, Advice.NEVER, Ran.NO),
+    ErrorKind.UNSATISFIABLE: _attributes(422, 8, Advice.NEVER, Ran.NO),
+    ErrorKind.BUDGET_SPENT: _attributes(409, 9, Advice.LATER, Ran.NO),
+    ErrorKind.OVER_QUOTA: _attributes(429, 10, Advice.LATER, Ran.NO),
+    ErrorKind.OVERLOADED: _attributes(503, 11, Advice.LATER, Ran.NO),
+    ErrorKind.NO_TARGET: _attributes(503, 12, Advice.LATER, Ran.NO),
+    ErrorKind.STOPPING: _attributes(503, 13, Advice.LATER, Ran.NO),
+    ErrorKind.DEADLINE_EXCEEDED: _attributes(504, 14, Advice.LATER, Ran.NO),
+    ErrorKind.CANCELLED: _attributes(409, 15, Advice.LATER, Ran.NO),
+    ErrorKind.IN_PROGRESS: _attributes(409, 16, Advice.SAME_KEY, Ran.UNKNOWN),
+    ErrorKind.OUTCOME_UNKNOWN: _attributes(504, 17, Advice.SAME_KEY, Ran.UNKNOWN),
+    ErrorKind.TARGET_FAILED: _attributes(502, 18, Advice.SAME_KEY, Ran.YES),
+    ErrorKind.STORE_UNAVAILABLE: _attributes(503, 19, Advice.LATER, Ran.NO),
+    ErrorKind.STORE_REGRESSED: _attributes(503, 20, Advice.LATER, Ran.NO),
+    ErrorKind.LEASE_LOST: _attributes(409, 21, Advice.LATER, Ran.NO),
+    ErrorKind.UNREACHABLE: _attributes(502, 22, Advice.LATER, Ran.NO),
+    ErrorKind.PROTOCOL: _attributes(502, 23, Advice.NEVER, Ran.UNKNOWN),
+    ErrorKind.INTERNAL: _attributes(500, 70, Advice.SAME_KEY, Ran.UNKNOWN),
 }
