--- a/src/shallotworks/cli/_client.py
+++ b/src/shallotworks/cli/_client.py
@@ -15,7 +15,7 @@
 from shallotworks.errors import ErrorKind
 from shallotworks.operators import ErrorBody
 
-from ._failures import own_error
+from ._failures import make_error
 
 __all__ = ["OperatorsClient", "RawAnswer"]
 
@@ -23,10 +23,10 @@
 ANSWER_TIMEOUT_S = 60.0
 """Longer than the server's own limits, so that it is the server who says what became of a call."""
 ANSWER_LIMIT_BYTES = 256 * 1024 * 1024
-OK = 200
+HTTP_OK = 200
 
 _Answer = TypeVar("_Answer")
-_ERROR = TypeAdapter(ErrorBody)
+_ERROR_ADAPTER = TypeAdapter(ErrorBody)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -76,8 +76,8 @@
         self, path: str, query: Mapping[str, str] | None = None
     ) -> Result[RawAnswer, ErrorBody]:
         """Read something as it comes."""
-        wanted = {name: value for name, value in (query or {}).items() if value}
-        return self._call("GET", f"{path}?{urlencode(wanted)}" if wanted else path, b"")
+        parameters = {name: value for name, value in (query or {}).items() if value}
+        return self._call("GET", f"{path}?{urlencode(parameters)}" if parameters else path, b"")
 
     def post(self, path: str, kind: type[_Answer], body: bytes) -> Result[_Answer, ErrorBody]:
         """Change something."""
@@ -92,33 +92,33 @@
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            return Err(self._unreachable(_why(error)))
+            return Err(self._unreachable_error(_reason_of(error)))
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            return Err(self._lost(method, _why(error)))
-        if answer.status == OK:
+            return Err(self._lost_answer_error(method, _reason_of(error)))
+        if answer.status == HTTP_OK:
             return Success(RawAnswer(body=answer.data))
-        return Err(self._refusal(answer))
+        return Err(self._error_from(answer))
 
-    def _unreachable(self, why: str) -> ErrorBody:
-        return own_error(ErrorKind.UNREACHABLE, f"no instance answers at {self.address}: {why}")
+    def _unreachable_error(self, cause: str) -> ErrorBody:
+        return make_error(ErrorKind.UNREACHABLE, f"no instance answers at {self.address}: {cause}")
 
-    def _lost(self, method: str, why: str) -> ErrorBody:
+    def _lost_answer_error(self, method: str, cause: str) -> ErrorBody:
         """Return what an answer that never came means.
 
         A read changed nothing, so it may be repeated. Of a change that was sent nobody here can
         tell whether it came into force, and saying that it did not could be wrong.
         """
         if method == "GET":
-            return self._unreachable(why)
-        reason = f"{self.address} took the call but its answer was lost: {why}"
-        return own_error(ErrorKind.OUTCOME_UNKNOWN, f"{reason}; look before you repeat it")
+            return self._unreachable_error(cause)
+        reason = f"{self.address} took the call but its answer was lost: {cause}"
+        return make_error(ErrorKind.OUTCOME_UNKNOWN, f"{reason}; look before you repeat it")
 
-    def _refusal(self, answer: urllib3.BaseHTTPResponse) -> ErrorBody:
+    def _error_from(self, answer: urllib3.BaseHTTPResponse) -> ErrorBody:
         try:
-            return _ERROR.validate_json(answer.data)
+            return _ERROR_ADAPTER.validate_json(answer.data)
         except ValidationError:
-            kind = _PLAIN_STATUSES.get(answer.status, ErrorKind.PROTOCOL)
-            return own_error(
+            kind = _LISTENER_STATUSES.get(answer.status, ErrorKind.PROTOCOL)
+            return make_error(
                 kind,
                 f"{self.address} answered {answer.status} in a form that no operators' port has",
             )
@@ -129,10 +129,10 @@
             return Success(adapter.validate_json(answer.body))
         except ValidationError:
             reason = f"{self.address} answered in a form that this version can't read"
-            return Err(own_error(ErrorKind.PROTOCOL, reason))
+            return Err(make_error(ErrorKind.PROTOCOL, reason))
 
 
-_PLAIN_STATUSES = {
+_LISTENER_STATUSES = {
     408: ErrorKind.DEADLINE_EXCEEDED,
     413: ErrorKind.TOO_LARGE,
     414: ErrorKind.TOO_LARGE,
@@ -140,7 +140,7 @@
 """What the listener answers by itself, before a call has arrived whole."""
 
 
-def _why(error: BaseException) -> str:
+def _reason_of(error: BaseException) -> str:
     cause: BaseException | None = error
     while cause is not None:
         if isinstance(cause, OSError) and cause.strerror:
--- a/src/shallotworks/cli/_failures.py
+++ b/src/shallotworks/cli/_failures.py
@@ -7,10 +7,10 @@
 from shallotworks.errors import ErrorKind, Failure, attributes_of, failure_body
 from shallotworks.operators import ErrorBody
 
-__all__ = ["exit_code_of", "own_error"]
+__all__ = ["exit_code_of", "make_error"]
 
 
-def own_error(kind: ErrorKind, reason: str) -> ErrorBody:
+def make_error(kind: ErrorKind, reason: str) -> ErrorBody:
     """Return an error found here."""
     return ErrorBody(**asdict(failure_body(Failure(kind=kind, reason=reason))))
 
--- a/src/shallotworks/cli/_fleet_commands.py
+++ b/src/shallotworks/cli/_fleet_commands.py
@@ -22,7 +22,7 @@
 )
 
 from ._client import OperatorsClient
-from ._failures import own_error
+from ._failures import make_error
 from ._options import (
     DEFAULT_ADDRESS,
     AddressOption,
@@ -31,8 +31,8 @@
     TokenFileOption,
     open_client,
 )
-from ._output import finish, print_table, print_text
-from ._printable import time_told
+from ._output import print_outcome, print_table, print_text
+from ._printable import format_time
 
 __all__ = ["add_fleet_commands"]
 
@@ -58,7 +58,7 @@
     """Show how one instance is doing, and how it sees its peers."""
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: opened.get("/status", StatusView))
-    finish(answer, as_json=as_json, show=_show_status)
+    print_outcome(answer, as_json=as_json, show=_show_status)
 
 
 def _show_status(status: StatusView) -> None:
@@ -68,8 +68,8 @@
         ("data centre", f"{status.data_centre}, region {status.region}"),
         ("state", "stopping" if status.stopping else "serving"),
         ("up for", f"{status.uptime_s:.0f} s"),
-        ("revision", f"{status.revision}, {_age(status.config_age_s)}"),
-        ("store", ("up" if status.store_up else "down") + _fault(status.store_fault)),
+        ("revision", f"{status.revision}, {_format_config_age(status.config_age_s)}"),
+        ("store", ("up" if status.store_up else "down") + _format_store_fault(status.store_fault)),
         ("requests", f"{status.requests_in_flight} in flight, {status.requests_queued} queued"),
         ("duties", ", ".join(status.duties) or "none"),
     )
@@ -103,7 +103,7 @@
     query = {"pool": pool, "data_centre": data_centre}
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: opened.get("/instances", InstancesView, query))
-    finish(answer, as_json=as_json, show=_show_instances)
+    print_outcome(answer, as_json=as_json, show=_show_instances)
 
 
 def _show_instances(view: InstancesView) -> None:
@@ -144,7 +144,7 @@
     """List pools with their availability budgets."""
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: opened.get("/pools", PoolsView))
-    finish(answer, as_json=as_json, show=_show_pools)
+    print_outcome(answer, as_json=as_json, show=_show_pools)
 
 
 def _show_pools(view: PoolsView) -> None:
@@ -173,7 +173,7 @@
     """List services with their shares and budgets."""
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: opened.get("/services", ServicesView))
-    finish(answer, as_json=as_json, show=_show_services)
+    print_outcome(answer, as_json=as_json, show=_show_services)
 
 
 def _show_services(view: ServicesView) -> None:
@@ -207,7 +207,7 @@
             lambda body: opened.post("/changes", ChangesView, body)
         )
     )
-    finish(answer, as_json=as_json, show=_show_accepted)
+    print_outcome(answer, as_json=as_json, show=_show_accepted)
 
 
 def _restore_store(
@@ -219,7 +219,7 @@
     """Write one instance's configuration into a store that came back empty or older."""
     client = open_client(address=address, token_file=token_file, operator=operator)
     answer = client.bind(lambda opened: opened.post("/store/restore", RestoredView, b""))
-    finish(answer, as_json=as_json, show=_show_restored)
+    print_outcome(answer, as_json=as_json, show=_show_restored)
 
 
 def _show_restored(view: RestoredView) -> None:
@@ -234,7 +234,7 @@
             return Success(opened.read())
     except OSError as error:
         reason = f"the file {file} can't be read ({error.strerror})"
-        return Err(own_error(ErrorKind.INVALID_REQUEST, reason))
+        return Err(make_error(ErrorKind.INVALID_REQUEST, reason))
 
 
 def _show_accepted(view: ChangesView) -> None:
@@ -259,7 +259,7 @@
     """List accepted changes: who changed what, and when."""
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: _read_changes(opened, after, limit))
-    finish(answer, as_json=as_json, show=_show_history)
+    print_outcome(answer, as_json=as_json, show=_show_history)
 
 
 def _read_changes(
@@ -277,17 +277,17 @@
     print_table(
         ("revision", "by", "change", "time (UTC)"),
         (
-            (entry.revision, entry.author, entry.change.kind, time_told(entry.at_s))
+            (entry.revision, entry.author, entry.change.kind, format_time(entry.at_s))
             for entry in view.entries
         ),
     )
 
 
-def _fault(store_fault: str) -> str:
+def _format_store_fault(store_fault: str) -> str:
     return f", {store_fault}" if store_fault else ""
 
 
-def _age(config_age_s: float | None) -> str:
+def _format_config_age(config_age_s: float | None) -> str:
     if config_age_s is None:
         return "never known to be the newest"
     return f"known to be the newest {config_age_s:.1f} s ago"
--- a/src/shallotworks/cli/_main.py
+++ b/src/shallotworks/cli/_main.py
@@ -46,10 +46,10 @@
 def _run_command(arguments: Sequence[str]) -> int:
     try:
         _app(args=list(arguments), prog_name="shallotworks")
-    except SystemExit as ending:
-        return _code_of(ending)
+    except SystemExit as exit_request:
+        return _exit_code_of(exit_request)
     except ShallotworksError as error:
-        return _say(error.failure)
+        return _print_failure(error.failure)
     except KeyboardInterrupt:
         return EXIT_INTERRUPTED
     except BrokenPipeError:
@@ -57,23 +57,23 @@
     except Exception as error:
         logging.debug("a command failed", exc_info=True)
         reason = f"{type(error).__name__}: {error}"
-        return _say(Failure(kind=ErrorKind.INTERNAL, reason=reason))
+        return _print_failure(Failure(kind=ErrorKind.INTERNAL, reason=reason))
     return 0
 
 
-def _code_of(ending: SystemExit) -> int:
-    if ending.code is None:
+def _exit_code_of(exit_request: SystemExit) -> int:
+    if exit_request.code is None:
         return 0
-    return ending.code if isinstance(ending.code, int) else 1
+    return exit_request.code if isinstance(exit_request.code, int) else 1
 
 
-def _say(failure: Failure) -> int:
+def _print_failure(failure: Failure) -> int:
     print(one_line(str(failure)), file=sys.stderr)
     return attributes_of(failure.kind).exit_code
 
 
-def _print_version(wanted: bool) -> None:
-    if wanted:
+def _print_version(requested: bool) -> None:
+    if requested:
         print_text(f"shallotworks {__version__}\n")
         raise typer.Exit
 
--- a/src/shallotworks/cli/_observe_commands.py
+++ b/src/shallotworks/cli/_observe_commands.py
@@ -27,7 +27,7 @@
     to_text,
 )
 
-from ._failures import exit_code_of, own_error
+from ._failures import exit_code_of, make_error
 from ._options import (
     DEFAULT_ADDRESS,
     AddressesOption,
@@ -36,11 +36,11 @@
     TokenFileOption,
     open_client,
 )
-from ._output import fail, finish, print_table, print_text, say_error
+from ._output import exit_with_error, print_error, print_outcome, print_table, print_text
 
 __all__ = ["add_observe_commands"]
 
-GATHERED_AT_ONCE = 16
+MAX_CONCURRENT_FETCHES = 16
 
 _wall_clock_s: Callable[[], float] = time.time
 
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Gathered:
+class _FetchedPage:
     """One process's page, and what its clock is off by."""
 
     page: TimelinePage
@@ -69,7 +69,7 @@
 
 def _timeline(
     address: AddressesOption = [DEFAULT_ADDRESS],  # noqa: B006 (typer reads it, nobody writes it)
-    every: Annotated[
+    include_peers: Annotated[
         bool, typer.Option("--all", help="Ask the peers of the first address as well.")
     ] = False,
     request: Annotated[str, typer.Option(help="Only events of this request id.")] = "",
@@ -92,13 +92,13 @@
         "kind": ",".join(entry.value for entry in kind or ()),
         "limit": str(limit),
     }
-    asked = _with_peers(address, token_file) if every else tuple(address)
-    with ThreadPoolExecutor(max_workers=GATHERED_AT_ONCE) as threads:
-        outcomes = list(threads.map(lambda one: _gather(one, token_file, query), asked))
+    addresses = _add_peer_addresses(address, token_file) if include_peers else tuple(address)
+    with ThreadPoolExecutor(max_workers=MAX_CONCURRENT_FETCHES) as threads:
+        outcomes = list(threads.map(lambda one: _fetch_page(one, token_file, query), addresses))
     pages = [outcome.unwrap() for outcome in outcomes if isinstance(outcome, Success)]
     errors = [outcome.failure() for outcome in outcomes if isinstance(outcome, Err)]
     for error in errors:
-        say_error(error)
+        print_error(error)
     if pages:
         _print_events(pages, output)
     if errors:
@@ -106,25 +106,27 @@
         raise typer.Exit(exit_code_of(errors[0]))
 
 
-def _with_peers(addresses: list[str], token_file: str) -> tuple[str, ...]:
+def _add_peer_addresses(addresses: list[str], token_file: str) -> tuple[str, ...]:
     client = open_client(address=addresses[0], token_file=token_file)
     status = client.bind(lambda opened: opened.get("/status", StatusView))
     if isinstance(status, Err):
-        fail(status.failure(), as_json=False)
+        exit_with_error(status.failure(), as_json=False)
     port = addresses[0].rpartition(":")[2]
     peers = [_operators_address(peer, port) for peer in status.unwrap().peers]
     return tuple(dict.fromkeys([*addresses, *peers]))
 
 
-def _operators_address(peer: PeerView, usual_port: str) -> str:
+def _operators_address(peer: PeerView, default_port: str) -> str:
     """Return where a peer's operators' port is: as it says, else the same port at its host."""
     if peer.operators_address:
         return peer.operators_address
     host = peer.address.rpartition(":")[0]
-    return f"{host}:{usual_port}"
+    return f"{host}:{default_port}"
 
 
-def _gather(address: str, token_file: str, query: dict[str, str]) -> Result[_Gathered, ErrorBody]:
+def _fetch_page(
+    address: str, token_file: str, query: dict[str, str]
+) -> Result[_FetchedPage, ErrorBody]:
     client = open_client(address=address, token_file=token_file)
     if isinstance(client, Err):
         return client
@@ -133,7 +135,7 @@
     answered_at_s = _wall_clock_s()
     client.unwrap().close()
     return page.map(
-        lambda found: _Gathered(
+        lambda found: _FetchedPage(
             page=found,
             clock_offset_s=estimate_clock_offset_s(
                 asked_at_s=asked_at_s, answered_at_s=answered_at_s, remote_now_s=found.now_s
@@ -142,24 +144,24 @@
     )
 
 
-def _print_events(gathered: list[_Gathered], output: TimelineFormat) -> None:
-    every: list[Event] = [event for one in gathered for event in one.page.events]
-    offsets_s = {one.page.process: one.clock_offset_s for one in gathered}
-    events = merge(every, clock_offsets_s=offsets_s)
+def _print_events(fetched: list[_FetchedPage], output: TimelineFormat) -> None:
+    all_events: list[Event] = [event for one in fetched for event in one.page.events]
+    offsets_s = {one.page.process: one.clock_offset_s for one in fetched}
+    events = merge(all_events, clock_offsets_s=offsets_s)
     if output is TimelineFormat.JSON:
         print_text(encode_events(events).decode() + "\n")
     elif output is TimelineFormat.CHROME:
         print_text(to_chrome_trace(events).decode() + "\n")
     else:
         print_text(to_text(events))
-        _say_dropped(gathered)
+        _print_dropped(fetched)
 
 
-def _say_dropped(gathered: list[_Gathered]) -> None:
-    for one in gathered:
+def _print_dropped(fetched: list[_FetchedPage]) -> None:
+    for one in fetched:
         if one.page.dropped:
-            told = f"{one.page.process} keeps no more of its first {one.page.dropped} events"
-            print_text(told + "\n")
+            message = f"{one.page.process} keeps no more of its first {one.page.dropped} events"
+            print_text(message + "\n")
 
 
 def _metrics(
@@ -171,10 +173,10 @@
     """Show counters and latencies of one instance."""
     if as_json and text:
         reason = "--json and --text exclude each other"
-        fail(own_error(ErrorKind.INVALID_REQUEST, reason), as_json=True)
+        exit_with_error(make_error(ErrorKind.INVALID_REQUEST, reason), as_json=True)
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: opened.get("/metrics", MetricsSnapshot))
-    finish(answer, as_json=as_json, show=_show_exposition if text else _show_metrics)
+    print_outcome(answer, as_json=as_json, show=_show_exposition if text else _show_metrics)
 
 
 def _show_exposition(snapshot: MetricsSnapshot) -> None:
--- a/src/shallotworks/cli/_options.py
+++ b/src/shallotworks/cli/_options.py
@@ -15,7 +15,7 @@
 from shallotworks.settings import parse_address, read_token
 
 from ._client import OperatorsClient
-from ._failures import own_error
+from ._failures import make_error
 
 __all__ = [
     "AddressOption",
@@ -30,7 +30,7 @@
 TOKEN_FILE_VARIABLE = "SHALLOTWORKS_TOKEN_FILE"
 OPERATOR_VARIABLE = "SHALLOTWORKS_OPERATOR"
 DEFAULT_ADDRESS = "127.0.0.1:8081"
-NAME_LONGEST = 63
+MAX_OPERATOR_CHARACTERS = 63
 
 AddressOption = Annotated[
     str,
@@ -70,17 +70,17 @@
     parsed = parse_address(address)
     if isinstance(parsed, Err):
         reason = f"--address {address!r} is {parsed.failure()}; allowed: ip:port"
-        return Err(own_error(ErrorKind.INVALID_REQUEST, reason))
+        return Err(make_error(ErrorKind.INVALID_REQUEST, reason))
     if not token_file:
         reason = f"no token: name its file by --token-file or {TOKEN_FILE_VARIABLE}"
-        return Err(own_error(ErrorKind.INVALID_SETTINGS, reason))
+        return Err(make_error(ErrorKind.INVALID_SETTINGS, reason))
     token = read_token(token_file)
     if isinstance(token, Err):
         reason = f"the token file {token_file} {token.failure().reason}"
-        return Err(own_error(ErrorKind.INVALID_SETTINGS, reason))
+        return Err(make_error(ErrorKind.INVALID_SETTINGS, reason))
     if operator and not (operator.isascii() and operator.isprintable()):
         reason = "--operator holds a character that no header can carry"
-        return Err(own_error(ErrorKind.INVALID_REQUEST, reason))
+        return Err(make_error(ErrorKind.INVALID_REQUEST, reason))
     client = OperatorsClient(
         address=parsed.unwrap(),
         token=token.unwrap().decode("ascii"),
@@ -94,4 +94,6 @@
         name = getpass.getuser()
     except (KeyError, OSError):
         name = "unknown"
-    return re.sub(r"[^A-Za-z0-9._@-]", "-", name).strip("._@-")[:NAME_LONGEST] or "unknown"
+    return (
+        re.sub(r"[^A-Za-z0-9._@-]", "-", name).strip("._@-")[:MAX_OPERATOR_CHARACTERS] or "unknown"
+    )
--- a/src/shallotworks/cli/_output.py
+++ b/src/shallotworks/cli/_output.py
@@ -20,20 +20,27 @@
 from ._failures import exit_code_of
 from ._printable import one_line
 
-__all__ = ["fail", "finish", "print_json", "print_table", "print_text", "say_error"]
-
-PIPE_WIDTH = 250
+__all__ = [
+    "exit_with_error",
+    "print_outcome",
+    "print_json",
+    "print_table",
+    "print_text",
+    "print_error",
+]
+
+PIPE_WIDTH_COLUMNS = 250
 """Columns where there is no terminal, so that a table in a pipe is never cut."""
 
 _Answer = TypeVar("_Answer")
 
 
-def finish(
+def print_outcome(
     outcome: Result[_Answer, ErrorBody], *, as_json: bool, show: Callable[[_Answer], None]
 ) -> None:
     """Print an answer, or say the error and end with its exit code."""
     if not isinstance(outcome, Success):
-        fail(outcome.failure(), as_json=as_json)
+        exit_with_error(outcome.failure(), as_json=as_json)
     answer = outcome.unwrap()
     if as_json:
         print_json(answer)
@@ -41,26 +48,26 @@
         show(answer)
 
 
-def fail(error: ErrorBody, *, as_json: bool) -> NoReturn:
+def exit_with_error(error: ErrorBody, *, as_json: bool) -> NoReturn:
     """Say an error and end with its exit code; with ``--json`` it is the one document."""
     if as_json:
         print_json(error)
     else:
-        say_error(error)
+        print_error(error)
     raise typer.Exit(exit_code_of(error))
 
 
-def say_error(error: ErrorBody) -> None:
+def print_error(error: ErrorBody) -> None:
     """Say an error in one line, on standard error."""
-    told = f"{error.kind}: {error.reason}"
+    message = f"{error.kind}: {error.reason}"
     if error.retry_after_s is not None:
-        told += f" (try again in {error.retry_after_s:g} s)"
+        message += f" (try again in {error.retry_after_s:g} s)"
     elif error.advice == Advice.LATER.value:
-        told += " (try again later)"
+        message += " (try again later)"
     if error.accepted:
         count, last = len(error.accepted), error.accepted[-1].revision
-        told += f" (accepted before it: {count}, up to revision {last})"
-    print(one_line(told), file=sys.stderr)
+        message += f" (accepted before it: {count}, up to revision {last})"
+    print(one_line(message), file=sys.stderr)
 
 
 def print_json(value: object) -> None:
@@ -82,7 +89,7 @@
         numbers = bool(rows) and all(isinstance(row[column], int | float) for row in rows)
         table.add_column(heading, justify="right" if numbers else "left", no_wrap=True)
     for row in rows:
-        table.add_row(*(Text(one_line(_told(cell))) for cell in row))
+        table.add_row(*(Text(one_line(_format_cell(cell))) for cell in row))
     _print_rich(table)
 
 
@@ -90,14 +97,14 @@
     if sys.stdout.isatty():
         Console(file=sys.stdout, highlight=False).print(table)
         return
-    console = Console(file=io.StringIO(), width=PIPE_WIDTH, highlight=False)
+    console = Console(file=io.StringIO(), width=PIPE_WIDTH_COLUMNS, highlight=False)
     with console.capture() as captured:
         console.print(table)
     for line in captured.get().splitlines():
         print_text(line.rstrip() + "\n")
 
 
-def _told(cell: object) -> str:
+def _format_cell(cell: object) -> str:
     if isinstance(cell, bool):
         return "yes" if cell else "no"
     if isinstance(cell, float):
--- a/src/shallotworks/cli/_plan_commands.py
+++ b/src/shallotworks/cli/_plan_commands.py
@@ -19,7 +19,7 @@
     TokenFileOption,
     open_client,
 )
-from ._output import finish, print_table, print_text
+from ._output import print_outcome, print_table, print_text
 from ._plan_text import diff_text, plan_text, stage_text
 from ._propose_commands import propose_app
 
@@ -42,7 +42,7 @@
     """List proposals and confirmed plans."""
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: opened.get("/plans", PlansView))
-    finish(answer, as_json=as_json, show=_show_plans)
+    print_outcome(answer, as_json=as_json, show=_show_plans)
 
 
 def _show_plans(view: PlansView) -> None:
@@ -72,7 +72,7 @@
     """Show one plan: its waves, its measures and what it was chosen over."""
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: opened.get(_path(digest), PlanView))
-    finish(answer, as_json=as_json, show=_show_plan)
+    print_outcome(answer, as_json=as_json, show=_show_plan)
 
 
 @plan_app.command("confirm")
@@ -85,7 +85,7 @@
 ) -> None:
     """Confirm a proposal: from now on it is carried out."""
     client = open_client(address=address, token_file=token_file, operator=operator)
-    finish(_post(client, digest, "confirm"), as_json=as_json, show=_show_stage)
+    print_outcome(_post(client, digest, "confirm"), as_json=as_json, show=_show_stage)
 
 
 @plan_app.command("cancel")
@@ -98,7 +98,7 @@
 ) -> None:
     """Cancel a confirmed plan: it starts nothing more and brings back what it cordoned."""
     client = open_client(address=address, token_file=token_file, operator=operator)
-    finish(_post(client, digest, "cancel"), as_json=as_json, show=_show_stage)
+    print_outcome(_post(client, digest, "cancel"), as_json=as_json, show=_show_stage)
 
 
 def _post(
@@ -134,7 +134,7 @@
             lambda one: opened.get(_path(second), PlanView).map(lambda other: (one, other))
         )
     )
-    finish(both, as_json=False, show=_show_diff)
+    print_outcome(both, as_json=False, show=_show_diff)
 
 
 def _show_diff(both: tuple[PlanView, PlanView]) -> None:
--- a/src/shallotworks/cli/_printable.py
+++ b/src/shallotworks/cli/_printable.py
@@ -4,7 +4,7 @@
 
 from datetime import UTC, datetime
 
-__all__ = ["one_line", "time_told"]
+__all__ = ["one_line", "format_time"]
 
 
 def one_line(text: str) -> str:
@@ -15,6 +15,6 @@
     return "".join(character if character.isprintable() else "?" for character in text)
 
 
-def time_told(at_s: float) -> str:
+def format_time(at_s: float) -> str:
     """Return a Unix time for people, in UTC."""
     return datetime.fromtimestamp(at_s, UTC).strftime("%Y-%m-%d %H:%M:%S")
--- a/src/shallotworks/cli/_process_commands.py
+++ b/src/shallotworks/cli/_process_commands.py
@@ -20,7 +20,7 @@
 
 __all__ = ["add_process_commands"]
 
-PLATFORM_SUFFIX = ".toml"
+PLATFORM_SETTINGS_SUFFIX = ".toml"
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 HostOption = Annotated[str, typer.Option(help="IP number to listen on.")]
@@ -64,7 +64,7 @@
 
     A file of the users' platform, which is TOML, is checked for what an instance needs of it.
     """
-    if file.endswith(PLATFORM_SUFFIX):
+    if file.endswith(PLATFORM_SETTINGS_SUFFIX):
         _check_platform_settings(file)
         return
     loaded = _load(file)
@@ -82,17 +82,17 @@
 def _load(file: str) -> Settings:
     loaded = load_settings(file)
     if isinstance(loaded, Err):
-        _say_problems(loaded.failure())
+        _print_problems(loaded.failure())
         raise typer.Exit(attributes_of(loaded.failure().kind).exit_code)
     return loaded.unwrap()
 
 
-def _say_problems(invalid: SettingsProblems) -> None:
+def _print_problems(invalid: SettingsProblems) -> None:
     count = len(invalid.problems)
     head = f"{invalid.kind.value}: {invalid.path} has {count} fault{'s' if count > 1 else ''}"
     print(one_line(head), file=sys.stderr)
-    for fault in invalid.problems:
-        print(f"  {one_line(str(fault))}", file=sys.stderr)
+    for problem in invalid.problems:
+        print(f"  {one_line(str(problem))}", file=sys.stderr)
 
 
 def _demo() -> None:
@@ -129,12 +129,12 @@
     )
 
 
-def _run_until_stopped(told: str, start: Callable[[], Any]) -> None:
+def _run_until_stopped(label: str, start: Callable[[], Any]) -> None:
     # Blocked before any thread starts, since threads inherit it: a signal that reached a thread
     # without the block would end the process at once.
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     standin = start()
-    print_text(f"{told} listens at {standin.address}\n")
+    print_text(f"{label} listens at {standin.address}\n")
     sys.stdout.flush()
     signal.sigwait(STOP_SIGNALS)
     standin.stop()
--- a/src/shallotworks/cli/_propose_commands.py
+++ b/src/shallotworks/cli/_propose_commands.py
@@ -32,17 +32,17 @@
     TokenFileOption,
     open_client,
 )
-from ._output import finish, print_text
+from ._output import print_outcome, print_text
 from ._plan_text import plan_text
 
 __all__ = ["propose_app"]
 
 RackArgument = Annotated[str, typer.Argument(help="Name of the rack.")]
 PoolArgument = Annotated[str, typer.Argument(help="Name of the pool.")]
-CentreArgument = Annotated[str, typer.Argument(help="Name of the data centre.")]
+DataCentreArgument = Annotated[str, typer.Argument(help="Name of the data centre.")]
 NamesArgument = Annotated[list[str], typer.Argument(help="Names of the instances.")]
 WeeksArgument = Annotated[float, typer.Argument(help="Age in weeks.", min=0)]
-CentreOption = Annotated[str, typer.Option("--data-centre", help="Where the rack stands.")]
+DataCentreOption = Annotated[str, typer.Option("--data-centre", help="Where the rack stands.")]
 
 _wall_clock_s: Callable[[], float] = time.time
 
@@ -90,7 +90,7 @@
     @app.command("rack")
     def _rack(
         rack: RackArgument,
-        data_centre: CentreOption,
+        data_centre: DataCentreOption,
         address: AddressOption = DEFAULT_ADDRESS,
         token_file: TokenFileOption = "",
         operator: OperatorOption = "",
@@ -113,7 +113,7 @@
 
     @app.command("data-centre")
     def _data_centre(
-        data_centre: CentreArgument,
+        data_centre: DataCentreArgument,
         address: AddressOption = DEFAULT_ADDRESS,
         token_file: TokenFileOption = "",
         operator: OperatorOption = "",
@@ -142,7 +142,7 @@
     body = encode_intent(intent)
     client = open_client(address=address, token_file=token_file, operator=operator)
     answer = client.bind(lambda opened: opened.post("/plans", PlanView, body))
-    finish(answer, as_json=as_json, show=_show_proposal)
+    print_outcome(answer, as_json=as_json, show=_show_proposal)
 
 
 def _show_proposal(view: PlanView) -> None:
@@ -151,25 +151,25 @@
     print_text(f"  shallotworks plan confirm {view.plan.short_digest}\n")
 
 
-def _add_verb(name: str, help_text: str, to_intent: Callable[[Selection], Intent]) -> typer.Typer:
+def _add_action(name: str, help_text: str, to_intent: Callable[[Selection], Intent]) -> typer.Typer:
     app = typer.Typer(help=help_text, no_args_is_help=True)
     _add_selections(app, to_intent)
     propose_app.add_typer(app, name=name)
     return app
 
 
-_add_verb(
+_add_action(
     "drain",
     "Take instances out of service, once nothing is in flight there.",
     lambda selection: Drain(selection=selection),
 )
-_add_verb(
+_add_action(
     "return",
     "Probe cordoned instances and bring them back into service.",
     lambda selection: Return(selection=selection),
 )
 _add_older_than(
-    _add_verb(
+    _add_action(
         "maintain",
         "Drain, reboot, probe and return instances, in waves.",
         lambda selection: Maintain(selection=selection),
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -21,7 +21,7 @@
 
 from shallotworks.cli import _observe_commands, _process_commands, _propose_commands
 from shallotworks.cli._client import OperatorsClient
-from shallotworks.cli._failures import own_error
+from shallotworks.cli._failures import make_error
 from shallotworks.cli._main import _app
 from shallotworks.cli._plan_commands import plan_app
 from shallotworks.errors import ErrorKind, attributes_of
@@ -247,9 +247,9 @@
 
         def gather(address: str, token_file: str, query: dict[str, str]) -> object:
             asked.append(address)
-            return Err(own_error(ErrorKind.UNREACHABLE, "not asked in a test"))
+            return Err(make_error(ErrorKind.UNREACHABLE, "not asked in a test"))
 
-        with mock.patch.object(_observe_commands, "_gather", gather):
+        with mock.patch.object(_observe_commands, "_fetch_page", gather):
             self.run_one("timeline --all")
         self.assertEqual(set(asked), {self.served.address, f"10.1.1.12:{port}"})
 
