--- a/src/shallotworks/settings/_keys.py
+++ b/src/shallotworks/settings/_keys.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ._rules import (
-    LARGEST_PORT,
+    MAX_PORT,
     AddressListRule,
     AddressRule,
     DecimalRule,
@@ -15,7 +15,7 @@
     Rule,
     SecretFileRule,
     TimeOfDayRule,
-    WholeRule,
+    WholeNumberRule,
 )
 from ._sections import (
     CallersSettings,
@@ -32,14 +32,14 @@
 __all__ = ["RULES", "SECTIONS", "default_of"]
 
 DAY_S = 86_400
-KEY_BYTES_LEAST = 32
+MIN_KEY_BYTES = 32
 
-_PORT = WholeRule(least=0, most=LARGEST_PORT)
-_THREADS = WholeRule(least=1, most=512)
-_PART = DecimalRule(least=0, most=1)
-_WEIGHT = DecimalRule(least=0, most=1_000)
-_SHORT_S = DecimalRule(least=0.01, most=60)
-_LONG_S = DecimalRule(least=0.1, most=DAY_S)
+_PORT = WholeNumberRule(minimum=0, maximum=MAX_PORT)
+_THREADS = WholeNumberRule(minimum=1, maximum=512)
+_RATIO = DecimalRule(minimum=0, maximum=1)
+_WEIGHT = DecimalRule(minimum=0, maximum=1_000)
+_SHORT_DURATION_S = DecimalRule(minimum=0.01, maximum=60)
+_LONG_DURATION_S = DecimalRule(minimum=0.1, maximum=DAY_S)
 
 SECTIONS: dict[str, type[Any]] = {
     "instance": InstanceSettings,
@@ -63,61 +63,61 @@
         "host": HostRule(),
         "port": _PORT,
         "threads": _THREADS,
-        "long_running_part": _PART,
-        "body_limit_bytes": WholeRule(least=1, most=64 * 1024 * 1024),
-        "header_timeout_s": _SHORT_S,
+        "long_running_part": _RATIO,
+        "body_limit_bytes": WholeNumberRule(minimum=1, maximum=64 * 1024 * 1024),
+        "header_timeout_s": _SHORT_DURATION_S,
     },
     "operators": {
         "host": HostRule(),
         "port": _PORT,
         "threads": _THREADS,
-        "token_file": SecretFileRule(least_bytes=1, sent_in_header=True),
+        "token_file": SecretFileRule(min_bytes=1, sent_in_header=True),
     },
     "peers": {
         "host": HostRule(reachable=True),
-        "port": WholeRule(least=1, most=LARGEST_PORT),
-        "key_file": SecretFileRule(least_bytes=KEY_BYTES_LEAST),
+        "port": WholeNumberRule(minimum=1, maximum=MAX_PORT),
+        "key_file": SecretFileRule(min_bytes=MIN_KEY_BYTES),
         "seeds": AddressListRule(),
-        "heartbeat_interval_s": _SHORT_S,
-        "suspect_after_s": _LONG_S,
-        "remove_after_s": _LONG_S,
+        "heartbeat_interval_s": _SHORT_DURATION_S,
+        "suspect_after_s": _LONG_DURATION_S,
+        "remove_after_s": _LONG_DURATION_S,
     },
     "platform": {
         "address": AddressRule(),
         "instance_list_address": AddressRule(optional=True),
-        "timeout_s": _SHORT_S,
-        "calls_per_s": DecimalRule(least=0.1, most=10_000),
+        "timeout_s": _SHORT_DURATION_S,
+        "calls_per_s": DecimalRule(minimum=0.1, maximum=10_000),
     },
     "requests": {
-        "connect_timeout_s": _SHORT_S,
-        "attempt_timeout_s": _LONG_S,
-        "default_deadline_s": _LONG_S,
-        "max_deadline_s": _LONG_S,
-        "waiting_per_slot": WholeRule(least=0, most=1_000),
-        "retry_part": _PART,
-        "eject_part_max": _PART,
-        "interactive_reserve_factor": DecimalRule(least=0, most=10),
-        "long_running_min_part": _PART,
-        "idle_connection_age_s": _LONG_S,
-        "once_window_s": DecimalRule(least=1, most=7 * DAY_S),
+        "connect_timeout_s": _SHORT_DURATION_S,
+        "attempt_timeout_s": _LONG_DURATION_S,
+        "default_deadline_s": _LONG_DURATION_S,
+        "max_deadline_s": _LONG_DURATION_S,
+        "waiting_per_slot": WholeNumberRule(minimum=0, maximum=1_000),
+        "retry_part": _RATIO,
+        "eject_part_max": _RATIO,
+        "interactive_reserve_factor": DecimalRule(minimum=0, maximum=10),
+        "long_running_min_part": _RATIO,
+        "idle_connection_age_s": _LONG_DURATION_S,
+        "once_window_s": DecimalRule(minimum=1, maximum=7 * DAY_S),
     },
     "plans": {
         "weight_buffer": _WEIGHT,
         "weight_rollout": _WEIGHT,
         "weight_moves": _WEIGHT,
-        "lease_ttl_s": DecimalRule(least=0.5, most=600),
-        "drain_timeout_s": _LONG_S,
-        "reboot_timeout_s": _LONG_S,
-        "settle_s": DecimalRule(least=0, most=3_600),
+        "lease_ttl_s": DecimalRule(minimum=0.5, maximum=600),
+        "drain_timeout_s": _LONG_DURATION_S,
+        "reboot_timeout_s": _LONG_DURATION_S,
+        "settle_s": DecimalRule(minimum=0, maximum=3_600),
         "window_opens": TimeOfDayRule(),
         "window_closes": TimeOfDayRule(),
     },
     "timeline": {
-        "capacity": WholeRule(least=1, most=1_000_000),
+        "capacity": WholeNumberRule(minimum=1, maximum=1_000_000),
     },
     "log": {
-        "verbosity": WholeRule(least=-3, most=1),
-        "stop_timeout_s": _LONG_S,
+        "verbosity": WholeNumberRule(minimum=-3, maximum=1),
+        "stop_timeout_s": _LONG_DURATION_S,
     },
 }
 
--- a/src/shallotworks/settings/_load.py
+++ b/src/shallotworks/settings/_load.py
@@ -13,13 +13,13 @@
 
 from ._keys import RULES, SECTIONS, default_of
 from ._problems import SettingProblem, SettingsProblems
-from ._relations import broken_relations
+from ._relations import find_contradictions
 from ._sections import Settings
 
 __all__ = ["load_settings", "parse_settings"]
 
-LARGEST_FILE_BYTES = 1_048_576
-LONGEST_VALUE_TOLD = 200
+MAX_FILE_BYTES = 1_048_576
+MAX_SHOWN_VALUE_CHARACTERS = 200
 
 _Values = dict[str, dict[str, Any]]
 
@@ -45,7 +45,7 @@
     """
     try:
         with open(path, "rb") as file:
-            data = file.read(LARGEST_FILE_BYTES + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
         text = data.decode("utf-8")
     except OSError as error:
         return _refuse_file(path, f"the file can't be read ({error.strerror})")
@@ -53,8 +53,8 @@
         return _refuse_file(path, "the file is not UTF-8 text")
     except ValueError:
         return _refuse_file(path, "this is not a path")
-    if len(data) > LARGEST_FILE_BYTES:
-        return _refuse_file(path, f"the file holds more than {LARGEST_FILE_BYTES} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        return _refuse_file(path, f"the file holds more than {MAX_FILE_BYTES} bytes")
     return parse_settings(text, path=path)
 
 
@@ -73,7 +73,7 @@
         parser.read_string(text, source=path)
     except configparser.Error as error:
         return _refuse_file(path, " ".join(str(error).split()))
-    problems = list(_unknown(parser))
+    problems = list(_unknown_entries(parser))
     values: _Values = {}
     folder = Path(path).parent
     for section in SECTIONS:
@@ -86,24 +86,24 @@
                 values[section][key] = outcome.unwrap()
     if not problems:
         settings = _build(values)
-        problems.extend(broken_relations(settings))
+        problems.extend(find_contradictions(settings))
     if problems:
         return Err(SettingsProblems(path=path, problems=tuple(problems)))
     return Success(settings)
 
 
 def _refuse_file(path: str, problem: str) -> Result[Settings, SettingsProblems]:
-    fault = SettingProblem(
+    file_problem = SettingProblem(
         section="",
         key="",
         value=None,
         problem=problem,
         allowed="an INI file with the sections " + ", ".join(f"[{name}]" for name in SECTIONS),
     )
-    return Err(SettingsProblems(path=path, problems=(fault,)))
+    return Err(SettingsProblems(path=path, problems=(file_problem,)))
 
 
-def _unknown(parser: _Parser) -> Iterator[SettingProblem]:
+def _unknown_entries(parser: _Parser) -> Iterator[SettingProblem]:
     for section in parser.sections():
         if section not in SECTIONS:
             yield SettingProblem(
@@ -119,7 +119,7 @@
                 yield SettingProblem(
                     section=section,
                     key=key,
-                    value=_told(value),
+                    value=_truncate(value),
                     problem="unknown key",
                     allowed=", ".join(RULES[section]),
                 )
@@ -143,16 +143,16 @@
     return SettingProblem(
         section=section,
         key=key,
-        value=None if text is None else _told(text),
+        value=None if text is None else _truncate(text),
         problem=problem,
         allowed=rule.allowed,
     )
 
 
-def _told(value: str) -> str:
-    if len(value) <= LONGEST_VALUE_TOLD:
+def _truncate(value: str) -> str:
+    if len(value) <= MAX_SHOWN_VALUE_CHARACTERS:
         return value
-    return value[:LONGEST_VALUE_TOLD] + "..."
+    return value[:MAX_SHOWN_VALUE_CHARACTERS] + "..."
 
 
 def _build(values: _Values) -> Settings:
--- a/src/shallotworks/settings/_problems.py
+++ b/src/shallotworks/settings/_problems.py
@@ -36,8 +36,8 @@
         if self.value is not None:
             parts.append(f"= {self.value!r}")
         place = " ".join(parts)
-        told = f"{self.problem}; allowed: {self.allowed}"
-        return f"{place}: {told}" if place else told
+        description = f"{self.problem}; allowed: {self.allowed}"
+        return f"{place}: {description}" if place else description
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -59,5 +59,5 @@
 
     def failure(self) -> Failure:
         """Return the problems as one failure, for the log and the exit code."""
-        told = " | ".join(str(fault) for fault in self.problems)
-        return Failure(kind=self.kind, reason=f"{self.path}: {told}")
+        descriptions = " | ".join(str(problem) for problem in self.problems)
+        return Failure(kind=self.kind, reason=f"{self.path}: {descriptions}")
--- a/src/shallotworks/settings/_rules.py
+++ b/src/shallotworks/settings/_rules.py
@@ -22,17 +22,17 @@
     "Rule",
     "SecretFileRule",
     "TimeOfDayRule",
-    "WholeRule",
+    "WholeNumberRule",
     "parse_address",
 ]
 
-LARGEST_PORT = 65_535
+MAX_PORT = 65_535
 
 # ASCII digits only, few enough for an exact int and for a finite float.
-_WHOLE = re.compile(r"[+-]?[0-9]{1,15}", re.ASCII)
-_DECIMAL = re.compile(r"[+-]?[0-9]{1,15}(\.[0-9]{1,15})?", re.ASCII)
-_TIME_OF_DAY = re.compile(r"([01][0-9]|2[0-3]):[0-5][0-9]", re.ASCII)
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}", re.ASCII)
+_WHOLE_PATTERN = re.compile(r"[+-]?[0-9]{1,15}", re.ASCII)
+_DECIMAL_PATTERN = re.compile(r"[+-]?[0-9]{1,15}(\.[0-9]{1,15})?", re.ASCII)
+_TIME_OF_DAY_PATTERN = re.compile(r"([01][0-9]|2[0-3]):[0-5][0-9]", re.ASCII)
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}", re.ASCII)
 
 
 class Rule(Protocol):
@@ -54,23 +54,23 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class WholeRule:
+class WholeNumberRule:
     """A whole number within a range."""
 
-    least: int
-    most: int
+    minimum: int
+    maximum: int
 
     @property
     def allowed(self) -> str:
         """The range in words."""
-        return f"a whole number from {self.least} to {self.most}"
+        return f"a whole number from {self.minimum} to {self.maximum}"
 
     def parse(self, text: str, *, folder: Path) -> Result[int, str]:
         """Return the number."""
-        if not _WHOLE.fullmatch(text):
+        if not _WHOLE_PATTERN.fullmatch(text):
             return Err("not a whole number")
         number = int(text)
-        if not self.least <= number <= self.most:
+        if not self.minimum <= number <= self.maximum:
             return Err("out of range")
         return Success(number)
 
@@ -79,20 +79,20 @@
 class DecimalRule:
     """A decimal number within a range."""
 
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
     @property
     def allowed(self) -> str:
         """The range in words."""
-        return f"a number from {self.least:g} to {self.most:g}"
+        return f"a number from {self.minimum:g} to {self.maximum:g}"
 
     def parse(self, text: str, *, folder: Path) -> Result[float, str]:
         """Return the number."""
-        if not _DECIMAL.fullmatch(text):
+        if not _DECIMAL_PATTERN.fullmatch(text):
             return Err("not a number")
         number = float(text)
-        if not self.least <= number <= self.most:
+        if not self.minimum <= number <= self.maximum:
             return Err("out of range")
         return Success(number)
 
@@ -108,7 +108,7 @@
 
     def parse(self, text: str, *, folder: Path) -> Result[str, str]:
         """Return the time as written."""
-        return Success(text) if _TIME_OF_DAY.fullmatch(text) else Err("not a time of day")
+        return Success(text) if _TIME_OF_DAY_PATTERN.fullmatch(text) else Err("not a time of day")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -122,7 +122,7 @@
 
     def parse(self, text: str, *, folder: Path) -> Result[str, str]:
         """Return the name."""
-        if not _NAME.fullmatch(text):
+        if not _NAME_PATTERN.fullmatch(text):
             return Err("not a name")
         return Success(text)
 
@@ -144,7 +144,7 @@
 
     def parse(self, text: str, *, folder: Path) -> Result[str, str]:
         """Return the number in its usual form."""
-        number = _ip_number(text)
+        number = _parse_ip_number(text)
         if number is None:
             return Err("not an IP number")
         if self.reachable and number.is_unspecified:
@@ -161,7 +161,7 @@
     @property
     def allowed(self) -> str:
         """The form in words."""
-        form = f"ip:port (IPv6 as [ip]:port), the port from 1 to {LARGEST_PORT}"
+        form = f"ip:port (IPv6 as [ip]:port), the port from 1 to {MAX_PORT}"
         return f"{form}, or nothing" if self.optional else form
 
     def parse(self, text: str, *, folder: Path) -> Result[str, str]:
@@ -202,13 +202,13 @@
         sent_in_header: Whether the secret is sent as an HTTP header, hence visible ASCII.
     """
 
-    least_bytes: int
+    min_bytes: int
     sent_in_header: bool = False
 
     @property
     def allowed(self) -> str:
         """The kind of file in words."""
-        holds = f"at least {self.least_bytes} bytes" if self.least_bytes > 1 else "a secret"
+        holds = f"at least {self.min_bytes} bytes" if self.min_bytes > 1 else "a secret"
         form = " of visible ASCII characters" if self.sent_in_header else ""
         return f"the path of a readable file that holds {holds}{form}"
 
@@ -221,12 +221,12 @@
         if isinstance(read, Err):
             return Err(f"the file {read.failure().reason}")
         secret = read.unwrap()
-        if len(secret) < self.least_bytes:
+        if len(secret) < self.min_bytes:
             return Err(f"the file holds {len(secret)} bytes")
         return Success(path)
 
 
-def _ip_number(text: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
+def _parse_ip_number(text: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
     # A zone ("%eth0") may hold any character and means something on one machine only.
     if "%" in text:
         return None
@@ -240,11 +240,11 @@
     """Return an ``ip:port`` in its usual form, or what is wrong with it."""
     host, colon, port = text.rpartition(":")
     bracketed = host.startswith("[") and host.endswith("]")
-    number = _ip_number(host[1:-1] if bracketed else host)
+    number = _parse_ip_number(host[1:-1] if bracketed else host)
     if number is None:
         return Err("not ip:port")
     if not colon or (number.version == 6) is not bracketed:
         return Err("not ip:port")
-    if not _WHOLE.fullmatch(port) or not 1 <= int(port) <= LARGEST_PORT:
+    if not _WHOLE_PATTERN.fullmatch(port) or not 1 <= int(port) <= MAX_PORT:
         return Err("an address with a wrong port")
     return Success(f"[{number}]:{int(port)}" if bracketed else f"{number}:{int(port)}")
--- a/src/shallotworks/settings/_secrets.py
+++ b/src/shallotworks/settings/_secrets.py
@@ -11,18 +11,18 @@
 
 from shallotworks.errors import ErrorKind, Failure
 
-__all__ = ["LONGEST_SECRET_BYTES", "read_secret", "read_token"]
+__all__ = ["MAX_SECRET_BYTES", "read_secret", "read_token"]
 
-LONGEST_SECRET_BYTES = 4_096
+MAX_SECRET_BYTES = 4_096
 
-_VISIBLE = re.compile(rb"[\x21-\x7e]+")
+_VISIBLE_ASCII = re.compile(rb"[\x21-\x7e]+")
 
 
 def read_secret(path: str) -> Result[bytes, Failure]:
     """Read a token or key, without the white space around it.
 
     Args:
-        path: Path of a plain file of at most `LONGEST_SECRET_BYTES`.
+        path: Path of a plain file of at most `MAX_SECRET_BYTES`.
 
     Returns:
         What it holds, or ``INVALID_SETTINGS`` with the reason.
@@ -30,15 +30,15 @@
     try:
         # A named pipe would block the start for good, a device would never end.
         if not stat.S_ISREG(Path(path).stat().st_mode):
-            return _refuse("is not a plain file")
+            return _invalid_settings("is not a plain file")
         with open(path, "rb") as file:
-            secret = file.read(LONGEST_SECRET_BYTES + 1)
+            secret = file.read(MAX_SECRET_BYTES + 1)
     except OSError as error:
-        return _refuse(f"can't be read ({error.strerror})")
+        return _invalid_settings(f"can't be read ({error.strerror})")
     except ValueError:
-        return _refuse("is not a path")
-    if len(secret) > LONGEST_SECRET_BYTES:
-        return _refuse(f"holds more than {LONGEST_SECRET_BYTES} bytes")
+        return _invalid_settings("is not a path")
+    if len(secret) > MAX_SECRET_BYTES:
+        return _invalid_settings(f"holds more than {MAX_SECRET_BYTES} bytes")
     return Success(secret.strip())
 
 
@@ -46,7 +46,7 @@
     """Read a token that is sent in a header, hence at least one visible ASCII character.
 
     Args:
-        path: Path of a plain file of at most `LONGEST_SECRET_BYTES`.
+        path: Path of a plain file of at most `MAX_SECRET_BYTES`.
 
     Returns:
         The token, or ``INVALID_SETTINGS`` with the reason.
@@ -56,11 +56,11 @@
 
 def _check_token(token: bytes) -> Result[bytes, Failure]:
     if not token:
-        return _refuse("holds 0 bytes")
-    if not _VISIBLE.fullmatch(token):
-        return _refuse("holds white space, control or non-ASCII characters")
+        return _invalid_settings("holds 0 bytes")
+    if not _VISIBLE_ASCII.fullmatch(token):
+        return _invalid_settings("holds white space, control or non-ASCII characters")
     return Success(token)
 
 
-def _refuse(reason: str) -> Result[bytes, Failure]:
+def _invalid_settings(reason: str) -> Result[bytes, Failure]:
     return Err(Failure(kind=ErrorKind.INVALID_SETTINGS, reason=reason))
