--- a/src/shallotworks/listener/_listener.py
+++ b/src/shallotworks/listener/_listener.py
@@ -18,16 +18,16 @@
 
 __all__ = ["Listener", "WsgiApplication"]
 
-KEPT_ALIVE_CONNECTIONS = 1_000
+MAX_KEPT_ALIVE_CONNECTIONS = 1_000
 """Cheroot's own limit of 10 closes every further connection after one answer."""
 LISTEN_BACKLOG = 512
 """Cheroot's own backlog of 5 drops SYNs under a burst; each is retried a second later."""
-HEADER_LIMIT_BYTES = 32 * 1024
-DEFAULT_BODY_LIMIT_BYTES = 1024 * 1024
+MAX_HEADER_BYTES = 32 * 1024
+DEFAULT_MAX_BODY_BYTES = 1024 * 1024
 DEFAULT_READ_TIMEOUT_S = 10.0
 DEFAULT_RECEIVE_TIMEOUT_S = 30.0
 DEFAULT_STOP_TIMEOUT_S = 10.0
-WAKE_TIMEOUT_S = 1.0
+UNBLOCK_TIMEOUT_S = 1.0
 
 WsgiApplication: TypeAlias = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
@@ -56,12 +56,12 @@
         port: int,
         application: WsgiApplication,
         threads: int,
-        body_limit_bytes: int = DEFAULT_BODY_LIMIT_BYTES,
+        body_limit_bytes: int = DEFAULT_MAX_BODY_BYTES,
         read_timeout_s: float = DEFAULT_READ_TIMEOUT_S,
         receive_timeout_s: float = DEFAULT_RECEIVE_TIMEOUT_S,
         stop_timeout_s: float = DEFAULT_STOP_TIMEOUT_S,
     ) -> None:
-        self._server = _QuietServer(
+        self._server = _BoundedServer(
             (host, port),
             application,
             numthreads=threads,
@@ -72,8 +72,8 @@
         self._server.timeout = read_timeout_s
         self._server.receive_timeout_s = receive_timeout_s
         self._server.shutdown_timeout = stop_timeout_s
-        self._server.keep_alive_conn_limit = KEPT_ALIVE_CONNECTIONS
-        self._server.max_request_header_size = HEADER_LIMIT_BYTES
+        self._server.keep_alive_conn_limit = MAX_KEPT_ALIVE_CONNECTIONS
+        self._server.max_request_header_size = MAX_HEADER_BYTES
         self._server.max_request_body_size = body_limit_bytes
         self._thread: threading.Thread | None = None
 
@@ -106,20 +106,20 @@
         """Take no new connection, let requests in flight finish within the set time."""
         stopping = threading.Thread(target=self._server.stop, name=f"stop-{self.port}")
         stopping.start()
-        self._wake()
+        self._unblock_select()
         stopping.join()
         if self._thread is not None:
             self._thread.join()
             self._thread = None
 
-    def _wake(self) -> None:
+    def _unblock_select(self) -> None:
         """Connect once, since cheroot looks at its stop flag only when its select returns."""
         host, port = self._server.bind_addr
         with contextlib.suppress(OSError):
-            socket.create_connection((host, port), timeout=WAKE_TIMEOUT_S).close()
+            socket.create_connection((host, port), timeout=UNBLOCK_TIMEOUT_S).close()
 
 
-class _QuietServer(wsgi.Server):
+class _BoundedServer(wsgi.Server):
     """Keeps cheroot's own messages out of standard error, and bounds slow senders."""
 
     ConnectionClass = BoundedConnection
--- a/src/shallotworks/listener/_slow_senders.py
+++ b/src/shallotworks/listener/_slow_senders.py
@@ -18,7 +18,7 @@
 
 __all__ = ["BoundedConnection"]
 
-TIMED_OUT = "timed out"
+TIMEOUT_MESSAGE = "timed out"
 """The text by which cheroot knows a timeout and answers 408."""
 
 
@@ -45,18 +45,18 @@
 
     def readinto(self, buffer: Any) -> int | None:
         """Read what has come; raises ``TimeoutError`` at the deadline."""
-        usual_s = self._connection.gettimeout()
-        left_s = self.deadline_s - time.monotonic()
-        if left_s <= 0:
-            raise TimeoutError(TIMED_OUT)
-        if usual_s is not None and usual_s <= left_s:
+        socket_timeout_s = self._connection.gettimeout()
+        remaining_s = self.deadline_s - time.monotonic()
+        if remaining_s <= 0:
+            raise TimeoutError(TIMEOUT_MESSAGE)
+        if socket_timeout_s is not None and socket_timeout_s <= remaining_s:
             return super().readinto(buffer)
-        self._connection.settimeout(left_s)
+        self._connection.settimeout(remaining_s)
         try:
             return super().readinto(buffer)
         finally:
             # Answers are written under the usual timeout.
-            self._connection.settimeout(usual_s)
+            self._connection.settimeout(socket_timeout_s)
 
 
 class _BoundedReader(StreamReader):
--- a/src/shallotworks/metrics/_load_monitor.py
+++ b/src/shallotworks/metrics/_load_monitor.py
@@ -11,13 +11,13 @@
 
 __all__ = ["LoadMonitor"]
 
-SAMPLE_S = 0.1
+SAMPLE_INTERVAL_S = 0.1
 WINDOW_SAMPLES = 10
 """Use and lateness are judged over the last second."""
-SATURATED_PART = 0.9
-RELIEVED_PART = 0.7
+SATURATED_RATIO = 0.9
+RELIEVED_RATIO = 0.7
 """Below it a saturated process counts as relieved; lower, so that one at the edge says so once."""
-LATE_S = 0.1
+SATURATED_LATENESS_S = 0.1
 """A loop that is late by this on average holds up renewals and looks, whatever its use."""
 
 
@@ -39,11 +39,11 @@
         "_cores",
         "_duties",
         "_is_saturated",
-        "_latenesses_s",
+        "_lateness_samples_s",
         "_log",
         "_metrics",
         "_processor_clock",
-        "_uses",
+        "_use_samples",
     )
 
     def __init__(
@@ -61,32 +61,34 @@
         self._processor_clock = processor_clock
         self._duties = duties
         self._is_saturated = False
-        self._latenesses_s: list[float] = []
-        self._uses: list[float] = []
+        self._lateness_samples_s: list[float] = []
+        self._use_samples: list[float] = []
 
     async def run(self) -> None:
         """Measure until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            began_s, used_s = loop.time(), self._processor_clock()
-            await asyncio.sleep(SAMPLE_S)
-            passed_s = loop.time() - began_s
-            spent_s = self._processor_clock() - used_s
-            self._sample(passed_s - SAMPLE_S, spent_s, spent_s / passed_s / self._cores)
+            started_s, used_s = loop.time(), self._processor_clock()
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            elapsed_s = loop.time() - started_s
+            processor_s = self._processor_clock() - used_s
+            self._sample(
+                elapsed_s - SAMPLE_INTERVAL_S, processor_s, processor_s / elapsed_s / self._cores
+            )
 
-    def _sample(self, late_s: float, spent_s: float, use: float) -> None:
+    def _sample(self, late_s: float, processor_s: float, use: float) -> None:
         self._metrics.observe_s("process.loop-late", late_s)
-        self._metrics.count("process.processor_us", round(spent_s * 1e6))
-        self._latenesses_s = [*self._latenesses_s, late_s][-WINDOW_SAMPLES:]
-        self._uses = [*self._uses, use][-WINDOW_SAMPLES:]
-        if len(self._uses) == WINDOW_SAMPLES:
-            self._judge()
+        self._metrics.count("process.processor_us", round(processor_s * 1e6))
+        self._lateness_samples_s = [*self._lateness_samples_s, late_s][-WINDOW_SAMPLES:]
+        self._use_samples = [*self._use_samples, use][-WINDOW_SAMPLES:]
+        if len(self._use_samples) == WINDOW_SAMPLES:
+            self._update_saturation()
 
-    def _judge(self) -> None:
-        late_s = sum(self._latenesses_s) / WINDOW_SAMPLES
-        use = sum(self._uses) / WINDOW_SAMPLES
-        limit = RELIEVED_PART if self._is_saturated else SATURATED_PART
-        is_saturated = use >= limit or late_s >= LATE_S
+    def _update_saturation(self) -> None:
+        late_s = sum(self._lateness_samples_s) / WINDOW_SAMPLES
+        use = sum(self._use_samples) / WINDOW_SAMPLES
+        use_limit = RELIEVED_RATIO if self._is_saturated else SATURATED_RATIO
+        is_saturated = use >= use_limit or late_s >= SATURATED_LATENESS_S
         if is_saturated == self._is_saturated:
             return
         self._is_saturated = is_saturated
--- a/src/shallotworks/metrics/_metrics.py
+++ b/src/shallotworks/metrics/_metrics.py
@@ -9,8 +9,8 @@
 
 __all__ = ["FrozenLatency", "FrozenMetrics", "Metrics", "new_histogram"]
 
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 3_600_000_000
+MIN_MICROSECONDS = 1
+MAX_MICROSECONDS = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
 MICROSECONDS_PER_S = 1_000_000
 
@@ -78,9 +78,7 @@
             self._latencies[name] = latency
         microseconds = int(duration_s * MICROSECONDS_PER_S)
         # A histogram drops what is out of its range without a word, which would hide the worst.
-        latency.histogram.record_value(
-            min(max(LOWEST_MICROSECONDS, microseconds), HIGHEST_MICROSECONDS)
-        )
+        latency.histogram.record_value(min(max(MIN_MICROSECONDS, microseconds), MAX_MICROSECONDS))
         latency.total_s += duration_s
 
     def counters(self) -> dict[str, int]:
@@ -102,4 +100,4 @@
 
 def new_histogram() -> HdrHistogram:
     """Return an empty histogram of the one layout used."""
-    return HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
--- a/src/shallotworks/metrics/_snapshot.py
+++ b/src/shallotworks/metrics/_snapshot.py
@@ -10,10 +10,10 @@
 
 __all__ = ["LatencySummary", "MetricsSnapshot", "summarise"]
 
-MEDIAN = 50.0
+P50 = 50.0
 P90 = 90.0
 P99 = 99.0
-LARGEST = 100.0
+MAXIMUM_PERCENTILE = 100.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -58,12 +58,12 @@
 
     def encode(self) -> bytes:
         """Return the snapshot as JSON."""
-        return _SNAPSHOT.dump_json(self)
+        return _SNAPSHOT_ADAPTER.dump_json(self)
 
     @classmethod
     def decode(cls, data: bytes) -> MetricsSnapshot:
         """Read a snapshot; raises ``pydantic.ValidationError`` where it is not one."""
-        return _SNAPSHOT.validate_json(data)
+        return _SNAPSHOT_ADAPTER.validate_json(data)
 
 
 def summarise(frozen: FrozenMetrics, *, process: str) -> MetricsSnapshot:
@@ -86,15 +86,15 @@
     histogram = new_histogram()
     memoryview(histogram.counts).cast("B")[:] = latency.counts
     histogram.total_count = latency.count
-    microseconds = histogram.get_percentile_to_value_dict([MEDIAN, P90, P99, LARGEST])
+    microseconds = histogram.get_percentile_to_value_dict([P50, P90, P99, MAXIMUM_PERCENTILE])
     return LatencySummary(
         count=latency.count,
         total_s=latency.total_s,
-        p50_s=microseconds[MEDIAN] / MICROSECONDS_PER_S,
+        p50_s=microseconds[P50] / MICROSECONDS_PER_S,
         p90_s=microseconds[P90] / MICROSECONDS_PER_S,
         p99_s=microseconds[P99] / MICROSECONDS_PER_S,
-        max_s=microseconds[LARGEST] / MICROSECONDS_PER_S,
+        max_s=microseconds[MAXIMUM_PERCENTILE] / MICROSECONDS_PER_S,
     )
 
 
-_SNAPSHOT = TypeAdapter(MetricsSnapshot)
+_SNAPSHOT_ADAPTER = TypeAdapter(MetricsSnapshot)
--- a/src/shallotworks/timeline/_page.py
+++ b/src/shallotworks/timeline/_page.py
@@ -29,23 +29,23 @@
 
     def encode(self) -> bytes:
         """Return the page as JSON."""
-        return _PAGE.dump_json(self)
+        return _PAGE_ADAPTER.dump_json(self)
 
     @classmethod
     def decode(cls, data: bytes) -> TimelinePage:
         """Read a page; raises ``pydantic.ValidationError`` where it is not one."""
-        return _PAGE.validate_json(data)
+        return _PAGE_ADAPTER.validate_json(data)
 
 
 def encode_events(events: tuple[Event, ...]) -> bytes:
     """Return events as a JSON list."""
-    return _EVENTS.dump_json(events)
+    return _EVENTS_ADAPTER.dump_json(events)
 
 
 def decode_events(data: bytes) -> tuple[Event, ...]:
     """Read a JSON list of events; raises ``pydantic.ValidationError`` where it is not one."""
-    return _EVENTS.validate_json(data)
+    return _EVENTS_ADAPTER.validate_json(data)
 
 
-_PAGE = TypeAdapter(TimelinePage)
-_EVENTS = TypeAdapter(tuple[Event, ...])
+_PAGE_ADAPTER = TypeAdapter(TimelinePage)
+_EVENTS_ADAPTER = TypeAdapter(tuple[Event, ...])
--- a/src/shallotworks/timeline/_ring.py
+++ b/src/shallotworks/timeline/_ring.py
@@ -57,20 +57,20 @@
         """Return what is kept, oldest first."""
         return tuple(self._events)
 
-    def page(self, wanted: EventFilter, *, limit: int | None = None) -> TimelinePage:
+    def page(self, event_filter: EventFilter, *, limit: int | None = None) -> TimelinePage:
         """Return the events asked for, as an answer to a reader.
 
         Args:
-            wanted: Which events.
+            event_filter: Which events.
             limit: Keep only the newest so many; ``None`` for all.
         """
-        kept = self.events()
-        selected = wanted.select(kept)
+        events = self.events()
+        selected = event_filter.select(events)
         if limit is not None:
             selected = selected[max(0, len(selected) - limit) :]
         return TimelinePage(
             process=self._process,
             now_s=self._wall_clock_s(),
-            dropped=min((event.sequence for event in kept), default=0),
+            dropped=min((event.sequence for event in events), default=0),
             events=selected,
         )
--- a/src/shallotworks/timeline/_text.py
+++ b/src/shallotworks/timeline/_text.py
@@ -16,7 +16,7 @@
 
 def to_text(events: Iterable[Event]) -> str:
     """Return one line for each event, in columns, below a line of headings."""
-    rows = [HEADINGS, *(_row(event) for event in events)]
+    rows = [HEADINGS, *(_format_row(event) for event in events)]
     widths = [max(len(row[column]) for row in rows) for column in range(len(HEADINGS))]
     lines = (
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
@@ -25,23 +25,23 @@
     return "\n".join(lines) + "\n"
 
 
-def _row(event: Event) -> tuple[str, ...]:
+def _format_row(event: Event) -> tuple[str, ...]:
     return (
-        _time_of_day(event.at_s),
+        _format_time(event.at_s),
         event.process,
         event.kind.value,
-        _about(event.subject),
+        _format_subject(event.subject),
         f"{event.duration_s * MILLISECONDS_PER_S:.1f} ms" if event.duration_s else "",
         _one_line(event.detail),
     )
 
 
-def _time_of_day(at_s: float) -> str:
+def _format_time(at_s: float) -> str:
     moment = datetime.fromtimestamp(at_s, UTC)
     return moment.strftime("%m-%d %H:%M:%S.") + f"{moment.microsecond // 1_000:03}"
 
 
-def _about(subject: Subject) -> str:
+def _format_subject(subject: Subject) -> str:
     parts = (
         ("request", subject.request),
         ("plan", subject.plan[:SHORT_DIGEST_CHARACTERS]),
--- a/src/shallotworks/timeline/_trace.py
+++ b/src/shallotworks/timeline/_trace.py
@@ -62,22 +62,22 @@
     numbers = {name: index for index, name in enumerate(sorted({e.process for e in events}), 1)}
     entries: list[_TraceEvent] = []
     for process, pid in numbers.items():
-        entries.extend(_names(process, pid))
+        entries.extend(_name_events(process, pid))
     for event in events:
-        entries.extend(_entries(event, pid=numbers[event.process]))
-    return _TRACE.dump_json(_Trace(trace_events=tuple(entries)), by_alias=True)
+        entries.extend(_trace_events(event, pid=numbers[event.process]))
+    return _TRACE_ADAPTER.dump_json(_Trace(trace_events=tuple(entries)), by_alias=True)
 
 
-def _names(process: str, pid: int) -> Iterator[_TraceEvent]:
+def _name_events(process: str, pid: int) -> Iterator[_TraceEvent]:
     yield _TraceEvent(ph="M", name="process_name", pid=pid, args={"name": process})
     for tid, lane in enumerate(LANES):
         yield _TraceEvent(ph="M", name="thread_name", pid=pid, tid=tid, args={"name": lane})
 
 
-def _entries(event: Event, *, pid: int) -> Iterator[_TraceEvent]:
+def _trace_events(event: Event, *, pid: int) -> Iterator[_TraceEvent]:
     end = event.at_s * MICROSECONDS_PER_S
     tid = LANES.index(_lane(event.subject))
-    args = _args(event)
+    args = _event_args(event)
     if not event.duration_s:
         yield _TraceEvent(ph="i", name=event.kind.value, ts=end, pid=pid, tid=tid, args=args)
         return
@@ -105,7 +105,7 @@
     return "process"
 
 
-def _args(event: Event) -> dict[str, str | int]:
+def _event_args(event: Event) -> dict[str, str | int]:
     subject = event.subject
     named: dict[str, str | int] = {
         "sequence": event.sequence,
@@ -118,4 +118,4 @@
     return {name: value for name, value in named.items() if value != ""}
 
 
-_TRACE = TypeAdapter(_Trace)
+_TRACE_ADAPTER = TypeAdapter(_Trace)
