--- a/src/shallotworks/operators/__init__.py
+++ b/src/shallotworks/operators/__init__.py
@@ -1,7 +1,8 @@
-"""The operators' API of one instance: HTTP and JSON under ``/v1``, a port and a token of its own.
+"""The operators' API of one instance: HTTP and JSON under ``/v1``, with its own port and token.
 
-It checks who calls and what is asked, hands that to an `OperatorBackend` on the event loop, and
-writes the answer. It decides nothing about the fleet, and it never acts on a plan.
+The server authenticates and validates each call, runs it on the event loop through an
+`OperatorBackend` and writes the response. It makes no decision about the fleet and never executes
+a plan.
 """
 
 from ._calls import ErrorBody
--- a/src/shallotworks/operators/_application.py
+++ b/src/shallotworks/operators/_application.py
@@ -1,4 +1,4 @@
-"""The WSGI application of the operators' port: token, route, parameters, body, answer."""
+"""The WSGI application of the operators' port: authentication, routing, parsing and responses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 __all__ = ["MAX_BODY_BYTES", "OperatorsApplication"]
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""Enough for a list of 5,000 changes."""
+"""Fits a list of 5,000 changes."""
 BEARER = "Bearer "
 OPERATOR_HEADER = "Operator"
 MAX_QUERY_PARAMETERS = 20
@@ -35,14 +35,14 @@
 
 
 class OperatorsApplication:
-    """Answers operators.
+    """Handles the calls of operators.
 
     Args:
-        loop: The event loop, which alone writes metrics.
-        routes: The table of routes.
+        loop: The event loop; metrics are written on its thread only.
+        routes: The routes that are served.
         token: The bearer token that every call must carry.
-        timeline: Where is kept who did what.
-        metrics: Counts answers by status.
+        timeline: Records each call that may change something, with its operator and outcome.
+        metrics: Counts responses by status.
     """
 
     __slots__ = ("_loop", "_metrics", "_routes", "_timeline", "_token")
@@ -65,7 +65,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Serve one call, as WSGI has it."""
+        """Serve one call through the WSGI interface."""
         outcome = self._answer(environ)
         status = _status(outcome)
         self._count(status)
@@ -75,7 +75,7 @@
 
     def _answer(self, environ: dict[str, Any]) -> Result[ApiResponse, Refusal]:
         try:
-            # The token goes first: without it nobody learns which paths there are.
+            # The token is checked first, so that unauthenticated clients can't probe for paths.
             self._check_token(environ)
             match = self._find(environ)
             call = _parse_call(environ, match)
@@ -89,7 +89,8 @@
     def _check_token(self, environ: dict[str, Any]) -> None:
         header: str = environ.get("HTTP_AUTHORIZATION", "")
         token = header.removeprefix(BEARER).encode("latin-1", "replace")
-        # Compared in constant time: else its first wrong character shows in how long this takes.
+        # The comparison takes constant time. Otherwise its duration would reveal the position of
+        # the first wrong character.
         if not hmac.compare_digest(token, self._token) or not header.startswith(BEARER):
             raise _error(ErrorKind.UNAUTHORISED, "the bearer token is missing or wrong")
 
@@ -121,8 +122,8 @@
         try:
             self._loop.call_soon_threadsafe(self._metrics.count, name)
         except RuntimeError:
-            # The loop is closed while the last answers of a stop are still written.
-            logging.debug("not counted, the loop is closed: %s", name)
+            # During a stop the loop is closed while the last responses are still being written.
+            logging.debug("event loop is closed; did not count %s", name)
 
 
 def _handle(route: Route, call: Call) -> Result[ApiResponse, Refusal]:
@@ -131,7 +132,7 @@
     except ShallotworksError as error:
         return Err(Refusal(failure=error.failure))
     except Exception:
-        logging.exception("operators: %s %s failed", route.method, route.path)
+        logging.exception("operators: unhandled exception in %s %s", route.method, route.path)
         reason = "the instance failed at this; its log says why"
         return Err(Refusal(failure=Failure(kind=ErrorKind.INTERNAL, reason=reason)))
 
--- a/src/shallotworks/operators/_bridge.py
+++ b/src/shallotworks/operators/_bridge.py
@@ -1,4 +1,4 @@
-"""The bridge from a thread of the operators' port into the event loop and back."""
+"""Runs coroutines on the event loop from the threads of the operators' port."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class EventLoopBridge:
-    """Runs work of the backend on the event loop while a thread of the port waits for it.
+    """Runs a backend coroutine on the event loop and blocks the calling thread until it ends.
 
     Args:
         loop: The event loop.
-        read_timeout_s: Longest wait for work that changes nothing.
-        write_timeout_s: Longest wait for work that may change something.
+        read_timeout_s: Longest wait for a coroutine that changes nothing.
+        write_timeout_s: Longest wait for a coroutine that may change something.
     """
 
     __slots__ = ("_loop", "_read_timeout_s", "_write_timeout_s")
@@ -40,20 +40,23 @@
         self._write_timeout_s = write_timeout_s
 
     def read(self, coroutine: Coroutine[Any, Any, _Value]) -> _Value:
-        """Run work that changes nothing.
+        """Run a coroutine that changes nothing.
 
         Raises:
-            ShallotworksError: ``DEADLINE_EXCEEDED`` or ``STOPPING``.
+            ShallotworksError: ``DEADLINE_EXCEEDED`` if it did not end in time or was cancelled by
+                a stop; ``STOPPING`` if the event loop is closed.
         """
         return self._run(
             coroutine, self._read_timeout_s, unfinished_kind=ErrorKind.DEADLINE_EXCEEDED
         )
 
     def write(self, coroutine: Coroutine[Any, Any, _Value]) -> _Value:
-        """Run work that may change something.
+        """Run a coroutine that may change something.
 
         Raises:
-            ShallotworksError: ``OUTCOME_UNKNOWN`` once it has begun, ``STOPPING`` before that.
+            ShallotworksError: ``OUTCOME_UNKNOWN`` if it was scheduled but did not end in time or
+                was cancelled by a stop; ``STOPPING`` if the event loop is closed, so that the
+                coroutine never started.
         """
         return self._run(
             coroutine, self._write_timeout_s, unfinished_kind=ErrorKind.OUTCOME_UNKNOWN
@@ -69,7 +72,7 @@
         try:
             future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         except RuntimeError:
-            # The loop is closed: the work was never begun, so nothing can have changed.
+            # The event loop is closed, so the coroutine never started and has changed nothing.
             coroutine.close()
             raise _error(ErrorKind.STOPPING, "the instance is stopping") from None
         try:
--- a/src/shallotworks/operators/_calls.py
+++ b/src/shallotworks/operators/_calls.py
@@ -1,4 +1,4 @@
-"""One call of the operators' API, as checked, and its answer."""
+"""A validated call of the operators' API and its response."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
-    """One call, after its token, route and parameters were found right.
+    """One call whose token, route and parameters are valid.
 
     Args:
-        operator: Who calls; empty where a reader did not say.
-        arguments: Parts of the path, by name.
-        query: Parameters, by name, each known to the route.
-        body: The whole body.
+        operator: Name of the operator; may be empty for a read.
+        arguments: Path arguments, by name.
+        query: Query parameters, by name; each one is known to the route.
+        body: The complete body.
     """
 
     operator: str
@@ -36,12 +36,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ApiResponse:
-    """A call's answer.
+    """The response to a successful call.
 
     Args:
-        body: The whole body.
-        content_type: What it holds.
-        about_plan: Digest of the plan that the call was about, for the time line.
+        body: The complete body.
+        content_type: Media type of the body.
+        about_plan: Digest of the plan that the call concerned, for the timeline.
     """
 
     body: bytes
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refusal:
-    """Why a call is refused, and what its caller needs to go on.
+    """Why a call failed, and which of its changes took effect nevertheless.
 
     Args:
-        failure: The reason.
+        failure: The error.
         accepted: Changes of the same call that were accepted before the one that was refused.
     """
 
@@ -67,29 +67,30 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ErrorBody(FailureBody):
-    """The JSON body of a refusal.
+    """The JSON body of an error response.
 
     Args:
-        accepted: See `Refusal`.
+        accepted: Changes of the same call that were accepted before the one that was refused.
     """
 
     accepted: tuple[Accepted, ...] = ()
 
 
 def json_response(view: object, *, about_plan: str = "") -> ApiResponse:
-    """Return a view as a JSON answer."""
+    """Return a JSON response with a view as its body."""
     return ApiResponse(body=_adapter(type(view)).dump_json(view), about_plan=about_plan)
 
 
 def error_body(refusal: Refusal) -> bytes:
-    """Return a refusal as JSON."""
+    """Return the JSON body of an error response."""
     failure_fields = failure_body(refusal.failure)
     body = ErrorBody(**asdict(failure_fields), accepted=refusal.accepted)
     return _adapter(ErrorBody).dump_json(body)
 
 
 def _adapter(kind: type) -> TypeAdapter[Any]:
-    # Making one takes milliseconds; two threads that make the same one do no harm.
+    # Adapters are cached because constructing one takes milliseconds. Two threads that construct
+    # the same adapter at once store equal ones, so the cache needs no lock.
     adapter = _ADAPTERS.get(kind)
     if adapter is None:
         adapter = TypeAdapter(kind)
--- a/src/shallotworks/operators/_fleet_handlers.py
+++ b/src/shallotworks/operators/_fleet_handlers.py
@@ -45,11 +45,11 @@
 
 
 class FleetHandlers:
-    """Shows the fleet in force, and hands changes to the configuration log.
+    """Serves the current fleet state and proposes changes to the configuration log.
 
     Args:
         backend: The instance.
-        bridge: The way into its event loop.
+        bridge: Runs the backend's coroutines on the event loop.
     """
 
     __slots__ = ("_backend", "_bridge")
@@ -59,7 +59,7 @@
         self._bridge = bridge
 
     def instances(self, call: Call) -> Outcome:
-        """Answer the instances, of one pool or data centre where that is asked."""
+        """Return the instances, filtered by pool or data centre if the query names one."""
         state = self._bridge.read(self._backend.fleet())
         query = call.query
         selected = [
@@ -72,32 +72,32 @@
         return Success(json_response(view))
 
     def pools(self, call: Call) -> Outcome:
-        """Answer the pools with their budgets."""
+        """Return the pools with their disruption budgets."""
         state = self._bridge.read(self._backend.fleet())
         view = PoolsView(revision=state.revision, pools=pool_views(state))
         return Success(json_response(view))
 
     def services(self, call: Call) -> Outcome:
-        """Answer the services."""
+        """Return the services."""
         state = self._bridge.read(self._backend.fleet())
         view = ServicesView(revision=state.revision, services=service_views(state))
         return Success(json_response(view))
 
     def teams(self, call: Call) -> Outcome:
-        """Answer the teams."""
+        """Return the teams."""
         state = self._bridge.read(self._backend.fleet())
         teams = tuple(entry for _, entry in sorted(state.teams.items()))
         return Success(json_response(TeamsView(revision=state.revision, teams=teams)))
 
     def data_centres(self, call: Call) -> Outcome:
-        """Answer the data centres."""
+        """Return the data centres."""
         state = self._bridge.read(self._backend.fleet())
         centres = tuple(entry for _, entry in sorted(state.data_centres.items()))
         view = DataCentresView(revision=state.revision, data_centres=centres)
         return Success(json_response(view))
 
     def history(self, call: Call) -> Outcome:
-        """Answer accepted changes."""
+        """Return the accepted changes that follow a revision."""
         after = read_whole_number(call, "after", default=0, maximum=2**53)
         limit = read_whole_number(
             call, "limit", default=DEFAULT_HISTORY_ENTRIES, maximum=MAX_HISTORY_ENTRIES
@@ -108,14 +108,14 @@
         )
 
     def restore(self, call: Call) -> Outcome:
-        """Write the state held here into a store that came back empty or older."""
+        """Write this instance's state into a store that was restored empty or at an older state."""
         restored = self._bridge.write(self._backend.restore_store(operator=call.operator))
         return restored.map(lambda revision: json_response(RestoredView(revision=revision))).alt(
             lambda failure: Refusal(failure=failure)
         )
 
     def change(self, call: Call) -> Outcome:
-        """Propose one change or a list, in order, up to the first that is refused."""
+        """Propose one change or a list in order, and stop at the first that is refused."""
         changes = _read_changes(call.body)
         if isinstance(changes, Err):
             return Err(Refusal(failure=changes.failure()))
@@ -132,7 +132,8 @@
         try:
             return self._bridge.write(self._backend.propose_change(change, operator=operator))
         except ShallotworksError as error:
-            # A list may be half accepted by now: its caller must learn which part.
+            # Earlier changes of the list may already be accepted. Returning the failure lets the
+            # caller report them in the error response.
             return Err(error.failure)
 
 
@@ -150,10 +151,10 @@
 
 
 def _is_reserved_for_plans(change: Change) -> bool:
-    """Say whether a change is one that only a plan may make.
+    """Return whether only a plan may make this change.
 
-    An operator who could write these would confirm past the check for staleness, or raise a plan's
-    fencing token and so shut out its conductor.
+    An operator who could propose such a change would confirm a plan without the check for
+    staleness, or raise a plan's fencing token and thereby fence off its conductor.
     """
     if isinstance(change, ConfirmPlan | AdvancePlan | FinishPlan):
         return True
--- a/src/shallotworks/operators/_invalid.py
+++ b/src/shallotworks/operators/_invalid.py
@@ -1,4 +1,4 @@
-"""Why a JSON body is not what a route takes."""
+"""Validates JSON bodies."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
 
 
 def read_body(adapter: TypeAdapter[_Value], body: bytes) -> Result[_Value, Failure]:
-    """Read a JSON body in which every key is known.
+    """Parse a JSON body and reject unknown keys.
 
-    The failure: an operator mistypes a key that has a default, say ``accelerator`` for
-    ``accelerators``; the record is accepted without it and nobody is told. The guard compares what
-    was sent with what was understood, so a key that means nothing is refused with its place.
+    The failure: an operator misspells a key that has a default, such as ``accelerator`` for
+    ``accelerators``; the record is accepted with the default and the operator gets no error. The
+    body is therefore compared with the parsed value, and a key that the parsed value lacks is
+    rejected with its path.
 
     Returns:
-        The value, or ``INVALID_REQUEST`` with the first faults.
+        The value, or ``INVALID_REQUEST`` with the first problems.
     """
     try:
         value = adapter.validate_json(body)
--- a/src/shallotworks/operators/_openapi.py
+++ b/src/shallotworks/operators/_openapi.py
@@ -1,4 +1,4 @@
-"""The description of the operators' API, made from the table of routes."""
+"""Generates the OpenAPI document of the operators' API from its routes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def describe_api(routes: Iterable[Route]) -> bytes:
-    """Return the OpenAPI document as JSON, the same on every call."""
+    """Return the OpenAPI document as JSON; equal routes give equal bytes."""
     routes = tuple(routes)
     schemas = _Schemas(routes)
     paths: dict[str, Any] = {}
@@ -53,7 +53,7 @@
 
 
 class _Schemas:
-    """JSON schemas of all types that the routes take and answer."""
+    """JSON schemas of all request and response types of the routes."""
 
     __slots__ = ("_schemas", "definitions")
 
@@ -68,7 +68,7 @@
         self.definitions = dict(sorted(shared.get("$defs", {}).items()))
 
     def schema_of(self, kind: Any) -> Any:
-        """Return the schema of one type."""
+        """Return the schema of a type."""
         return self._schemas[(repr(kind), "validation")]
 
 
--- a/src/shallotworks/operators/_parameters.py
+++ b/src/shallotworks/operators/_parameters.py
@@ -1,4 +1,4 @@
-"""Parameters of a call."""
+"""Reads query parameters of a call."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def read_whole_number(call: Call, name: str, *, default: int, maximum: int) -> int:
-    """Return a parameter that is a whole number.
+    """Return a query parameter as a whole number, or the default if it is absent.
 
     Raises:
-        ShallotworksError: ``INVALID_REQUEST`` where it is not one from 0 to ``maximum``.
+        ShallotworksError: ``INVALID_REQUEST`` if it isn't a whole number from 0 to ``maximum``.
     """
     text = call.query.get(name)
     if text is None:
--- a/src/shallotworks/operators/_plan_handlers.py
+++ b/src/shallotworks/operators/_plan_handlers.py
@@ -18,11 +18,11 @@
 
 
 class PlanHandlers:
-    """Hands what operators want of plans to the instance.
+    """Passes the plan calls of operators to the instance.
 
     Args:
         backend: The instance.
-        bridge: The way into its event loop.
+        bridge: Runs the backend's coroutines on the event loop.
     """
 
     __slots__ = ("_backend", "_bridge")
@@ -32,7 +32,7 @@
         self._bridge = bridge
 
     def propose(self, call: Call) -> Outcome:
-        """Answer a proposal for an intent."""
+        """Propose a plan for an intent and return it."""
         intent = read_body(_INTENT_ADAPTER, call.body)
         if isinstance(intent, Err):
             return Err(Refusal(failure=intent.failure()))
@@ -40,17 +40,17 @@
         return self._bridge.write(coroutine).map(_plan_response).alt(_refuse)
 
     def list_all(self, call: Call) -> Outcome:
-        """Answer all plans."""
+        """Return all plans."""
         plans = self._bridge.read(self._backend.plans())
         return plans.map(lambda found: json_response(PlansView(plans=found))).alt(_refuse)
 
     def show(self, call: Call) -> Outcome:
-        """Answer one plan."""
+        """Return one plan."""
         coroutine = self._backend.plan(call.arguments["digest"])
         return self._bridge.read(coroutine).map(_plan_response).alt(_refuse)
 
     def confirm(self, call: Call) -> Outcome:
-        """Confirm a proposal; where it is stale, the reason names a new one."""
+        """Confirm a proposal; if it is stale, the error's reason names a new proposal."""
         coroutine = self._backend.confirm_plan(call.arguments["digest"], operator=call.operator)
         return self._bridge.write(coroutine).map(_plan_response).alt(_refuse)
 
--- a/src/shallotworks/operators/_process_handlers.py
+++ b/src/shallotworks/operators/_process_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers that show the process itself: status, time line, metrics, this API."""
+"""Handlers that show the process itself: its status, timeline, metrics and API description."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class ProcessHandlers:
-    """Shows how this one process is doing.
+    """Serves the state of this process.
 
     Args:
         backend: The instance.
-        bridge: The way into its event loop.
-        timeline: Its events, which any thread may read.
-        process: Its name.
-        api_description: Returns the description of this API as JSON.
+        bridge: Runs the backend's coroutines on the event loop.
+        timeline: Events of the instance; any thread may read them.
+        process: Name of the instance.
+        api_description: Returns the OpenAPI document as JSON.
     """
 
     __slots__ = ("_api_description", "_backend", "_bridge", "_process", "_timeline")
@@ -50,11 +50,11 @@
         self._api_description = api_description
 
     def status(self, call: Call) -> Outcome:
-        """Answer how the instance is doing."""
+        """Return the status of the instance."""
         return Success(json_response(self._bridge.read(self._backend.status())))
 
     def timeline(self, call: Call) -> Outcome:
-        """Answer the events asked for, read from the ring in this thread."""
+        """Return the events that match the query; the ring is read in the calling thread."""
         kinds = _read_kinds(call.query.get("kind", ""))
         if isinstance(kinds, Err):
             return Err(Refusal(failure=kinds.failure()))
@@ -68,7 +68,7 @@
         return Success(ApiResponse(body=self._timeline.page(event_filter, limit=limit).encode()))
 
     def metrics(self, call: Call) -> Outcome:
-        """Answer all metrics; their quantiles are worked out in this thread."""
+        """Return all metrics; their quantiles are computed in the calling thread."""
         output_format = call.query.get("format", "json")
         if output_format not in ("json", "text"):
             reason = f"format = {output_format!r}; allowed: json, text"
@@ -81,7 +81,7 @@
         return Success(ApiResponse(body=body, content_type=EXPOSITION_CONTENT_TYPE))
 
     def describe(self, call: Call) -> Outcome:
-        """Answer the description of this API."""
+        """Return the OpenAPI document."""
         return Success(ApiResponse(body=self._api_description()))
 
 
--- a/src/shallotworks/operators/_protocols.py
+++ b/src/shallotworks/operators/_protocols.py
@@ -1,4 +1,4 @@
-"""What the operators' API asks of the instance behind it."""
+"""The interface through which the operators' API accesses its instance."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class OperatorBackend(Protocol):
-    """One instance, as its operators' port sees it; every method runs on the event loop.
+    """The instance behind the operators' port; every method runs on the event loop.
 
-    Each call is given a bounded time by the server and cancelled after it.
+    The server cancels each call that exceeds its timeout.
     """
 
     async def status(self) -> StatusView:
-        """Return how the instance is doing."""
+        """Return the status of the instance."""
         ...
 
     async def fleet(self) -> FleetState:
-        """Return the state in force here."""
+        """Return the fleet state that this instance currently uses."""
         ...
 
     async def propose_change(self, change: Change, *, operator: str) -> Result[Accepted, Failure]:
@@ -41,21 +41,21 @@
         """Return accepted changes that follow a revision, oldest first.
 
         Returns:
-            The entries; ``NOT_FOUND`` where they are not kept any more.
+            The entries; ``NOT_FOUND`` if they are no longer retained.
         """
         ...
 
     async def restore_store(self, *, operator: str) -> Result[int, Failure]:
-        """Write the state held here into a store that came back empty or older.
+        """Write this instance's state into a store that was restored empty or at an older state.
 
         Returns:
-            The revision that the store then holds; ``CONFLICT`` where the store agrees, has another
-            history, or another process holds a newer revision.
+            The revision that the store then holds; ``CONFLICT`` if the store already agrees with
+            this instance, has a different history, or another process has a newer revision.
         """
         ...
 
     async def propose_plan(self, intent: Intent, *, operator: str) -> Result[PlanView, Failure]:
-        """Work out a plan for an intent and store it; nothing acts on it.
+        """Compute a plan for an intent and store it as a proposal, which is not executed.
 
         Returns:
             The proposal; ``NOT_FOUND``, ``UNSATISFIABLE``, ``BUDGET_SPENT`` or
@@ -68,21 +68,21 @@
         ...
 
     async def plan(self, digest: str) -> Result[PlanView, Failure]:
-        """Return one plan by its digest or the unambiguous beginning of it; else ``NOT_FOUND``."""
+        """Return one plan by its digest or an unambiguous prefix of it; else ``NOT_FOUND``."""
         ...
 
     async def confirm_plan(self, digest: str, *, operator: str) -> Result[PlanView, Failure]:
         """Confirm a proposal.
 
         Returns:
-            The running plan; ``STALE_PLAN`` with the digest of a new proposal where what it rests
-            on has changed; ``CONFLICT`` with who and why; ``STORE_UNAVAILABLE`` or
-            ``OUTCOME_UNKNOWN``.
+            The running plan; ``STALE_PLAN`` with the digest of a new proposal if the state that
+            the plan was computed from has changed; ``CONFLICT`` with the conflicting party and
+            the cause; ``STORE_UNAVAILABLE`` or ``OUTCOME_UNKNOWN``.
         """
         ...
 
     async def cancel_plan(self, digest: str, *, operator: str) -> Result[PlanView, Failure]:
-        """Cancel a confirmed plan: it starts nothing more and brings back what it cordoned."""
+        """Cancel a confirmed plan; it starts no further step and returns what it cordoned."""
         ...
 
     async def metrics(self) -> FrozenMetrics:
--- a/src/shallotworks/operators/_routes.py
+++ b/src/shallotworks/operators/_routes.py
@@ -1,4 +1,4 @@
-"""The table of routes: what the API offers, in one place for the server and its description."""
+"""The table of routes, from which both the server and the OpenAPI document are built."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Handlers:
-    """All handlers of one server."""
+    """The handlers of one server."""
 
     fleet: FleetHandlers
     plans: PlanHandlers
@@ -53,17 +53,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """One thing that the API offers.
+    """One operation of the API.
 
     Args:
-        method: HTTP method; a ``POST`` may change something and names its operator.
+        method: HTTP method; a ``POST`` may change something and must name its operator.
         path: Path below `PREFIX`, with ``{digest}`` for a plan's digest.
-        summary: What it does, in one sentence.
-        handler: What answers.
-        answer: Type of the JSON answer; ``None`` for one that has no type here.
-        body: Type of the JSON body taken; ``None`` for none.
-        query: Parameters and what they mean.
-        errors: Kinds of error besides those that every route may answer.
+        summary: Summary for the OpenAPI document, one sentence.
+        handler: Handles the call.
+        answer: Type of the JSON response; ``None`` if the response has no declared type.
+        body: Type of the JSON request body; ``None`` if the route takes no body.
+        query: Query parameters and their descriptions.
+        errors: Error kinds that the route may return besides the common ones.
     """
 
     method: str
@@ -78,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Match:
-    """The route of a path, and the parts of that path."""
+    """A matched route and its path arguments."""
 
     route: Route
     arguments: Mapping[str, str]
 
 
 def build_routes(handlers: Handlers) -> tuple[Route, ...]:
-    """Return the table."""
+    """Return all routes of the API."""
     return (
         *_process_routes(handlers.process),
         *_fleet_routes(handlers.fleet),
@@ -94,7 +94,7 @@
 
 
 def find_route(routes: tuple[Route, ...], *, method: str, path: str) -> Match | tuple[str, ...]:
-    """Return the route of a call; or the methods that its path takes, none for no such path."""
+    """Return the matching route, or the methods that the path allows; none for an unknown path."""
     methods = []
     for route in routes:
         arguments = _match(route.path, path)
--- a/src/shallotworks/operators/_server.py
+++ b/src/shallotworks/operators/_server.py
@@ -24,9 +24,11 @@
 __all__ = ["OperatorsServer"]
 
 RECEIVE_TIMEOUT_S = 10.0
-"""A call is short: whoever has not sent it by then is cut off, and the thread is free again."""
+"""Longest time for a call to arrive. It is short because calls are short, so that a slow sender
+is disconnected and its thread is free for other calls."""
 MAX_DISCARDED_BODY_BYTES = 2 * MAX_BODY_BYTES
-"""A refused body up to here is read and dropped, so that its sender gets to read why."""
+"""A rejected body up to this size is read and discarded, so that the sender receives the error
+response instead of a connection reset."""
 STOP_TIMEOUT_S = 5.0
 
 
@@ -34,15 +36,15 @@
     """Serves the operators' API of one instance on a port of its own.
 
     Args:
-        settings: Where to listen, and the token.
+        settings: Listening address, thread count and token file.
         process: Name of the instance.
         loop: The event loop on which the backend runs.
         backend: The instance.
-        timeline: Its events; this server adds who did what.
-        metrics: Its metrics.
+        timeline: Timeline of the instance; the server records the operators' calls in it.
+        metrics: Metrics of the instance.
 
     Raises:
-        ShallotworksError: ``INVALID_SETTINGS`` where the token can't be read.
+        ShallotworksError: ``INVALID_SETTINGS`` if the token can't be read.
     """
 
     __slots__ = ("_listener",)
@@ -89,20 +91,20 @@
 
     @property
     def port(self) -> int:
-        """The port listened at."""
+        """The port that the server listens on."""
         return self._listener.port
 
     def start(self) -> None:
-        """Bind the port and begin to serve.
+        """Bind the port and start serving.
 
         Raises:
-            ShallotworksError: ``INVALID_SETTINGS`` where the port can't be bound.
+            ShallotworksError: ``INVALID_SETTINGS`` if the port can't be bound.
         """
         self._listener.start()
 
     def stop(self) -> None:
-        """Take no new call and let those in progress end; blocks for some seconds at the most.
+        """Stop accepting calls and wait a few seconds at most for those in progress.
 
-        Not to be called on the event loop, which calls in progress still wait for.
+        This must not be called on the event loop, because calls in progress still wait for it.
         """
         self._listener.stop()
--- a/src/shallotworks/operators/_views.py
+++ b/src/shallotworks/operators/_views.py
@@ -1,4 +1,4 @@
-"""What operators are shown; the JSON bodies of the operators' API."""
+"""Views of the instance and the fleet: the JSON response bodies of the operators' API."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @unique
 class PeerState(Enum):
-    """How an instance sees one of its peers."""
+    """The state of a peer as one instance observes it."""
 
     UP = "up"
     SUSPECT = "suspect"
@@ -55,12 +55,12 @@
 
     Args:
         name: The peer's name.
-        address: ``ip:port`` of its peers' port.
-        data_centre: Where it stands.
-        state: How it is seen.
-        revision: The configuration revision that it holds.
-        silent_s: Time since it was last heard.
-        operators_address: ``ip:port`` of its operators' port; empty where it is not known.
+        address: ``ip:port`` of the peer's port for other instances.
+        data_centre: The peer's data centre.
+        state: The peer's state as this instance observes it.
+        revision: The peer's configuration revision.
+        silent_s: Time since the last message from the peer.
+        operators_address: ``ip:port`` of the peer's operators' port; empty if unknown.
     """
 
     name: str
@@ -74,23 +74,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatusView:
-    """How one instance is doing.
+    """The status of one instance.
 
     Args:
         process: Name of the instance.
         version: Version of the program.
-        data_centre: Where it stands.
-        region: The region of that data centre.
-        uptime_s: Time since it started.
-        stopping: Whether it takes no new work any more.
-        revision: The configuration revision in force here.
-        config_age_s: Time since that was last known to be the newest; ``None`` for never.
+        data_centre: Data centre of the instance.
+        region: Region of that data centre.
+        uptime_s: Time since the instance started.
+        stopping: Whether the instance is stopping and accepts no new work.
+        revision: The configuration revision that the instance currently uses.
+        config_age_s: Time since this revision was last known to be the newest; ``None`` if it
+            never was.
         store_up: Whether the platform's key-value service answered the last call.
-        store_fault: What is wrong with the configuration in that service; empty for nothing.
+        store_fault: What is wrong with the configuration in that service; empty if nothing is.
         requests_queued: Requests waiting for a slot.
-        requests_in_flight: Requests at a target.
-        duties: Names of the duties that this instance holds by lease.
-        peers: Its peers, by name.
+        requests_in_flight: Requests sent to a target and not yet answered.
+        duties: Names of the roles for which this instance holds the lease.
+        peers: The instance's peers, by name.
     """
 
     process: str
@@ -119,15 +120,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PoolView:
-    """One pool and what stands in it.
+    """One pool with its capacity and disruption budget.
 
     Args:
-        name: The pool.
-        services: Names of the services it serves.
-        instances: How many instances it has.
-        available: How many of them count as serving.
-        slots: Slots of the available ones.
-        budget: How many may be unavailable at once.
+        name: Name of the pool.
+        services: Names of the services that the pool serves.
+        instances: Number of instances in the pool.
+        available: Number of available instances.
+        slots: Total slots of the available instances.
+        budget: Number of instances that may be unavailable at the same time.
     """
 
     name: str
@@ -139,7 +140,7 @@
 
     @property
     def budget_left(self) -> int:
-        """How many more instances may become unavailable; negative where it is overspent."""
+        """Number of instances that may still become unavailable; negative if overspent."""
         return self.budget - (self.instances - self.available)
 
 
@@ -153,12 +154,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceView:
-    """One service and how its pool stands.
+    """One service and the availability of its pool.
 
     Args:
-        service: As configured.
-        available: Instances of its pool that count as serving.
-        unavailable: Instances of its pool that don't.
+        service: The service as configured.
+        available: Number of available instances in its pool.
+        unavailable: Number of unavailable instances in its pool.
     """
 
     service: Service
@@ -192,33 +193,33 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangesView:
-    """Changes that were accepted, in the order given."""
+    """The accepted changes, in the order of the request."""
 
     accepted: tuple[Accepted, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RestoredView:
-    """The revision that the platform's service holds again."""
+    """The revision that the platform's key-value service holds after a restore."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HistoryView:
-    """Accepted changes with author and time, oldest first."""
+    """Accepted changes with their authors and times, oldest first."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlanView:
-    """One plan, and how far it has come.
+    """One plan and its progress.
 
     Args:
         plan: The plan.
-        record: What was confirmed; ``None`` for a proposal.
-        progress: How far it has come; ``None`` for a proposal.
+        record: Record of the confirmed plan; ``None`` for a proposal.
+        progress: Progress of the confirmed plan; ``None`` for a proposal.
     """
 
     plan: Plan
@@ -227,7 +228,7 @@
 
     @property
     def stage(self) -> str:
-        """Where it stands: ``proposed``, or the state of its record."""
+        """The stage of the plan: ``proposed``, or the state of its record."""
         return self.record.state.value if self.record is not None else "proposed"
 
 
@@ -239,13 +240,13 @@
 
 
 def plan_view(plan: Plan, record: PlanRecord | None, state: FleetState) -> PlanView:
-    """Return one plan as it stands in this state."""
+    """Return the view of one plan in a fleet state."""
     progress = progress_of(plan, record, state) if record is not None else None
     return PlanView(plan=plan, record=record, progress=progress)
 
 
 def pool_views(state: FleetState) -> tuple[PoolView, ...]:
-    """Return all pools as they stand in this state, by name."""
+    """Return the views of all pools in a fleet state, by name."""
     members = _members(state)
     services: dict[str, list[str]] = defaultdict(list)
     for service in state.services.values():
@@ -264,7 +265,7 @@
 
 
 def service_views(state: FleetState) -> tuple[ServiceView, ...]:
-    """Return all services as they stand in this state, by name."""
+    """Return the views of all services in a fleet state, by name."""
     members = _members(state)
     views = []
     for _, service in sorted(state.services.items()):
@@ -275,7 +276,7 @@
 
 
 def _members(state: FleetState) -> Mapping[str, list[Instance]]:
-    """Return the instances of each pool, from one walk over all of them."""
+    """Return the instances of each pool, collected in one pass over all instances."""
     members: dict[str, list[Instance]] = defaultdict(list)
     for entry in state.instances.values():
         members[entry.pool].append(entry)
