--- a/src/shallotworks/cli/_client.py
+++ b/src/shallotworks/cli/_client.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' API, with one typed answer or one error each."""
+"""The client of the operators' API; each call returns a typed response or an error."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 CONNECT_TIMEOUT_S = 3.0
 ANSWER_TIMEOUT_S = 60.0
-"""Longer than the server's own limits, so that it is the server who says what became of a call."""
+"""This exceeds the server's own timeouts, so that the server reports the outcome of a slow call."""
 ANSWER_LIMIT_BYTES = 256 * 1024 * 1024
 HTTP_OK = 200
 
@@ -31,19 +31,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RawAnswer:
-    """An answer that is not read yet."""
+    """A response whose body is not parsed yet."""
 
     body: bytes
 
 
 class OperatorsClient:
-    """Calls one instance.
+    """Calls the operators' API of one instance.
 
     Args:
-        address: ``ip:port`` of its operators' port.
+        address: ``ip:port`` of the instance's operators' port.
         token: The bearer token.
-        operator: Who calls.
-        answer_timeout_s: Longest wait for the next bytes of an answer.
+        operator: Name of the operator.
+        answer_timeout_s: Longest wait for the next bytes of a response.
     """
 
     __slots__ = ("_headers", "_http", "address")
@@ -59,7 +59,7 @@
         self.address = address
         self._headers = {"Authorization": f"Bearer {token}", "Operator": operator}
         timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=answer_timeout_s)
-        # A call is never sent twice: of a change it must be known how often it was proposed.
+        # Calls are never retried here, because a change must not be proposed twice unnoticed.
         self._http = urllib3.PoolManager(retries=False, timeout=timeout)
 
     def close(self) -> None:
@@ -69,18 +69,18 @@
     def get(
         self, path: str, kind: type[_Answer], query: Mapping[str, str] | None = None
     ) -> Result[_Answer, ErrorBody]:
-        """Read something."""
+        """Send a GET request and parse the response."""
         return self.get_raw(path, query).bind(lambda answer: self._read(answer, kind))
 
     def get_raw(
         self, path: str, query: Mapping[str, str] | None = None
     ) -> Result[RawAnswer, ErrorBody]:
-        """Read something as it comes."""
+        """Send a GET request and return the raw response."""
         parameters = {name: value for name, value in (query or {}).items() if value}
         return self._call("GET", f"{path}?{urlencode(parameters)}" if parameters else path, b"")
 
     def post(self, path: str, kind: type[_Answer], body: bytes) -> Result[_Answer, ErrorBody]:
-        """Change something."""
+        """Send a POST request, which may change something, and parse the response."""
         return self._call("POST", path, body).bind(lambda answer: self._read(answer, kind))
 
     def _call(self, method: str, path: str, body: bytes) -> Result[RawAnswer, ErrorBody]:
@@ -103,15 +103,15 @@
         return make_error(ErrorKind.UNREACHABLE, f"no instance answers at {self.address}: {cause}")
 
     def _lost_answer_error(self, method: str, cause: str) -> ErrorBody:
-        """Return what an answer that never came means.
+        """Return the error for a call whose response was lost.
 
-        A read changed nothing, so it may be repeated. Of a change that was sent nobody here can
-        tell whether it came into force, and saying that it did not could be wrong.
+        A read changed nothing, so it may be retried. A change that was sent may have been accepted
+        or not, so its outcome is unknown.
         """
         if method == "GET":
             return self._unreachable_error(cause)
-        reason = f"{self.address} took the call but its answer was lost: {cause}"
-        return make_error(ErrorKind.OUTCOME_UNKNOWN, f"{reason}; look before you repeat it")
+        reason = f"{self.address} received the call, but the response was lost: {cause}"
+        return make_error(ErrorKind.OUTCOME_UNKNOWN, f"{reason}; check the state before a retry")
 
     def _error_from(self, answer: urllib3.BaseHTTPResponse) -> ErrorBody:
         try:
@@ -120,7 +120,7 @@
             kind = _LISTENER_STATUSES.get(answer.status, ErrorKind.PROTOCOL)
             return make_error(
                 kind,
-                f"{self.address} answered {answer.status} in a form that no operators' port has",
+                f"{self.address} answered {answer.status}, but not as an operators' port does",
             )
 
     def _read(self, answer: RawAnswer, kind: type[_Answer]) -> Result[_Answer, ErrorBody]:
@@ -128,7 +128,7 @@
         try:
             return Success(adapter.validate_json(answer.body))
         except ValidationError:
-            reason = f"{self.address} answered in a form that this version can't read"
+            reason = f"{self.address} sent a response that this version can't parse"
             return Err(make_error(ErrorKind.PROTOCOL, reason))
 
 
@@ -137,7 +137,7 @@
     413: ErrorKind.TOO_LARGE,
     414: ErrorKind.TOO_LARGE,
 }
-"""What the listener answers by itself, before a call has arrived whole."""
+"""Statuses that the listener sends itself, before a call has arrived completely."""
 
 
 def _reason_of(error: BaseException) -> str:
--- a/src/shallotworks/cli/_fleet_commands.py
+++ b/src/shallotworks/cli/_fleet_commands.py
@@ -55,7 +55,7 @@
     token_file: TokenFileOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Show how one instance is doing, and how it sees its peers."""
+    """Show the status of one instance and the peer states that it observes."""
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: opened.get("/status", StatusView))
     print_outcome(answer, as_json=as_json, show=_show_status)
@@ -93,8 +93,8 @@
 
 
 def _instances(
-    pool: Annotated[str, typer.Option(help="Only those of this pool.")] = "",
-    data_centre: Annotated[str, typer.Option(help="Only those of this data centre.")] = "",
+    pool: Annotated[str, typer.Option(help="Only instances of this pool.")] = "",
+    data_centre: Annotated[str, typer.Option(help="Only instances of this data centre.")] = "",
     address: AddressOption = DEFAULT_ADDRESS,
     token_file: TokenFileOption = "",
     as_json: JsonOption = False,
@@ -200,7 +200,7 @@
     operator: OperatorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Put changes in force, in order, up to the first that is refused."""
+    """Apply changes in order, and stop at the first that is refused."""
     client = open_client(address=address, token_file=token_file, operator=operator)
     answer = client.bind(
         lambda opened: _read_file(file).bind(
@@ -216,7 +216,7 @@
     operator: OperatorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Write one instance's configuration into a store that came back empty or older."""
+    """Write one instance's configuration to a store that was restored empty or outdated."""
     client = open_client(address=address, token_file=token_file, operator=operator)
     answer = client.bind(lambda opened: opened.post("/store/restore", RestoredView, b""))
     print_outcome(answer, as_json=as_json, show=_show_restored)
@@ -249,14 +249,14 @@
 def _changes(
     after: Annotated[
         int | None,
-        typer.Option(help="Only those after this revision; the newest by default.", min=0),
+        typer.Option(help="Only changes after this revision; the newest by default.", min=0),
     ] = None,
-    limit: Annotated[int, typer.Option(help="At most so many.", min=1, max=1000)] = 100,
+    limit: Annotated[int, typer.Option(help="Most changes to list.", min=1, max=1000)] = 100,
     address: AddressOption = DEFAULT_ADDRESS,
     token_file: TokenFileOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """List accepted changes: who changed what, and when."""
+    """List accepted changes with their authors and times."""
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: _read_changes(opened, after, limit))
     print_outcome(answer, as_json=as_json, show=_show_history)
--- a/src/shallotworks/cli/_main.py
+++ b/src/shallotworks/cli/_main.py
@@ -1,4 +1,4 @@
-"""The console script: one application of commands, one exit code."""
+"""The entry point of the console script."""
 
 from __future__ import annotations
 
@@ -27,17 +27,18 @@
 
 
 def main() -> None:
-    """Run the command line of this process and end it with the exit code."""
+    """Run the command line of this process and exit with its code."""
     sys.exit(run(sys.argv[1:]))
 
 
 def run(arguments: Sequence[str]) -> int:
-    """Run one command and return its exit code; no fault of it ends in a traceback."""
+    """Run one command and return its exit code; no exception ends in a traceback."""
     try:
         code = _run_command(arguments)
         sys.stdout.flush()
     except BrokenPipeError:
-        # The reader of a pipe has gone; what is left in the buffer must not be written at exit.
+        # The reader closed the pipe. Standard output is redirected so that the interpreter does
+        # not fail at exit when it flushes the rest of the buffer.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return EXIT_BROKEN_PIPE
     return code
@@ -55,7 +56,7 @@
     except BrokenPipeError:
         raise
     except Exception as error:
-        logging.debug("a command failed", exc_info=True)
+        logging.debug("command raised an unhandled exception", exc_info=True)
         reason = f"{type(error).__name__}: {error}"
         return _print_failure(Failure(kind=ErrorKind.INTERNAL, reason=reason))
     return 0
--- a/src/shallotworks/cli/_observe_commands.py
+++ b/src/shallotworks/cli/_observe_commands.py
@@ -1,4 +1,4 @@
-"""Commands that show what processes did and how fast: time line and metrics."""
+"""Commands that show the timeline and the metrics of processes."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class TimelineFormat(Enum):
-    """How the time line is printed."""
+    """Output formats of the timeline."""
 
     TEXT = "text"
     JSON = "json"
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _FetchedPage:
-    """One process's page, and what its clock is off by."""
+    """The timeline page of one process and the offset of its clock."""
 
     page: TimelinePage
     clock_offset_s: float
@@ -70,21 +70,23 @@
 def _timeline(
     address: AddressesOption = [DEFAULT_ADDRESS],  # noqa: B006 (typer reads it, nobody writes it)
     include_peers: Annotated[
-        bool, typer.Option("--all", help="Ask the peers of the first address as well.")
+        bool, typer.Option("--all", help="Also query the peers of the first address.")
     ] = False,
     request: Annotated[str, typer.Option(help="Only events of this request id.")] = "",
-    plan: Annotated[str, typer.Option(help="Only events of the plan that begins so.")] = "",
+    plan: Annotated[str, typer.Option(help="Only events of plans with this digest prefix.")] = "",
     instance: Annotated[str, typer.Option(help="Only events of this instance.")] = "",
     kind: Annotated[
-        list[EventKind] | None, typer.Option(help="Only events of this kind; may stand often.")
+        list[EventKind] | None, typer.Option(help="Only events of this kind; may be repeated.")
     ] = None,
-    limit: Annotated[int, typer.Option(help="Only the newest so many of each.", min=1)] = 10_000,
+    limit: Annotated[
+        int, typer.Option(help="Most events per instance; keeps the newest.", min=1)
+    ] = 10_000,
     output: Annotated[
         TimelineFormat, typer.Option("--format", help="Text, JSON, or a trace for a viewer.")
     ] = TimelineFormat.TEXT,
     token_file: TokenFileOption = "",
 ) -> None:
-    """Show what instances did, merged into one time line."""
+    """Show the events of instances, merged into one timeline."""
     query = {
         "request": request,
         "plan": plan,
@@ -102,7 +104,7 @@
     if pages:
         _print_events(pages, output)
     if errors:
-        # What was gathered is printed, but a program must see that a part is missing.
+        # The fetched pages are printed, but the exit code shows that others are missing.
         raise typer.Exit(exit_code_of(errors[0]))
 
 
@@ -117,7 +119,10 @@
 
 
 def _operators_address(peer: PeerView, default_port: str) -> str:
-    """Return where a peer's operators' port is: as it says, else the same port at its host."""
+    """Return the address of a peer's operators' port.
+
+    If the peer doesn't announce one, the port of the first address is assumed at the peer's host.
+    """
     if peer.operators_address:
         return peer.operators_address
     host = peer.address.rpartition(":")[0]
@@ -160,7 +165,7 @@
 def _print_dropped(fetched: list[_FetchedPage]) -> None:
     for one in fetched:
         if one.page.dropped:
-            message = f"{one.page.process} keeps no more of its first {one.page.dropped} events"
+            message = f"{one.page.process} has dropped its first {one.page.dropped} events"
             print_text(message + "\n")
 
 
--- a/src/shallotworks/cli/_options.py
+++ b/src/shallotworks/cli/_options.py
@@ -1,4 +1,4 @@
-"""Options that many commands share, and the client they lead to."""
+"""Options that several commands share, and the client that is built from them."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     typer.Option(
         "--address",
         envvar=ADDRESS_VARIABLE,
-        help="ip:port of an instance's operators' port; may stand several times.",
+        help="ip:port of an instance's operators' port; may be repeated.",
     ),
 ]
 TokenFileOption = Annotated[
@@ -57,7 +57,7 @@
     typer.Option(
         "--operator",
         envvar=OPERATOR_VARIABLE,
-        help="Who you are, for the time line; the login name by default.",
+        help="Your name for the timeline; the login name by default.",
     ),
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print one JSON document.")]
@@ -66,20 +66,20 @@
 def open_client(
     *, address: str, token_file: str, operator: str = ""
 ) -> Result[OperatorsClient, ErrorBody]:
-    """Return a client for one instance, or what is wrong with the options."""
+    """Return a client for one instance, or an error if an option is invalid."""
     parsed = parse_address(address)
     if isinstance(parsed, Err):
         reason = f"--address {address!r} is {parsed.failure()}; allowed: ip:port"
         return Err(make_error(ErrorKind.INVALID_REQUEST, reason))
     if not token_file:
-        reason = f"no token: name its file by --token-file or {TOKEN_FILE_VARIABLE}"
+        reason = f"no token file given; set --token-file or {TOKEN_FILE_VARIABLE}"
         return Err(make_error(ErrorKind.INVALID_SETTINGS, reason))
     token = read_token(token_file)
     if isinstance(token, Err):
         reason = f"the token file {token_file} {token.failure().reason}"
         return Err(make_error(ErrorKind.INVALID_SETTINGS, reason))
     if operator and not (operator.isascii() and operator.isprintable()):
-        reason = "--operator holds a character that no header can carry"
+        reason = "--operator contains a character that an HTTP header can't carry"
         return Err(make_error(ErrorKind.INVALID_REQUEST, reason))
     client = OperatorsClient(
         address=parsed.unwrap(),
--- a/src/shallotworks/cli/_output.py
+++ b/src/shallotworks/cli/_output.py
@@ -1,4 +1,4 @@
-"""What a command prints: tables for people, one JSON document for programs."""
+"""Output of the commands: tables for people, one JSON document for programs."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 ]
 
 PIPE_WIDTH_COLUMNS = 250
-"""Columns where there is no terminal, so that a table in a pipe is never cut."""
+"""Width of a table that isn't printed to a terminal; wide enough that no line is truncated."""
 
 _Answer = TypeVar("_Answer")
 
@@ -38,7 +38,7 @@
 def print_outcome(
     outcome: Result[_Answer, ErrorBody], *, as_json: bool, show: Callable[[_Answer], None]
 ) -> None:
-    """Print an answer, or say the error and end with its exit code."""
+    """Print a response, or print the error and exit with its code."""
     if not isinstance(outcome, Success):
         exit_with_error(outcome.failure(), as_json=as_json)
     answer = outcome.unwrap()
@@ -49,7 +49,7 @@
 
 
 def exit_with_error(error: ErrorBody, *, as_json: bool) -> NoReturn:
-    """Say an error and end with its exit code; with ``--json`` it is the one document."""
+    """Print an error, as the JSON document if ``as_json`` is set, and exit with its code."""
     if as_json:
         print_json(error)
     else:
@@ -58,7 +58,7 @@
 
 
 def print_error(error: ErrorBody) -> None:
-    """Say an error in one line, on standard error."""
+    """Print an error as one line on standard error."""
     message = f"{error.kind}: {error.reason}"
     if error.retry_after_s is not None:
         message += f" (try again in {error.retry_after_s:g} s)"
@@ -77,12 +77,12 @@
 
 
 def print_text(text: str) -> None:
-    """Print text as it is."""
+    """Print text unchanged."""
     sys.stdout.write(text)
 
 
 def print_table(headings: tuple[str, ...], rows: Iterable[tuple[object, ...]]) -> None:
-    """Print a table; numbers stand to the right."""
+    """Print a table; columns of numbers are right-aligned."""
     rows = tuple(rows)
     table = Table(box=None, pad_edge=False, header_style="bold")
     for column, heading in enumerate(headings):
--- a/src/shallotworks/cli/_plan_commands.py
+++ b/src/shallotworks/cli/_plan_commands.py
@@ -26,7 +26,7 @@
 __all__ = ["plan_app"]
 
 DigestArgument = Annotated[
-    str, typer.Argument(help="The plan's digest, or the unambiguous beginning of it.")
+    str, typer.Argument(help="Digest of the plan, or an unambiguous prefix of it.")
 ]
 
 plan_app = typer.Typer(help="Propose, show, confirm and cancel plans.", no_args_is_help=True)
@@ -69,7 +69,7 @@
     token_file: TokenFileOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Show one plan: its waves, its measures and what it was chosen over."""
+    """Show one plan with its waves, its measures and the alternatives to it."""
     client = open_client(address=address, token_file=token_file)
     answer = client.bind(lambda opened: opened.get(_path(digest), PlanView))
     print_outcome(answer, as_json=as_json, show=_show_plan)
@@ -83,7 +83,7 @@
     operator: OperatorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Confirm a proposal: from now on it is carried out."""
+    """Confirm a proposal, so that it is executed."""
     client = open_client(address=address, token_file=token_file, operator=operator)
     print_outcome(_post(client, digest, "confirm"), as_json=as_json, show=_show_stage)
 
@@ -96,7 +96,7 @@
     operator: OperatorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Cancel a confirmed plan: it starts nothing more and brings back what it cordoned."""
+    """Cancel a confirmed plan; it starts no further step and returns what it cordoned."""
     client = open_client(address=address, token_file=token_file, operator=operator)
     print_outcome(_post(client, digest, "cancel"), as_json=as_json, show=_show_stage)
 
@@ -108,7 +108,8 @@
 
 
 def _path(digest: str) -> str:
-    # What is no digest finds no route; what would change the path must not get into it.
+    # A text that isn't alphanumeric can't be a digest and could change the path, so it is replaced
+    # by one that matches no route.
     return f"/plans/{digest if digest.isalnum() else '-'}"
 
 
@@ -127,7 +128,7 @@
     address: AddressOption = DEFAULT_ADDRESS,
     token_file: TokenFileOption = "",
 ) -> None:
-    """Show what differs between two plans, such as a stale one and its replacement."""
+    """Show the differences between two plans, such as a stale one and its replacement."""
     client = open_client(address=address, token_file=token_file)
     both = client.bind(
         lambda opened: opened.get(_path(first), PlanView).bind(
--- a/src/shallotworks/cli/_plan_text.py
+++ b/src/shallotworks/cli/_plan_text.py
@@ -1,4 +1,4 @@
-"""A plan as text for people, safe to print."""
+"""Formats plans as text for a terminal."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def plan_text(view: PlanView) -> str:
-    """Return a plan: what will happen, what it costs, what it was chosen over, how far it is."""
+    """Return a plan as text: its waves, costs, rejected alternatives and progress."""
     return _printable(render_plan(view.plan)) + "\n" + stage_text(view)
 
 
 def stage_text(view: PlanView) -> str:
-    """Return where a plan stands, in one to three lines."""
+    """Return the stage, progress and outcome of a plan."""
     digest = view.plan.short_digest
     lines = [f"plan {digest} is {view.stage}: {describe_intent(view.plan.intent)}"]
     if view.record is not None and view.record.state.is_open and view.progress is not None:
@@ -28,7 +28,7 @@
 
 
 def diff_text(first: Plan, second: Plan) -> str:
-    """Return what differs between two plans."""
+    """Return the differences between two plans as text."""
     return _printable(render_diff(diff_plans(first, second)))
 
 
--- a/src/shallotworks/cli/_process_commands.py
+++ b/src/shallotworks/cli/_process_commands.py
@@ -1,4 +1,4 @@
-"""Commands that start something: an instance, a stand-in, the demo; and the check before it."""
+"""Commands that start an instance, a stand-in or the demo, and the command to check settings."""
 
 from __future__ import annotations
 
@@ -42,16 +42,17 @@
 def _serve(
     settings: Annotated[str, typer.Option("--settings", help="The settings file.")],
 ) -> None:
-    """Run one instance until it is told to stop."""
+    """Run one instance until it receives a signal to stop."""
     loaded = _load(settings)
     _start_log(loaded.log.verbosity)
-    # Imported here alone: an operator's tool must not load all of an instance for `status`.
+    # Imported on demand, so that commands such as `status` don't load the code of an instance.
     node = _import("shallotworks.node")
     raise typer.Exit(node.serve(loaded))
 
 
 def _start_log(verbosity: int) -> None:
-    # The settings stand for absl's own flags, whose absence it would complain of on every start.
+    # absl warns on every start if its flags are not parsed. The verbosity comes from the settings
+    # instead, so the flags are marked as parsed.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(verbosity)
@@ -60,9 +61,9 @@
 def _check_settings(
     file: Annotated[str, typer.Argument(help="The settings file.")],
 ) -> None:
-    """Check a settings file as a whole, and name every fault in it.
+    """Check a settings file completely and report every problem in it.
 
-    A file of the users' platform, which is TOML, is checked for what an instance needs of it.
+    For a TOML settings file of the users' platform, check the parts that an instance needs.
     """
     if file.endswith(PLATFORM_SETTINGS_SUFFIX):
         _check_platform_settings(file)
@@ -96,7 +97,7 @@
 
 
 def _demo() -> None:
-    """Run a small fleet in this process, drain a rack of it, and count what became of requests."""
+    """Run a small fleet in this process, drain one rack and count the outcomes of requests."""
     _start_log(logging.WARNING)
     raise typer.Exit(_import("shallotworks.demo").run_demo())
 
@@ -130,8 +131,8 @@
 
 
 def _run_until_stopped(label: str, start: Callable[[], Any]) -> None:
-    # Blocked before any thread starts, since threads inherit it: a signal that reached a thread
-    # without the block would end the process at once.
+    # The signals are blocked before any thread starts, because threads inherit the mask. A signal
+    # delivered to a thread that doesn't block it would end the process at once.
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     standin = start()
     print_text(f"{label} listens at {standin.address}\n")
--- a/src/shallotworks/cli/_propose_commands.py
+++ b/src/shallotworks/cli/_propose_commands.py
@@ -1,4 +1,4 @@
-"""Commands that propose a plan: one for each thing an operator may want."""
+"""Commands that propose a plan, one for each kind of intent and selection."""
 
 from __future__ import annotations
 
@@ -42,29 +42,29 @@
 DataCentreArgument = Annotated[str, typer.Argument(help="Name of the data centre.")]
 NamesArgument = Annotated[list[str], typer.Argument(help="Names of the instances.")]
 WeeksArgument = Annotated[float, typer.Argument(help="Age in weeks.", min=0)]
-DataCentreOption = Annotated[str, typer.Option("--data-centre", help="Where the rack stands.")]
+DataCentreOption = Annotated[str, typer.Option("--data-centre", help="Data centre of the rack.")]
 
 _wall_clock_s: Callable[[], float] = time.time
 
 propose_app = typer.Typer(
-    help="Propose a plan; nothing acts on it before it is confirmed.", no_args_is_help=True
+    help="Propose a plan; it is executed only after it is confirmed.", no_args_is_help=True
 )
 
 
 @propose_app.command("move")
 def _move(
-    from_pool: Annotated[str, typer.Argument(help="The pool they are in.")],
-    to_pool: Annotated[str, typer.Argument(help="The pool they go to.")],
-    count: Annotated[int, typer.Option(help="How many.", min=0)] = 0,
+    from_pool: Annotated[str, typer.Argument(help="Pool that the instances leave.")],
+    to_pool: Annotated[str, typer.Argument(help="Pool that the instances join.")],
+    count: Annotated[int, typer.Option(help="Number of instances.", min=0)] = 0,
     instance: Annotated[
-        list[str] | None, typer.Option(help="Which one; may stand several times.")
+        list[str] | None, typer.Option(help="Name of an instance; may be repeated.")
     ] = None,
     address: AddressOption = DEFAULT_ADDRESS,
     token_file: TokenFileOption = "",
     operator: OperatorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Move instances from one pool to another: --count of them, or those named."""
+    """Move instances from one pool to another, either --count of them or those named."""
     names = tuple(instance or ())
     if bool(count) is bool(names):
         raise typer.BadParameter("give either --count or --instance", param_hint="--count")
@@ -73,7 +73,7 @@
 
 
 def _add_selections(app: typer.Typer, to_intent: Callable[[Selection], Intent]) -> None:
-    """Add one command for each way to select instances."""
+    """Add one command for each kind of selection."""
 
     @app.command("instance")
     def _instance(
@@ -133,7 +133,7 @@
         operator: OperatorOption = "",
         as_json: JsonOption = False,
     ) -> None:
-        """Every instance whose last maintenance is so many weeks ago."""
+        """The instances whose last maintenance is at least this many weeks ago."""
         selection = not_maintained_for(weeks, now_s=_wall_clock_s())
         _propose(Maintain(selection=selection), address, token_file, operator, as_json)
 
@@ -160,12 +160,12 @@
 
 _add_action(
     "drain",
-    "Take instances out of service, once nothing is in flight there.",
+    "Take instances out of service once they have no request in flight.",
     lambda selection: Drain(selection=selection),
 )
 _add_action(
     "return",
-    "Probe cordoned instances and bring them back into service.",
+    "Probe cordoned instances and return them to service.",
     lambda selection: Return(selection=selection),
 )
 _add_older_than(
