--- a/src/shallotworks/settings/__init__.py
+++ b/src/shallotworks/settings/__init__.py
@@ -1,8 +1,8 @@
-"""The settings of one instance: an INI file, checked as a whole before anything starts.
+"""The settings of one instance: an INI file that is validated completely before anything starts.
 
 `load_settings` returns either `Settings`, in which every value is within its range and every file
-it names can be read, or `SettingsProblems`, which name every fault at once. Nothing here starts,
-binds or writes anything, and no secret is ever kept in `Settings`: it holds the paths only.
+that it names can be read, or `SettingsProblems`, which lists every problem at once. This package
+starts, binds and writes nothing. `Settings` contains the paths of secrets only, never a secret.
 """
 
 from ._load import load_settings, parse_settings
--- a/src/shallotworks/settings/_keys.py
+++ b/src/shallotworks/settings/_keys.py
@@ -1,4 +1,4 @@
-"""The table of keys: section, key and rule; the defaults stand in the classes of `_sections`."""
+"""The table of sections, keys and rules; the classes in `_sections` define the defaults."""
 
 from __future__ import annotations
 
@@ -123,7 +123,7 @@
 
 
 def default_of(section: str, key: str) -> Any:
-    """Return the default of a key; ``dataclasses.MISSING`` where it must be written."""
+    """Return the default of a key; ``dataclasses.MISSING`` if the key is required."""
     for entry in fields(SECTIONS[section]):
         if entry.name == key:
             return entry.default
--- a/src/shallotworks/settings/_load.py
+++ b/src/shallotworks/settings/_load.py
@@ -1,4 +1,4 @@
-"""From an INI file to checked settings, or to every fault in it."""
+"""Loads and validates an INI file; returns the settings or every problem in the file."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class _Parser(configparser.ConfigParser):
-    """The INI dialect: no interpolation, no section of defaults, keys as written."""
+    """Parses the INI dialect: no interpolation, no default section, case-sensitive keys."""
 
     def __init__(self) -> None:
         super().__init__(interpolation=None, default_section="")
@@ -38,7 +38,7 @@
     """Read and check a settings file.
 
     Args:
-        path: Path of the INI file; relative paths in it start from its folder.
+        path: Path of the INI file; relative paths in the file start from its folder.
 
     Returns:
         The settings, or all problems at once.
@@ -59,11 +59,11 @@
 
 
 def parse_settings(text: str, *, path: str) -> Result[Settings, SettingsProblems]:
-    """Check settings that were read already.
+    """Validate the text of a settings file.
 
     Args:
         text: The INI text.
-        path: Where it came from, for messages and relative paths.
+        path: Path of the file, for messages and relative paths.
 
     Returns:
         The settings, or all problems at once.
--- a/src/shallotworks/settings/_problems.py
+++ b/src/shallotworks/settings/_problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file."""
+"""Problems in a settings file."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SettingProblem:
-    """One fault.
+    """One problem in a settings file.
 
     Args:
-        section: Section of the file; empty where the fault is in the file itself.
-        key: Key within the section; empty where the fault is in the section itself.
-        value: The value as written; ``None`` where there is none.
-        problem: What is wrong, in one phrase.
-        allowed: What is allowed instead.
+        section: Section of the file; empty if the problem concerns the whole file.
+        key: Key within the section; empty if the problem concerns the whole section.
+        value: The value as written; ``None`` if there is none.
+        problem: Description of the problem, in one phrase.
+        allowed: Description of the allowed values.
     """
 
     section: str
@@ -45,8 +45,9 @@
     """All problems of one file, of the kind ``INVALID_SETTINGS``.
 
     Args:
-        path: The file.
-        problems: At least one, in the order of the table of keys.
+        path: Path of the file.
+        problems: At least one problem. Unknown sections and keys come first, then the others in
+            the order of the table of keys.
     """
 
     path: str
@@ -54,10 +55,10 @@
 
     @property
     def kind(self) -> ErrorKind:
-        """The error kind, always the same."""
+        """The error kind, always ``INVALID_SETTINGS``."""
         return ErrorKind.INVALID_SETTINGS
 
     def failure(self) -> Failure:
-        """Return the problems as one failure, for the log and the exit code."""
+        """Return all problems as one failure, for the log and the exit code."""
         descriptions = " | ".join(str(problem) for problem in self.problems)
         return Failure(kind=self.kind, reason=f"{self.path}: {descriptions}")
--- a/src/shallotworks/settings/_relations.py
+++ b/src/shallotworks/settings/_relations.py
@@ -1,4 +1,4 @@
-"""Rules that bind two keys: each value is within its range, but they contradict each other."""
+"""Checks for keys whose values are within their ranges but contradict each other."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def find_contradictions(settings: Settings) -> Iterator[SettingProblem]:
-    """Return a fault for each pair of keys that contradict each other."""
+    """Yield a problem for each contradiction between keys."""
     yield from _contradicting_times(settings)
     yield from _contradicting_weights(settings)
     yield from _shared_ports(settings)
--- a/src/shallotworks/settings/_rules.py
+++ b/src/shallotworks/settings/_rules.py
@@ -1,4 +1,4 @@
-"""Rules for the value of a key: what is allowed, and how the text becomes a value."""
+"""Rules that describe the allowed values of a key and parse its text."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 MAX_PORT = 65_535
 
-# ASCII digits only, few enough for an exact int and for a finite float.
+# The patterns accept ASCII digits only, and few enough that a float is finite.
 _WHOLE_PATTERN = re.compile(r"[+-]?[0-9]{1,15}", re.ASCII)
 _DECIMAL_PATTERN = re.compile(r"[+-]?[0-9]{1,15}(\.[0-9]{1,15})?", re.ASCII)
 _TIME_OF_DAY_PATTERN = re.compile(r"([01][0-9]|2[0-3]):[0-5][0-9]", re.ASCII)
@@ -36,19 +36,19 @@
 
 
 class Rule(Protocol):
-    """What one key may hold."""
+    """The rule for the value of one key."""
 
     @property
     def allowed(self) -> str:
-        """What is allowed, in words for a person."""
+        """Description of the allowed values."""
         ...
 
     def parse(self, text: str, *, folder: Path) -> Result[Any, str]:
-        """Return the value, or what is wrong with the text.
+        """Return the parsed value, or a description of the problem.
 
         Args:
             text: The value as written.
-            folder: Folder of the settings file, which relative paths start from.
+            folder: Folder of the settings file, to which relative paths refer.
         """
         ...
 
@@ -113,11 +113,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NameRule:
-    """The name of a thing in the fleet."""
+    """The name of an object in the fleet."""
 
     @property
     def allowed(self) -> str:
-        """The pattern in words."""
+        """Description of the pattern."""
         return "1 to 63 letters, digits, dots, hyphens and underscores, a letter or digit first"
 
     def parse(self, text: str, *, folder: Path) -> Result[str, str]:
@@ -129,21 +129,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HostRule:
-    """An IP number to listen on.
+    """An IP address to listen on.
 
     Args:
-        reachable: Whether others are told this number, so that it can't stand for "any".
+        reachable: Whether the address is announced to other instances, so that an unspecified
+            address such as ``0.0.0.0`` is not allowed.
     """
 
     reachable: bool = False
 
     @property
     def allowed(self) -> str:
-        """The kind of number in words."""
+        """Description of the allowed addresses."""
         return "an IP number that others reach" if self.reachable else "an IP number"
 
     def parse(self, text: str, *, folder: Path) -> Result[str, str]:
-        """Return the number in its usual form."""
+        """Return the address in canonical form."""
         number = _parse_ip_number(text)
         if number is None:
             return Err("not an IP number")
@@ -154,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AddressRule:
-    """An ``ip:port`` to dial; empty where it may be left out."""
+    """An ``ip:port`` to connect to; may be empty if ``optional`` is set."""
 
     optional: bool = False
 
@@ -165,7 +166,7 @@
         return f"{form}, or nothing" if self.optional else form
 
     def parse(self, text: str, *, folder: Path) -> Result[str, str]:
-        """Return the address in its usual form."""
+        """Return the ``ip:port`` in canonical form."""
         if self.optional and not text:
             return Success("")
         return parse_address(text)
@@ -195,11 +196,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SecretFileRule:
-    """The path of a file that holds a token or a key.
+    """The path of a file that contains a token or a key.
 
     Args:
-        least_bytes: Shortest secret allowed.
-        sent_in_header: Whether the secret is sent as an HTTP header, hence visible ASCII.
+        min_bytes: Minimum length of the secret.
+        sent_in_header: Whether the secret is sent in an HTTP header and must therefore be visible
+            ASCII.
     """
 
     min_bytes: int
@@ -207,13 +209,13 @@
 
     @property
     def allowed(self) -> str:
-        """The kind of file in words."""
+        """Description of the allowed files."""
         holds = f"at least {self.min_bytes} bytes" if self.min_bytes > 1 else "a secret"
         form = " of visible ASCII characters" if self.sent_in_header else ""
         return f"the path of a readable file that holds {holds}{form}"
 
     def parse(self, text: str, *, folder: Path) -> Result[str, str]:
-        """Return the path, from the root."""
+        """Return the absolute path."""
         if not text:
             return Err("empty")
         path = str((folder / text).absolute())
@@ -227,7 +229,8 @@
 
 
 def _parse_ip_number(text: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
-    # A zone ("%eth0") may hold any character and means something on one machine only.
+    # Addresses with a zone such as "%eth0" are rejected: a zone may contain any character and is
+    # valid on one machine only.
     if "%" in text:
         return None
     try:
@@ -237,7 +240,7 @@
 
 
 def parse_address(text: str) -> Result[str, str]:
-    """Return an ``ip:port`` in its usual form, or what is wrong with it."""
+    """Return an ``ip:port`` in canonical form, or a description of the problem."""
     host, colon, port = text.rpartition(":")
     bracketed = host.startswith("[") and host.endswith("]")
     number = _parse_ip_number(host[1:-1] if bracketed else host)
--- a/src/shallotworks/settings/_secrets.py
+++ b/src/shallotworks/settings/_secrets.py
@@ -1,4 +1,4 @@
-"""Files that hold a token or a key."""
+"""Reads files that contain a token or a key."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
 
 
 def read_secret(path: str) -> Result[bytes, Failure]:
-    """Read a token or key, without the white space around it.
+    """Read a token or key and strip the surrounding white space.
 
     Args:
-        path: Path of a plain file of at most `MAX_SECRET_BYTES`.
+        path: Path of a regular file of at most `MAX_SECRET_BYTES`.
 
     Returns:
-        What it holds, or ``INVALID_SETTINGS`` with the reason.
+        The secret, or ``INVALID_SETTINGS`` with the reason.
     """
     try:
-        # A named pipe would block the start for good, a device would never end.
+        # Only regular files are read: opening a named pipe would block the start forever, and
+        # reading from a device might never end.
         if not stat.S_ISREG(Path(path).stat().st_mode):
             return _invalid_settings("is not a plain file")
         with open(path, "rb") as file:
@@ -43,10 +44,10 @@
 
 
 def read_token(path: str) -> Result[bytes, Failure]:
-    """Read a token that is sent in a header, hence at least one visible ASCII character.
+    """Read a token that is sent in a header: at least one character, all of them visible ASCII.
 
     Args:
-        path: Path of a plain file of at most `MAX_SECRET_BYTES`.
+        path: Path of a regular file of at most `MAX_SECRET_BYTES`.
 
     Returns:
         The token, or ``INVALID_SETTINGS`` with the reason.
--- a/src/shallotworks/settings/_sections.py
+++ b/src/shallotworks/settings/_sections.py
@@ -1,4 +1,4 @@
-"""The settings as the program reads them: one class for each section of the file."""
+"""The settings classes, one for each section of the file."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceSettings:
-    """Which instance this is.
+    """The identity of the instance.
 
     Args:
-        name: Unique over the fleet.
-        data_centre: Where it stands.
-        region: The region of that data centre.
+        name: Name of the instance, unique in the fleet.
+        data_centre: Data centre of the instance.
+        region: Region of that data centre.
     """
 
     name: str
@@ -38,13 +38,14 @@
     """The callers' port.
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        threads: Threads that serve callers, one request each.
-        long_running_part: Part of the threads that long-running requests may hold, waiting ones
-            included; above it they are refused, so that interactive ones find a thread.
-        body_limit_bytes: Largest body taken.
-        header_timeout_s: Time in which a caller must have sent its request.
+        threads: Number of threads that serve callers; each serves one request at a time.
+        long_running_part: Fraction of the threads that long-running requests may occupy, including
+            those that wait, 0 to 1. Further long-running requests are refused, so that threads
+            remain for interactive requests.
+        body_limit_bytes: Largest accepted request body.
+        header_timeout_s: Time within which a caller must have sent its request.
     """
 
     host: str = "127.0.0.1"
@@ -60,10 +61,10 @@
     """The operators' port.
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        threads: Threads that serve operators.
-        token_file: Path of the file that holds the bearer token.
+        threads: Number of threads that serve operators.
+        token_file: Path of the file that contains the bearer token.
     """
 
     host: str = "127.0.0.1"
@@ -74,16 +75,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeersSettings:
-    """The port between instances, and when a silent peer is given up.
+    """The port between instances, and the timeouts of the failure detector.
 
     Args:
-        host: IP number to listen on, and at which peers reach this instance.
-        port: TCP port; 0 for any free one.
-        key_file: Path of the file that holds the key which all instances share.
-        seeds: ``ip:port`` of the instances to greet first.
-        heartbeat_interval_s: Time between two heartbeats to one peer.
-        suspect_after_s: Silence after which a peer is suspect.
-        remove_after_s: Silence after which a peer is removed.
+        host: IP address to listen on, and at which peers reach this instance.
+        port: TCP port, at least 1.
+        key_file: Path of the file that contains the key shared by all instances.
+        seeds: ``ip:port`` of the instances to contact first.
+        heartbeat_interval_s: Interval between two heartbeats to one peer.
+        suspect_after_s: Time without a message after which a peer is suspect.
+        remove_after_s: Time without a message after which a peer is removed.
     """
 
     host: str = "127.0.0.1"
@@ -97,13 +98,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformSettings:
-    """The platform's services.
+    """The services of the platform.
 
     Args:
         address: ``ip:port`` of the key-value service.
-        instance_list_address: ``ip:port`` of the instance list; the same address by default.
-        timeout_s: Time after which a call is given up.
-        calls_per_s: Calls that this instance makes at the most.
+        instance_list_address: ``ip:port`` of the instance list; by default that of the key-value
+            service.
+        timeout_s: Timeout of a call.
+        calls_per_s: Rate limit of this instance's calls.
     """
 
     address: str
@@ -114,21 +116,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestsSettings:
-    """The path of a request.
+    """Admission, dispatch and retries of requests.
 
     Args:
-        connect_timeout_s: Time in which a target must accept a connection.
-        attempt_timeout_s: Time in which one attempt must be answered.
-        default_deadline_s: Time that a request has where the caller names none.
-        max_deadline_s: Longest time that a caller may name.
+        connect_timeout_s: Time within which a target must accept a connection.
+        attempt_timeout_s: Time within which a target must answer one attempt.
+        default_deadline_s: Deadline of a request whose caller sets none.
+        max_deadline_s: Longest deadline that a caller may set.
         waiting_per_slot: Requests that may wait per usable slot of a pool.
-        retry_part: Retries as a part of first attempts, 0 to 1.
-        eject_part_max: Part of a service's targets that may be ejected at once, 0 to 1.
-        interactive_reserve_factor: Slots that long-running work leaves to interactive work beyond
-            those that it holds on average, as a multiple of the square root of that average.
-        long_running_min_part: Part of the slots that long-running work always gets, 0 to 1.
-        idle_connection_age_s: Idle time after which a connection to a target is not used again.
-        once_window_s: Time for which an idempotency key is remembered.
+        retry_part: Retry budget as a fraction of first attempts, 0 to 1.
+        eject_part_max: Largest fraction of a service's targets that may be ejected at once, 0 to 1.
+        interactive_reserve_factor: Slots that long-running work leaves free for interactive work
+            beyond those that interactive work holds on average, as a multiple of the square root
+            of that average.
+        long_running_min_part: Fraction of the slots that long-running work always gets, 0 to 1.
+        idle_connection_age_s: Idle time after which a connection to a target is not reused.
+        once_window_s: Time for which an idempotency key is stored.
     """
 
     connect_timeout_s: float = 1.0
@@ -146,19 +149,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlansSettings:
-    """How plans are chosen and carried out.
+    """Selection and execution of plans.
 
     Args:
-        weight_buffer: Weight of the spare capacity held back.
-        weight_rollout: Weight of the time that a plan takes.
-        weight_moves: Weight of relocated jobs and instances.
-        lease_ttl_s: Time after which a silent conductor is replaced.
-        drain_timeout_s: Time in which an instance must have no request in flight.
-        reboot_timeout_s: Time in which a rebooted instance must answer again.
-        settle_s: Time that a returned instance gets to take up its load before the next wave.
-        window_opens: Start of the daily maintenance window, ``HH:MM`` in UTC; the same as its end
-            for any time.
-        window_closes: End of that window, which may lie after midnight.
+        weight_buffer: Weight of the slots that a plan keeps out of service at the same time.
+        weight_rollout: Weight of the duration of a plan.
+        weight_moves: Weight of the jobs and instances that a plan relocates.
+        lease_ttl_s: Time to live of a conductor's lease, after which another instance takes over.
+        drain_timeout_s: Time within which a drained instance must have no request in flight.
+        reboot_timeout_s: Time within which a rebooted instance must answer again.
+        settle_s: Time for a returned instance to take up its load before the next wave.
+        window_opens: Start of the daily maintenance window, ``HH:MM`` in UTC; equal to its end if
+            maintenance is allowed at any time.
+        window_closes: End of that window; may be after midnight.
     """
 
     weight_buffer: float = 1.0
@@ -174,10 +177,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TimelineSettings:
-    """The time line.
+    """The timeline.
 
     Args:
-        capacity: Events kept; the oldest are dropped.
+        capacity: Maximum number of retained events; the oldest are dropped first.
     """
 
     capacity: int = 20_000
@@ -185,11 +188,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LogSettings:
-    """The log, and the end of the process.
+    """The log and the shutdown of the process.
 
     Args:
-        verbosity: Verbosity of absl: -3 (fatal only) to 1 (debug).
-        stop_timeout_s: Time that requests in flight have after a signal to stop.
+        verbosity: Verbosity of absl, from -3 (fatal only) to 1 (debug).
+        stop_timeout_s: Time for requests in flight to finish after a signal to stop.
     """
 
     verbosity: int = 0
