--- a/src/shallotworks/listener/__init__.py
+++ b/src/shallotworks/listener/__init__.py
@@ -1,6 +1,7 @@
-"""HTTP listeners: cheroot with the settings that every port of ours needs, set on purpose.
+"""HTTP listeners: cheroot with the limits and timeouts that all ports share.
 
-Nothing here knows what is served; callers' port, operators' port and the stand-ins all start one.
+A listener is independent of the application that it serves. The callers' port, the operators' port
+and the stand-ins each use one.
 """
 
 from ._listener import Listener, WsgiApplication
--- a/src/shallotworks/listener/_listener.py
+++ b/src/shallotworks/listener/_listener.py
@@ -1,4 +1,4 @@
-"""One cheroot server on a thread of its own."""
+"""A cheroot server that runs on its own thread."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 __all__ = ["Listener", "WsgiApplication"]
 
 MAX_KEPT_ALIVE_CONNECTIONS = 1_000
-"""Cheroot's own limit of 10 closes every further connection after one answer."""
+"""With cheroot's default of 10, every further connection is closed after one response."""
 LISTEN_BACKLOG = 512
-"""Cheroot's own backlog of 5 drops SYNs under a burst; each is retried a second later."""
+"""With cheroot's default of 5, SYNs are dropped during a burst and retried a second later."""
 MAX_HEADER_BYTES = 32 * 1024
 DEFAULT_MAX_BODY_BYTES = 1024 * 1024
 DEFAULT_READ_TIMEOUT_S = 10.0
@@ -36,15 +36,16 @@
     """Serves one WSGI application on one port.
 
     Args:
-        host: IP number to listen at.
-        port: Port; 0 for any free one.
-        application: What answers.
-        threads: Threads that serve requests, which bounds the requests served at once.
-        body_limit_bytes: Longest request body; a longer one is answered with 413 unread.
+        host: IP address to listen on.
+        port: TCP port; 0 for any free one.
+        application: The WSGI application.
+        threads: Number of threads, which limits the requests served at the same time.
+        body_limit_bytes: Largest request body; a larger one is answered with status 413 and not
+            read.
         read_timeout_s: Longest wait for the next bytes of a request, and longest idle time of a
             kept-alive connection.
-        receive_timeout_s: Longest time for a whole request to arrive.
-        stop_timeout_s: How long `stop` waits for requests in flight.
+        receive_timeout_s: Longest time for a complete request to arrive.
+        stop_timeout_s: Time that `stop` waits for requests in flight.
     """
 
     __slots__ = ("_server", "_thread")
@@ -78,10 +79,10 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Bind the port and begin to serve.
+        """Bind the port and start serving.
 
         Raises:
-            ShallotworksError: ``INVALID_SETTINGS`` where the port can't be bound.
+            ShallotworksError: ``INVALID_SETTINGS`` if the port can't be bound.
         """
         host, port = self._server.bind_addr
         try:
@@ -98,12 +99,12 @@
 
     @property
     def port(self) -> int:
-        """The port listened at."""
+        """The port that the listener is bound to."""
         port: int = self._server.bind_addr[1]
         return port
 
     def stop(self) -> None:
-        """Take no new connection, let requests in flight finish within the set time."""
+        """Stop accepting connections and wait for requests in flight, up to the stop timeout."""
         stopping = threading.Thread(target=self._server.stop, name=f"stop-{self.port}")
         stopping.start()
         self._unblock_select()
@@ -113,14 +114,14 @@
             self._thread = None
 
     def _unblock_select(self) -> None:
-        """Connect once, since cheroot looks at its stop flag only when its select returns."""
+        """Connect once, because cheroot checks its stop flag only when its select returns."""
         host, port = self._server.bind_addr
         with contextlib.suppress(OSError):
             socket.create_connection((host, port), timeout=UNBLOCK_TIMEOUT_S).close()
 
 
 class _BoundedServer(wsgi.Server):
-    """Keeps cheroot's own messages out of standard error, and bounds slow senders."""
+    """Logs cheroot's errors through absl instead of standard error, and limits slow senders."""
 
     ConnectionClass = BoundedConnection
     receive_timeout_s = DEFAULT_RECEIVE_TIMEOUT_S
@@ -128,6 +129,6 @@
     def error_log(
         self, msg: str = "", level: int = std_logging.INFO, traceback: bool = False
     ) -> None:
-        """Log a fault of the server."""
+        """Log an error of the server; messages of lower levels are discarded."""
         if level >= std_logging.ERROR:
             logging.error("listener: %s", msg, exc_info=traceback)
--- a/src/shallotworks/listener/_slow_senders.py
+++ b/src/shallotworks/listener/_slow_senders.py
@@ -1,10 +1,10 @@
-"""Bounds the whole time in which one request must have arrived.
+"""Enforces a deadline for the complete arrival of each request.
 
-The failure: a sender that trickles, or has lost its link half way, holds a thread for as long as
-each wait for its next byte stays below the socket's timeout; a few of them hold all threads and the
-port answers nobody. How it shows: the port times out while the process is idle. The guard: each
-request has one deadline for all its reads, after which its connection is closed, so that a thread
-is free again within that time whatever a sender does.
+The failure: a client that sends slowly, or whose link fails in the middle of a request, occupies a
+thread for as long as each wait for the next byte stays below the socket's timeout. A few such
+clients occupy all threads, and calls to the port time out while the process is idle. Therefore all
+reads of one request share a deadline, after which the connection is closed, so that the thread is
+free again within that time.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 __all__ = ["BoundedConnection"]
 
 TIMEOUT_MESSAGE = "timed out"
-"""The text by which cheroot knows a timeout and answers 408."""
+"""Cheroot recognises a timeout by this text and responds with status 408."""
 
 
 class BoundedConnection(HTTPConnection):
@@ -29,14 +29,14 @@
         super().__init__(server, sock, _make_file)
 
     def communicate(self) -> Any:
-        """Serve one request, as cheroot has it, within its time."""
-        # A thread of the port has no event loop, so this is the one place with a clock of its own.
+        """Serve one request, which must arrive before the deadline."""
+        # Threads of the port have no event loop, so the deadline uses the monotonic clock.
         self.rfile.raw.deadline_s = time.monotonic() + self.server.receive_timeout_s
         return super().communicate()  # type: ignore[no-untyped-call]
 
 
 class _BoundedSocket(socket.SocketIO):
-    """Reads from a socket until a deadline, whatever the socket's own timeout."""
+    """Reads from a socket until a deadline, even if the socket's own timeout is longer."""
 
     def __init__(self, sock: socket.socket) -> None:
         super().__init__(sock, "r")
@@ -44,7 +44,11 @@
         self._connection = sock
 
     def readinto(self, buffer: Any) -> int | None:
-        """Read what has come; raises ``TimeoutError`` at the deadline."""
+        """Read the available bytes.
+
+        Raises:
+            TimeoutError: The deadline or the socket's own timeout has passed.
+        """
         socket_timeout_s = self._connection.gettimeout()
         remaining_s = self.deadline_s - time.monotonic()
         if remaining_s <= 0:
@@ -55,15 +59,15 @@
         try:
             return super().readinto(buffer)
         finally:
-            # Answers are written under the usual timeout.
+            # Responses are written with the socket's own timeout.
             self._connection.settimeout(socket_timeout_s)
 
 
 class _BoundedReader(StreamReader):
-    """Cheroot's reader, over a bounded socket."""
+    """Cheroot's stream reader on a socket with a deadline."""
 
     def __init__(self, sock: socket.socket, buffer_size: int) -> None:
-        # Past cheroot's own constructor, which would open a plain socket.
+        # This skips cheroot's constructor, which would open a socket reader without a deadline.
         super(StreamReader, self).__init__(_BoundedSocket(sock), buffer_size)
         self.bytes_read = 0
 
--- a/src/shallotworks/logs/__init__.py
+++ b/src/shallotworks/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard output, bounded and never waited for."""
+"""Structured log lines on standard output, through a bounded buffer that never blocks."""
 
 from ._structured_log import StructuredLog
 
--- a/src/shallotworks/logs/_structured_log.py
+++ b/src/shallotworks/logs/_structured_log.py
@@ -1,7 +1,8 @@
-"""One JSON object a line, written by a task of its own from a bounded buffer.
+"""A structured log: one JSON object per line, written by a task from a bounded buffer.
 
-absl's logging writes in the calling thread and blocks on a full pipe; lines that explain a failed
-request come at hundreds a second, so they have a buffer. Faults of the program still go to absl.
+absl's logging writes in the calling thread and blocks on a full pipe. Lines that explain a failed
+request occur hundreds of times a second, so they are buffered instead. Bugs of the program are
+still logged through absl.
 """
 
 from __future__ import annotations
@@ -17,19 +18,21 @@
 __all__ = ["StructuredLog"]
 
 MAX_BUFFERED_LINES = 4_000
-"""Lines that wait to be written: about 1 MB, 10 s of the heaviest load measured."""
+"""About 1 MB, or 10 s of log lines under the heaviest load."""
 MAX_UNWRITTEN_BYTES = 1_000_000
-"""Bytes handed to a reader that does not take them; the buffer of lines fills behind them."""
+"""Limit on bytes that the reader hasn't accepted yet. While it is reached, further lines stay in
+the buffer of lines."""
 FLUSH_INTERVAL_S = 0.1
 STANDARD_OUTPUT_FD = 1
 
 
 class StructuredLog:
-    """Writes structured lines; when the reader is too slow, lines are dropped and counted.
+    """Writes structured log lines; if the reader is too slow, lines are dropped and counted.
 
     Args:
-        process: Name of the process, on each line.
-        write: Takes bytes and returns how many it took; raises `BlockingIOError` when full.
+        process: Name of the process, included in each line.
+        write: Writes bytes and returns the number written; raises `BlockingIOError` if the reader
+            accepts none.
     """
 
     __slots__ = ("_dropped", "_lines", "_process", "_unwritten", "_write")
@@ -42,11 +45,11 @@
         self._dropped = 0
 
     def line(self, event: str, **fields: object) -> None:
-        """Write one line.
+        """Append one line to the buffer.
 
         Args:
-            event: What was decided or learnt, in lower case words joined by hyphens.
-            fields: Ids, inputs, their age or version, and the outcome.
+            event: Name of the event, in lower-case words joined by hyphens.
+            fields: Ids, inputs with their age or version, and the outcome.
         """
         if len(self._lines) >= MAX_BUFFERED_LINES:
             self._dropped += 1
@@ -55,7 +58,7 @@
         self._lines.append(dump_json(record).decode())
 
     async def run(self) -> None:
-        """Write what was logged, until cancelled; call `flush` once more afterwards."""
+        """Flush the buffer periodically until cancelled; call `flush` once more afterwards."""
         if self._write is _to_standard_output:
             os.set_blocking(STANDARD_OUTPUT_FD, False)
         while True:
@@ -63,7 +66,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write as much as the reader takes without waiting."""
+        """Write as much as the reader accepts without blocking."""
         if self._dropped and len(self._lines) < MAX_BUFFERED_LINES:
             dropped, self._dropped = self._dropped, 0
             self.line("log-lines-dropped", count=dropped)
--- a/src/shallotworks/metrics/__init__.py
+++ b/src/shallotworks/metrics/__init__.py
@@ -1,8 +1,9 @@
-"""Counters and latency histograms of one process, written on the event loop, read by operators.
+"""Counters and latency histograms of one process, written on the event loop and read by operators.
 
-`Metrics` is written by the loop's thread only and is cheap to write. Reading is in two steps, so
-that the loop never works out a quantile: `Metrics.freeze` copies the raw counts on the loop,
-`summarise` works out the quantiles in the reader's thread. Nothing here is sent to anyone unasked.
+Only the event loop's thread writes to `Metrics`, and writes are cheap. Reading takes two steps, so
+that quantiles are never computed on the event loop: `Metrics.freeze` copies the raw counts on the
+loop, and `summarise` computes the quantiles in the reader's thread. Metrics are pulled, never
+pushed.
 """
 
 from ._exposition import EXPOSITION_CONTENT_TYPE, to_exposition
--- a/src/shallotworks/metrics/_exposition.py
+++ b/src/shallotworks/metrics/_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics in the text exposition format that scrapers read."""
+"""Formats metrics in the text exposition format that scrapers read."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def to_exposition(snapshot: MetricsSnapshot) -> str:
-    """Return the snapshot as text, one sample a line.
+    """Return the snapshot as text, one sample per line.
 
-    The names used here hold dots, hyphens and names of services, which the format forbids in a
-    metric's name, so each stands in a label and comes back unchanged.
+    The names of counters and latencies contain dots, hyphens and service names, which the format
+    does not allow in the name of a metric. They are therefore exported unchanged as a label.
     """
     return "\n".join([*_counter_lines(snapshot), *_latency_lines(snapshot), ""])
 
--- a/src/shallotworks/metrics/_load_monitor.py
+++ b/src/shallotworks/metrics/_load_monitor.py
@@ -1,4 +1,4 @@
-"""How much of its processor a process uses, and how late its event loop runs."""
+"""Monitors the processor use of a process and the lateness of its event loop."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 
 SAMPLE_INTERVAL_S = 0.1
 WINDOW_SAMPLES = 10
-"""Use and lateness are judged over the last second."""
+"""Processor use and lateness are averaged over the last second."""
 SATURATED_RATIO = 0.9
 RELIEVED_RATIO = 0.7
-"""Below it a saturated process counts as relieved; lower, so that one at the edge says so once."""
+"""A saturated process counts as relieved below this ratio. The gap to `SATURATED_RATIO` prevents
+repeated log lines from a process whose use is close to the limit."""
 SATURATED_LATENESS_S = 0.1
-"""A loop that is late by this on average holds up renewals and looks, whatever its use."""
+"""A mean lateness of the event loop that delays lease renewals and polls, whatever the use."""
 
 
 class LoadMonitor:
-    """Measures the load of a process, and says when it saturates and when it no longer does.
+    """Measures the load of a process and logs when it becomes saturated or is relieved.
 
-    What it answers: a queue waits beside idle workers, and nothing shows whether its scheduler
-    lacks machines or processor.
+    The failure: tasks wait in a queue while workers are idle, and nothing shows whether the
+    scheduler lacks machines or processor time.
 
     Args:
-        cores: Processor that the process may use.
-        metrics: Gets the loop's lateness, and the processor time used.
-        log: One line for each change.
-        processor_clock: Processor time used so far, in seconds.
-        duties: Names what the process does at the moment.
+        cores: Number of processor cores that the process may use.
+        metrics: Receives the lateness of the event loop and the processor time used.
+        log: Receives one line for each change.
+        processor_clock: Returns the processor time used so far, in seconds.
+        duties: Returns the names of the roles for which the process currently holds the lease.
     """
 
     __slots__ = (
--- a/src/shallotworks/metrics/_metrics.py
+++ b/src/shallotworks/metrics/_metrics.py
@@ -20,8 +20,8 @@
     """A copy of one histogram.
 
     Args:
-        counts: The raw counts, as laid out by the histogram.
-        count: Number of durations put in.
+        counts: The raw counts, in the histogram's layout.
+        count: Number of recorded durations.
         total_s: Sum of all durations.
     """
 
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FrozenMetrics:
-    """A copy of all counters and histograms at one moment, to be read in any thread.
+    """A copy of all counters and histograms at one moment; any thread may read it.
 
     Args:
-        counters: By name.
-        latencies: By name.
+        counters: Counts, by name.
+        latencies: Copies of the histograms, by name.
     """
 
     counters: dict[str, int]
@@ -44,7 +44,7 @@
 
 
 class _Latency:
-    """One histogram, and the sum that it can't give back without walking all its counts."""
+    """One histogram and its sum, which the histogram itself could only compute from all counts."""
 
     __slots__ = ("histogram", "total_s")
 
@@ -54,10 +54,11 @@
 
 
 class Metrics:
-    """Counters by name, and latencies by name in HDR histograms.
+    """Counters and HDR histograms of latencies, by name.
 
-    Names are lower case words joined by dots, the variable part last: ``requests.refused.
-    over-quota``, ``latency.interactive.trace``. Only the event loop's thread writes.
+    Names are lower-case words joined by dots, with the variable part last:
+    ``requests.refused.over-quota``, ``latency.interactive.trace``. Only the event loop's thread
+    may write.
     """
 
     __slots__ = ("_counters", "_latencies")
@@ -71,13 +72,14 @@
         self._counters[name] += amount
 
     def observe_s(self, name: str, duration_s: float) -> None:
-        """Put one duration into a histogram; above an hour it counts as an hour."""
+        """Record one duration in a histogram; a duration above an hour is recorded as an hour."""
         latency = self._latencies.get(name)
         if latency is None:
             latency = _Latency()
             self._latencies[name] = latency
         microseconds = int(duration_s * MICROSECONDS_PER_S)
-        # A histogram drops what is out of its range without a word, which would hide the worst.
+        # The histogram silently drops values out of its range, which would hide the longest
+        # durations, so values are clamped to the range.
         latency.histogram.record_value(min(max(MIN_MICROSECONDS, microseconds), MAX_MICROSECONDS))
         latency.total_s += duration_s
 
@@ -86,7 +88,7 @@
         return dict(self._counters)
 
     def freeze(self) -> FrozenMetrics:
-        """Return a copy of everything, for `summarise` in another thread."""
+        """Return a copy of all metrics, for `summarise` in another thread."""
         latencies = {
             name: FrozenLatency(
                 counts=bytes(latency.histogram.counts),
@@ -99,5 +101,5 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of the one layout used."""
+    """Return an empty histogram with the layout that all histograms share."""
     return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
--- a/src/shallotworks/metrics/_snapshot.py
+++ b/src/shallotworks/metrics/_snapshot.py
@@ -1,4 +1,4 @@
-"""Metrics as operators read them: counters, and a summary of each histogram."""
+"""The metrics that operators read: counters and a summary of each histogram."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LatencySummary:
-    """What one histogram holds; each quantile is exact to two digits.
+    """Summary of one histogram; each quantile is exact to two significant digits.
 
     Args:
         count: Number of durations.
-        total_s: Their sum.
+        total_s: Sum of the durations.
         p50_s: Median.
         p90_s: 90th percentile.
         p99_s: 99th percentile.
-        max_s: The longest.
+        max_s: Longest duration.
     """
 
     count: int
@@ -38,7 +38,7 @@
 
     @property
     def mean_s(self) -> float:
-        """The mean."""
+        """Mean duration; 0 if there is none."""
         return self.total_s / self.count if self.count else 0.0
 
 
@@ -48,8 +48,8 @@
 
     Args:
         process: Name of the process.
-        counters: By name, sorted.
-        latencies: By name, sorted.
+        counters: Counts, sorted by name.
+        latencies: Summaries of the histograms, sorted by name.
     """
 
     process: str
@@ -62,16 +62,22 @@
 
     @classmethod
     def decode(cls, data: bytes) -> MetricsSnapshot:
-        """Read a snapshot; raises ``pydantic.ValidationError`` where it is not one."""
+        """Parse a snapshot from JSON.
+
+        Raises:
+            pydantic.ValidationError: The data is not a valid snapshot.
+        """
         return _SNAPSHOT_ADAPTER.validate_json(data)
 
 
 def summarise(frozen: FrozenMetrics, *, process: str) -> MetricsSnapshot:
-    """Work out the quantiles; takes about 0.2 ms for each histogram, so not on the event loop.
+    """Compute the quantiles of all histograms.
+
+    This takes about 0.2 ms per histogram and must therefore not run on the event loop.
 
     Args:
-        frozen: The copy.
-        process: Name of the process that it is from.
+        frozen: Copy of the metrics.
+        process: Name of the process that the metrics are from.
     """
     return MetricsSnapshot(
         process=process,
--- a/src/shallotworks/operators/_fleet_handlers.py
+++ b/src/shallotworks/operators/_fleet_handlers.py
@@ -108,7 +108,7 @@
         )
 
     def restore(self, call: Call) -> Outcome:
-        """Write this instance's state into a store that was restored empty or at an older state."""
+        """Write this instance's state into a store that was restored empty or in an older state."""
         restored = self._bridge.write(self._backend.restore_store(operator=call.operator))
         return restored.map(lambda revision: json_response(RestoredView(revision=revision))).alt(
             lambda failure: Refusal(failure=failure)
--- a/src/shallotworks/operators/_protocols.py
+++ b/src/shallotworks/operators/_protocols.py
@@ -46,7 +46,7 @@
         ...
 
     async def restore_store(self, *, operator: str) -> Result[int, Failure]:
-        """Write this instance's state into a store that was restored empty or at an older state.
+        """Write this instance's state into a store that was restored empty or in an older state.
 
         Returns:
             The revision that the store then holds; ``CONFLICT`` if the store already agrees with
--- a/src/shallotworks/timeline/__init__.py
+++ b/src/shallotworks/timeline/__init__.py
@@ -1,7 +1,8 @@
-"""The time line: what each process did and when, kept in a bounded ring and merged on demand.
+"""The timeline: events of each process, kept in a bounded ring and merged on demand.
 
-Each process records into its own `Timeline` and sends nothing unasked; a reader asks each process
-for a `TimelinePage` and merges the pages with `merge`. Nothing is decided from the time line.
+Each process records events in its own `Timeline` and never pushes them. A reader requests a
+`TimelinePage` from each process and merges the pages with `merge`. No decision is based on the
+timeline.
 """
 
 from ._events import Event, EventKind, Subject
--- a/src/shallotworks/timeline/_events.py
+++ b/src/shallotworks/timeline/_events.py
@@ -1,4 +1,4 @@
-"""Events of the time line."""
+"""Events of the timeline."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @unique
 class EventKind(Enum):
-    """What an event tells; closed, so that a reader can filter by it."""
+    """The closed list of event kinds, by which a reader can filter."""
 
     STARTED = "started"
     STOPPING = "stopping"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Subject:
-    """What an event is about; empty where it does not apply.
+    """The objects that an event concerns; a field is empty if it does not apply.
 
     Args:
         request: Request id.
@@ -65,12 +65,13 @@
 
     Args:
         process: Name of the process that recorded it.
-        sequence: Number within that process; gaps show what the bounded ring has dropped.
+        sequence: Number of the event within that process; missing numbers show which events the
+            bounded ring has dropped.
         at_s: Unix time, from the process's wall clock.
-        kind: What happened.
-        subject: What it is about.
+        kind: Kind of the event.
+        subject: Objects that the event concerns.
         detail: One short phrase for a person.
-        duration_s: How long it took, where it is a span; else 0.
+        duration_s: Duration of the event if it is a span, else 0.
     """
 
     process: str
--- a/src/shallotworks/timeline/_filter.py
+++ b/src/shallotworks/timeline/_filter.py
@@ -1,4 +1,4 @@
-"""Which events a reader wants."""
+"""Filters events."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EventFilter:
-    """What is asked for; a field that is empty allows every event.
+    """Conditions on events, all of which must hold; an empty field allows every event.
 
     Args:
         request: Request id.
-        plan: Digest of a plan, or its first characters.
+        plan: Digest of a plan, or a prefix of it.
         instance: Name of a worker instance or a peer.
         kinds: Kinds of event.
     """
@@ -27,7 +27,7 @@
     kinds: frozenset[EventKind] = frozenset()
 
     def matches(self, event: Event) -> bool:
-        """Return whether an event is asked for."""
+        """Return whether an event meets every condition."""
         subject = event.subject
         return (
             (not self.request or subject.request == self.request)
@@ -37,5 +37,5 @@
         )
 
     def select(self, events: Iterable[Event]) -> tuple[Event, ...]:
-        """Return the events that are asked for, in the order given."""
+        """Return the events that match, in their original order."""
         return tuple(event for event in events if self.matches(event))
--- a/src/shallotworks/timeline/_merge.py
+++ b/src/shallotworks/timeline/_merge.py
@@ -1,4 +1,4 @@
-"""One time line from the events of many processes."""
+"""Merges the events of many processes into one timeline."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 def merge(
     events: Iterable[Event], *, clock_offsets_s: Mapping[str, float] | None = None
 ) -> tuple[Event, ...]:
-    """Return the events of all processes in one order, each once.
+    """Return the events of all processes in one order, without duplicates.
 
-    The order is by time, then process, then sequence. One process's events always keep their own
-    order: where its wall clock was set back, a later event stands at the time of the one before it.
+    Events are ordered by time, then process, then sequence. The events of one process always keep
+    their sequence: if its wall clock was set back, a later event gets the time of the event before
+    it.
 
     Args:
-        events: Events of any processes in any order; may hold one twice.
-        clock_offsets_s: By process, what is added to its times; see `estimate_clock_offset_s`.
+        events: Events of any processes in any order; may contain duplicates.
+        clock_offsets_s: Offset to add to the times of each process, by process name; see
+            `estimate_clock_offset_s`.
 
     Returns:
         The events, with their times corrected.
@@ -38,16 +40,16 @@
 def estimate_clock_offset_s(
     *, asked_at_s: float, answered_at_s: float, remote_now_s: float
 ) -> float:
-    """Return what to add to a process's times so that they agree with this one's.
+    """Return the offset to add to a remote process's times to match the local clock.
 
     Args:
-        asked_at_s: This process's wall clock when it asked.
-        answered_at_s: This process's wall clock when it had the answer.
-        remote_now_s: The other's wall clock when it answered.
+        asked_at_s: Local wall clock when the request was sent.
+        answered_at_s: Local wall clock when the response arrived.
+        remote_now_s: Remote wall clock when the response was made.
 
     Returns:
-        The offset; 0 where the other's time lies between the two, because an answer that was
-        simply on its way can't be told from a clock that differs.
+        The offset; 0 if the remote time lies between the two local times, because network delay
+        can't be distinguished from a clock offset in that case.
     """
     if asked_at_s <= remote_now_s <= answered_at_s:
         return 0.0
--- a/src/shallotworks/timeline/_page.py
+++ b/src/shallotworks/timeline/_page.py
@@ -1,4 +1,4 @@
-"""What one process answers when it is asked for its events."""
+"""The page of events that one process returns to a reader."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
     Args:
         process: Name of the process.
-        now_s: Its wall clock when it answered, from which a reader estimates its clock's offset.
-        dropped: Events that its ring has dropped so far.
-        events: Those asked for, oldest first.
+        now_s: Wall clock of the process when it made the page, from which a reader estimates the
+            clock offset.
+        dropped: Number of events that the ring has dropped so far.
+        events: The requested events, oldest first.
     """
 
     process: str
@@ -33,7 +34,11 @@
 
     @classmethod
     def decode(cls, data: bytes) -> TimelinePage:
-        """Read a page; raises ``pydantic.ValidationError`` where it is not one."""
+        """Parse a page from JSON.
+
+        Raises:
+            pydantic.ValidationError: The data is not a valid page.
+        """
         return _PAGE_ADAPTER.validate_json(data)
 
 
@@ -43,7 +48,11 @@
 
 
 def decode_events(data: bytes) -> tuple[Event, ...]:
-    """Read a JSON list of events; raises ``pydantic.ValidationError`` where it is not one."""
+    """Parse a JSON list of events.
+
+    Raises:
+        pydantic.ValidationError: The data is not a valid list of events.
+    """
     return _EVENTS_ADAPTER.validate_json(data)
 
 
--- a/src/shallotworks/timeline/_ring.py
+++ b/src/shallotworks/timeline/_ring.py
@@ -16,12 +16,12 @@
 
 
 class Timeline:
-    """One process's events, the oldest dropped when the ring is full.
+    """The events of one process; the oldest are dropped when the ring is full.
 
     Args:
         process: Name of this process.
-        wall_clock_s: Returns the Unix time; tests pass their own.
-        capacity: Events kept.
+        wall_clock_s: Returns the Unix time.
+        capacity: Maximum number of retained events.
     """
 
     __slots__ = ("_events", "_process", "_sequences", "_wall_clock_s")
@@ -41,7 +41,11 @@
     def record(
         self, kind: EventKind, *, subject: Subject, detail: str = "", duration_s: float = 0.0
     ) -> None:
-        """Keep one event; safe from any thread, since counting on and appending each are."""
+        """Record one event.
+
+        Any thread may call this without a lock, because advancing the sequence and appending to
+        the ring are each atomic.
+        """
         event = Event(
             process=self._process,
             sequence=next(self._sequences),
@@ -54,15 +58,15 @@
         self._events.append(event)
 
     def events(self) -> tuple[Event, ...]:
-        """Return what is kept, oldest first."""
+        """Return the retained events, oldest first."""
         return tuple(self._events)
 
     def page(self, event_filter: EventFilter, *, limit: int | None = None) -> TimelinePage:
-        """Return the events asked for, as an answer to a reader.
+        """Return a page of the events that match a filter.
 
         Args:
-            event_filter: Which events.
-            limit: Keep only the newest so many; ``None`` for all.
+            event_filter: Selects the events.
+            limit: Maximum number of events, of which the newest are returned; ``None`` for all.
         """
         events = self.events()
         selected = event_filter.select(events)
--- a/src/shallotworks/timeline/_text.py
+++ b/src/shallotworks/timeline/_text.py
@@ -1,4 +1,4 @@
-"""The time line as a table for people."""
+"""Formats the timeline as a table for people."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def to_text(events: Iterable[Event]) -> str:
-    """Return one line for each event, in columns, below a line of headings."""
+    """Return a table with a line of headings and one line for each event."""
     rows = [HEADINGS, *(_format_row(event) for event in events)]
     widths = [max(len(row[column]) for row in rows) for column in range(len(HEADINGS))]
     lines = (
@@ -52,6 +52,6 @@
 
 
 def _one_line(text: str) -> str:
-    # Request ids and details come from outside: a control character would break the table or
-    # drive the reader's terminal.
+    # Request ids and details come from other systems. A control character in them could break the
+    # table or control the reader's terminal.
     return "".join(character if character.isprintable() else "?" for character in text)
--- a/src/shallotworks/timeline/_trace.py
+++ b/src/shallotworks/timeline/_trace.py
@@ -1,4 +1,4 @@
-"""The time line in the Chrome trace-event format, to be opened in a trace viewer."""
+"""Formats the timeline in the Chrome trace-event format, for a trace viewer."""
 
 from __future__ import annotations
 
@@ -18,18 +18,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _TraceEvent:
-    """One event of the format.
+    """One event of the trace-event format.
 
     Args:
-        ph: Phase: ``i`` instant, ``b`` and ``e`` begin and end of a span, ``M`` a name.
-        name: What is shown.
-        cat: Category, which with the id pairs begin and end.
-        ts: Microseconds.
+        ph: Phase: ``i`` for an instant, ``b`` and ``e`` for the begin and end of a span, ``M`` for
+            metadata that names a process or lane.
+        name: Label of the event.
+        cat: Category; together with the id it pairs the begin and end of a span.
+        ts: Time in microseconds.
         pid: Number of the process.
-        tid: Number of the lane within it.
-        id: Pairs begin and end; empty for others.
-        s: Scope of an instant: its lane.
-        args: Shown when the event is selected.
+        tid: Number of the lane within the process.
+        id: Pairs the begin and end of a span; empty for other events.
+        s: Scope of an instant; ``t`` limits it to its lane.
+        args: Details that the viewer shows when the event is selected.
     """
 
     ph: Literal["i", "b", "e", "M"]
@@ -45,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Trace:
-    """A whole file of the format."""
+    """A complete trace file."""
 
     trace_events: Annotated[tuple[_TraceEvent, ...], Field(serialization_alias="traceEvents")]
     display_time_unit: Annotated[str, Field(serialization_alias="displayTimeUnit")] = "ms"
 
 
 def to_chrome_trace(events: Iterable[Event]) -> bytes:
-    """Return the events as a JSON file of the trace-event format.
+    """Return the events as a JSON file in the trace-event format.
 
-    Each process is a process of the viewer, with a lane for itself, requests, plans and instances.
-    An event that took time is a span which ends when the event was recorded; spans are of the
-    asynchronous kind, since requests overlap.
+    Each process becomes a process in the viewer, with lanes for the process itself, requests,
+    plans and instances. An event with a duration becomes a span that ends at the time when the
+    event was recorded. Spans are of the asynchronous kind, because requests overlap.
     """
     events = tuple(events)
     numbers = {name: index for index, name in enumerate(sorted({e.process for e in events}), 1)}
