--- a/tests/cli_sessions.py
+++ b/tests/cli_sessions.py
@@ -29,8 +29,8 @@
     arguments = shlex.split(command) if isinstance(command, str) else command
     output = io.TextIOWrapper(io.BytesIO(), encoding="utf-8", write_through=True)
     errors = io.StringIO()
-    kept = {name: value for name, value in os.environ.items() if "SHALLOTWORKS" not in name}
-    variables = {**kept, "COLUMNS": COLUMNS, **environment}
+    inherited = {name: value for name, value in os.environ.items() if "SHALLOTWORKS" not in name}
+    variables = {**inherited, "COLUMNS": COLUMNS, **environment}
     with (
         mock.patch.dict(os.environ, variables, clear=True),
         redirect_stdout(output),
@@ -53,11 +53,11 @@
     """
     lines = []
     for command in commands:
-        ending = run_command(command, environment)
-        lines.append(f"$ shallotworks {command}\n{ending.output}")
-        lines.extend(f"! {line}\n" for line in ending.errors.splitlines())
-        lines.append(f"[exit {ending.exit_code}]\n\n")
+        result = run_command(command, environment)
+        lines.append(f"$ shallotworks {command}\n{result.output}")
+        lines.extend(f"! {line}\n" for line in result.errors.splitlines())
+        lines.append(f"[exit {result.exit_code}]\n\n")
     text = "".join(lines)
-    for value, word in hidden.items():
-        text = text.replace(value, word)
+    for value, placeholder in hidden.items():
+        text = text.replace(value, placeholder)
     return text
--- a/tests/test_callers_sessions.py
+++ b/tests/test_callers_sessions.py
@@ -22,11 +22,11 @@
 
 SESSION_DEADLINE_S = 10.0
 LONG_WORK_MS = "600"
-WAIT_S = 10.0
-SHOWN_BODY_BYTES = 200
+TIMEOUT_S = 10.0
+MAX_SHOWN_BODY_BYTES = 200
 RETRY_PATTERN = re.compile(r'"retry_after_s":[0-9.]+')
-ID_PATTERN = re.compile(r"\b[0-9a-f]{24}\b")
-LEFT_OUT = {"date", "server", "content-length"}
+REQUEST_ID_PATTERN = re.compile(r"\b[0-9a-f]{24}\b")
+OMITTED_HEADERS = {"date", "server", "content-length"}
 """The length is checked; the text would show how many digits a drawn time has."""
 
 
@@ -59,9 +59,9 @@
         )
         self.entry.start()
         test.addCleanup(self.entry.stop)
-        self._ids: dict[str, str] = {}
+        self._request_numbers: dict[str, str] = {}
 
-    def write(self, line: str) -> None:
+    def add_note(self, line: str) -> None:
         """Note what happens besides the requests."""
         self.text += f"# {line}\n\n"
 
@@ -75,121 +75,125 @@
         """Put a fault of the worker in force."""
         self.worker.set_faults(WorkerFaults(fault=fault))
 
-    def ask(self, line: str, headers: dict[str, str], body: bytes = b"") -> None:
+    def send(self, line: str, headers: dict[str, str], body: bytes = b"") -> None:
         """Send one request and note it with its answer."""
         method, path = line.split(" ")
-        connection = HTTPConnection("127.0.0.1", self.entry.port, timeout=WAIT_S)
+        connection = HTTPConnection("127.0.0.1", self.entry.port, timeout=TIMEOUT_S)
         connection.request(method, path, body=body or None, headers=headers)
-        answer = connection.getresponse()
-        received = answer.read().decode()
+        response = connection.getresponse()
+        received = response.read().decode()
         connection.close()
-        self._test.assertEqual(answer.headers["Content-Length"], str(len(received)))
-        shown = body.decode()
-        if len(body) > SHOWN_BODY_BYTES:
-            shown = f"({len(body)} bytes)"
-        self.text += _block(">", line, list(headers.items()), shown)
-        self.text += _block("<", f"{answer.status} {answer.reason}", answer.getheaders(), received)
+        self._test.assertEqual(response.headers["Content-Length"], str(len(received)))
+        shown_body = body.decode()
+        if len(body) > MAX_SHOWN_BODY_BYTES:
+            shown_body = f"({len(body)} bytes)"
+        self.text += _format_message(">", line, list(headers.items()), shown_body)
+        self.text += _format_message(
+            "<", f"{response.status} {response.reason}", response.getheaders(), received
+        )
         self.text += "\n"
 
     def hold_quota(self, headers: dict[str, str]) -> threading.Thread:
         """Begin a request that holds the team's one slot; join the thread to await its end."""
-        thread = threading.Thread(target=self._send_quietly, args=(headers,))
+        thread = threading.Thread(target=self._send_unrecorded, args=(headers,))
         thread.start()
-        ends_at_s = time.monotonic() + WAIT_S
-        while not self.entry.dispatcher.in_flight and time.monotonic() < ends_at_s:
+        deadline_s = time.monotonic() + TIMEOUT_S
+        while not self.entry.dispatcher.in_flight and time.monotonic() < deadline_s:
             time.sleep(0.005)
         return thread
 
     def wait_idle(self) -> None:
         """Wait until no request holds a slot."""
-        ends_at_s = time.monotonic() + WAIT_S
-        while self.entry.dispatcher.in_flight and time.monotonic() < ends_at_s:
+        deadline_s = time.monotonic() + TIMEOUT_S
+        while self.entry.dispatcher.in_flight and time.monotonic() < deadline_s:
             time.sleep(0.005)
 
     def transcript(self) -> str:
         """Return the session with request ids numbered in the order of their appearance."""
         text = RETRY_PATTERN.sub('"retry_after_s":(seconds)', self.text)
-        return ID_PATTERN.sub(self._numbered, text)
+        return REQUEST_ID_PATTERN.sub(self._number_request_id, text)
 
-    def _send_quietly(self, headers: dict[str, str]) -> None:
-        connection = HTTPConnection("127.0.0.1", self.entry.port, timeout=WAIT_S)
+    def _send_unrecorded(self, headers: dict[str, str]) -> None:
+        connection = HTTPConnection("127.0.0.1", self.entry.port, timeout=TIMEOUT_S)
         connection.request("GET", "/model", headers={**headers, "Work-Ms": LONG_WORK_MS})
         connection.getresponse().read()
         connection.close()
 
-    def _numbered(self, found: re.Match[str]) -> str:
-        return self._ids.setdefault(found.group(), f"(request {len(self._ids) + 1})")
+    def _number_request_id(self, match: re.Match[str]) -> str:
+        return self._request_numbers.setdefault(
+            match.group(), f"(request {len(self._request_numbers) + 1})"
+        )
 
 
-def _block(mark: str, line: str, headers: list[tuple[str, str]], body: str) -> str:
-    shown = [f"{mark} {line}"]
-    shown += [f"{mark} {n}: {v}" for n, v in sorted(headers) if n.lower() not in LEFT_OUT]
-    shown += [f"{mark}", *(f"{mark} {part}" for part in body.splitlines())]
-    return "\n".join(shown) + "\n"
+def _format_message(mark: str, line: str, headers: list[tuple[str, str]], body: str) -> str:
+    lines = [f"{mark} {line}"]
+    lines += [f"{mark} {n}: {v}" for n, v in sorted(headers) if n.lower() not in OMITTED_HEADERS]
+    lines += [f"{mark}", *(f"{mark} {part}" for part in body.splitlines())]
+    return "\n".join(lines) + "\n"
 
 
 class GoldenSessionTests(unittest.TestCase):
-    def test_a_crew_of_fjellsending(self) -> None:
+    def test_fjellsending_crew_session(self) -> None:
         """Every kind of answer that a crew can get is what the page of the port says."""
         session = CallersSession(self, services=("traces", "parts"), team="crews")
         trace = {"Shallot-Service": "traces", "Shallot-Team": "crews"}
         parts = {"Shallot-Service": "parts", "Shallot-Team": "crews"}
         order = {**parts, "Idempotency-Key": "van-7-order-1"}
-        session.ask("GET /trace?mast=7", trace)
-        session.ask("POST /sweep", {**trace, "Shallot-Idempotent": "yes"}, b"antenna 3, 2.1 GHz")
-        session.ask("POST /orders", order, b"2 tubes")
-        session.write("the crew has seen no answer and orders again under its key")
-        session.ask("POST /orders", order, b"2 tubes")
-        session.write("the key by mistake for another order")
-        session.ask("POST /orders", order, b"9 tubes")
-        session.ask("GET /trace?mast=7", {"Shallot-Team": "crews"})
-        session.ask("POST /photo", trace, b"x" * (BODY_LIMIT_BYTES + 1))
-        session.ask("GET /trace?mast=7", {**trace, "Shallot-Service": "tracing"})
-        session.write("another request of the team holds its one slot")
+        session.send("GET /trace?mast=7", trace)
+        session.send("POST /sweep", {**trace, "Shallot-Idempotent": "yes"}, b"antenna 3, 2.1 GHz")
+        session.send("POST /orders", order, b"2 tubes")
+        session.add_note("the crew has seen no answer and orders again under its key")
+        session.send("POST /orders", order, b"2 tubes")
+        session.add_note("the key by mistake for another order")
+        session.send("POST /orders", order, b"9 tubes")
+        session.send("GET /trace?mast=7", {"Shallot-Team": "crews"})
+        session.send("POST /photo", trace, b"x" * (BODY_LIMIT_BYTES + 1))
+        session.send("GET /trace?mast=7", {**trace, "Shallot-Service": "tracing"})
+        session.add_note("another request of the team holds its one slot")
         other = session.hold_quota(trace)
-        session.ask("GET /trace?mast=7", trace)
+        session.send("GET /trace?mast=7", trace)
         other.join()
         session.wait_idle()
-        session.write("the store is down")
+        session.add_note("the store is down")
         session.set_store(down=True)
-        session.ask("POST /orders", {**parts, "Idempotency-Key": "van-7-order-2"}, b"1 tube")
-        session.ask("GET /trace?mast=7", trace)
+        session.send("POST /orders", {**parts, "Idempotency-Key": "van-7-order-2"}, b"1 tube")
+        session.send("GET /trace?mast=7", trace)
         session.set_store()
-        session.write("the worker refuses")
+        session.add_note("the worker refuses")
         session.set_worker(WorkerFault.REFUSE)
-        session.ask("POST /orders", {**parts, "Idempotency-Key": "van-7-order-3"}, b"1 tube")
-        session.write("the worker answers in part")
+        session.send("POST /orders", {**parts, "Idempotency-Key": "van-7-order-3"}, b"1 tube")
+        session.add_note("the worker answers in part")
         session.set_worker(WorkerFault.PARTIAL)
-        session.ask("POST /orders", {**parts, "Idempotency-Key": "van-7-order-4"}, b"1 tube")
-        session.write("the worker is well again, and the crew asks again under that key")
+        session.send("POST /orders", {**parts, "Idempotency-Key": "van-7-order-4"}, b"1 tube")
+        session.add_note("the worker is well again, and the crew asks again under that key")
         session.set_worker(WorkerFault.NONE)
-        session.ask("POST /orders", {**parts, "Idempotency-Key": "van-7-order-4"}, b"1 tube")
+        session.send("POST /orders", {**parts, "Idempotency-Key": "van-7-order-4"}, b"1 tube")
         runs = [f"{run.key or 'no key'}, attempt {run.attempt}" for run in session.worker.runs()]
-        session.write("what the worker ran: " + "; ".join(runs))
+        session.add_note("what the worker ran: " + "; ".join(runs))
         assert_golden(self, "callers-fjellsending.txt", session.transcript())
 
-    def test_a_receptionist_of_tijera_de_plata(self) -> None:
+    def test_tijera_receptionist_session(self) -> None:
         """A booking is made once, whatever goes wrong, and each answer says what to do next."""
         session = CallersSession(self, services=("bookings", "agenda"), team="salon-12")
         agenda = {"Shallot-Service": "agenda", "Shallot-Team": "salon-12"}
         booking = {"Shallot-Service": "bookings", "Shallot-Team": "salon-12"}
         ten = {**booking, "Idempotency-Key": "salon-12-0001"}
-        session.ask("GET /agenda?stylist=ines", agenda)
-        session.ask("POST /bookings", ten, b"ines 10:00")
-        session.ask("POST /bookings", ten, b"ines 10:00")
-        session.ask("POST /bookings", ten, b"ines 11:00")
-        session.write("the worker answers another client's request")
+        session.send("GET /agenda?stylist=ines", agenda)
+        session.send("POST /bookings", ten, b"ines 10:00")
+        session.send("POST /bookings", ten, b"ines 10:00")
+        session.send("POST /bookings", ten, b"ines 11:00")
+        session.add_note("the worker answers another client's request")
         session.set_worker(WorkerFault.FOREIGN)
-        session.ask("POST /bookings", booking, b"rosa 12:00")
-        session.write("the worker fails everything")
+        session.send("POST /bookings", booking, b"rosa 12:00")
+        session.add_note("the worker fails everything")
         session.set_worker(WorkerFault.FAIL_ALL)
         failed = {**booking, "Idempotency-Key": "salon-12-0002"}
-        session.ask("POST /bookings", failed, b"rosa 13:00")
+        session.send("POST /bookings", failed, b"rosa 13:00")
         session.set_worker(WorkerFault.NONE)
-        session.ask("POST /bookings", failed, b"rosa 13:00")
-        session.ask("POST /bookings", {**booking, "Idempotency-Key": "k" * 201}, b"ines 15:00")
-        session.ask("PUT /agenda", {**agenda, "Shallot-Deadline-Ms": "soon"}, b"ines")
-        session.ask("GET /agenda", {**agenda, "Shallot-Team": "salon-99"})
+        session.send("POST /bookings", failed, b"rosa 13:00")
+        session.send("POST /bookings", {**booking, "Idempotency-Key": "k" * 201}, b"ines 15:00")
+        session.send("PUT /agenda", {**agenda, "Shallot-Deadline-Ms": "soon"}, b"ines")
+        session.send("GET /agenda", {**agenda, "Shallot-Team": "salon-99"})
         runs = [f"{run.key or 'no key'}, attempt {run.attempt}" for run in session.worker.runs()]
-        session.write("what the worker ran: " + "; ".join(runs))
+        session.add_note("what the worker ran: " + "; ".join(runs))
         assert_golden(self, "callers-tijera.txt", session.transcript())
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -48,7 +48,7 @@
 FLEET = EXAMPLES / "fjellsending" / "fleet.json"
 PLAN = "000000000001"
 CLOSED_PORT = 1
-WORDS = (
+FUZZ_WORDS = (
     *("status", "instances", "pools", "services", "apply", "changes", "plan", "timeline"),
     *("metrics", "check-settings", "propose", "list", "show", "confirm", "cancel", "diff"),
     *("drain", "return", "maintain", "move", "rack", "pool", "older-than", "instance"),
@@ -77,23 +77,23 @@
             clock.start()
             self.addCleanup(clock.stop)
 
-    def run_one(self, command: str | list[str]) -> CommandResult:
+    def run_against_backend(self, command: str | list[str]) -> CommandResult:
         """Run one command against the served backend."""
         return run_command(command, self.environment)
 
     def session(self, name: str, commands: list[str], hidden: dict[str, str] | None = None) -> None:
         """Run a session and compare it with its golden file."""
-        every = {
+        replacements = {
             self.served.address: "ADDRESS",
             str(FLEET): "fleet.json",
             str(Path(self.served.token_file).parent): "FOLDER",
             **(hidden or {}),
         }
-        assert_golden(self, name, transcript(commands, self.environment, hidden=every))
+        assert_golden(self, name, transcript(commands, self.environment, hidden=replacements))
 
 
 class GoldenSessionTests(SessionCase):
-    def test_a_rack_is_drained(self) -> None:
+    def test_drain_rack_session(self) -> None:
         """An operator fills a fleet, proposes, looks, confirms, changes her mind and cancels."""
         self.session(
             "session-drain.txt",
@@ -117,7 +117,7 @@
             ],
         )
 
-    def test_what_goes_wrong_is_said_in_one_line(self) -> None:
+    def test_error_session(self) -> None:
         """Each failure is one clear line with its kind, and its own exit code."""
         folder = Path(self.served.token_file).parent
         (folder / "wrong").write_text("let-me-on")
@@ -125,13 +125,13 @@
             '[{"kind": "put-pool", "pool": {"name": "a"}}, {"kind": "remove-pool", "name": "b"}]'
         )
         (folder / "not.json").write_text("{")
-        dead = f"127.0.0.1:{unused_port()}"
+        unreachable_address = f"127.0.0.1:{unused_port()}"
         self.served.backend.stale = True
         self.session(
             "session-errors.txt",
             [
-                f"status --address {dead}",
-                f"status --json --address {dead}",
+                f"status --address {unreachable_address}",
+                f"status --json --address {unreachable_address}",
                 "status --address here:80",
                 f"status --token-file {folder}/none",
                 f"status --token-file {folder}/wrong",
@@ -151,10 +151,10 @@
                 "timeline --kind sung",
                 "reboot everything",
             ],
-            hidden={dead: "DEAD"},
+            hidden={unreachable_address: "DEAD"},
         )
 
-    def test_wrong_settings(self) -> None:
+    def test_invalid_settings_session(self) -> None:
         """A file with faults in many places is told fault by fault, each in one line."""
         path = Path(self.served.token_file).parent / "wrong.ini"
         path.write_text(
@@ -183,9 +183,9 @@
     )
     def test_one_document(self, _name: str, command: str) -> None:
         """With --json the output is one JSON document and nothing else."""
-        ending = self.run_one(command)
-        self.assertEqual((ending.exit_code, ending.errors), (0, ""))
-        json.loads(ending.output)
+        result = self.run_against_backend(command)
+        self.assertEqual((result.exit_code, result.errors), (0, ""))
+        json.loads(result.output)
 
 
 class IntentTests(SessionCase):
@@ -211,14 +211,14 @@
     )
     def test_command_becomes_intent(self, command: str, intent: Intent) -> None:
         """Each way to say what is wanted reaches the backend as its typed intent."""
-        ending = self.run_one(f"plan propose {command}")
-        self.assertEqual(ending.exit_code, 0, ending.errors)
+        result = self.run_against_backend(f"plan propose {command}")
+        self.assertEqual(result.exit_code, 0, result.errors)
         (plan,) = self.served.backend.stored.values()
         self.assertEqual((plan.intent, plan.author), (intent, "kari"))
 
 
 class TimelineTests(SessionCase):
-    def test_gathers_what_can_be_reached(self) -> None:
+    def test_prints_events_of_reachable_instances(self) -> None:
         """
         A data centre is cut off, and an operator wants the time line of the rest.
 
@@ -229,41 +229,42 @@
         other.token_file = self.served.token_file
         self.served.timeline.record(EventKind.STARTED, subject=Subject(), detail="here")
         other.timeline.record(EventKind.STORE_DOWN, subject=Subject(), detail="there")
-        dead = f"127.0.0.1:{unused_port()}"
+        unreachable_address = f"127.0.0.1:{unused_port()}"
         addresses = " ".join(
-            f"--address {address}" for address in (self.served.address, dead, other.address)
+            f"--address {address}"
+            for address in (self.served.address, unreachable_address, other.address)
         )
-        ending = self.run_one(f"timeline {addresses}")
-        self.assertEqual(ending.exit_code, attributes_of(ErrorKind.UNREACHABLE).exit_code)
-        self.assertIn(f"unreachable: no instance answers at {dead}", ending.errors)
-        self.assertEqual(len(ending.errors.splitlines()), 1)
-        self.assertIn("here", ending.output)
-        self.assertIn("there", ending.output)
-
-    def test_asks_peers_of_the_first(self) -> None:
+        result = self.run_against_backend(f"timeline {addresses}")
+        self.assertEqual(result.exit_code, attributes_of(ErrorKind.UNREACHABLE).exit_code)
+        self.assertIn(f"unreachable: no instance answers at {unreachable_address}", result.errors)
+        self.assertEqual(len(result.errors.splitlines()), 1)
+        self.assertIn("here", result.output)
+        self.assertIn("there", result.output)
+
+    def test_all_queries_peers_of_first_address(self) -> None:
         """With --all peers are asked too, at the same port where they don't name theirs."""
         port = self.served.address.rpartition(":")[2]
-        asked: list[str] = []
+        queried: list[str] = []
 
-        def gather(address: str, token_file: str, query: dict[str, str]) -> object:
-            asked.append(address)
+        def fetch_page(address: str, token_file: str, query: dict[str, str]) -> object:
+            queried.append(address)
             return Err(make_error(ErrorKind.UNREACHABLE, "not asked in a test"))
 
-        with mock.patch.object(_observe_commands, "_fetch_page", gather):
-            self.run_one("timeline --all")
-        self.assertEqual(set(asked), {self.served.address, f"10.1.1.12:{port}"})
+        with mock.patch.object(_observe_commands, "_fetch_page", fetch_page):
+            self.run_against_backend("timeline --all")
+        self.assertEqual(set(queried), {self.served.address, f"10.1.1.12:{port}"})
 
-    def test_filters_go_to_the_instance(self) -> None:
+    def test_filters_select_events(self) -> None:
         """Only events that meet the filters are shown."""
         for request in ("r1", "r2"):
             self.served.timeline.record(EventKind.SENT, subject=Subject(request=request))
         self.served.timeline.record(EventKind.ANSWERED, subject=Subject(request="r1"))
-        ending = self.run_one("timeline --request r1 --kind answered --format json")
-        (event,) = json.loads(ending.output)
+        result = self.run_against_backend("timeline --request r1 --kind answered --format json")
+        (event,) = json.loads(result.output)
         self.assertEqual((event["kind"], event["subject"]["request"]), ("answered", "r1"))
 
 
-class LostAnswerTests(unittest.TestCase):
+class LostResponseTests(unittest.TestCase):
     """
     An operator is told that a change was not made, makes it again, and has made it twice.
 
@@ -306,13 +307,13 @@
             ),
         ]
     )
-    def test_change(self, _name: str, answer: bytes, kind: ErrorKind) -> None:
+    def test_change_with_invalid_response(self, _name: str, answer: bytes, kind: ErrorKind) -> None:
         """Of a change that was sent, only the instance itself may say that it was not made."""
         client = self.client(lambda connection: connection.sendall(answer))
         error = client.post("/changes", ChangesView, b"[]").failure()
         self.assertEqual((error.kind, error.ran), (kind.value, attributes_of(kind).ran.value))
 
-    def test_silent(self) -> None:
+    def test_change_without_response(self) -> None:
         """An instance that takes a change and falls silent leaves its outcome unknown."""
         client = self.client(lambda connection: connection.recv(1))
         error = client.post("/changes", ChangesView, b"[]").failure()
@@ -320,7 +321,7 @@
         self.assertIn("timed out", error.reason)
         client.close()
 
-    def test_read(self) -> None:
+    def test_read_without_response(self) -> None:
         """A read that is lost changed nothing, and may simply be repeated."""
         error = self.client(lambda connection: None).get("/changes", ChangesView).failure()
         self.assertEqual(error.kind, ErrorKind.UNREACHABLE.value)
@@ -336,7 +337,7 @@
         (Path(folder.name) / "secrets" / "operators.token").write_text("t")
         (Path(folder.name) / "secrets" / "peers.key").write_text("k" * 32)
 
-    def with_module(self, name: str, **functions: Callable[..., object]) -> None:
+    def replace_module(self, name: str, **functions: Callable[..., object]) -> None:
         """Put a fake in place of a module that the command imports."""
         module = types.ModuleType(name)
         for function, body in functions.items():
@@ -347,9 +348,9 @@
 
     def test_check_settings(self) -> None:
         """Right settings are said to be right."""
-        ending = run_command(["check-settings", str(self.settings)], {})
-        self.assertEqual((ending.exit_code, ending.errors), (0, ""))
-        self.assertIn("bergen-entry-1 are right", ending.output)
+        result = run_command(["check-settings", str(self.settings)], {})
+        self.assertEqual((result.exit_code, result.errors), (0, ""))
+        self.assertIn("bergen-entry-1 are right", result.output)
 
     def test_serve(self) -> None:
         """The instance gets the checked settings, and its code is the command's."""
@@ -359,29 +360,29 @@
             served.append(settings)
             return 13
 
-        self.with_module("shallotworks.node", serve=serve)
+        self.replace_module("shallotworks.node", serve=serve)
         with mock.patch.object(_process_commands, "_start_log") as start_log:
-            ending = run_command(["serve", "--settings", str(self.settings)], {})
-        self.assertEqual(ending.exit_code, 13)
+            result = run_command(["serve", "--settings", str(self.settings)], {})
+        self.assertEqual(result.exit_code, 13)
         self.assertEqual(served[0].instance.name, "bergen-entry-1")
         start_log.assert_called_once_with(0)
 
-    def test_fault_of_an_instance_is_one_line(self) -> None:
+    def test_unhandled_exception_prints_one_line(self) -> None:
         """A fault that nothing caught ends in one line and a code of its own."""
         self.enterContext(mock.patch.object(_process_commands, "_start_log"))
 
         def run_demo() -> int:
             raise RuntimeError("broken\nin two")
 
-        self.with_module("shallotworks.demo", run_demo=run_demo)
-        ending = run_command("demo", {})
-        self.assertEqual(ending.exit_code, attributes_of(ErrorKind.INTERNAL).exit_code)
-        self.assertEqual(ending.errors, "internal: RuntimeError: broken?in two\n")
+        self.replace_module("shallotworks.demo", run_demo=run_demo)
+        result = run_command("demo", {})
+        self.assertEqual(result.exit_code, attributes_of(ErrorKind.INTERNAL).exit_code)
+        self.assertEqual(result.errors, "internal: RuntimeError: broken?in two\n")
 
     def test_demo(self) -> None:
         """The demo's code is the command's."""
         self.enterContext(mock.patch.object(_process_commands, "_start_log"))
-        self.with_module("shallotworks.demo", run_demo=lambda: 1)
+        self.replace_module("shallotworks.demo", run_demo=lambda: 1)
         self.assertEqual(run_command("demo", {}).exit_code, 1)
 
     @parameterized.expand(
@@ -390,17 +391,17 @@
             ("worker", "standin worker --name w --slots 2", "worker w listens at 127.0.0.1:1"),
         ]
     )
-    def test_standin(self, _name: str, command: str, told: str) -> None:
+    def test_standin(self, _name: str, command: str, label: str) -> None:
         """A stand-in says where it listens, runs until a signal, and is stopped."""
         standin = mock.Mock(address="127.0.0.1:1")
         start = mock.Mock(return_value=standin)
-        self.with_module("shallotworks.standins", serve_platform=start, serve_worker=start)
+        self.replace_module("shallotworks.standins", serve_platform=start, serve_worker=start)
         with (
             mock.patch.object(signal, "sigwait") as wait,
             mock.patch.object(signal, "pthread_sigmask"),
         ):
-            ending = run_command(command, {})
-        self.assertEqual((ending.exit_code, ending.output), (0, f"{told}\n"))
+            result = run_command(command, {})
+        self.assertEqual((result.exit_code, result.output), (0, f"{label}\n"))
         wait.assert_called_once()
         standin.stop.assert_called_once_with()
 
@@ -408,11 +409,11 @@
     def test_completion(self, shell: str) -> None:
         """The script for a shell's completion is printed on demand."""
         environment = {"_SHALLOTWORKS_COMPLETE": f"source_{shell}"}
-        ending = run_command([], environment)
-        self.assertEqual(ending.exit_code, 0)
-        self.assertIn("shallotworks", ending.output)
+        result = run_command([], environment)
+        self.assertEqual(result.exit_code, 0)
+        self.assertIn("shallotworks", result.output)
 
-    def test_completes_a_word(self) -> None:
+    def test_completes_partial_word(self) -> None:
         """The begun word of a command is completed, without asking any instance."""
         environment = {
             "_SHALLOTWORKS_COMPLETE": "complete_bash",
@@ -422,36 +423,40 @@
         self.assertEqual(run_command([], environment).output, "drain\n")
 
 
-class AnyLineTests(unittest.TestCase):
-    @given(st.lists(st.one_of(st.sampled_from(WORDS), st.text(max_size=5)), max_size=7))
-    def test_any_line_ends_with_a_known_code(self, words: list[str]) -> None:
+class CommandFuzzTests(unittest.TestCase):
+    @given(st.lists(st.one_of(st.sampled_from(FUZZ_WORDS), st.text(max_size=5)), max_size=7))
+    def test_any_command_exits_with_known_code(self, words: list[str]) -> None:
         """Whatever is typed, the command ends with a code of the table and no traceback."""
         environment = {"SHALLOTWORKS_ADDRESS": f"127.0.0.1:{CLOSED_PORT}"}
-        ending = run_command(words, environment)
+        result = run_command(words, environment)
         known = {attributes_of(kind).exit_code for kind in ErrorKind}
         self.assertIn(
-            ending.exit_code, {0, 1, *known} - {attributes_of(ErrorKind.INTERNAL).exit_code}
+            result.exit_code, {0, 1, *known} - {attributes_of(ErrorKind.INTERNAL).exit_code}
         )
-        self.assertNotIn("Traceback", ending.errors)
+        self.assertNotIn("Traceback", result.errors)
 
 
-class PageTests(unittest.TestCase):
+class DocumentationTests(unittest.TestCase):
     """The operators' page is what the program does."""
 
     page = (Path(__file__).parent.parent / "docs" / "operators" / "command-line.md").read_text()
 
-    def test_every_command_is_on_the_page(self) -> None:
+    def test_every_command_is_documented(self) -> None:
         """Each command is named, and none that is not there."""
-        named = set(re.findall(r"^\| `([a-z][a-z-]*)", self.page, re.MULTILINE))
+        documented = set(re.findall(r"^\| `([a-z][a-z-]*)", self.page, re.MULTILINE))
         known = {command.name for command in _app.registered_commands}
         known |= {group.name for group in _app.registered_groups}
         kinds = {kind.value for kind in ErrorKind}
-        self.assertEqual(known, named - kinds)
+        self.assertEqual(known, documented - kinds)
         for action in plan_app.registered_commands:
             self.assertIn(f"`plan {action.name}", self.page)
 
-    def test_exit_codes_are_those_of_the_table(self) -> None:
+    def test_documented_exit_codes_match_attributes(self) -> None:
         """Each row of the page's table of codes is a row of the table of errors."""
         rows = re.findall(r"^\| (\d+) \| (`[^|]+`) \|", self.page, re.MULTILINE)
-        told = {(int(code), name) for code, names in rows for name in re.findall("`(.+?)`", names)}
-        self.assertEqual(told, {(attributes_of(kind).exit_code, kind.value) for kind in ErrorKind})
+        documented = {
+            (int(code), name) for code, names in rows for name in re.findall("`(.+?)`", names)
+        }
+        self.assertEqual(
+            documented, {(attributes_of(kind).exit_code, kind.value) for kind in ErrorKind}
+        )
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -7,22 +7,22 @@
 from shallotworks.errors import Advice, ErrorKind, Failure, Ran, attributes_of
 
 
-class AnswerTableTests(unittest.TestCase):
+class ErrorAttributesTests(unittest.TestCase):
     @parameterized.expand([(kind.value, kind) for kind in ErrorKind])
-    def test_every_kind_has_a_row(self, _name: str, kind: ErrorKind) -> None:
+    def test_every_kind_has_attributes(self, _name: str, kind: ErrorKind) -> None:
         """Each kind answers with an HTTP error status and an exit code that is not success."""
-        answer = attributes_of(kind)
-        self.assertGreaterEqual(answer.status, 400)
-        self.assertGreater(answer.exit_code, 0)
+        attributes = attributes_of(kind)
+        self.assertGreaterEqual(attributes.status, 400)
+        self.assertGreater(attributes.exit_code, 0)
 
     @parameterized.expand([(kind.value, kind) for kind in ErrorKind])
     def test_unsafe_kinds_never_advise_a_plain_retry(self, _name: str, kind: ErrorKind) -> None:
         """A request that may have run is only ever repeated under its idempotency key."""
-        answer = attributes_of(kind)
-        if answer.ran is not Ran.NO:
-            self.assertIsNot(answer.advice, Advice.LATER)
+        attributes = attributes_of(kind)
+        if attributes.ran is not Ran.NO:
+            self.assertIsNot(attributes.advice, Advice.LATER)
 
-    def test_failure_takes_ran_from_the_table(self) -> None:
+    def test_failure_ran_follows_its_kind(self) -> None:
         """What a failure says of "was it run" is the table's word, not the sender's."""
         failure = Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="the answer was lost")
         self.assertIs(failure.ran, Ran.UNKNOWN)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -20,14 +20,14 @@
     return [body]
 
 
-def _answer(connection: socket.socket) -> bytes:
-    answer = b""
-    while not answer.endswith(b"body"):
+def _receive_response(connection: socket.socket) -> bytes:
+    response = b""
+    while not response.endswith(b"body"):
         received = connection.recv(4_096)
         if not received:
             break
-        answer += received
-    return answer
+        response += received
+    return response
 
 
 class SlowSenderTests(unittest.TestCase):
@@ -51,7 +51,7 @@
     @parameterized.expand(
         [("at_once", b""), ("in_the_header", REQUEST[:20]), ("in_the_body", REQUEST[:-2])]
     )
-    def test_sender_that_falls_silent(self, _name: str, sent: bytes) -> None:
+    def test_sender_that_stops_sending(self, _name: str, sent: bytes) -> None:
         """
         The port answers nobody while its process is idle.
 
@@ -61,20 +61,20 @@
         self.connect().sendall(sent)
         self.assert_served_soon()
 
-    def test_sender_that_trickles(self) -> None:
+    def test_slow_sender(self) -> None:
         """
         The port answers nobody while its process is idle.
 
         A sender sends one byte every 50 ms, so each wait stays below the socket's timeout and the
         thread is held for the length of the request. The deadline counts from its first byte.
         """
-        slow = self.connect()
-        began_s = time.monotonic()
+        slow_connection = self.connect()
+        started_s = time.monotonic()
         try:
-            for place in range(len(REQUEST)):
-                slow.sendall(REQUEST[place : place + 1])
+            for index in range(len(REQUEST)):
+                slow_connection.sendall(REQUEST[index : index + 1])
                 time.sleep(0.05)
-                if time.monotonic() - began_s > 2 * RECEIVE_TIMEOUT_S:
+                if time.monotonic() - started_s > 2 * RECEIVE_TIMEOUT_S:
                     break
         except ConnectionError:
             pass
@@ -85,7 +85,7 @@
         connection = self.connect()
         for _ in range(2):
             connection.sendall(REQUEST)
-            self.assertIn(b"200 OK", _answer(connection))
+            self.assertIn(b"200 OK", _receive_response(connection))
             time.sleep(RECEIVE_TIMEOUT_S)
 
     def assert_served_soon(self) -> None:
@@ -93,4 +93,4 @@
         connection = self.connect()
         connection.settimeout(5 * RECEIVE_TIMEOUT_S)
         connection.sendall(REQUEST)
-        self.assertIn(b"200 OK", _answer(connection))
+        self.assertIn(b"200 OK", _receive_response(connection))
--- a/tests/test_load_monitor.py
+++ b/tests/test_load_monitor.py
@@ -11,7 +11,7 @@
 from tests.virtual_clock import run_scenario
 
 
-class LoadWatchTests(unittest.TestCase):
+class LoadMonitorTests(unittest.TestCase):
     @parameterized.expand(
         [
             ("idle", 0.5, [(0.01, 30)], []),
@@ -27,8 +27,8 @@
             ("at the edge", 0.5, [(0.05, 30), (0.04, 30), (0.05, 30)], ["process-saturated"]),
         ]
     )
-    def test_says_when_it_saturates_and_when_no_longer(
-        self, _: str, cores: float, spent: list[tuple[float, int]], expected: list[str]
+    def test_logs_each_change_of_saturation(
+        self, _: str, cores: float, load_periods: list[tuple[float, int]], expected: list[str]
     ) -> None:
         """Says so once for each change, and not for a single busy moment."""
         lines: list[str] = []
@@ -40,18 +40,18 @@
         async def scenario() -> None:
             used_s = 0.0
             log = StructuredLog(process="n", write=write)
-            watch = LoadMonitor(
+            monitor = LoadMonitor(
                 cores=cores,
                 metrics=Metrics(),
                 log=log,
                 processor_clock=lambda: used_s,
                 duties=lambda: ["scheduler/a"],
             )
-            task = asyncio.create_task(watch.run())
+            task = asyncio.create_task(monitor.run())
             await asyncio.sleep(0.05)
-            for spent_s, samples in spent:
+            for processor_s, samples in load_periods:
                 for _ in range(samples):
-                    used_s += spent_s
+                    used_s += processor_s
                     await asyncio.sleep(0.1)
             task.cancel()
             log.flush()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -11,7 +11,7 @@
 
 
 class SnapshotTests(unittest.TestCase):
-    def test_frozen_copy_does_not_move(self) -> None:
+    def test_frozen_copy_is_independent(self) -> None:
         """What is written after a copy was taken is not in that copy."""
         metrics = Metrics()
         metrics.count("requests.admitted")
@@ -26,7 +26,7 @@
         self.assertAlmostEqual(latency.max_s, 0.010, delta=0.0002)
         self.assertEqual(MetricsSnapshot.decode(snapshot.encode()), snapshot)
 
-    def test_duration_out_of_range_still_counts(self) -> None:
+    def test_duration_out_of_range_is_clamped(self) -> None:
         """The slowest requests are missing from the figures, which look better than the truth.
 
         A request takes over an hour, the histogram's range; the library drops it in silence.
@@ -53,7 +53,7 @@
 
 
 class ExpositionTests(unittest.TestCase):
-    def test_text(self) -> None:
+    def test_exposition_text(self) -> None:
         """Each name stands unchanged in a label, with what the format reserves escaped."""
         metrics = Metrics()
         metrics.count("requests.refused.over-quota", 3)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -23,7 +23,7 @@
 POOL = b'{"kind": "put-pool", "pool": {"name": "traces"}}'
 DRAIN = b'{"kind": "drain", "selection": {"kind": "pool", "pool": "fault-traces"}}'
 FLEET = Path(__file__).parent.parent / "examples" / "fjellsending" / "fleet.json"
-WRITER = {"Authorization": f"Bearer {TOKEN}", "Operator": "kari"}
+OPERATOR_HEADERS = {"Authorization": f"Bearer {TOKEN}", "Operator": "kari"}
 
 
 class ServerCase(unittest.TestCase):
@@ -38,23 +38,25 @@
         path: str,
         *,
         body: bytes | None = None,
-        headers: dict[str, str] = WRITER,
+        headers: dict[str, str] = OPERATOR_HEADERS,
     ) -> tuple[int, Any, Any]:
         """Return status, body and headers of one call."""
         url = f"http://{self.served.address}{path}"
         answer = self.http.request(method, url, body=body, headers=headers)
         return answer.status, json.loads(answer.data), answer.headers
 
-    def fill(self) -> None:
+    def apply_example_fleet(self) -> None:
         """Put the example fleet in force."""
         self.assertEqual(self.call("POST", "/v1/changes", body=FLEET.read_bytes())[0], 200)
 
-    def assert_refused(self, told: tuple[int, Any, Any], kind: ErrorKind) -> None:
+    def assert_refused(self, response: tuple[int, Any, Any], kind: ErrorKind) -> None:
         """Check that a call was refused, in the one form and by the one table."""
-        status, body, _ = told
-        answer = attributes_of(kind)
-        self.assertEqual((body["kind"], status), (kind.value, answer.status), body["reason"])
-        self.assertEqual((body["ran"], body["advice"]), (answer.ran.value, answer.advice.value))
+        status, body, _ = response
+        attributes = attributes_of(kind)
+        self.assertEqual((body["kind"], status), (kind.value, attributes.status), body["reason"])
+        self.assertEqual(
+            (body["ran"], body["advice"]), (attributes.ran.value, attributes.advice.value)
+        )
 
 
 class TokenTests(ServerCase):
@@ -74,9 +76,9 @@
         """Without the exact token even an unknown path is answered with 401 and nothing done."""
         for method, path in (("GET", "/v1/status"), ("GET", "/other"), ("POST", "/v1/changes")):
             body = POOL if method == "POST" else None
-            told = self.call(method, path, body=body, headers={**headers, "Operator": "kari"})
-            self.assert_refused(told, ErrorKind.UNAUTHORISED)
-            self.assertEqual(told[2]["WWW-Authenticate"], "Bearer")
+            response = self.call(method, path, body=body, headers={**headers, "Operator": "kari"})
+            self.assert_refused(response, ErrorKind.UNAUTHORISED)
+            self.assertEqual(response[2]["WWW-Authenticate"], "Bearer")
         self.assertEqual(self.served.backend.state.revision, 0)
         self.assertEqual(self.served.timeline.events(), ())
 
@@ -161,7 +163,7 @@
             ),
         ]
     )
-    def test_refused(
+    def test_invalid_call_is_refused(
         self, _name: str, method: str, path: str, body: bytes | None, kind: ErrorKind
     ) -> None:
         """A call that can't be served is refused by the table, and the next one is served."""
@@ -169,14 +171,14 @@
         self.assertEqual(self.call("GET", "/v1/status")[0], 200)
         self.assertEqual(self.served.backend.state.revision, 0)
 
-    def test_writer_must_name_itself(self) -> None:
+    def test_change_requires_operator_name(self) -> None:
         """A change without the name of its operator, or with an odd one, is refused."""
         for name in ("", "kari\x07", "x" * 64):
             headers = {"Authorization": f"Bearer {TOKEN}", "Operator": name}
-            told = self.call("POST", "/v1/changes", body=POOL, headers=headers)
-            self.assert_refused(told, ErrorKind.INVALID_REQUEST)
+            response = self.call("POST", "/v1/changes", body=POOL, headers=headers)
+            self.assert_refused(response, ErrorKind.INVALID_REQUEST)
 
-    def test_half_accepted_list_tells_which_half(self) -> None:
+    def test_partly_accepted_list_reports_accepted_changes(self) -> None:
         """
         An operator sends a file of changes again and each is refused as done before.
 
@@ -184,58 +186,58 @@
         alone hides those two; so it names the changes accepted and the place of the refused one.
         """
         changes = [json.loads(POOL), json.loads(POOL), {"kind": "remove-pool", "name": "x"}]
-        told = self.call("POST", "/v1/changes", body=json.dumps(changes).encode())
-        self.assert_refused(told, ErrorKind.NOT_FOUND)
-        self.assertEqual([entry["revision"] for entry in told[1]["accepted"]], [1, 2])
-        self.assertIn("change 2 (remove-pool)", told[1]["reason"])
+        response = self.call("POST", "/v1/changes", body=json.dumps(changes).encode())
+        self.assert_refused(response, ErrorKind.NOT_FOUND)
+        self.assertEqual([entry["revision"] for entry in response[1]["accepted"]], [1, 2])
+        self.assertIn("change 2 (remove-pool)", response[1]["reason"])
 
-    def test_store_down_says_when_to_come_back(self) -> None:
+    def test_store_outage_sets_retry_after(self) -> None:
         """With the store down a change is refused as not run, with a time to retry after."""
         self.served.backend.store_down = True
-        told = self.call("POST", "/v1/changes", body=POOL)
-        self.assert_refused(told, ErrorKind.STORE_UNAVAILABLE)
-        self.assertEqual((told[2]["Retry-After"], told[1]["retry_after_s"]), ("2", 2.0))
+        response = self.call("POST", "/v1/changes", body=POOL)
+        self.assert_refused(response, ErrorKind.STORE_UNAVAILABLE)
+        self.assertEqual((response[2]["Retry-After"], response[1]["retry_after_s"]), ("2", 2.0))
 
-    def test_stale_plan_names_the_new_proposal(self) -> None:
+    def test_stale_plan_error_names_new_proposal(self) -> None:
         """Confirming a stale plan is refused, and the reason names the new proposal."""
         self.call("POST", "/v1/plans", body=DRAIN)
         self.served.backend.stale = True
-        told = self.call("POST", "/v1/plans/000000000001/confirm")
-        self.assert_refused(told, ErrorKind.STALE_PLAN)
-        self.assertIn("fresh proposal: plan 000000000002", told[1]["reason"])
+        response = self.call("POST", "/v1/plans/000000000001/confirm")
+        self.assert_refused(response, ErrorKind.STALE_PLAN)
+        self.assertIn("fresh proposal: plan 000000000002", response[1]["reason"])
 
-    def test_fault_of_the_backend_is_one_error(self) -> None:
+    def test_backend_exception_is_internal_error(self) -> None:
         """A fault inside is answered as an internal error that tells nothing of the inside."""
         self.served.backend.fault = KeyError("secret")
         with self.assertLogs("absl", "ERROR"):
-            told = self.call("GET", "/v1/status")
-        self.assert_refused(told, ErrorKind.INTERNAL)
-        self.assertNotIn("secret", told[1]["reason"])
+            response = self.call("GET", "/v1/status")
+        self.assert_refused(response, ErrorKind.INTERNAL)
+        self.assertNotIn("secret", response[1]["reason"])
 
-    def test_who_did_what_is_in_the_time_line(self) -> None:
+    def test_changes_are_recorded_in_timeline(self) -> None:
         """Each call that may change something is kept with its operator, outcome and plan."""
-        self.fill()
+        self.apply_example_fleet()
         self.call("POST", "/v1/plans", body=DRAIN)
         self.call("POST", "/v1/plans/000000000001/confirm")
         self.call("POST", "/v1/changes", body=b"{")
         self.call("GET", "/v1/plans")
         events = self.call("GET", "/v1/timeline?kind=operator")[1]["events"]
-        told = [event["detail"] for event in events]
+        details = [event["detail"] for event in events]
         self.assertEqual(
-            told[:3],
+            details[:3],
             [
                 "kari: POST /changes: accepted",
                 "kari: POST /plans: accepted",
                 "kari: POST /plans/{digest}/confirm: accepted",
             ],
         )
-        self.assertIn("invalid-request", told[3])
-        self.assertEqual(len(told), 4)
+        self.assertIn("invalid-request", details[3])
+        self.assertEqual(len(details), 4)
         plans = {event["subject"]["plan"] for event in events}
         self.assertEqual(plans, {"", "000000000001" + "0" * 52})
 
 
-class HopTests(unittest.TestCase):
+class EventLoopBridgeTests(unittest.TestCase):
     """
     An operator is told that a change was not made, and it comes into force a moment later.
 
@@ -255,48 +257,50 @@
         if not self.thread.loop.is_closed():
             self.thread.stop()
 
-    def kind_of(self, call: Callable[[Coroutine[Any, Any, None]], None]) -> ErrorKind:
+    def error_kind_of(self, call: Callable[[Coroutine[Any, Any, None]], None]) -> ErrorKind:
         """Return the kind of error that a call of work without end raises."""
         with self.assertRaises(ShallotworksError) as raised:
             call(asyncio.sleep(3600))
         return raised.exception.failure.kind
 
-    def test_slow_work(self) -> None:
+    def test_slow_coroutine(self) -> None:
         """A read that takes too long may be repeated; a change that does is of unknown outcome."""
-        self.assertIs(self.kind_of(self.bridge.read), ErrorKind.DEADLINE_EXCEEDED)
-        self.assertIs(self.kind_of(self.bridge.write), ErrorKind.OUTCOME_UNKNOWN)
+        self.assertIs(self.error_kind_of(self.bridge.read), ErrorKind.DEADLINE_EXCEEDED)
+        self.assertIs(self.error_kind_of(self.bridge.write), ErrorKind.OUTCOME_UNKNOWN)
 
-    def test_given_up_work_is_cancelled(self) -> None:
+    def test_timed_out_coroutine_is_cancelled(self) -> None:
         """Work that nobody waits for any more ends soon, so that it can't have its effect late."""
-        self.kind_of(self.bridge.write)
+        self.error_kind_of(self.bridge.write)
 
-        async def others() -> int:
+        async def count_other_tasks() -> int:
             await asyncio.sleep(0)
             return len(asyncio.all_tasks()) - 1
 
-        self.assertEqual(self.thread.run(others()), 0)
+        self.assertEqual(self.thread.run(count_other_tasks()), 0)
 
     def test_closed_loop(self) -> None:
         """Work that was never begun is told as not done."""
         self.thread.stop()
-        self.assertIs(self.kind_of(self.bridge.write), ErrorKind.STOPPING)
+        self.assertIs(self.error_kind_of(self.bridge.write), ErrorKind.STOPPING)
 
 
 class BodyFuzzTests(ServerCase):
-    def test_any_body_is_answered_in_form(self) -> None:
+    def test_any_body_gets_response_without_internal_error(self) -> None:
         """Whatever the body, the answer is a refusal of the table, never an internal error."""
 
         @given(
-            st.one_of(st.binary(max_size=50), _JSON.map(lambda value: json.dumps(value).encode()))
+            st.one_of(
+                st.binary(max_size=50), _JSON_VALUES.map(lambda value: json.dumps(value).encode())
+            )
         )
         def check(body: bytes) -> None:
-            status, told, _ = self.call("POST", "/v1/changes", body=body)
-            self.assertLess(status, 500, told)
+            status, response_body, _ = self.call("POST", "/v1/changes", body=body)
+            self.assertLess(status, 500, response_body)
 
         check()
 
 
-_JSON = st.recursive(
+_JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=3)
     | st.dictionaries(st.sampled_from(["kind", "pool", "name", "instance"]), inner, max_size=3),
@@ -305,17 +309,17 @@
 
 
 class DescriptionTests(ServerCase):
-    def test_page_is_what_is_served(self) -> None:
+    def test_document_matches_served_description(self) -> None:
         """The page in `docs` is equal to what an instance answers, which its routes make."""
         url = f"http://{self.served.address}/v1/openapi.json"
-        served = self.http.request("GET", url, headers=WRITER).data.decode()
+        served = self.http.request("GET", url, headers=OPERATOR_HEADERS).data.decode()
         assert_golden(self, DOCUMENT.name, served, folder=DOCUMENT.parent)
 
     def test_every_route_answers_as_described(self) -> None:
         """Each path of the page is served; each property of an answer is in its schema."""
         document = json.loads(DOCUMENT.read_text())
         schemas = document["components"]["schemas"]
-        self.fill()
+        self.apply_example_fleet()
         plan = self.call("POST", "/v1/plans", body=DRAIN)[1]["plan"]["digest"]
         for path, operations in document["paths"].items():
             for method, operation in operations.items():
@@ -335,6 +339,6 @@
         self.call("GET", "/v1/status")
         self.call("GET", "/v1/jobs")
         url = f"http://{self.served.address}/v1/metrics?format=text"
-        answer = self.http.request("GET", url, headers=WRITER)
+        answer = self.http.request("GET", url, headers=OPERATOR_HEADERS)
         self.assertTrue(answer.headers["Content-Type"].startswith("text/plain; version=0.0.4"))
         assert_golden(self, "metrics.txt", answer.data.decode())
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -30,7 +30,7 @@
 }
 
 
-def _text(changed: dict[str, dict[str, str | None]]) -> str:
+def _settings_text(changed: dict[str, dict[str, str | None]]) -> str:
     """Return the minimal file with some keys changed; ``None`` leaves a key out."""
     lines = []
     for section in sorted({*MINIMAL, *changed}):
@@ -56,7 +56,7 @@
 
     def test_minimal_file_has_defaults(self) -> None:
         """A file with the required keys alone gives settings, with relative paths resolved."""
-        settings = parse_settings(_text({}), path=str(self.folder / "a.ini")).unwrap()
+        settings = parse_settings(_settings_text({}), path=str(self.folder / "a.ini")).unwrap()
         self.assertEqual(settings.callers.port, 8080)
         self.assertEqual(settings.platform.instance_list_address, "127.0.0.1:7000")
         self.assertEqual(read_secret(settings.operators.token_file), Success(b"let-me-in"))
@@ -90,18 +90,18 @@
             ("port_taken", "operators", "port", "8080", "[callers]"),
         ]
     )
-    def test_fault_is_named(
+    def test_problem_is_reported(
         self, _name: str, section: str, key: str, value: str | None, allowed: str
     ) -> None:
         """A wrong, missing or unknown key is named with its section, value and what is allowed."""
-        (fault,) = self.problems(_text({section: {key: value} if key else {}}))
-        self.assertEqual((fault.section, fault.key), (section, key))
-        self.assertEqual(fault.value, value)
-        self.assertIn(allowed, fault.allowed)
+        (problem,) = self.problems(_settings_text({section: {key: value} if key else {}}))
+        self.assertEqual((problem.section, problem.key), (section, key))
+        self.assertEqual(problem.value, value)
+        self.assertIn(allowed, problem.allowed)
 
-    def test_all_faults_at_once(self) -> None:
+    def test_all_problems_are_reported_together(self) -> None:
         """Three problems in three sections are told in one go, under one error kind."""
-        text = _text(
+        text = _settings_text(
             {"callers": {"port": "x"}, "log": {"verbose": "1"}, "platform": {"address": None}}
         )
         outcome = parse_settings(text, path=str(self.folder / "a.ini"))
@@ -113,16 +113,16 @@
     @parameterized.expand(
         [
             ("no_section", "port = 1\n"),
-            ("key_twice", _text({}) + "[log]\nverbosity = 0\nverbosity = 1\n"),
-            ("section_twice", _text({}) + "[peers]\n"),
-            ("no_value", _text({}) + "[log]\nverbosity\n"),
+            ("key_twice", _settings_text({}) + "[log]\nverbosity = 0\nverbosity = 1\n"),
+            ("section_twice", _settings_text({}) + "[peers]\n"),
+            ("no_value", _settings_text({}) + "[log]\nverbosity\n"),
         ]
     )
-    def test_text_that_is_no_ini(self, _name: str, text: str) -> None:
+    def test_invalid_ini_text(self, _name: str, text: str) -> None:
         """A text that is not proper INI is one fault of the file, with the line told."""
-        (fault,) = self.problems(text)
-        self.assertEqual((fault.section, fault.key), ("", ""))
-        self.assertRegex(fault.problem, r"line|section headers")
+        (problem,) = self.problems(text)
+        self.assertEqual((problem.section, problem.key), ("", ""))
+        self.assertRegex(problem.problem, r"line|section headers")
 
     @parameterized.expand(
         [("absent", None), ("binary", b"\xff\xfe[a]"), ("huge", b"#" * 1_100_000)]
@@ -149,7 +149,7 @@
 
     def test_table_matches_classes(self) -> None:
         """Every key of the table is a field of its section's class, and its default is allowed."""
-        settings = parse_settings(_text({}), path=str(self.folder / "a.ini")).unwrap()
+        settings = parse_settings(_settings_text({}), path=str(self.folder / "a.ini")).unwrap()
         for section, rules in RULES.items():
             self.assertEqual(set(rules), set(getattr(settings, section).__slots__))
             for key, rule in rules.items():
@@ -175,7 +175,7 @@
 
 class FuzzTests(unittest.TestCase):
     @given(_LINES)
-    def test_any_text_gives_settings_or_faults(self, lines: list[str]) -> None:
+    def test_any_text_gives_settings_or_problems(self, lines: list[str]) -> None:
         """Whatever the text, the outcome is settings or at least one fault, never an exception."""
         outcome = parse_settings("\n".join(lines), path="a.ini")
         if isinstance(outcome, Success):
@@ -184,7 +184,11 @@
             self.assertTrue(outcome.failure().problems)
 
     @given(st.sampled_from([(s, k) for s, keys in RULES.items() for k in keys]), st.text())
-    def test_any_value_is_parsed_or_refused(self, place: tuple[str, str], text: str) -> None:
+    def test_any_value_is_parsed_or_rejected(
+        self, section_and_key: tuple[str, str], text: str
+    ) -> None:
         """Whatever the value of a key, its rule returns a value or a reason."""
-        parsed = RULES[place[0]][place[1]].parse(text, folder=Path("/nonexistent"))
+        parsed = RULES[section_and_key[0]][section_and_key[1]].parse(
+            text, folder=Path("/nonexistent")
+        )
         self.assertIsInstance(parsed, Success | Err)
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -59,7 +59,7 @@
         order = [(event.process, event.sequence) for event in merge(events)]
         self.assertEqual(order, [("c", 0), ("a", 0), ("a", 1), ("b", 0)])
 
-    def test_clock_set_back_keeps_own_order(self) -> None:
+    def test_clock_set_back_keeps_sequence(self) -> None:
         """A reader sees an answer before its request was sent.
 
         A process records "sent"; its wall clock is set back a second; it records "answered".
@@ -69,14 +69,14 @@
         self.assertEqual([event.sequence for event in merged if event.process == "a"], [0, 1])
         self.assertEqual(merged[-1].at_s, 10.0)
 
-    def test_offset_brings_a_wrong_clock_into_line(self) -> None:
+    def test_offset_corrects_wrong_clock(self) -> None:
         """A process whose clock is 5 s ahead is shown at the time of the reader."""
         offset_s = estimate_clock_offset_s(asked_at_s=100, answered_at_s=100.2, remote_now_s=105.1)
         self.assertAlmostEqual(offset_s, -5.0)
         merged = merge([_event("a", 0, 104.0), _event("b", 0, 100.0)], clock_offsets_s={"a": -5})
         self.assertEqual([event.process for event in merged], ["a", "b"])
 
-    def test_delay_is_not_taken_for_an_offset(self) -> None:
+    def test_network_delay_is_not_an_offset(self) -> None:
         """A clock that reads between question and answer is left alone."""
         offset_s = estimate_clock_offset_s(asked_at_s=100, answered_at_s=102, remote_now_s=101.9)
         self.assertEqual(offset_s, 0.0)
@@ -86,16 +86,16 @@
             st.tuples(st.sampled_from("abc"), st.integers(0, 20), st.integers(0, 5)), max_size=40
         )
     )
-    def test_nothing_is_lost_or_doubled(self, drawn: list[tuple[str, int, int]]) -> None:
+    def test_every_event_appears_once(self, samples: list[tuple[str, int, int]]) -> None:
         """Whatever is gathered, also twice, every event comes out once and in its own order."""
-        unique = {(process, sequence): float(at) for process, sequence, at in drawn}
+        unique = {(process, sequence): float(at) for process, sequence, at in samples}
         events = [_event(p, sequence, at) for (p, sequence), at in unique.items()]
         merged = merge(events + events)
         self.assertEqual(len(merged), len(unique))
         self.assertEqual(sorted(e.at_s for e in merged), [e.at_s for e in merged])
         for process in "abc":
-            own = [event.sequence for event in merged if event.process == process]
-            self.assertEqual(own, sorted(own))
+            sequences = [event.sequence for event in merged if event.process == process]
+            self.assertEqual(sequences, sorted(sequences))
 
 
 class FilterTests(unittest.TestCase):
@@ -109,13 +109,15 @@
             ("all_must_hold", EventFilter(request="r1", instance="bergen-w02"), 0),
         ]
     )
-    def test_selects(self, _name: str, wanted: EventFilter, count: int) -> None:
+    def test_selects_matching_events(
+        self, _name: str, event_filter: EventFilter, count: int
+    ) -> None:
         """Only events that meet every field that is set are selected."""
-        self.assertEqual(len(wanted.select(SESSION)), count)
+        self.assertEqual(len(event_filter.select(SESSION)), count)
 
 
 class RingTests(unittest.TestCase):
-    def test_page_tells_what_was_dropped(self) -> None:
+    def test_page_counts_dropped_events(self) -> None:
         """A full ring drops the oldest events, and its page says how many."""
         ring = Timeline(process="a", wall_clock_s=lambda: 7.0, capacity=2)
         for _ in range(5):
