--- a/tests/cli_sessions.py
+++ b/tests/cli_sessions.py
@@ -1,4 +1,4 @@
-"""Runs command lines in this process and writes down what a person at a terminal would see."""
+"""Runs commands in this process and records their output as a transcript."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CommandResult:
-    """How one command ended."""
+    """The output and exit code of one command."""
 
     output: str
     errors: str
@@ -25,7 +25,7 @@
 
 
 def run_command(command: str | Sequence[str], environment: Mapping[str, str]) -> CommandResult:
-    """Run one command with these variables and no other of ours."""
+    """Run one command with these variables; other variables of shallotworks are removed."""
     arguments = shlex.split(command) if isinstance(command, str) else command
     output = io.TextIOWrapper(io.BytesIO(), encoding="utf-8", write_through=True)
     errors = io.StringIO()
@@ -44,12 +44,12 @@
 def transcript(
     commands: Sequence[str], environment: Mapping[str, str], *, hidden: Mapping[str, str]
 ) -> str:
-    """Return a whole session as text.
+    """Return the transcript of a session.
 
     Args:
-        commands: What is typed.
-        environment: Variables.
-        hidden: What differs from run to run, and the word that stands for it.
+        commands: The commands, without the name of the program.
+        environment: Environment variables.
+        hidden: Values that differ between runs, with their placeholders.
     """
     lines = []
     for command in commands:
--- a/tests/test_callers_sessions.py
+++ b/tests/test_callers_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions of callers, through the real callers' port."""
+"""Golden tests of whole sessions of callers through the real callers' port."""
 
 from __future__ import annotations
 
@@ -27,16 +27,17 @@
 RETRY_PATTERN = re.compile(r'"retry_after_s":[0-9.]+')
 REQUEST_ID_PATTERN = re.compile(r"\b[0-9a-f]{24}\b")
 OMITTED_HEADERS = {"date", "server", "content-length"}
-"""The length is checked; the text would show how many digits a drawn time has."""
+"""These headers differ between runs. Content-Length is checked separately, since the body contains
+a random retry delay whose number of digits varies."""
 
 
 class CallersSession:
-    """One caller's requests to one instance with one worker, and the text of what passes.
+    """A caller's requests to one instance with one worker, recorded as a transcript.
 
     Args:
-        test: The test, for its clean-ups.
+        test: The test, which receives the clean-ups and assertions.
         services: Services that the worker serves.
-        team: The caller's team, whose quota is one slot.
+        team: The caller's team, which has a quota of one slot.
     """
 
     def __init__(self, test: unittest.TestCase, *, services: tuple[str, ...], team: str) -> None:
@@ -62,21 +63,21 @@
         self._request_numbers: dict[str, str] = {}
 
     def add_note(self, line: str) -> None:
-        """Note what happens besides the requests."""
+        """Add a note about events other than requests to the transcript."""
         self.text += f"# {line}\n\n"
 
     def set_store(self, **faults: bool) -> None:
-        """Put faults of the store in force."""
+        """Inject faults into the store."""
         self.loop_thread.loop.call_soon_threadsafe(
             self.store.set_faults, StoreFaults(**faults)  # type: ignore[arg-type]
         )
 
     def set_worker(self, fault: WorkerFault) -> None:
-        """Put a fault of the worker in force."""
+        """Inject a fault into the worker."""
         self.worker.set_faults(WorkerFaults(fault=fault))
 
     def send(self, line: str, headers: dict[str, str], body: bytes = b"") -> None:
-        """Send one request and note it with its answer."""
+        """Send one request and record it with its response."""
         method, path = line.split(" ")
         connection = HTTPConnection("127.0.0.1", self.entry.port, timeout=TIMEOUT_S)
         connection.request(method, path, body=body or None, headers=headers)
@@ -94,7 +95,7 @@
         self.text += "\n"
 
     def hold_quota(self, headers: dict[str, str]) -> threading.Thread:
-        """Begin a request that holds the team's one slot; join the thread to await its end."""
+        """Start a request that holds the team's only slot; the returned thread ends with it."""
         thread = threading.Thread(target=self._send_unrecorded, args=(headers,))
         thread.start()
         deadline_s = time.monotonic() + TIMEOUT_S
@@ -109,7 +110,7 @@
             time.sleep(0.005)
 
     def transcript(self) -> str:
-        """Return the session with request ids numbered in the order of their appearance."""
+        """Return the transcript with request ids replaced by numbers in order of appearance."""
         text = RETRY_PATTERN.sub('"retry_after_s":(seconds)', self.text)
         return REQUEST_ID_PATTERN.sub(self._number_request_id, text)
 
@@ -134,7 +135,7 @@
 
 class GoldenSessionTests(unittest.TestCase):
     def test_fjellsending_crew_session(self) -> None:
-        """Every kind of answer that a crew can get is what the page of the port says."""
+        """Guards against unintended changes to any kind of response that a caller can get."""
         session = CallersSession(self, services=("traces", "parts"), team="crews")
         trace = {"Shallot-Service": "traces", "Shallot-Team": "crews"}
         parts = {"Shallot-Service": "parts", "Shallot-Team": "crews"}
@@ -173,7 +174,7 @@
         assert_golden(self, "callers-fjellsending.txt", session.transcript())
 
     def test_tijera_receptionist_session(self) -> None:
-        """A booking is made once, whatever goes wrong, and each answer says what to do next."""
+        """A booking with an idempotency key runs once despite faults and retries."""
         session = CallersSession(self, services=("bookings", "agenda"), team="salon-12")
         agenda = {"Shallot-Service": "agenda", "Shallot-Team": "salon-12"}
         booking = {"Shallot-Service": "bookings", "Shallot-Team": "salon-12"}
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.cli`: whole sessions against the real API in front of a fake backend."""
+"""Tests of `shallotworks.cli`: whole sessions against the real API with a fake backend."""
 
 import json
 import re
@@ -59,7 +59,7 @@
 
 
 def unused_port() -> int:
-    """Return a port at which nobody listens."""
+    """Return a port that no process listens on."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return int(server.getsockname()[1])
 
@@ -82,7 +82,7 @@
         return run_command(command, self.environment)
 
     def session(self, name: str, commands: list[str], hidden: dict[str, str] | None = None) -> None:
-        """Run a session and compare it with its golden file."""
+        """Run a session and compare its transcript with the golden file."""
         replacements = {
             self.served.address: "ADDRESS",
             str(FLEET): "fleet.json",
@@ -94,7 +94,7 @@
 
 class GoldenSessionTests(SessionCase):
     def test_drain_rack_session(self) -> None:
-        """An operator fills a fleet, proposes, looks, confirms, changes her mind and cancels."""
+        """A whole session: apply a fleet, propose, show, confirm and cancel a plan."""
         self.session(
             "session-drain.txt",
             [
@@ -118,7 +118,7 @@
         )
 
     def test_error_session(self) -> None:
-        """Each failure is one clear line with its kind, and its own exit code."""
+        """Each error is one line with its kind and has the exit code of that kind."""
         folder = Path(self.served.token_file).parent
         (folder / "wrong").write_text("let-me-on")
         (folder / "half.json").write_text(
@@ -155,7 +155,7 @@
         )
 
     def test_invalid_settings_session(self) -> None:
-        """A file with faults in many places is told fault by fault, each in one line."""
+        """Every problem of a settings file is reported on a line of its own."""
         path = Path(self.served.token_file).parent / "wrong.ini"
         path.write_text(
             "[instance]\nname = a b\nregion = vestland\n[callers]\nport = 99999\nprot = 1\n"
@@ -182,7 +182,7 @@
         ]
     )
     def test_one_document(self, _name: str, command: str) -> None:
-        """With --json the output is one JSON document and nothing else."""
+        """JSON output is exactly one document."""
         result = self.run_against_backend(command)
         self.assertEqual((result.exit_code, result.errors), (0, ""))
         json.loads(result.output)
@@ -210,7 +210,7 @@
         ]
     )
     def test_command_becomes_intent(self, command: str, intent: Intent) -> None:
-        """Each way to say what is wanted reaches the backend as its typed intent."""
+        """Each propose command sends the matching typed intent to the backend."""
         result = self.run_against_backend(f"plan propose {command}")
         self.assertEqual(result.exit_code, 0, result.errors)
         (plan,) = self.served.backend.stored.values()
@@ -219,11 +219,9 @@
 
 class TimelineTests(SessionCase):
     def test_prints_events_of_reachable_instances(self) -> None:
-        """
-        A data centre is cut off, and an operator wants the time line of the rest.
+        """An unreachable instance must not prevent the timeline of the others from being printed.
 
-        Two processes answer and one does not. What was gathered is printed in one order; the one
-        missing is said, and the exit code tells a program that a part is missing.
+        The error and the exit code show that a part is missing.
         """
         other = ServedBackend(self)
         other.token_file = self.served.token_file
@@ -242,7 +240,7 @@
         self.assertIn("there", result.output)
 
     def test_all_queries_peers_of_first_address(self) -> None:
-        """With --all peers are asked too, at the same port where they don't name theirs."""
+        """With --all, peers are queried too, at the default port if they announce none."""
         port = self.served.address.rpartition(":")[2]
         queried: list[str] = []
 
@@ -255,7 +253,7 @@
         self.assertEqual(set(queried), {self.served.address, f"10.1.1.12:{port}"})
 
     def test_filters_select_events(self) -> None:
-        """Only events that meet the filters are shown."""
+        """Only events that match the filters are shown."""
         for request in ("r1", "r2"):
             self.served.timeline.record(EventKind.SENT, subject=Subject(request=request))
         self.served.timeline.record(EventKind.ANSWERED, subject=Subject(request="r1"))
@@ -265,11 +263,9 @@
 
 
 class LostResponseTests(unittest.TestCase):
-    """
-    An operator is told that a change was not made, makes it again, and has made it twice.
+    """Guards against a change that is reported as not made although it may have been accepted.
 
-    The instance takes the call and dies, or its answer is cut short or garbled, after the change
-    may have been accepted. Only a call of which no byte was taken is told as unreachable.
+    The operator would repeat it and make it twice. Only a failed connection means not made.
     """
 
     def client(self, serve: Callable[[socket.socket], object]) -> OperatorsClient:
@@ -279,7 +275,8 @@
         def serve_one() -> None:
             connection, _ = server.accept()
             with connection:
-                # Read to its end, since closing with bytes unread would reset the connection.
+                # The call is read completely, because closing a connection with unread bytes
+                # resets it.
                 call = b""
                 while not call.endswith(b"[]" if call.startswith(b"POST") else b"\r\n\r\n"):
                     call += connection.recv(65_536)
@@ -308,13 +305,13 @@
         ]
     )
     def test_change_with_invalid_response(self, _name: str, answer: bytes, kind: ErrorKind) -> None:
-        """Of a change that was sent, only the instance itself may say that it was not made."""
+        """A change that was sent counts as not made only if the instance says so."""
         client = self.client(lambda connection: connection.sendall(answer))
         error = client.post("/changes", ChangesView, b"[]").failure()
         self.assertEqual((error.kind, error.ran), (kind.value, attributes_of(kind).ran.value))
 
     def test_change_without_response(self) -> None:
-        """An instance that takes a change and falls silent leaves its outcome unknown."""
+        """The outcome of a change is unknown if the instance doesn't respond in time."""
         client = self.client(lambda connection: connection.recv(1))
         error = client.post("/changes", ChangesView, b"[]").failure()
         self.assertEqual(error.kind, ErrorKind.OUTCOME_UNKNOWN.value)
@@ -322,7 +319,7 @@
         client.close()
 
     def test_read_without_response(self) -> None:
-        """A read that is lost changed nothing, and may simply be repeated."""
+        """A read without a response changed nothing and may be retried."""
         error = self.client(lambda connection: None).get("/changes", ChangesView).failure()
         self.assertEqual(error.kind, ErrorKind.UNREACHABLE.value)
 
@@ -338,7 +335,7 @@
         (Path(folder.name) / "secrets" / "peers.key").write_text("k" * 32)
 
     def replace_module(self, name: str, **functions: Callable[..., object]) -> None:
-        """Put a fake in place of a module that the command imports."""
+        """Replace a module that the command imports by a fake one."""
         module = types.ModuleType(name)
         for function, body in functions.items():
             setattr(module, function, body)
@@ -347,13 +344,13 @@
         self.addCleanup(patch.stop)
 
     def test_check_settings(self) -> None:
-        """Right settings are said to be right."""
+        """Valid settings are reported as valid."""
         result = run_command(["check-settings", str(self.settings)], {})
         self.assertEqual((result.exit_code, result.errors), (0, ""))
         self.assertIn("bergen-entry-1 are right", result.output)
 
     def test_serve(self) -> None:
-        """The instance gets the checked settings, and its code is the command's."""
+        """The instance receives the validated settings, and the command exits with its code."""
         served: list[Settings] = []
 
         def serve(settings: Settings) -> int:
@@ -368,7 +365,7 @@
         start_log.assert_called_once_with(0)
 
     def test_unhandled_exception_prints_one_line(self) -> None:
-        """A fault that nothing caught ends in one line and a code of its own."""
+        """An unhandled exception is printed as one line and exits with the internal code."""
         self.enterContext(mock.patch.object(_process_commands, "_start_log"))
 
         def run_demo() -> int:
@@ -380,7 +377,7 @@
         self.assertEqual(result.errors, "internal: RuntimeError: broken?in two\n")
 
     def test_demo(self) -> None:
-        """The demo's code is the command's."""
+        """The command exits with the code of the demo."""
         self.enterContext(mock.patch.object(_process_commands, "_start_log"))
         self.replace_module("shallotworks.demo", run_demo=lambda: 1)
         self.assertEqual(run_command("demo", {}).exit_code, 1)
@@ -392,7 +389,7 @@
         ]
     )
     def test_standin(self, _name: str, command: str, label: str) -> None:
-        """A stand-in says where it listens, runs until a signal, and is stopped."""
+        """A stand-in prints its address, runs until a signal arrives and is then stopped."""
         standin = mock.Mock(address="127.0.0.1:1")
         start = mock.Mock(return_value=standin)
         self.replace_module("shallotworks.standins", serve_platform=start, serve_worker=start)
@@ -407,14 +404,14 @@
 
     @parameterized.expand([("bash",), ("zsh",), ("fish",)])
     def test_completion(self, shell: str) -> None:
-        """The script for a shell's completion is printed on demand."""
+        """The completion script of each shell is printed on request."""
         environment = {"_SHALLOTWORKS_COMPLETE": f"source_{shell}"}
         result = run_command([], environment)
         self.assertEqual(result.exit_code, 0)
         self.assertIn("shallotworks", result.output)
 
     def test_completes_partial_word(self) -> None:
-        """The begun word of a command is completed, without asking any instance."""
+        """A partial word of a command is completed without a call to an instance."""
         environment = {
             "_SHALLOTWORKS_COMPLETE": "complete_bash",
             "COMP_WORDS": "shallotworks plan propose dr",
@@ -426,7 +423,7 @@
 class CommandFuzzTests(unittest.TestCase):
     @given(st.lists(st.one_of(st.sampled_from(FUZZ_WORDS), st.text(max_size=5)), max_size=7))
     def test_any_command_exits_with_known_code(self, words: list[str]) -> None:
-        """Whatever is typed, the command ends with a code of the table and no traceback."""
+        """Guards against arguments that cause a traceback or an unexpected exit code."""
         environment = {"SHALLOTWORKS_ADDRESS": f"127.0.0.1:{CLOSED_PORT}"}
         result = run_command(words, environment)
         known = {attributes_of(kind).exit_code for kind in ErrorKind}
@@ -437,12 +434,12 @@
 
 
 class DocumentationTests(unittest.TestCase):
-    """The operators' page is what the program does."""
+    """Guards against a command-line page that differs from the program."""
 
     page = (Path(__file__).parent.parent / "docs" / "operators" / "command-line.md").read_text()
 
     def test_every_command_is_documented(self) -> None:
-        """Each command is named, and none that is not there."""
+        """The page documents every command, and no command that doesn't exist."""
         documented = set(re.findall(r"^\| `([a-z][a-z-]*)", self.page, re.MULTILINE))
         known = {command.name for command in _app.registered_commands}
         known |= {group.name for group in _app.registered_groups}
@@ -452,7 +449,7 @@
             self.assertIn(f"`plan {action.name}", self.page)
 
     def test_documented_exit_codes_match_attributes(self) -> None:
-        """Each row of the page's table of codes is a row of the table of errors."""
+        """The documented exit codes equal those of the error kinds."""
         rows = re.findall(r"^\| (\d+) \| (`[^|]+`) \|", self.page, re.MULTILINE)
         documented = {
             (int(code), name) for code, names in rows for name in re.findall("`(.+?)`", names)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -10,19 +10,19 @@
 class ErrorAttributesTests(unittest.TestCase):
     @parameterized.expand([(kind.value, kind) for kind in ErrorKind])
     def test_every_kind_has_attributes(self, _name: str, kind: ErrorKind) -> None:
-        """Each kind answers with an HTTP error status and an exit code that is not success."""
+        """Each kind has an HTTP error status and a non-zero exit code."""
         attributes = attributes_of(kind)
         self.assertGreaterEqual(attributes.status, 400)
         self.assertGreater(attributes.exit_code, 0)
 
     @parameterized.expand([(kind.value, kind) for kind in ErrorKind])
     def test_unsafe_kinds_never_advise_a_plain_retry(self, _name: str, kind: ErrorKind) -> None:
-        """A request that may have run is only ever repeated under its idempotency key."""
+        """Guards against advice to retry a request that may have run without its key."""
         attributes = attributes_of(kind)
         if attributes.ran is not Ran.NO:
             self.assertIsNot(attributes.advice, Advice.LATER)
 
     def test_failure_ran_follows_its_kind(self) -> None:
-        """What a failure says of "was it run" is the table's word, not the sender's."""
+        """Whether a request ran follows from the error kind; a failure can't override it."""
         failure = Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="the answer was lost")
         self.assertIs(failure.ran, Ran.UNKNOWN)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.listener`: a sender that is slow or gone costs a bounded time."""
+"""Tests of `shallotworks.listener`: slow clients occupy a thread for a limited time only."""
 
 import socket
 import time
@@ -52,21 +52,17 @@
         [("at_once", b""), ("in_the_header", REQUEST[:20]), ("in_the_body", REQUEST[:-2])]
     )
     def test_sender_that_stops_sending(self, _name: str, sent: bytes) -> None:
-        """
-        The port answers nobody while its process is idle.
+        """A client that stops sending must not occupy the only thread for the 10 s of the socket.
 
-        A sender falls silent; the one thread waits for it as long as the socket's timeout of 10 s.
-        Each request has one deadline for all its reads, so the next caller is served after that.
+        The thread is free for the next request after the deadline of the first one.
         """
         self.connect().sendall(sent)
         self.assert_served_soon()
 
     def test_slow_sender(self) -> None:
-        """
-        The port answers nobody while its process is idle.
+        """A client that sends a byte every 50 ms stays below the socket's timeout at each wait.
 
-        A sender sends one byte every 50 ms, so each wait stays below the socket's timeout and the
-        thread is held for the length of the request. The deadline counts from its first byte.
+        It must not occupy the thread until its request is complete; the deadline covers all reads.
         """
         slow_connection = self.connect()
         started_s = time.monotonic()
@@ -81,7 +77,7 @@
         self.assert_served_soon()
 
     def test_two_requests_on_one_connection_have_a_deadline_each(self) -> None:
-        """A kept-alive connection older than the deadline still serves."""
+        """A kept-alive connection that is older than the deadline still serves requests."""
         connection = self.connect()
         for _ in range(2):
             connection.sendall(REQUEST)
@@ -89,7 +85,7 @@
             time.sleep(RECEIVE_TIMEOUT_S)
 
     def assert_served_soon(self) -> None:
-        """Check that another caller is answered within a few deadlines."""
+        """Check that another client gets a response within five times the deadline."""
         connection = self.connect()
         connection.settimeout(5 * RECEIVE_TIMEOUT_S)
         connection.sendall(REQUEST)
--- a/tests/test_load_monitor.py
+++ b/tests/test_load_monitor.py
@@ -1,4 +1,4 @@
-"""Tests of the measure of a process's load, on a clock that stands still while code runs."""
+"""Tests of the load monitor on a virtual clock, which doesn't advance while code runs."""
 
 import asyncio
 import json
@@ -30,7 +30,7 @@
     def test_logs_each_change_of_saturation(
         self, _: str, cores: float, load_periods: list[tuple[float, int]], expected: list[str]
     ) -> None:
-        """Says so once for each change, and not for a single busy moment."""
+        """Each change of saturation is logged once, and a brief peak is not logged."""
         lines: list[str] = []
 
         def write(data: bytes) -> int:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.metrics`: what is counted is what operators read."""
+"""Tests of `shallotworks.metrics`: counters, histograms and their export."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 class SnapshotTests(unittest.TestCase):
     def test_frozen_copy_is_independent(self) -> None:
-        """What is written after a copy was taken is not in that copy."""
+        """Metrics that are written after a copy was taken don't change the copy."""
         metrics = Metrics()
         metrics.count("requests.admitted")
         metrics.observe_s("latency.interactive.trace", 0.010)
@@ -27,10 +27,9 @@
         self.assertEqual(MetricsSnapshot.decode(snapshot.encode()), snapshot)
 
     def test_duration_out_of_range_is_clamped(self) -> None:
-        """The slowest requests are missing from the figures, which look better than the truth.
+        """Guards against requests of over an hour, the histogram's range, missing from latencies.
 
-        A request takes over an hour, the histogram's range; the library drops it in silence.
-        Durations are held within the range, so the slowest count as an hour.
+        The library silently drops values out of range, so durations are clamped to an hour.
         """
         metrics = Metrics()
         for duration_s in (2 * HOUR_S, -1.0):
@@ -41,7 +40,7 @@
 
     @given(st.lists(st.floats(min_value=1e-6, max_value=HOUR_S), min_size=1, max_size=200))
     def test_quantiles_are_exact_to_two_digits(self, durations_s: list[float]) -> None:
-        """Each quantile of the summary is within 1% of the true one (plus 1 us of rounding)."""
+        """Each quantile of the summary is within 1% of the true one, plus rounding to 1 us."""
         metrics = Metrics()
         for duration_s in durations_s:
             metrics.observe_s("a", duration_s)
@@ -54,7 +53,7 @@
 
 class ExpositionTests(unittest.TestCase):
     def test_exposition_text(self) -> None:
-        """Each name stands unchanged in a label, with what the format reserves escaped."""
+        """Each name is exported unchanged as a label, with reserved characters escaped."""
         metrics = Metrics()
         metrics.count("requests.refused.over-quota", 3)
         metrics.observe_s('latency.interactive.a"b', 1.0)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.operators` over HTTP, in front of a fake backend."""
+"""Tests of `shallotworks.operators` over HTTP with a fake backend."""
 
 import asyncio
 import json
@@ -40,17 +40,17 @@
         body: bytes | None = None,
         headers: dict[str, str] = OPERATOR_HEADERS,
     ) -> tuple[int, Any, Any]:
-        """Return status, body and headers of one call."""
+        """Return the status, body and headers of one call."""
         url = f"http://{self.served.address}{path}"
         answer = self.http.request(method, url, body=body, headers=headers)
         return answer.status, json.loads(answer.data), answer.headers
 
     def apply_example_fleet(self) -> None:
-        """Put the example fleet in force."""
+        """Apply the changes that create the example fleet."""
         self.assertEqual(self.call("POST", "/v1/changes", body=FLEET.read_bytes())[0], 200)
 
     def assert_refused(self, response: tuple[int, Any, Any], kind: ErrorKind) -> None:
-        """Check that a call was refused, in the one form and by the one table."""
+        """Check that an error response has the attributes of an error kind."""
         status, body, _ = response
         attributes = attributes_of(kind)
         self.assertEqual((body["kind"], status), (kind.value, attributes.status), body["reason"])
@@ -73,7 +73,7 @@
         ]
     )
     def test_call_without_the_token_is_refused(self, _name: str, headers: dict[str, str]) -> None:
-        """Without the exact token even an unknown path is answered with 401 and nothing done."""
+        """Guards against calls without the exact token that take effect or reveal known paths."""
         for method, path in (("GET", "/v1/status"), ("GET", "/other"), ("POST", "/v1/changes")):
             body = POOL if method == "POST" else None
             response = self.call(method, path, body=body, headers={**headers, "Operator": "kari"})
@@ -166,24 +166,22 @@
     def test_invalid_call_is_refused(
         self, _name: str, method: str, path: str, body: bytes | None, kind: ErrorKind
     ) -> None:
-        """A call that can't be served is refused by the table, and the next one is served."""
+        """An invalid call gets the error of its kind and changes nothing; the next one succeeds."""
         self.assert_refused(self.call(method, path, body=body), kind)
         self.assertEqual(self.call("GET", "/v1/status")[0], 200)
         self.assertEqual(self.served.backend.state.revision, 0)
 
     def test_change_requires_operator_name(self) -> None:
-        """A change without the name of its operator, or with an odd one, is refused."""
+        """A change without the name of its operator, or with an invalid one, is refused."""
         for name in ("", "kari\x07", "x" * 64):
             headers = {"Authorization": f"Bearer {TOKEN}", "Operator": name}
             response = self.call("POST", "/v1/changes", body=POOL, headers=headers)
             self.assert_refused(response, ErrorKind.INVALID_REQUEST)
 
     def test_partly_accepted_list_reports_accepted_changes(self) -> None:
-        """
-        An operator sends a file of changes again and each is refused as done before.
+        """An error for the third change of a list must not hide that two changes were accepted.
 
-        The third change of a list is refused after two came into force. An answer with the error
-        alone hides those two; so it names the changes accepted and the place of the refused one.
+        Otherwise the operator sends the whole list again, and the accepted changes are refused.
         """
         changes = [json.loads(POOL), json.loads(POOL), {"kind": "remove-pool", "name": "x"}]
         response = self.call("POST", "/v1/changes", body=json.dumps(changes).encode())
@@ -192,7 +190,7 @@
         self.assertIn("change 2 (remove-pool)", response[1]["reason"])
 
     def test_store_outage_sets_retry_after(self) -> None:
-        """With the store down a change is refused as not run, with a time to retry after."""
+        """While the store is down, a change is refused as not run, with a retry delay."""
         self.served.backend.store_down = True
         response = self.call("POST", "/v1/changes", body=POOL)
         self.assert_refused(response, ErrorKind.STORE_UNAVAILABLE)
@@ -207,7 +205,7 @@
         self.assertIn("fresh proposal: plan 000000000002", response[1]["reason"])
 
     def test_backend_exception_is_internal_error(self) -> None:
-        """A fault inside is answered as an internal error that tells nothing of the inside."""
+        """An exception of the backend becomes an internal error that doesn't reveal its text."""
         self.served.backend.fault = KeyError("secret")
         with self.assertLogs("absl", "ERROR"):
             response = self.call("GET", "/v1/status")
@@ -215,7 +213,7 @@
         self.assertNotIn("secret", response[1]["reason"])
 
     def test_changes_are_recorded_in_timeline(self) -> None:
-        """Each call that may change something is kept with its operator, outcome and plan."""
+        """Each call that may change something is recorded with its operator, outcome and plan."""
         self.apply_example_fleet()
         self.call("POST", "/v1/plans", body=DRAIN)
         self.call("POST", "/v1/plans/000000000001/confirm")
@@ -238,11 +236,9 @@
 
 
 class EventLoopBridgeTests(unittest.TestCase):
-    """
-    An operator is told that a change was not made, and it comes into force a moment later.
+    """Guards against a change that is reported as not made and is accepted a moment later.
 
-    The instance is slow or stopping, and the port's thread gives up waiting. Work that has begun
-    may have had its effect, so only a read, or work that never began, is told as not done.
+    After a timeout or stop, only a read or a coroutine that never started counts as not run.
     """
 
     def setUp(self) -> None:
@@ -253,23 +249,23 @@
         )
 
     def stop(self) -> None:
-        """End the loop, where a test has not done so."""
+        """Stop the event loop if the test has not done so."""
         if not self.thread.loop.is_closed():
             self.thread.stop()
 
     def error_kind_of(self, call: Callable[[Coroutine[Any, Any, None]], None]) -> ErrorKind:
-        """Return the kind of error that a call of work without end raises."""
+        """Return the error kind that a call with a coroutine of one hour raises."""
         with self.assertRaises(ShallotworksError) as raised:
             call(asyncio.sleep(3600))
         return raised.exception.failure.kind
 
     def test_slow_coroutine(self) -> None:
-        """A read that takes too long may be repeated; a change that does is of unknown outcome."""
+        """A read that times out may be retried; the outcome of a change that does is unknown."""
         self.assertIs(self.error_kind_of(self.bridge.read), ErrorKind.DEADLINE_EXCEEDED)
         self.assertIs(self.error_kind_of(self.bridge.write), ErrorKind.OUTCOME_UNKNOWN)
 
     def test_timed_out_coroutine_is_cancelled(self) -> None:
-        """Work that nobody waits for any more ends soon, so that it can't have its effect late."""
+        """A coroutine that timed out is cancelled, so that it can't take effect later."""
         self.error_kind_of(self.bridge.write)
 
         async def count_other_tasks() -> int:
@@ -279,14 +275,14 @@
         self.assertEqual(self.thread.run(count_other_tasks()), 0)
 
     def test_closed_loop(self) -> None:
-        """Work that was never begun is told as not done."""
+        """A coroutine that never started is reported as not run."""
         self.thread.stop()
         self.assertIs(self.error_kind_of(self.bridge.write), ErrorKind.STOPPING)
 
 
 class BodyFuzzTests(ServerCase):
     def test_any_body_gets_response_without_internal_error(self) -> None:
-        """Whatever the body, the answer is a refusal of the table, never an internal error."""
+        """Guards against request bodies that cause an internal error."""
 
         @given(
             st.one_of(
@@ -310,13 +306,13 @@
 
 class DescriptionTests(ServerCase):
     def test_document_matches_served_description(self) -> None:
-        """The page in `docs` is equal to what an instance answers, which its routes make."""
+        """The OpenAPI document in `docs` equals the one that an instance serves."""
         url = f"http://{self.served.address}/v1/openapi.json"
         served = self.http.request("GET", url, headers=OPERATOR_HEADERS).data.decode()
         assert_golden(self, DOCUMENT.name, served, folder=DOCUMENT.parent)
 
     def test_every_route_answers_as_described(self) -> None:
-        """Each path of the page is served; each property of an answer is in its schema."""
+        """Each documented path is served, and the schema of a response lists its properties."""
         document = json.loads(DOCUMENT.read_text())
         schemas = document["components"]["schemas"]
         self.apply_example_fleet()
@@ -335,7 +331,7 @@
 
 class ExpositionTests(ServerCase):
     def test_metrics_as_text(self) -> None:
-        """The text exposition is served as text, and counts the calls answered."""
+        """The text exposition has a text content type and counts the answered calls."""
         self.call("GET", "/v1/status")
         self.call("GET", "/v1/jobs")
         url = f"http://{self.served.address}/v1/metrics?format=text"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.settings`: a file gives settings, or every fault in it at once."""
+"""Tests of `shallotworks.settings`: a file gives settings or all of its problems at once."""
 
 import shutil
 import tempfile
@@ -31,7 +31,7 @@
 
 
 def _settings_text(changed: dict[str, dict[str, str | None]]) -> str:
-    """Return the minimal file with some keys changed; ``None`` leaves a key out."""
+    """Return the minimal file with some keys changed; ``None`` omits a key."""
     lines = []
     for section in sorted({*MINIMAL, *changed}):
         lines.append(f"[{section}]")
@@ -55,7 +55,7 @@
         return outcome.failure().problems
 
     def test_minimal_file_has_defaults(self) -> None:
-        """A file with the required keys alone gives settings, with relative paths resolved."""
+        """A file with only the required keys gives defaults, with relative paths resolved."""
         settings = parse_settings(_settings_text({}), path=str(self.folder / "a.ini")).unwrap()
         self.assertEqual(settings.callers.port, 8080)
         self.assertEqual(settings.platform.instance_list_address, "127.0.0.1:7000")
@@ -93,14 +93,14 @@
     def test_problem_is_reported(
         self, _name: str, section: str, key: str, value: str | None, allowed: str
     ) -> None:
-        """A wrong, missing or unknown key is named with its section, value and what is allowed."""
+        """An invalid, missing or unknown key is reported with its value and the allowed ones."""
         (problem,) = self.problems(_settings_text({section: {key: value} if key else {}}))
         self.assertEqual((problem.section, problem.key), (section, key))
         self.assertEqual(problem.value, value)
         self.assertIn(allowed, problem.allowed)
 
     def test_all_problems_are_reported_together(self) -> None:
-        """Three problems in three sections are told in one go, under one error kind."""
+        """Problems in three sections are reported together under one error kind."""
         text = _settings_text(
             {"callers": {"port": "x"}, "log": {"verbose": "1"}, "platform": {"address": None}}
         )
@@ -119,7 +119,7 @@
         ]
     )
     def test_invalid_ini_text(self, _name: str, text: str) -> None:
-        """A text that is not proper INI is one fault of the file, with the line told."""
+        """Text that isn't valid INI is one problem of the file, with the line named."""
         (problem,) = self.problems(text)
         self.assertEqual((problem.section, problem.key), ("", ""))
         self.assertRegex(problem.problem, r"line|section headers")
@@ -128,7 +128,7 @@
         [("absent", None), ("binary", b"\xff\xfe[a]"), ("huge", b"#" * 1_100_000)]
     )
     def test_unreadable_file(self, _name: str, data: bytes | None) -> None:
-        """A file that can't be read as text is a fault, not an exception."""
+        """A file that can't be read as text is reported as a problem, not as an exception."""
         path = self.folder / "b.ini"
         if data is not None:
             path.write_bytes(data)
@@ -136,7 +136,7 @@
 
     @parameterized.expand([(path.stem, path) for path in sorted(EXAMPLES.glob("*/*.ini"))])
     def test_examples_are_valid(self, _name: str, path: Path) -> None:
-        """Every worked example is accepted once its two secrets exist, and names every key."""
+        """Every example is valid once its two secrets exist, and it contains every key."""
         copy = self.folder / path.name
         shutil.copy(path, copy)
         (self.folder / "secrets").mkdir()
@@ -148,7 +148,7 @@
             self.assertIn(f"\n{key} = ", path.read_text())
 
     def test_table_matches_classes(self) -> None:
-        """Every key of the table is a field of its section's class, and its default is allowed."""
+        """Every key is a field of its section's class, and its default is allowed."""
         settings = parse_settings(_settings_text({}), path=str(self.folder / "a.ini")).unwrap()
         for section, rules in RULES.items():
             self.assertEqual(set(rules), set(getattr(settings, section).__slots__))
@@ -176,7 +176,7 @@
 class FuzzTests(unittest.TestCase):
     @given(_LINES)
     def test_any_text_gives_settings_or_problems(self, lines: list[str]) -> None:
-        """Whatever the text, the outcome is settings or at least one fault, never an exception."""
+        """Guards against file contents that raise an exception instead of giving problems."""
         outcome = parse_settings("\n".join(lines), path="a.ini")
         if isinstance(outcome, Success):
             self.assertIsInstance(outcome.unwrap(), Settings)
@@ -187,7 +187,7 @@
     def test_any_value_is_parsed_or_rejected(
         self, section_and_key: tuple[str, str], text: str
     ) -> None:
-        """Whatever the value of a key, its rule returns a value or a reason."""
+        """Guards against values that make a rule raise an exception."""
         parsed = RULES[section_and_key[0]][section_and_key[1]].parse(
             text, folder=Path("/nonexistent")
         )
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Tests of `shallotworks.timeline`: one order from many processes, and three ways to show it."""
+"""Tests of `shallotworks.timeline`: merging events of many processes and the output formats."""
 
 import json
 import threading
@@ -54,30 +54,29 @@
 
 class MergeTests(unittest.TestCase):
     def test_orders_by_time_then_process_then_sequence(self) -> None:
-        """Events of three processes come in time order, those of one moment by process."""
+        """Events are ordered by time, and events of the same time by process and sequence."""
         events = [_event("b", 0, 2.0), _event("a", 1, 2.0), _event("a", 0, 2.0), _event("c", 0, 1)]
         order = [(event.process, event.sequence) for event in merge(events)]
         self.assertEqual(order, [("c", 0), ("a", 0), ("a", 1), ("b", 0)])
 
     def test_clock_set_back_keeps_sequence(self) -> None:
-        """A reader sees an answer before its request was sent.
+        """Guards against a response that is shown before its request after a clock was set back.
 
-        A process records "sent"; its wall clock is set back a second; it records "answered".
-        Ordered by time alone the two change places, so a process's own order goes first.
+        The sequence of a process takes precedence over the times of its events.
         """
         merged = merge([_event("a", 0, 10.0), _event("a", 1, 9.0), _event("b", 0, 9.5)])
         self.assertEqual([event.sequence for event in merged if event.process == "a"], [0, 1])
         self.assertEqual(merged[-1].at_s, 10.0)
 
     def test_offset_corrects_wrong_clock(self) -> None:
-        """A process whose clock is 5 s ahead is shown at the time of the reader."""
+        """Events of a process whose clock is 5 s ahead are shown in the reader's time."""
         offset_s = estimate_clock_offset_s(asked_at_s=100, answered_at_s=100.2, remote_now_s=105.1)
         self.assertAlmostEqual(offset_s, -5.0)
         merged = merge([_event("a", 0, 104.0), _event("b", 0, 100.0)], clock_offsets_s={"a": -5})
         self.assertEqual([event.process for event in merged], ["a", "b"])
 
     def test_network_delay_is_not_an_offset(self) -> None:
-        """A clock that reads between question and answer is left alone."""
+        """A remote time between request and response gives an offset of 0."""
         offset_s = estimate_clock_offset_s(asked_at_s=100, answered_at_s=102, remote_now_s=101.9)
         self.assertEqual(offset_s, 0.0)
 
@@ -87,7 +86,7 @@
         )
     )
     def test_every_event_appears_once(self, samples: list[tuple[str, int, int]]) -> None:
-        """Whatever is gathered, also twice, every event comes out once and in its own order."""
+        """Every event appears once and in its process's sequence, even if it was fetched twice."""
         unique = {(process, sequence): float(at) for process, sequence, at in samples}
         events = [_event(p, sequence, at) for (p, sequence), at in unique.items()]
         merged = merge(events + events)
@@ -112,13 +111,13 @@
     def test_selects_matching_events(
         self, _name: str, event_filter: EventFilter, count: int
     ) -> None:
-        """Only events that meet every field that is set are selected."""
+        """Only events that match every non-empty field are selected."""
         self.assertEqual(len(event_filter.select(SESSION)), count)
 
 
 class RingTests(unittest.TestCase):
     def test_page_counts_dropped_events(self) -> None:
-        """A full ring drops the oldest events, and its page says how many."""
+        """A full ring drops the oldest events, and its page contains their number."""
         ring = Timeline(process="a", wall_clock_s=lambda: 7.0, capacity=2)
         for _ in range(5):
             ring.record(EventKind.SENT, subject=Subject())
@@ -127,10 +126,9 @@
         self.assertEqual(TimelinePage.decode(page.encode()), page)
 
     def test_threads_never_share_a_sequence(self) -> None:
-        """Two events of one process show the same number and one is dropped as a copy of the other.
+        """Guards against two threads that record events with the same sequence number.
 
-        Callers' threads record at the same time; both read the next number before either counts on.
-        Counting on is one step of the interpreter, so each number is given once.
+        A merge would drop one of the two events as a duplicate.
         """
         ring = Timeline(process="a", wall_clock_s=lambda: 0.0, capacity=100_000)
 
@@ -150,15 +148,15 @@
 
 class FormatTests(unittest.TestCase):
     def test_text(self) -> None:
-        """People read one line an event, in columns, with no control character from outside."""
+        """The table has one line per event and replaces control characters."""
         assert_golden(self, "timeline.txt", to_text(merge(SESSION)))
 
     def test_json(self) -> None:
-        """What is written as JSON reads back equal."""
+        """Events survive a round trip through JSON."""
         self.assertEqual(decode_events(encode_events(SESSION)), SESSION)
 
     def test_chrome_trace(self) -> None:
-        """The trace names each process, and each span has one begin and one end."""
+        """The trace names each process and contains the begin and end of each span."""
         trace = json.loads(to_chrome_trace(merge(SESSION)))
         entries = trace["traceEvents"]
         names = {e["args"]["name"] for e in entries if e["name"] == "process_name"}
