--- a/src/shallotworks/cli/_main.py
+++ b/src/shallotworks/cli/_main.py
@@ -32,7 +32,7 @@
 
 
 def run(arguments: Sequence[str]) -> int:
-    """Run one command and return its exit code; no exception ends in a traceback."""
+    """Run one command and return its exit code; an exception is printed without a traceback."""
     try:
         code = _run_command(arguments)
         sys.stdout.flush()
--- a/src/shallotworks/cli/_observe_commands.py
+++ b/src/shallotworks/cli/_observe_commands.py
@@ -68,7 +68,7 @@
 
 
 def _timeline(
-    address: AddressesOption = [DEFAULT_ADDRESS],  # noqa: B006 (typer reads it, nobody writes it)
+    address: AddressesOption = [DEFAULT_ADDRESS],  # noqa: B006 (the default is never modified)
     include_peers: Annotated[
         bool, typer.Option("--all", help="Also query the peers of the first address.")
     ] = False,
@@ -96,7 +96,9 @@
     }
     addresses = _add_peer_addresses(address, token_file) if include_peers else tuple(address)
     with ThreadPoolExecutor(max_workers=MAX_CONCURRENT_FETCHES) as threads:
-        outcomes = list(threads.map(lambda one: _fetch_page(one, token_file, query), addresses))
+        outcomes = list(
+            threads.map(lambda queried: _fetch_page(queried, token_file, query), addresses)
+        )
     pages = [outcome.unwrap() for outcome in outcomes if isinstance(outcome, Success)]
     errors = [outcome.failure() for outcome in outcomes if isinstance(outcome, Err)]
     for error in errors:
@@ -121,7 +123,7 @@
 def _operators_address(peer: PeerView, default_port: str) -> str:
     """Return the address of a peer's operators' port.
 
-    If the peer doesn't announce one, the port of the first address is assumed at the peer's host.
+    If the peer announces none, it is the peer's host with the port of the first address.
     """
     if peer.operators_address:
         return peer.operators_address
@@ -150,8 +152,8 @@
 
 
 def _print_events(fetched: list[_FetchedPage], output: TimelineFormat) -> None:
-    all_events: list[Event] = [event for one in fetched for event in one.page.events]
-    offsets_s = {one.page.process: one.clock_offset_s for one in fetched}
+    all_events: list[Event] = [event for entry in fetched for event in entry.page.events]
+    offsets_s = {entry.page.process: entry.clock_offset_s for entry in fetched}
     events = merge(all_events, clock_offsets_s=offsets_s)
     if output is TimelineFormat.JSON:
         print_text(encode_events(events).decode() + "\n")
@@ -163,9 +165,9 @@
 
 
 def _print_dropped(fetched: list[_FetchedPage]) -> None:
-    for one in fetched:
-        if one.page.dropped:
-            message = f"{one.page.process} has dropped its first {one.page.dropped} events"
+    for entry in fetched:
+        if entry.page.dropped:
+            message = f"{entry.page.process} has dropped its first {entry.page.dropped} events"
             print_text(message + "\n")
 
 
--- a/src/shallotworks/cli/_process_commands.py
+++ b/src/shallotworks/cli/_process_commands.py
@@ -23,7 +23,7 @@
 PLATFORM_SETTINGS_SUFFIX = ".toml"
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
-HostOption = Annotated[str, typer.Option(help="IP number to listen on.")]
+HostOption = Annotated[str, typer.Option(help="IP address to listen on.")]
 PortOption = Annotated[int, typer.Option(help="Port; 0 for any free one.", min=0, max=65535)]
 
 _standin_app = typer.Typer(
--- a/src/shallotworks/settings/_relations.py
+++ b/src/shallotworks/settings/_relations.py
@@ -53,7 +53,10 @@
     plans = settings.plans
     if plans.weight_buffer + plans.weight_rollout + plans.weight_moves <= 0:
         yield _contradiction(
-            "plans", "weight_buffer", plans.weight_buffer, "one of the three weights is over 0"
+            "plans",
+            "weight_buffer",
+            plans.weight_buffer,
+            "at least one of the three weights above 0",
         )
 
 
--- a/src/shallotworks/settings/_rules.py
+++ b/src/shallotworks/settings/_rules.py
@@ -141,16 +141,16 @@
     @property
     def allowed(self) -> str:
         """Description of the allowed addresses."""
-        return "an IP number that others reach" if self.reachable else "an IP number"
+        return "an IP address that other instances reach" if self.reachable else "an IP address"
 
     def parse(self, text: str, *, folder: Path) -> Result[str, str]:
         """Return the address in canonical form."""
-        number = _parse_ip_number(text)
-        if number is None:
-            return Err("not an IP number")
-        if self.reachable and number.is_unspecified:
-            return Err("stands for any address, which others can't dial")
-        return Success(str(number))
+        ip_address = _parse_ip_address(text)
+        if ip_address is None:
+            return Err("not an IP address")
+        if self.reachable and ip_address.is_unspecified:
+            return Err("the unspecified address, which other instances can't connect to")
+        return Success(str(ip_address))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -190,7 +190,7 @@
                 return Err(f"{part.strip()!r} is {parsed.failure()}")
             addresses.append(parsed.unwrap())
         if len(set(addresses)) < len(addresses):
-            return Err("an address stands twice")
+            return Err("an address is listed twice")
         return Success(tuple(addresses))
 
 
@@ -228,7 +228,7 @@
         return Success(path)
 
 
-def _parse_ip_number(text: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
+def _parse_ip_address(text: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
     # Addresses with a zone such as "%eth0" are rejected: a zone may contain any character and is
     # valid on one machine only.
     if "%" in text:
@@ -243,11 +243,11 @@
     """Return an ``ip:port`` in canonical form, or a description of the problem."""
     host, colon, port = text.rpartition(":")
     bracketed = host.startswith("[") and host.endswith("]")
-    number = _parse_ip_number(host[1:-1] if bracketed else host)
-    if number is None:
+    ip_address = _parse_ip_address(host[1:-1] if bracketed else host)
+    if ip_address is None:
         return Err("not ip:port")
-    if not colon or (number.version == 6) is not bracketed:
+    if not colon or (ip_address.version == 6) is not bracketed:
         return Err("not ip:port")
     if not _WHOLE_PATTERN.fullmatch(port) or not 1 <= int(port) <= MAX_PORT:
         return Err("an address with a wrong port")
-    return Success(f"[{number}]:{int(port)}" if bracketed else f"{number}:{int(port)}")
+    return Success(f"[{ip_address}]:{int(port)}" if bracketed else f"{ip_address}:{int(port)}")
--- a/src/shallotworks/settings/_secrets.py
+++ b/src/shallotworks/settings/_secrets.py
@@ -31,7 +31,7 @@
         # Only regular files are read: opening a named pipe would block the start forever, and
         # reading from a device might never end.
         if not stat.S_ISREG(Path(path).stat().st_mode):
-            return _invalid_settings("is not a plain file")
+            return _invalid_settings("is not a regular file")
         with open(path, "rb") as file:
             secret = file.read(MAX_SECRET_BYTES + 1)
     except OSError as error:
