--- a/src/shallotworks/json_codec.py
+++ b/src/shallotworks/json_codec.py
@@ -37,4 +37,4 @@
     try:
         return json.loads(data)
     except RecursionError as error:
-        raise ValueError("JSON is nested too deep") from error
+        raise ValueError("JSON that is nested too deep") from error
