--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -221,7 +221,7 @@
 
     def _decide_isolated_starts(self, now_s: float) -> Iterator[StartOrder]:
         """Yield the starts of suspects whose workers are ready for them."""
-        for run, may_be_sent in self._scheduler_state.isolation.ready(now_s):
+        for run, may_be_sent in self._scheduler_state.isolation.release_reservations(now_s):
             step = self._scheduler_state.open_step(run.name)
             if may_be_sent and step is not None:
                 yield self._start_order(step, run)
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -57,7 +57,7 @@
         self._cleared_jobs: set[str] = set()
         """Ids of jobs of which a suspect was started in isolation and did not crash its worker."""
 
-    def answered(self, worker: Worker, now_s: float) -> None:
+    def note_answered(self, worker: Worker, now_s: float) -> None:
         """End the isolation of a worker that has answered after the probation of its suspect."""
         run = worker.isolated
         if run is None or run.phase is RunPhase.RESERVED:
@@ -74,7 +74,7 @@
         )
         self._blame.survived(run)
 
-    def left_s(self, worker: Worker, now_s: float) -> float | None:
+    def remaining_probation_s(self, worker: Worker, now_s: float) -> float | None:
         """Return how long a worker still has to survive its isolated run; ``None`` without one.
 
         The time is in seconds. For a worker that is reserved, the shortest probation time is
@@ -150,7 +150,7 @@
         self._blame.note_lost(tracked_job, run.name, lost, wall_s)
         self._reserved[run] = (tracked_job.changes, now_s)
 
-    def ready(self, now_s: float) -> Iterator[tuple[Run, bool]]:
+    def release_reservations(self, now_s: float) -> Iterator[tuple[Run, bool]]:
         """Yield the reserved starts that no longer wait, each with whether it may be sent."""
         for run, (change, since_s) in list(self._reserved.items()):
             worker = self._workers.get(run.worker_id)
@@ -171,7 +171,7 @@
                 del self._reserved[run]
                 yield run, False
 
-    def forget(self, job_id: str) -> None:
+    def remove_job(self, job_id: str) -> None:
         """Drop what is known of a job that has ended."""
         self._cleared_jobs.discard(job_id)
 
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -326,7 +326,7 @@
     def _poll_wait_s(self, worker: Worker) -> float:
         if self._needs_immediate_answer(worker):
             return 0.0
-        left_s = self._scheduler_state.isolation.left_s(worker, self._clock())
+        left_s = self._scheduler_state.isolation.remaining_probation_s(worker, self._clock())
         if left_s is None:
             return self._times.poll_wait_s
         return min(self._times.poll_wait_s, max(left_s, MIN_ISOLATED_POLL_WAIT_S))
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -287,7 +287,7 @@
             and not tracked_job.live
         ):
             self.tracked_jobs.pop(job_id, None)
-            self.isolation.forget(job_id)
+            self.isolation.remove_job(job_id)
             self.finished_jobs[job_id] = tracked_job.progress.ended_s
 
     def _release_stored_ends(self, tracked_job: TrackedJob, changes: int) -> None:
@@ -427,7 +427,7 @@
             self._handle_missing_run(worker, run, sent_s, now_s)
         worker.reported_s = now_s
         worker.connection_closed_s = None
-        self.isolation.answered(worker, now_s)
+        self.isolation.note_answered(worker, now_s)
         self.note_recovered(worker.worker_id, "seen")
 
     def _handle_running_task(self, worker: Worker, running_task: RunningTask, now_s: float) -> None:
