--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -86,7 +86,7 @@
 
     # ---- blame
 
-    def connection_closed(self, worker: Worker, now_s: float, wall_s: float) -> None:
+    def note_connection_closed(self, worker: Worker, now_s: float, wall_s: float) -> None:
         """Record that a worker closed its connections, since it may have crashed just now.
 
         Runs on probation are blamed and stored at once, because this scheduler may end before the
@@ -96,9 +96,9 @@
             return
         worker.connection_closed_s = now_s
         self._connection_losses.append((now_s, worker.worker_id))
-        self.worker_silent(worker, wall_s)
+        self.note_silent(worker, wall_s)
 
-    def worker_silent(self, worker: Worker, wall_s: float) -> None:
+    def note_silent(self, worker: Worker, wall_s: float) -> None:
         """Blame the runs on probation of a worker that may have crashed."""
         on_probation = [one for one in self._assign_blame(worker) if one[1] is not Blame.LATE]
         if on_probation:
@@ -106,7 +106,7 @@
         for run, blame in on_probation:
             self._note(run, blame, is_certain=False, wall_s=wall_s)
 
-    def worker_ended(self, worker: Worker, wall_s: float, *, is_replaced: bool) -> None:
+    def note_worker_ended(self, worker: Worker, wall_s: float, *, is_replaced: bool) -> None:
         """Blame the runs of a worker that has ended, including runs that were given up before.
 
         Args:
@@ -117,7 +117,7 @@
         """
         for run in worker.runs.values():
             if run.phase is RunPhase.RESERVED:
-                self.survived(run)
+                self.clear_run(run)
         for run, blame in self._assign_blame(worker):
             if run.phase is RunPhase.STARTING:
                 self._unanswered_starts[run.run_id] = blame
@@ -127,13 +127,13 @@
             if lost.run_id not in self._unanswered_starts:
                 self._confirm(tracked_job, name, lost, wall_s, is_replaced=is_replaced)
 
-    def start_answered(self, run: Run, wall_s: float, *, may_have_run: bool) -> None:
+    def note_start_answered(self, run: Run, wall_s: float, *, may_have_run: bool) -> None:
         """Record the outcome of a start whose worker may have ended in the meantime."""
         blame = self._unanswered_starts.pop(run.run_id, None)
         if blame is not None and may_have_run:
             self._note(run, blame, is_certain=True, wall_s=wall_s)
         elif blame is not None:
-            self.survived(run)
+            self.clear_run(run)
 
     def _confirm(
         self,
@@ -154,11 +154,11 @@
             blame = Blame.SHARED
         self.note_lost(tracked_job, name, lost._replace(blame=blame, is_certain=True), wall_s)
 
-    def earlier_runs_lost(self) -> None:
+    def note_earlier_runs_lost(self) -> None:
         """Record that a worker was lost whose runs of an earlier epoch are unknown."""
         self._may_miss_crashes = True
 
-    def started(self, run: Run, wall_s: float) -> None:
+    def note_started(self, run: Run, wall_s: float) -> None:
         """Store where a task of an earlier epoch runs, if runs of it may have been lost unnoticed.
 
         A scheduler that ends before it detects a crash leaves no blame. The start is therefore
@@ -271,14 +271,14 @@
 
     # ---- no blame
 
-    def worker_left(self, worker: Worker) -> None:
+    def note_worker_left(self, worker: Worker) -> None:
         """Clear the runs of a worker that left as planned."""
         for run in worker.runs.values():
-            self.survived(run)
+            self.clear_run(run)
         for tracked_job, name, lost in self._uncertain_losses_on(worker.worker_id):
             self._clear(tracked_job, name, lost.run_id)
 
-    def survived(self, run: Run) -> None:
+    def clear_run(self, run: Run) -> None:
         """Clear a run whose worker is alive or never received it."""
         worker = self._workers.get(run.worker_id)
         if worker is not None and worker.isolated is run:
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -140,7 +140,7 @@
             scheduler_state.open_due_steps(scheduler_state.tracked_jobs[job_id], wall_s)
         for worker_id, until_s in list(scheduler_state.pending_recovery.items()):
             if now_s > until_s:
-                scheduler_state.crashes.earlier_runs_lost()
+                scheduler_state.crashes.note_earlier_runs_lost()
                 scheduler_state.note_recovered(worker_id, "leases out")
         for worker in list(scheduler_state.workers.values()):
             self._apply_worker_timeouts(worker, now_s)
@@ -150,7 +150,7 @@
             self._scheduler_state.expire_lease(worker, now_s, self._wall_s)
         if not worker.is_listed and not worker.runs and now_s > worker.lease_ends_s:
             reason = "no longer listed"
-            self._scheduler_state.worker_ended(worker.worker_id, reason, now_s, self._wall_s)
+            self._scheduler_state.note_worker_ended(worker.worker_id, reason, now_s, self._wall_s)
             return
         if worker.view.is_draining:
             self.evacuate(worker)
@@ -274,7 +274,7 @@
                 step.rack = worker.view.rack
             run_id = self._scheduler_state.next_run_id()
             run = self._scheduler_state.new_run(step, index, worker, run_id, now_s)
-            self._scheduler_state.crashes.started(run, self._wall_s)
+            self._scheduler_state.crashes.note_started(run, self._wall_s)
             candidates.note_placed(worker)
             self._started += 1
             yield self._start_order(step, run)
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -72,7 +72,7 @@
             run=run.run_id,
             worker=worker.worker_id,
         )
-        self._blame.survived(run)
+        self._blame.clear_run(run)
 
     def remaining_probation_s(self, worker: Worker, now_s: float) -> float | None:
         """Return how long a worker still has to survive its isolated run; ``None`` without one.
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -297,7 +297,7 @@
                 outcome.status in _NO_ANSWER_STATUSES
                 and self._clock() - sent_s < wait_s + CLOSED_CONNECTION_WITHIN_S
             ):
-                self._scheduler_state.crashes.connection_closed(
+                self._scheduler_state.crashes.note_connection_closed(
                     worker, self._clock(), self._wall_clock()
                 )
             self._handle_poll_failure(worker, outcome)
@@ -432,7 +432,7 @@
     ) -> None:
         is_fenced_or_gone = self._handle_fenced_or_gone(worker, outcome)
         may_have_run = outcome.status in (OrderStatus.OBEYED, OrderStatus.UNANSWERED)
-        self._scheduler_state.crashes.start_answered(
+        self._scheduler_state.crashes.note_start_answered(
             run, self._wall_clock(), may_have_run=may_have_run
         )
         if is_fenced_or_gone:
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -317,7 +317,7 @@
     def note_replaced(self, worker_id: str, now_s: float, wall_s: float) -> None:
         """Record that a worker has ended, since another incarnation answered at its address."""
         self._replaced_worker_ids.add(worker_id)
-        self.worker_ended(worker_id, "another incarnation", now_s, wall_s)
+        self.note_worker_ended(worker_id, "another incarnation", now_s, wall_s)
 
     def drop_replaced(self, listed: dict[str, WorkerView]) -> None:
         """Remove replaced workers from ``listed``: discovery lists them for some seconds more."""
@@ -344,7 +344,7 @@
         if self.pending_recovery.pop(worker_id, None) is not None and not self.pending_recovery:
             self._log.line("recovery-over", last_worker=worker_id, how=how, token=self.token)
 
-    def worker_ended(
+    def note_worker_ended(
         self, worker_id: str, reason: str, now_s: float, wall_s: float, *, is_planned: bool = False
     ) -> None:
         """Record that a worker has certainly ended, with all its runs.
@@ -357,7 +357,7 @@
             is_planned: The worker was taken away and has not crashed.
         """
         if worker_id in self.pending_recovery and not is_planned:
-            self.crashes.earlier_runs_lost()
+            self.crashes.note_earlier_runs_lost()
         self.note_recovered(worker_id, reason)
         worker = self.workers.pop(worker_id, None)
         if worker is None:
@@ -366,9 +366,9 @@
             "worker-over", worker=worker_id, reason=reason, runs=len(worker.runs), token=self.token
         )
         if is_planned or worker.view.is_draining:
-            self.crashes.worker_left(worker)
+            self.crashes.note_worker_left(worker)
         else:
-            self.crashes.worker_ended(
+            self.crashes.note_worker_ended(
                 worker, wall_s, is_replaced=worker_id in self._replaced_worker_ids
             )
         self._lapse_runs(worker, reason, now_s)
@@ -383,7 +383,7 @@
             token=self.token,
         )
         worker.is_fenced = False
-        self.crashes.worker_silent(worker, wall_s)
+        self.crashes.note_silent(worker, wall_s)
         self._lapse_runs(worker, "lease out", now_s)
 
     def _lapse_runs(self, worker: Worker, reason: str, now_s: float) -> None:
@@ -495,7 +495,7 @@
         if run.phase in START_PENDING_PHASES or run.phase_s >= sent_s:
             return
         if run.phase is RunPhase.STOPPED:
-            self.crashes.survived(run)
+            self.crashes.clear_run(run)
             self._finish_run(worker, run, EndKind.STOPPED, "", now_s)
         elif run.phase is RunPhase.UNANSWERED:
             self.request_stop(run, "start-unanswered")
@@ -540,7 +540,7 @@
         """Remove a run whose start was not sent or was refused; its task waits again."""
         worker = self.workers.get(run.worker_id)
         if worker is not None and (run.name, run.run_id) in worker.runs:
-            self.crashes.survived(run)
+            self.crashes.clear_run(run)
             self._finish_run(worker, run, EndKind.STOPPED, "", now_s)
 
     def request_stop(self, run: Run, reason: str) -> None:
@@ -573,7 +573,7 @@
             pending_end = (tracked_job.changes, worker, end.number)
             self._ends_awaiting_commit.setdefault(tracked_job.job.job_id, []).append(pending_end)
         if run is not None:
-            self.crashes.survived(run)
+            self.crashes.clear_run(run)
             self._finish_run(worker, run, end.kind, end.checkpoint, now_s)
 
     def _record_end(
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -126,7 +126,7 @@
         for worker_id in self._machine_records.controller.over:
             listed.pop(worker_id, None)
             if worker_id in self._scheduler_state.workers:
-                self._scheduler_state.worker_ended(
+                self._scheduler_state.note_worker_ended(
                     worker_id, "taken away", self._clock(), self._wall_clock(), is_planned=True
                 )
         return listed
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -41,7 +41,7 @@
 
 def crash(harness: SchedulingHarness, worker_id: str) -> None:
     """Crash a worker: it closes its connections, and another incarnation answers later."""
-    harness.scheduler_state.crashes.connection_closed(
+    harness.scheduler_state.crashes.note_connection_closed(
         harness.worker(worker_id), harness.now_s, WALL_S
     )
     harness.scheduler_state.note_replaced(worker_id, harness.now_s, WALL_S)
@@ -162,7 +162,7 @@
         harness.add_job(job("j", step(4)))
         confirm(harness, *harness.start_orders())
         for one in workers:
-            harness.scheduler_state.crashes.connection_closed(
+            harness.scheduler_state.crashes.note_connection_closed(
                 harness.worker(one), harness.now_s, WALL_S
             )
         harness.now_s += 3.0
@@ -178,11 +178,11 @@
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         harness.start_orders()
-        harness.scheduler_state.crashes.connection_closed(
+        harness.scheduler_state.crashes.note_connection_closed(
             harness.worker("a"), harness.now_s, WALL_S
         )
         harness.scheduler_state.update_worker(view("a", is_draining=is_draining))
-        harness.scheduler_state.worker_ended(
+        harness.scheduler_state.note_worker_ended(
             "a", "gone", harness.now_s, WALL_S, is_planned=is_planned
         )
         self.assertEqual([], blames_of(harness))
@@ -197,7 +197,9 @@
         (order,) = harness.start_orders()
         harness.scheduler_state.note_replaced("a", harness.now_s, WALL_S)
         self.assertEqual([], blames_of(harness))
-        harness.scheduler_state.crashes.start_answered(order.run, WALL_S, may_have_run=may_have_run)
+        harness.scheduler_state.crashes.note_start_answered(
+            order.run, WALL_S, may_have_run=may_have_run
+        )
         self.assertEqual([[SOLE]] if may_have_run else [], blames_of(harness))
 
     def test_a_worker_that_answers_again_clears_its_runs(self) -> None:
@@ -207,7 +209,7 @@
         (order,) = harness.start_orders()
         confirm(harness, order)
         worker = harness.worker(order.run.worker_id)
-        harness.scheduler_state.crashes.connection_closed(worker, harness.now_s, WALL_S)
+        harness.scheduler_state.crashes.note_connection_closed(worker, harness.now_s, WALL_S)
         self.assertEqual([[SOLE]], blames_of(harness))
         harness.report(worker.worker_id, ended=((NAME, order.run.run_id, EndKind.FAILED),))
         self.assertEqual([], blames_of(harness))
@@ -240,7 +242,7 @@
         if is_replaced:
             harness.scheduler_state.note_replaced(worker.worker_id, harness.now_s, WALL_S)
         else:
-            harness.scheduler_state.worker_ended(
+            harness.scheduler_state.note_worker_ended(
                 worker.worker_id, "no longer listed", harness.now_s, WALL_S
             )
         (runs,) = harness.scheduler_state.tracked_jobs["j"].progress.lost.values()
