--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -31,7 +31,7 @@
 from ._protocols import AdviceService, WorkerDirectory, WorkerOrders
 from ._scheduler_state import SchedulerState
 from ._sizing import PoolSizer, SizingLimits
-from ._waiting import WaitMonitor, name_some
+from ._waiting import WaitMonitor, first_names
 from ._worker_tracker import DIRECTORY_POLL_INTERVAL_S, WorkerTracker
 
 __all__ = ["ServiceScheduler", "SchedulerDependencies"]
@@ -360,7 +360,7 @@
             "term-prepared",
             jobs=len(self.scheduler_state.tracked_jobs),
             workers_recorded=recorded,
-            awaited=name_some(self.scheduler_state.pending_recovery, MAX_PENDING_WORKERS_LOGGED),
+            awaited=first_names(self.scheduler_state.pending_recovery, MAX_PENDING_WORKERS_LOGGED),
         )
         self.is_prepared.set()
 
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -25,7 +25,7 @@
     "TaskWait",
     "WaitSummary",
     "WaitMonitor",
-    "name_some",
+    "first_names",
     "tasks_recovering",
     "waiting_reason",
 ]
@@ -88,7 +88,7 @@
         """Return the wait as fields of a log line."""
         return {
             "unseen_workers": len(self.unseen),
-            "unseen_named": name_some(self.unseen, MAX_NAMED_WORKERS),
+            "unseen_named": first_names(self.unseen, MAX_NAMED_WORKERS),
             "recovery_left_s": round(self.left_s, 1),
         }
 
@@ -173,7 +173,7 @@
     return sum(len(step.waiting) for step in _steps_in_recovery(scheduler_state))
 
 
-def name_some(worker_ids: Iterable[str], most: int) -> list[str]:
+def first_names(worker_ids: Iterable[str], most: int) -> list[str]:
     """Return the first worker ids in sorted order, for a log line.
 
     Args:
