--- a/src/shallotworks/scheduling/_demand.py
+++ b/src/shallotworks/scheduling/_demand.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-__all__ = ["Arrival", "DemandLimits", "arriving_cores"]
+__all__ = ["Arrival", "DemandLimits", "forecast_demand_cores"]
 
 Arrival = tuple[float, float]
 """The arrival of a job: its time of day in seconds since 1970 and its estimated core-seconds."""
@@ -45,7 +45,9 @@
     max_growth_ratio: float = 1.0
 
 
-def arriving_cores(arrivals: Sequence[Arrival], *, wall_s: float, limits: DemandLimits) -> float:
+def forecast_demand_cores(
+    arrivals: Sequence[Arrival], *, wall_s: float, limits: DemandLimits
+) -> float:
     """Return the cores that arriving jobs will demand once new machines could be available.
 
     Args:
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -12,7 +12,7 @@
 
 from shallotworks.jobs import Step
 
-from ._demand import DemandLimits, arriving_cores
+from ._demand import DemandLimits, forecast_demand_cores
 from ._machine_records import PoolDemand
 from ._model import Worker
 from ._placement import LEAST_WORKERS
@@ -181,7 +181,7 @@
         """
         waiting_millicore_s = self._waiting_millicore_s(wall_s)
         arrivals = self._scheduler_state.arrivals
-        arriving = 1000 * arriving_cores(arrivals, wall_s=wall_s, limits=self._limits.demand)
+        arriving = 1000 * forecast_demand_cores(arrivals, wall_s=wall_s, limits=self._limits.demand)
         usable = self._usable()
         size = max((worker.view.cpu_millicores for worker in usable), default=0)
         size = size or DEFAULT_MACHINE_MILLICORES
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -5,7 +5,7 @@
 
 from parameterized import parameterized
 
-from shallotworks.scheduling._demand import Arrival, DemandLimits, arriving_cores
+from shallotworks.scheduling._demand import Arrival, DemandLimits, forecast_demand_cores
 
 LIMITS = DemandLimits()
 CORE_S_PER_JOB = 100.0
@@ -42,7 +42,7 @@
     forecast_cores = []
     for seed in range(60):
         rows = [row for row in sample_arrivals(random.Random(seed), at_s, rate) if row[0] <= at_s]
-        forecast_cores.append(arriving_cores(rows, wall_s=at_s, limits=LIMITS))
+        forecast_cores.append(forecast_demand_cores(rows, wall_s=at_s, limits=LIMITS))
     return sum(forecast_cores) / len(forecast_cores)
 
 
@@ -72,7 +72,7 @@
 
     def test_no_arrivals(self) -> None:
         """Guards against a demand without jobs."""
-        self.assertEqual(0.0, arriving_cores([], wall_s=5.0, limits=LIMITS))
+        self.assertEqual(0.0, forecast_demand_cores([], wall_s=5.0, limits=LIMITS))
 
 
 if __name__ == "__main__":
