--- a/src/shallotworks/jobs/_spec.py
+++ b/src/shallotworks/jobs/_spec.py
@@ -149,7 +149,7 @@
             return self.accepted_s
         return self.repeats.first_s + occurrence * self.repeats.interval_s
 
-    def longest_chain_s(self) -> float:
+    def critical_path_s(self) -> float:
         """Estimated duration of the longest chain of steps."""
         ends_s: list[float] = []
         for step in self.steps:
@@ -159,7 +159,7 @@
 
     def objective_s(self) -> float:
         """Time from acceptance, or an occurrence's due time, within which it should be done."""
-        return self.policy.stretch * self.longest_chain_s() + self.policy.target_latency_s
+        return self.policy.stretch * self.critical_path_s() + self.policy.target_latency_s
 
 
 def job_problems(job: Job) -> Iterator[str]:
--- a/src/shallotworks/scheduling/_ordering.py
+++ b/src/shallotworks/scheduling/_ordering.py
@@ -27,7 +27,7 @@
     priority = tracked_job.job.policy.priority
     if step.is_lasting:
         return (0, step.is_filler, priority, tracked_job.job.accepted_s)
-    latest_s = tracked_step.objective_ends_s - tracked_step.chain_s
+    latest_s = tracked_step.objective_ends_s - tracked_step.critical_path_s
     lateness = tracked_step.is_hopeless(wall_s) + tracked_step.is_no_longer_useful(wall_s)
     has_begun = bool(tracked_job.runs or tracked_job.progress.done)
     return (1, priority, lateness, not has_begun, tracked_job.work_core_s, latest_s)
--- a/src/shallotworks/scheduling/_tracked_jobs.py
+++ b/src/shallotworks/scheduling/_tracked_jobs.py
@@ -29,7 +29,7 @@
 
     __slots__ = (
         "advised_s",
-        "chain_s",
+        "critical_path_s",
         "is_asking",
         "not_before_s",
         "number",
@@ -54,7 +54,7 @@
         """Indices of the tasks that wait to be started."""
         self.rack = ""
         """The rack of the first task that was placed, if the step prefers one rack."""
-        self.chain_s = tracked_job.chains_s[number]
+        self.critical_path_s = tracked_job.critical_paths_s[number]
         """Estimated time from the start of the step to the end of its occurrence."""
         self.objective_ends_s = job.due_s(occurrence) + job.objective_s()
         self.useful_until_s = job.due_s(occurrence) + job.objective_s() * MAX_USEFUL_OBJECTIVES
@@ -80,11 +80,11 @@
 
     def is_hopeless(self, wall_s: float) -> bool:
         """Whether the job can't meet its objective any more, even if the step started now."""
-        return not self.step.is_lasting and wall_s > self.objective_ends_s - self.chain_s
+        return not self.step.is_lasting and wall_s > self.objective_ends_s - self.critical_path_s
 
     def is_no_longer_useful(self, wall_s: float) -> bool:
         """Whether the job's answer would be too late to be useful, even if the step started now."""
-        return not self.step.is_lasting and wall_s > self.useful_until_s - self.chain_s
+        return not self.step.is_lasting and wall_s > self.useful_until_s - self.critical_path_s
 
     def name(self, index: int) -> TaskName:
         """Return the name of one of the step's tasks."""
@@ -104,9 +104,9 @@
 
     __slots__ = (
         "avoid",
-        "chains_s",
         "changes",
         "checkpoints",
+        "critical_paths_s",
         "is_inherited",
         "job",
         "live",
@@ -140,7 +140,7 @@
         """Ids of the workers on which a task failed or hung, by task."""
         self.checkpoints: dict[TaskName, str] = {}
         """The latest checkpoint of each task that has one."""
-        self.chains_s = _chains_s(job)
+        self.critical_paths_s = _critical_paths_s(job)
         self.work_core_s = sum(
             step.count * step.estimated_s * max(step.cpu_millicores, 1) / 1000 for step in job.steps
         )
@@ -164,7 +164,7 @@
         return self.changes > self.stored_changes
 
 
-def _chains_s(job: Job) -> list[float]:
+def _critical_paths_s(job: Job) -> list[float]:
     """Return for each step the estimated seconds from its start to the end of its occurrence."""
     critical_paths = [step.estimated_s for step in job.steps]
     for number in range(len(job.steps) - 1, -1, -1):
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -151,7 +151,7 @@
             step(1, estimated_s=2.0, after=(0, 1)),
             policy=policy(stretch=1.5, target_latency_s=0.5),
         )
-        self.assertEqual(5.0, job_under_test.longest_chain_s())
+        self.assertEqual(5.0, job_under_test.critical_path_s())
         self.assertEqual(8.0, job_under_test.objective_s())
 
 
