--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -459,7 +459,7 @@
                 step.permits.pop(worker.worker_id, None)
         elif status is OrderStatus.INVALID:
             if step is not None:
-                step.refused(now_s)
+                step.note_refusal(now_s)
         elif status is OrderStatus.NO_ROOM:
             worker.pause_until_s = now_s + PAUSE_AFTER_NO_ROOM_S
         else:
--- a/src/shallotworks/scheduling/_tracked_jobs.py
+++ b/src/shallotworks/scheduling/_tracked_jobs.py
@@ -72,7 +72,7 @@
         """Identifies the step by its job, occurrence and number."""
         return (self.tracked_job.job.job_id, self.occurrence, self.number)
 
-    def refused(self, now_s: float) -> None:
+    def note_refusal(self, now_s: float) -> None:
         """Back off after a start was refused as invalid; any worker would refuse the next one."""
         backoff_s = min(MAX_REFUSAL_BACKOFF_S, MIN_REFUSAL_BACKOFF_S * 2**self.refusals)
         self.refusals += 1
