--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -255,7 +255,7 @@
         """
         for key, runs in list(tracked_job.progress.lost.items()):
             name = TaskName(tracked_job.job.job_id, *key)
-            alive = {run.run_id for run in tracked_job.live.get(name, ())}
+            alive = {run.run_id for run in tracked_job.live_runs.get(name, ())}
             for lost in runs:
                 if (
                     lost.is_certain
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -172,8 +172,8 @@
             self._scheduler_state.request_stop(run, "stands-still")
             tracked_job = self._scheduler_state.tracked_jobs.get(run.name.job_id)
             if tracked_job is not None:
-                avoided = tracked_job.avoid.get(run.name, frozenset())
-                tracked_job.avoid[run.name] = avoided | {worker.worker_id}
+                avoided = tracked_job.avoided_workers.get(run.name, frozenset())
+                tracked_job.avoided_workers[run.name] = avoided | {worker.worker_id}
 
     # ---- stops
 
@@ -266,7 +266,7 @@
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s, is_spread=is_spread)
         candidates = Candidates(placement=placement, workers=self._workers_for(step))
         for index in list(indices):
-            avoid = step.tracked_job.avoid.get(step.name(index), frozenset())
+            avoid = step.tracked_job.avoided_workers.get(step.name(index), frozenset())
             worker = candidates.best(avoid=avoid, rack=step.rack)
             if worker is None or self.is_cut_short:
                 return
@@ -342,7 +342,7 @@
         trial: list[tuple[int, Worker, Run]] = []
         try:
             for index in sorted(step.waiting):
-                avoid = step.tracked_job.avoid.get(step.name(index), frozenset())
+                avoid = step.tracked_job.avoided_workers.get(step.name(index), frozenset())
                 worker = placement.choose(workers, avoid=avoid)
                 if worker is None:
                     return None
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -210,7 +210,8 @@
         step.waiting = [
             index
             for index in range(step.step.count)
-            if not progress.is_done(step.name(index)) and step.name(index) not in tracked_job.live
+            if not progress.is_done(step.name(index))
+            and step.name(index) not in tracked_job.live_runs
         ]
         tracked_job.steps[key] = step
 
@@ -259,7 +260,7 @@
     def _close_job(self, tracked_job: TrackedJob, reason: str) -> None:
         tracked_job.steps.clear()
         self.jobs_with_future_occurrences.discard(tracked_job.job.job_id)
-        for runs in tracked_job.live.values():
+        for runs in tracked_job.live_runs.values():
             for run in runs:
                 self.request_stop(run, reason)
 
@@ -284,7 +285,7 @@
         if (
             tracked_job.progress.state.is_final
             and not tracked_job.is_dirty
-            and not tracked_job.live
+            and not tracked_job.live_runs
         ):
             self.tracked_jobs.pop(job_id, None)
             self.isolation.remove_job(job_id)
@@ -589,9 +590,9 @@
         if end.kind is not EndKind.FAILED:
             return False
         self._note_failed_job(worker, tracked_job.job.job_id, now_s)
-        tracked_job.avoid[end.name] = tracked_job.avoid.get(end.name, frozenset()) | {
-            worker.worker_id
-        }
+        tracked_job.avoided_workers[end.name] = tracked_job.avoided_workers.get(
+            end.name, frozenset()
+        ) | {worker.worker_id}
         if not tracked_job.progress.note_failed(
             tracked_job.job, end.name, end.run_id, now_s=wall_s
         ):
@@ -640,7 +641,7 @@
         self._drop_if_finished(tracked_job)
         step = tracked_job.steps.get((run.name.occurrence, run.name.step))
         is_waiting = step is not None and run.name.number in step.waiting
-        if step is None or is_waiting or run.name in tracked_job.live:
+        if step is None or is_waiting or run.name in tracked_job.live_runs:
             return
         if not tracked_job.progress.is_done(run.name):
             step.waiting.append(run.name.number)
--- a/src/shallotworks/scheduling/_tracked_jobs.py
+++ b/src/shallotworks/scheduling/_tracked_jobs.py
@@ -103,13 +103,13 @@
     """
 
     __slots__ = (
-        "avoid",
+        "avoided_workers",
         "changes",
         "checkpoints",
         "critical_paths_s",
         "is_inherited",
         "job",
-        "live",
+        "live_runs",
         "next_occurrence",
         "progress",
         "revision",
@@ -134,9 +134,9 @@
         self.steps: dict[tuple[int, int], TrackedStep] = {}
         self.runs: dict[TaskName, Run] = {}
         """The current run of each task that has one."""
-        self.live: dict[TaskName, set[Run]] = {}
+        self.live_runs: dict[TaskName, set[Run]] = {}
         """All runs of each task that may be alive, including runs that are being stopped."""
-        self.avoid: dict[TaskName, frozenset[str]] = {}
+        self.avoided_workers: dict[TaskName, frozenset[str]] = {}
         """Ids of the workers on which a task failed or hung, by task."""
         self.checkpoints: dict[TaskName, str] = {}
         """The latest checkpoint of each task that has one."""
@@ -147,16 +147,16 @@
 
     def add_run(self, run: Run) -> None:
         """Record that a run may be alive."""
-        self.live.setdefault(run.name, set()).add(run)
+        self.live_runs.setdefault(run.name, set()).add(run)
 
     def remove_run(self, run: Run) -> None:
         """Record that a run has ended."""
         if self.runs.get(run.name) is run:
             del self.runs[run.name]
-        alive = self.live.get(run.name, set())
+        alive = self.live_runs.get(run.name, set())
         alive.discard(run)
         if not alive:
-            self.live.pop(run.name, None)
+            self.live_runs.pop(run.name, None)
 
     @property
     def is_dirty(self) -> bool:
