--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -184,7 +184,7 @@
         run_id=json_integer(fields[1]),
         checkpoint=json_string(fields[2] or ""),
         percent=int(fields[3]) if len(fields) > 3 else 0,
-        figure=int(fields[4] or 0) if len(fields) > 4 else 0,
+        measurement=int(fields[4] or 0) if len(fields) > 4 else 0,
     )
 
 
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -79,15 +79,15 @@
         run_id: The run of the task.
         checkpoint: The latest checkpoint; empty for none.
         percent: Progress of the task; a lasting task serves at 100.
-        figure: Measured over the last half second: the tail of the response times in milliseconds
-            for a task with a target, otherwise the processor use in millicores.
+        measurement: Measured over the last half second: the tail of the response times in
+            milliseconds for a task with a target, otherwise the processor use in millicores.
     """
 
     name: TaskName
     run_id: int
     checkpoint: str = ""
     percent: int = 0
-    figure: int = 0
+    measurement: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -202,8 +202,8 @@
     __slots__ = (
         "checkpoint",
         "confirmed_s",
-        "figure",
         "is_stop_requested",
+        "measurement",
         "missing",
         "name",
         "pace_percent",
@@ -243,7 +243,7 @@
         self.progressed_s = since_s
         """Time at which the reported progress last changed."""
         self.percent = 0
-        self.figure = 0
+        self.measurement = 0
         self.checkpoint = ""
         self.missing = 0
         """Number of consecutive reports that did not list the run."""
--- a/src/shallotworks/scheduling/_pacing.py
+++ b/src/shallotworks/scheduling/_pacing.py
@@ -44,7 +44,7 @@
 def _worst_latency_ratio(worker: Worker) -> float:
     return max(
         (
-            run.figure / 1000 / run.step.target_s
+            run.measurement / 1000 / run.step.target_s
             for run in worker.runs.values()
             if run.step.target_s > 0 and run.is_serving
         ),
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -439,7 +439,11 @@
             run.enter(RunPhase.RUNNING, now_s)
         if running_task.percent != run.percent:
             run.progressed_s = now_s
-        run.percent, run.figure, run.missing = running_task.percent, running_task.figure, 0
+        run.percent, run.measurement, run.missing = (
+            running_task.percent,
+            running_task.measurement,
+            0,
+        )
         if running_task.checkpoint:
             run.checkpoint = running_task.checkpoint
 
--- a/src/shallotworks/standins/_worker_http.py
+++ b/src/shallotworks/standins/_worker_http.py
@@ -104,7 +104,7 @@
                 running_task.run_id,
                 running_task.checkpoint,
                 running_task.percent,
-                running_task.figure,
+                running_task.measurement,
             ]
             for running_task in outcome.report.running
         ]
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -176,7 +176,7 @@
         }
         report = _decode_outcome(HttpAnswer(status=200, body=body), is_poll=True).report
         assert report is not None
-        self.assertEqual([(41, 0), (100, 55)], [(r.percent, r.figure) for r in report.running])
+        self.assertEqual([(41, 0), (100, 55)], [(r.percent, r.measurement) for r in report.running])
         self.assertEqual((2, 1, 17), report.running[0].name[1:])
         self.assertIs(EndKind.LAPSED, report.ended[0].kind)
 
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -380,7 +380,7 @@
         harness.add_job(job("f", filling))
         runs = {order.run.name.job_id: order.run for order in harness.start_orders()}
         rows = tuple(
-            RunningTask(name=run.name, run_id=run.run_id, percent=100, figure=tail_ms)
+            RunningTask(name=run.name, run_id=run.run_id, percent=100, measurement=tail_ms)
             for run in runs.values()
         )
         runs["f"].pace_percent = percent
