--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -204,7 +204,7 @@
         "confirmed_s",
         "is_stop_requested",
         "measurement",
-        "missing",
+        "missing_reports",
         "name",
         "pace_percent",
         "paced_s",
@@ -245,7 +245,7 @@
         self.percent = 0
         self.measurement = 0
         self.checkpoint = ""
-        self.missing = 0
+        self.missing_reports = 0
         """Number of consecutive reports that did not list the run."""
         self.is_stop_requested = False
         self.stop_reason = ""
@@ -258,7 +258,7 @@
         """Change the phase."""
         self.phase = phase
         self.phase_s = now_s
-        self.missing = 0
+        self.missing_reports = 0
         if phase is RunPhase.RUNNING:
             self.confirmed_s = min(self.confirmed_s, now_s)
 
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -439,7 +439,7 @@
             run.enter(RunPhase.RUNNING, now_s)
         if running_task.percent != run.percent:
             run.progressed_s = now_s
-        run.percent, run.measurement, run.missing = (
+        run.percent, run.measurement, run.missing_reports = (
             running_task.percent,
             running_task.measurement,
             0,
@@ -505,8 +505,8 @@
         elif run.phase is RunPhase.UNANSWERED:
             self.request_stop(run, "start-unanswered")
         elif run.phase is RunPhase.RUNNING:
-            run.missing += 1
-            if run.missing >= MISSING_REPORTS_BEFORE_STOP:
+            run.missing_reports += 1
+            if run.missing_reports >= MISSING_REPORTS_BEFORE_STOP:
                 self.request_stop(run, "not-listed")
 
     # ---- runs
