--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -147,7 +147,7 @@
         if ends_s <= now_s:
             worker = scheduler_state.workers[order.run.worker_id]
             end = EndedTask(
-                number=worker.seen_ends + 1,
+                number=worker.highest_seen_end + 1,
                 name=order.run.name,
                 run_id=order.run.run_id,
                 kind=EndKind.DONE,
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -284,6 +284,7 @@
         "cpu_used",
         "failed_jobs",
         "gpus_used",
+        "highest_seen_end",
         "is_cordoned",
         "is_fenced",
         "is_listed",
@@ -295,9 +296,8 @@
         "pause_until_s",
         "reported_s",
         "runs",
-        "seen_ends",
         "unknown_runs",
-        "unsettled",
+        "unsettled_ends",
         "view",
     )
 
@@ -341,11 +341,11 @@
         """Number of runs whose resource demand is not known."""
         self.acknowledged = 0
         """Highest number of an end that was acknowledged to the worker."""
-        self.seen_ends = 0
+        self.highest_seen_end = 0
         """Highest number of an end that the worker reported."""
         self.reported_s = -1e9
         """Time of the worker's last report on the scheduler's clock."""
-        self.unsettled: set[int] = set()
+        self.unsettled_ends: set[int] = set()
         """Numbers of the ends that must not be acknowledged before the progress of a job is
         stored."""
 
@@ -417,7 +417,7 @@
     @property
     def highest_settled(self) -> int:
         """The highest number up to which all ends may be acknowledged."""
-        return min(self.unsettled) - 1 if self.unsettled else self.seen_ends
+        return min(self.unsettled_ends) - 1 if self.unsettled_ends else self.highest_seen_end
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -263,8 +263,8 @@
 
     async def _await_poll_reason(self, worker: Worker) -> None:
         event = self._poll_events[worker.worker_id]
-        if worker.unsettled:
-            await _wait(event, POLL_PAUSE_S, lambda: not worker.unsettled)
+        if worker.unsettled_ends:
+            await _wait(event, POLL_PAUSE_S, lambda: not worker.unsettled_ends)
         elif not self._needs_poll(worker):
             await _wait(event, self._times.idle_poll_s, lambda: self._needs_poll(worker))
 
@@ -332,7 +332,7 @@
         return min(self._times.poll_wait_s, max(left_s, MIN_ISOLATED_POLL_WAIT_S))
 
     def _needs_immediate_answer(self, worker: Worker) -> bool:
-        if not worker.is_fenced or worker.unsettled or not worker.clock_ms:
+        if not worker.is_fenced or worker.unsettled_ends or not worker.clock_ms:
             return True
         if self._clock() - worker.reported_s >= self._times.answer_overdue_s:
             # Its lease is not extended until it has answered.
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -296,7 +296,7 @@
         waiting = self._ends_awaiting_commit.get(tracked_job.job.job_id, [])
         for change, worker, number in waiting:
             if change <= changes:
-                worker.unsettled.discard(number)
+                worker.unsettled_ends.discard(number)
         left = [pending_end for pending_end in waiting if pending_end[0] > changes]
         if left:
             self._ends_awaiting_commit[tracked_job.job.job_id] = left
@@ -417,9 +417,9 @@
         worker.is_fenced = True
         worker.clock_ms, worker.clock_at_s = report.clock_ms, now_s
         for end in report.ended:
-            if end.number > worker.seen_ends:
+            if end.number > worker.highest_seen_end:
                 self._handle_end(worker, end, now_s, wall_s)
-                worker.seen_ends = end.number
+                worker.highest_seen_end = end.number
         listed = set()
         for running_task in report.running:
             listed.add((running_task.name, running_task.run_id))
@@ -574,7 +574,7 @@
             and is_known
             and self._record_end(tracked_job, worker, end, now_s, wall_s)
         ):
-            worker.unsettled.add(end.number)
+            worker.unsettled_ends.add(end.number)
             pending_end = (tracked_job.changes, worker, end.number)
             self._ends_awaiting_commit.setdefault(tracked_job.job.job_id, []).append(pending_end)
         if run is not None:
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -159,7 +159,9 @@
     def _may_have_runs(self, worker_id: str) -> bool:
         worker = self._scheduler_state.workers.get(worker_id)
         is_pending_recovery = worker_id in self._scheduler_state.pending_recovery
-        return is_pending_recovery or (worker is not None and bool(worker.runs or worker.unsettled))
+        return is_pending_recovery or (
+            worker is not None and bool(worker.runs or worker.unsettled_ends)
+        )
 
     async def hand_over(self) -> None:
         """Record for the next epoch only the workers that may still run a task."""
@@ -185,6 +187,6 @@
                 active_workers[worker_id] = ActiveWorker(
                     address=address, left_s=max(0.0, runs_ended_s - now_s)
                 )
-            elif worker.runs or worker.unsettled:
+            elif worker.runs or worker.unsettled_ends:
                 active_workers[worker_id] = ActiveWorker(address=address)
         return active_workers
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -173,9 +173,9 @@
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         harness.report("a", ended=((TASK_NAME, 5, EndKind.DONE),))
-        self.assertEqual({1}, harness.worker("a").unsettled)
+        self.assertEqual({1}, harness.worker("a").unsettled_ends)
         harness.scheduler_state.delete_job("j")
-        self.assertEqual(set(), harness.worker("a").unsettled)
+        self.assertEqual(set(), harness.worker("a").unsettled_ends)
 
     def test_a_stored_cancel_is_not_overwritten(self) -> None:
         """A job whose cancel was acknowledged became completed later.
