--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -59,7 +59,7 @@
 
     def note_answered(self, worker: Worker, now_s: float) -> None:
         """End the isolation of a worker that has answered after the probation of its suspect."""
-        run = worker.isolated
+        run = worker.isolated_run
         if run is None or run.phase is RunPhase.RESERVED:
             return
         if now_s - run.confirmed_s < self._blame.probation_s(run):
@@ -80,7 +80,7 @@
         The time is in seconds. For a worker that is reserved, the shortest probation time is
         returned, so that it is polled often: the start is sent only after the worker has answered.
         """
-        run = worker.isolated
+        run = worker.isolated_run
         if run is None:
             return None
         if run.phase is RunPhase.RESERVED:
@@ -123,18 +123,18 @@
 
     def _is_isolated(self, run: Run) -> bool:
         worker = self._workers.get(run.worker_id)
-        return worker is not None and worker.isolated is run
+        return worker is not None and worker.isolated_run is run
 
     def candidate_workers(self) -> list[Worker]:
         """Return the workers that may be reserved for a suspect, in order of `_crash_cost`."""
         workers = list(self._workers.values())
-        kept = [worker for worker in workers if worker.isolated is not None]
+        kept = [worker for worker in workers if worker.isolated_run is not None]
         busy = sum(1 for worker in kept if len(worker.runs) > 1)
         may_use_busy = busy < max(1, int(len(workers) * MAX_BUSY_WORKER_RATIO))
         free = [
             worker
             for worker in workers
-            if worker.isolated is None and (may_use_busy or not worker.runs)
+            if worker.isolated_run is None and (may_use_busy or not worker.runs)
         ]
         free.sort(key=_crash_cost)
         return free
@@ -142,7 +142,7 @@
     def isolate(self, run: Run, worker: Worker, *, now_s: float, wall_s: float) -> None:
         """Reserve a worker for the start of a suspect, and record the start for storing."""
         tracked_job = self._tracked_jobs[run.name.job_id]
-        worker.isolated = run
+        worker.isolated_run = run
         run.enter(RunPhase.RESERVED, now_s)
         lost = LostRun(
             run_id=run.run_id, worker_id=worker.worker_id, blame=Blame.SOLE, is_certain=False
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -289,7 +289,7 @@
         "is_fenced",
         "is_listed",
         "is_yielding",
-        "isolated",
+        "isolated_run",
         "lasting_from_s",
         "lease_ends_s",
         "memory_used",
@@ -328,7 +328,7 @@
         may still arrive."""
         self.connection_closed_s: float | None = None
         """Time at which the worker closed its connections, if it has not answered since."""
-        self.isolated: Run | None = None
+        self.isolated_run: Run | None = None
         """A suspect that may crash the worker; nothing else is started here until its probation is
         over."""
         self.failed_jobs: dict[str, float] = {}
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -633,8 +633,8 @@
     ) -> None:
         """Free a run's resources and queue its task again if the task is not done."""
         worker.remove(run)
-        if worker.isolated is run:
-            worker.isolated = None
+        if worker.isolated_run is run:
+            worker.isolated_run = None
         self.runs_to_stop.discard(run)
         tracked_job = self.tracked_jobs.get(run.name.job_id)
         if tracked_job is None:
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -227,7 +227,7 @@
         harness.report(worker.worker_id)
         (again,) = harness.start_orders()
         self.assertEqual([], blames_of(harness))
-        self.assertIsNone(harness.worker(again.run.worker_id).isolated)
+        self.assertIsNone(harness.worker(again.run.worker_id).isolated_run)
 
     @parameterized.expand([("another incarnation", True, SOLE), ("unlisted", False, SHARED)])
     def test_a_lapsed_run_is_confirmed_lost_when_its_worker_ends(
@@ -290,7 +290,9 @@
         self.harness.now_s += 1.0
         self.harness.decide()
         (kept,) = [
-            one for one in self.harness.scheduler_state.workers.values() if one.isolated is not None
+            one
+            for one in self.harness.scheduler_state.workers.values()
+            if one.isolated_run is not None
         ]
         # A failed poll has this effect.
         kept.pause_until_s = self.harness.now_s + 0.5
@@ -303,7 +305,7 @@
         self.suspect(step(1))
         self.harness.start_orders()
         (isolated,) = [
-            w for w in self.harness.scheduler_state.workers.values() if w.isolated is not None
+            w for w in self.harness.scheduler_state.workers.values() if w.isolated_run is not None
         ]
         self.harness.add_job(job("k", step(8)))
         others = self.harness.start_orders()
@@ -338,7 +340,7 @@
         self.assertEqual([], self.harness.start_orders())
         self.harness.now_s += 1.0
         self.harness.report(worker.worker_id, running=running)
-        self.assertIsNone(worker.isolated)
+        self.assertIsNone(worker.isolated_run)
         self.assertEqual([1, 2], sorted(one.run.name.number for one in self.harness.start_orders()))
 
     def test_a_crash_during_isolation_fails_the_job(self) -> None:
@@ -361,7 +363,7 @@
         self.harness.scheduler_state.update_progress("j", cancelled, 9)
         self.assertEqual([], self.harness.start_orders())
         workers = self.harness.scheduler_state.workers.values()
-        self.assertEqual([None, None], [worker.isolated for worker in workers])
+        self.assertEqual([None, None], [worker.isolated_run for worker in workers])
         self.assertEqual([0, 0], [len(worker.runs) for worker in workers])
 
     def test_a_start_that_cannot_be_stored_is_cancelled(self) -> None:
