--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -302,7 +302,7 @@
             for worker in self._scheduler_state.workers.values()
             if placement.rejection_reason(worker) is WaitReason.ROOM
             and not worker.is_cordoned
-            and worker.lasting_from_s <= now_s
+            and worker.lasting_allowed_from_s <= now_s
             and worker.fits_beside_lasting(step.step)
         ]
         if fitting:
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -290,7 +290,7 @@
         "is_listed",
         "is_yielding",
         "isolated_run",
-        "lasting_from_s",
+        "lasting_allowed_from_s",
         "lease_ends_s",
         "memory_used",
         "pause_until_s",
@@ -323,7 +323,7 @@
         """Nothing is started here before this time, because an order or a poll failed."""
         self.avoid_until_s = 0.0
         """The worker is used last before this time, because tasks failed or hung here."""
-        self.lasting_from_s = 0.0
+        self.lasting_allowed_from_s = 0.0
         """Lasting tasks are not placed here before this time, because an order to remove the worker
         may still arrive."""
         self.connection_closed_s: float | None = None
--- a/src/shallotworks/scheduling/_placement.py
+++ b/src/shallotworks/scheduling/_placement.py
@@ -128,7 +128,7 @@
             return WaitReason.QUARANTINED
         if worker.pause_until_s > self._now_s:
             return WaitReason.PAUSED
-        if self._step.is_lasting and worker.lasting_from_s > self._now_s:
+        if self._step.is_lasting and worker.lasting_allowed_from_s > self._now_s:
             return WaitReason.CLOSED_TO_LASTING
         if worker.is_cordoned:
             return _CORDONED
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -87,7 +87,7 @@
     __slots__ = (
         "_ends_awaiting_commit",
         "_last_run_id",
-        "_lasting_from_s",
+        "_lasting_allowed_from_s",
         "_log",
         "_replaced_worker_ids",
         "arrivals",
@@ -135,8 +135,8 @@
         )
         self._replaced_worker_ids: set[str] = set()
         """Incarnations that another one has replaced, for as long as discovery lists them."""
-        self._lasting_from_s: dict[str, float] = {}
-        """Values of `Worker.lasting_from_s` for workers that are not in `workers` yet."""
+        self._lasting_allowed_from_s: dict[str, float] = {}
+        """Values of `Worker.lasting_allowed_from_s` for workers that are not in `workers` yet."""
 
     # ---- jobs
 
@@ -310,7 +310,7 @@
         worker = self.workers.get(view.worker_id)
         if worker is None:
             worker = self.workers[view.worker_id] = Worker(view=view)
-            worker.lasting_from_s = self._lasting_from_s.pop(view.worker_id, 0.0)
+            worker.lasting_allowed_from_s = self._lasting_allowed_from_s.pop(view.worker_id, 0.0)
             return
         worker.view = view
         worker.is_listed = True
@@ -330,9 +330,9 @@
         """Place no lasting task on a worker before ``until_s``, also if it is added later."""
         worker = self.workers.get(worker_id)
         if worker is None:
-            self._lasting_from_s[worker_id] = until_s
+            self._lasting_allowed_from_s[worker_id] = until_s
         else:
-            worker.lasting_from_s = until_s
+            worker.lasting_allowed_from_s = until_s
 
     def mark_unlisted(self, worker_id: str) -> None:
         """Record that discovery no longer lists a worker, which may be alive and run tasks."""
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -291,7 +291,7 @@
         if worker.worker_id in self._cordoned:
             return
         if worker.is_cordoned and not is_offered:
-            worker.lasting_from_s = now_s + self._limits.lasting_after_s
+            worker.lasting_allowed_from_s = now_s + self._limits.lasting_after_s
         worker.is_cordoned = is_offered
 
     def _cordon_due(self, due: frozenset[str], now_s: float) -> None:
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -127,7 +127,7 @@
 
 def close_to_lasting(worker: Worker) -> None:
     """Close a worker to lasting tasks as after a withdrawn offer."""
-    worker.lasting_from_s = 102.0
+    worker.lasting_allowed_from_s = 102.0
 
 
 def cordon(worker: Worker) -> None:
