--- a/src/shallotworks/scheduling/_placement.py
+++ b/src/shallotworks/scheduling/_placement.py
@@ -10,9 +10,9 @@
 from ._tracked_jobs import TrackedStep
 from ._wait_reason import WaitReason
 
-__all__ = ["LEAST_WORKERS", "Candidates", "Placement"]
+__all__ = ["MIN_WORKERS_PER_LASTING_STEP", "Candidates", "Placement"]
 
-LEAST_WORKERS = 3
+MIN_WORKERS_PER_LASTING_STEP = 3
 """A lasting step is spread over at least this many workers, so that a crash stops at most a third
 of its tasks.
 
@@ -168,7 +168,7 @@
         lasting = sum(1 for run in worker.runs.values() if run.step.is_lasting)
         if self._step.target_s:
             return (siblings * 4 + lasting, 0, 0)
-        is_full = siblings >= -(-self._step.count // LEAST_WORKERS)
+        is_full = siblings >= -(-self._step.count // MIN_WORKERS_PER_LASTING_STEP)
         return (siblings if is_full else 0, not lasting, siblings_by_rack.get(worker.view.rack, 0))
 
     def siblings_by_rack(self, workers: list[Worker]) -> dict[str, int]:
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -15,7 +15,7 @@
 from ._demand import DemandLimits, forecast_demand_cores
 from ._machine_records import PoolDemand
 from ._model import Worker
-from ._placement import LEAST_WORKERS
+from ._placement import MIN_WORKERS_PER_LASTING_STEP
 from ._scheduler_state import SchedulerState
 from ._waiting import tasks_recovering
 
@@ -253,9 +253,9 @@
             reserved[waiting.is_late] += needed
         in_time, late = reserved[False], reserved[True]
         if in_time:
-            in_time += LEAST_WORKERS
+            in_time += MIN_WORKERS_PER_LASTING_STEP
         elif late:
-            late += LEAST_WORKERS
+            late += MIN_WORKERS_PER_LASTING_STEP
         return in_time, late
 
     def _is_known_empty(self, worker: Worker) -> bool:
