--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -103,7 +103,7 @@
             yield from self._decide_starts(now_s, wall_s)
 
     @property
-    def is_cut_short(self) -> bool:
+    def has_reached_start_limit(self) -> bool:
         """Whether the last decision reached its limit of starts, so that more tasks may wait."""
         return self._started >= MAX_STARTS_PER_DECISION
 
@@ -196,7 +196,7 @@
         self._room = Room(self._scheduler_state.workers.values(), steps)
         self._held_worker_ids.clear()
         for step in steps:
-            if self.is_cut_short:
+            if self.has_reached_start_limit:
                 return
             if step.not_before_s > now_s:
                 continue
@@ -268,7 +268,7 @@
         for index in list(indices):
             avoid = step.tracked_job.avoided_workers.get(step.name(index), frozenset())
             worker = candidates.best(avoid=avoid, rack=step.rack)
-            if worker is None or self.is_cut_short:
+            if worker is None or self.has_reached_start_limit:
                 return
             if step.step.is_one_rack and not step.rack:
                 step.rack = worker.view.rack
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -315,9 +315,9 @@
             if directory.done():
                 directory.result()
             started_s = self._dependencies.clock()
-            is_cut_short = self._lease.is_valid and self._decide()
+            has_reached_start_limit = self._lease.is_valid and self._decide()
             await asyncio.sleep((self._dependencies.clock() - started_s) * DECISION_PAUSE_RATIO)
-            if not is_cut_short:
+            if not has_reached_start_limit:
                 await self._order_dispatcher.wait(DECISION_INTERVAL_S)
 
     def _decide(self) -> bool:
@@ -330,7 +330,7 @@
         self._order_dispatcher.sync_workers()
         if any(tracked_job.is_dirty for tracked_job in self.scheduler_state.tracked_jobs.values()):
             self._progress_writer.wake.set()
-        return self.decision_engine.is_cut_short
+        return self.decision_engine.has_reached_start_limit
 
     def _decide_once(self) -> None:
         now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -40,7 +40,8 @@
         for _ in range(6):
             sizes.append(len(harness.start_orders()))
             self.assertEqual(
-                sizes[-1] >= MAX_STARTS_PER_DECISION, harness.decision_engine.is_cut_short
+                sizes[-1] >= MAX_STARTS_PER_DECISION,
+                harness.decision_engine.has_reached_start_limit,
             )
         self.assertEqual([64, 64, 64, 64, 64, 0], sizes)
 
