--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -226,7 +226,7 @@
             if may_be_sent and step is not None:
                 yield self._start_order(step, run)
             else:
-                self._scheduler_state.start_failed(run, now_s)
+                self._scheduler_state.note_start_failed(run, now_s)
 
     def _start_beside_suspects(self, step: TrackedStep, now_s: float) -> Iterator[StartOrder]:
         """Start tasks of a job that lost runs in worker crashes, its suspects in isolation."""
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -403,7 +403,7 @@
         if worker is None or (run.name, run.run_id) not in worker.runs:
             return
         if lease_ms is None or not self._lease.is_valid:
-            self._scheduler_state.start_failed(run, sent_s)
+            self._scheduler_state.note_start_failed(run, sent_s)
             return
         outcome = await self._orders.start(
             worker.view, order, token=self._scheduler_state.token, lease_until_ms=lease_ms
@@ -445,7 +445,7 @@
                 worker.pause_until_s = now_s + PAUSE_AFTER_NO_ANSWER_S
             return
         self._handle_refused_start(worker, run, outcome.status, now_s)
-        self._scheduler_state.start_failed(run, now_s)
+        self._scheduler_state.note_start_failed(run, now_s)
 
     def _handle_refused_start(
         self, worker: Worker, run: Run, status: OrderStatus, now_s: float
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -541,7 +541,7 @@
         self._last_run_id += 1
         return self._last_run_id
 
-    def start_failed(self, run: Run, now_s: float) -> None:
+    def note_start_failed(self, run: Run, now_s: float) -> None:
         """Remove a run whose start was not sent or was refused; its task waits again."""
         worker = self.workers.get(run.worker_id)
         if worker is not None and (run.name, run.run_id) in worker.runs:
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -277,7 +277,7 @@
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         first = harness.start_orders()[0].run
-        harness.scheduler_state.start_failed(first, harness.now_s)
+        harness.scheduler_state.note_start_failed(first, harness.now_s)
         self.assertGreater(harness.start_orders()[0].run.run_id, first.run_id)
 
     def test_a_stalled_task_is_moved_to_another_worker(self) -> None:
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -321,7 +321,7 @@
         run = harness.start_orders()[0].run
         harness.summarise()
         harness.now_s += 3.0
-        harness.scheduler_state.start_failed(run, harness.now_s)
+        harness.scheduler_state.note_start_failed(run, harness.now_s)
         harness.summarise()
         harness.now_s += 2.0
         longest = harness.summarise().longest
