--- a/src/shallotworks/scheduling/_active_workers.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -72,7 +72,7 @@
             for worker_id, row in json.loads(value).items()
         }
 
-    def may_use(self, worker_id: str) -> bool:
+    def is_recorded(self, worker_id: str) -> bool:
         """Whether tasks may be started on a worker, which every possible stored value must name."""
         active_worker = self.active_workers.get(worker_id)
         may_be_absent = any(
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -104,8 +104,8 @@
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
         times: Times of orders and leases.
-        may_use: Returns whether the stored record of active workers has a worker, by its id. Only
-            then does a successor know that tasks may run there, and a lease may be granted.
+        is_recorded: Returns whether the stored record of active workers has a worker, by its id.
+            Only then does a successor know that tasks may run there, and a lease may be granted.
         log: Gets a line for each order.
         metrics: Counters and latencies.
         on_progress: Called after each poll's report, which may have changed jobs' progress.
@@ -114,9 +114,9 @@
     __slots__ = (
         "_clock",
         "_in_flight",
+        "_is_recorded",
         "_lease",
         "_log",
-        "_may_use",
         "_metrics",
         "_on_progress",
         "_orders",
@@ -137,7 +137,7 @@
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
         times: OrderTimes,
-        may_use: Callable[[str], bool],
+        is_recorded: Callable[[str], bool],
         log: StructuredLog,
         metrics: Metrics,
         on_progress: Callable[[], None],
@@ -148,7 +148,7 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self._times = times
-        self._may_use = may_use
+        self._is_recorded = is_recorded
         self._log = log
         self._metrics = metrics
         self._on_progress = on_progress
@@ -368,7 +368,7 @@
             The end of the lease in milliseconds on the worker's clock, or ``None`` if no lease may
             be granted.
         """
-        if not worker.clock_ms or not self._may_use(worker.worker_id):
+        if not worker.clock_ms or not self._is_recorded(worker.worker_id):
             return None
         age_s = sent_s - worker.clock_at_s
         lease_s = min(
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -160,7 +160,7 @@
             clock=dependencies.clock,
             wall_clock=dependencies.wall_clock,
             times=dependencies.times,
-            may_use=self._worker_tracker.may_use,
+            is_recorded=self._worker_tracker.is_recorded,
             log=dependencies.log,
             metrics=dependencies.metrics,
             on_progress=self._note_progress,
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -59,9 +59,9 @@
         self._wall_clock = wall_clock
         self._recovery_s = recovery_s
 
-    def may_use(self, worker_id: str) -> bool:
+    def is_recorded(self, worker_id: str) -> bool:
         """Whether the active workers record allows tasks to be started on a worker."""
-        return self._record.may_use(worker_id)
+        return self._record.is_recorded(worker_id)
 
     async def add_recorded_workers(self) -> int:
         """Add the recorded workers of earlier epochs, to be recovered; return their number."""
@@ -111,7 +111,7 @@
                 self._scheduler_state.update_worker(listed[worker_id])
         is_stored = await self.update_record()
         for worker_id, view in listed.items():
-            if self._record.may_use(worker_id):
+            if self._record.is_recorded(worker_id):
                 self._scheduler_state.update_worker(view)
         return is_stored
 
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -147,10 +147,10 @@
             store_view.faults.lost_part = 1.0
             self.assertFalse(await record.keep(lambda: {"one": ActiveWorker(address="a:1")}))
             store_view.faults.lost_part = 0.0
-            self.assertFalse(record.may_use("one"))
+            self.assertFalse(record.is_recorded("one"))
             both = {"one": ActiveWorker(address="a:1"), "two": ActiveWorker(address="b:1")}
             self.assertTrue(await record.keep(lambda: both))
-            self.assertTrue(record.may_use("two"))
+            self.assertTrue(record.is_recorded("two"))
             self.assertFalse(lease.lost_event.is_set())
 
         run_scenario(scenario())
@@ -283,7 +283,7 @@
                 clock=loop.time,
                 wall_clock=loop.time,
                 times=OrderTimes(),
-                may_use=lambda _: is_recorded,
+                is_recorded=lambda _: is_recorded,
                 log=quiet_log(),
                 metrics=Metrics(),
                 on_progress=lambda: None,
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -81,7 +81,7 @@
             self.assertFalse(await record.keep(lambda: {"one": WORKER_ONE}))
             store_client.faults.late_part = 0.0
             self.assertTrue(await record.keep(lambda: {"one": WORKER_ONE, "two": WORKER_TWO}))
-            self.assertTrue(record.may_use("two"))
+            self.assertTrue(record.is_recorded("two"))
             await asyncio.sleep(LATE_WRITE_S)
             stored = ActiveWorkersRecord.decode(store.items[active_workers_key(SERVICE)].value)
             self.assertIn("two", stored)
@@ -137,8 +137,8 @@
             store_client.faults.delay_s = 0.2
             removal = asyncio.create_task(record.keep(lambda: {"one": WORKER_ONE}))
             await asyncio.sleep(0.1)
-            self.assertFalse(record.may_use("two"))
-            self.assertTrue(record.may_use("one"))
+            self.assertFalse(record.is_recorded("two"))
+            self.assertTrue(record.is_recorded("one"))
             await removal
 
         run_scenario(scenario())
