--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -216,7 +216,7 @@
             decision.run.paced_s = self._clock()
             self._spawn(self._pace(decision))
 
-    async def settle(self, longest_s: float) -> None:
+    async def wait_for_orders(self, longest_s: float) -> None:
         """Wait for the orders in flight, but no longer than ``longest_s``."""
         if self._in_flight:
             await asyncio.wait(list(self._in_flight), timeout=longest_s)
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -97,7 +97,7 @@
                 await asyncio.sleep(COMMIT_PAUSE_S if all(stored) else STORE_RETRY_S)
             self._all_stored.set()
 
-    async def settle(self, longest_s: float) -> None:
+    async def wait_until_stored(self, longest_s: float) -> None:
         """Wait until all progress is stored, but no longer than ``longest_s``.
 
         If an epoch stopped between two commits, its successor would have to wait for tasks that
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -213,7 +213,7 @@
                 if task is not lease_lost and task.exception() is not None:
                     self._lease.mark_lost(f"a background task failed: {task.exception()!r}")
                     raise task.exception() or RuntimeError
-            await self._order_dispatcher.settle(STOP_TIMEOUT_S)
+            await self._order_dispatcher.wait_for_orders(STOP_TIMEOUT_S)
             self._order_dispatcher.stop_polling()
             await self._hand_over()
         finally:
@@ -232,7 +232,7 @@
         """
         is_silent = self._lease.since_renewal_s > MAX_RENEWAL_AGE_AT_HANDOVER_S
         if not is_silent and self.is_prepared.is_set():
-            await self._progress_writer.settle(STOP_TIMEOUT_S)
+            await self._progress_writer.wait_until_stored(STOP_TIMEOUT_S)
             await self._worker_tracker.hand_over()
 
     def _log(self, event: str, **fields: object) -> None:
