--- a/src/shallotworks/scheduling/_active_workers.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -86,7 +86,7 @@
             await asyncio.sleep(READ_RETRY_S)
         self._load()
 
-    async def keep(self, compute_record: Callable[[], dict[str, ActiveWorker]]) -> bool:
+    async def update(self, compute_record: Callable[[], dict[str, ActiveWorker]]) -> bool:
         """Write the record unless it is stored already; return whether the store confirmed it.
 
         Args:
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -142,7 +142,7 @@
         Returns:
             Whether the store has confirmed the record.
         """
-        return await self._record.keep(self._workers_to_record)
+        return await self._record.update(self._workers_to_record)
 
     def _workers_to_record(self) -> dict[str, ActiveWorker]:
         listed = self._listed_workers()
@@ -165,7 +165,7 @@
 
     async def hand_over(self) -> None:
         """Record for the next epoch only the workers that may still run a task."""
-        await self._record.keep(self._workers_to_hand_over)
+        await self._record.update(self._workers_to_hand_over)
 
     def _workers_to_hand_over(self) -> dict[str, ActiveWorker]:
         """Return the workers that may still run a task, now that this epoch sends no more orders.
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -124,9 +124,9 @@
             await record.read()
             one, two = ActiveWorker(address="a:1"), ActiveWorker(address="b:1")
             store_view.faults.late_part = 1.0
-            self.assertFalse(await record.keep(lambda: {"one": one}))
+            self.assertFalse(await record.update(lambda: {"one": one}))
             store_view.faults.late_part = 0.0
-            self.assertTrue(await record.keep(lambda: {"one": one, "two": two}))
+            self.assertTrue(await record.update(lambda: {"one": one, "two": two}))
             await asyncio.sleep(4.0)
             item = store.items[active_workers_key(SERVICE)]
             self.assertEqual({"one": one, "two": two}, ActiveWorkersRecord.decode(item.value))
@@ -145,11 +145,11 @@
                 service=SERVICE, lease=lease, store=store_view, log=quiet_log()
             )
             store_view.faults.lost_part = 1.0
-            self.assertFalse(await record.keep(lambda: {"one": ActiveWorker(address="a:1")}))
+            self.assertFalse(await record.update(lambda: {"one": ActiveWorker(address="a:1")}))
             store_view.faults.lost_part = 0.0
             self.assertFalse(record.is_recorded("one"))
             both = {"one": ActiveWorker(address="a:1"), "two": ActiveWorker(address="b:1")}
-            self.assertTrue(await record.keep(lambda: both))
+            self.assertTrue(await record.update(lambda: both))
             self.assertTrue(record.is_recorded("two"))
             self.assertFalse(lease.lost_event.is_set())
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -64,7 +64,7 @@
     asyncio.get_running_loop().create_task(lease.renew_until_lost())
     record = ActiveWorkersRecord(service=SERVICE, lease=lease, store=store_client, log=quiet_log())
     await record.read()
-    assert await record.keep(lambda: {"one": WORKER_ONE, "two": WORKER_TWO})
+    assert await record.update(lambda: {"one": WORKER_ONE, "two": WORKER_TWO})
     return store, store_client, record
 
 
@@ -78,9 +78,9 @@
         async def scenario() -> None:
             store, store_client, record = await _make_record()
             store_client.faults.late_part = 1.0
-            self.assertFalse(await record.keep(lambda: {"one": WORKER_ONE}))
+            self.assertFalse(await record.update(lambda: {"one": WORKER_ONE}))
             store_client.faults.late_part = 0.0
-            self.assertTrue(await record.keep(lambda: {"one": WORKER_ONE, "two": WORKER_TWO}))
+            self.assertTrue(await record.update(lambda: {"one": WORKER_ONE, "two": WORKER_TWO}))
             self.assertTrue(record.is_recorded("two"))
             await asyncio.sleep(LATE_WRITE_S)
             stored = ActiveWorkersRecord.decode(store.items[active_workers_key(SERVICE)].value)
@@ -135,7 +135,7 @@
         async def scenario() -> None:
             _, store_client, record = await _make_record()
             store_client.faults.delay_s = 0.2
-            removal = asyncio.create_task(record.keep(lambda: {"one": WORKER_ONE}))
+            removal = asyncio.create_task(record.update(lambda: {"one": WORKER_ONE}))
             await asyncio.sleep(0.1)
             self.assertFalse(record.is_recorded("two"))
             self.assertTrue(record.is_recorded("one"))
