--- a/src/shallotworks/scheduling/_machine_controller_ledger.py
+++ b/src/shallotworks/scheduling/_machine_controller_ledger.py
@@ -12,7 +12,7 @@
 
 __all__ = ["MachineControllerLedger"]
 
-OVER_TOLD_S = 15.0
+REMOVED_WORKERS_PUBLISHED_S = 15.0
 """How long removed workers are published. A scheduler that starts meanwhile does not have to wait
 for their leases to expire, which takes 7 s; see `OrderTimes.recovery_s`."""
 REMOVED_WORKERS_RETAINED_S = 60.0
@@ -214,5 +214,7 @@
             if now_s - at_s < REMOVED_WORKERS_RETAINED_S
         }
         return tuple(
-            one for one, at_s in self._removed_workers.items() if now_s - at_s < OVER_TOLD_S
+            one
+            for one, at_s in self._removed_workers.items()
+            if now_s - at_s < REMOVED_WORKERS_PUBLISHED_S
         )
--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -40,7 +40,7 @@
     ServiceScheduler,
     pool_demand_key,
 )
-from shallotworks.scheduling._machine_controller_ledger import OVER_TOLD_S
+from shallotworks.scheduling._machine_controller_ledger import REMOVED_WORKERS_PUBLISHED_S
 from shallotworks.scheduling._machine_records import MachineControllerRecord, machine_controller_key
 from shallotworks.standins import (
     OrderFaults,
@@ -661,7 +661,7 @@
         over = (
             worker_id
             for worker_id, at_s in self._taken_away_s.items()
-            if _now_s() - at_s < OVER_TOLD_S
+            if _now_s() - at_s < REMOVED_WORKERS_PUBLISHED_S
         )
         record = MachineControllerRecord(due=self._due, over=tuple(over))
         self.store.put(machine_controller_key(), record.encode())
