--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -32,13 +32,13 @@
         dependencies: Collaborators, clocks and settings.
     """
 
-    __slots__ = ("_dependencies", "_lease", "_rebalancer", "_record", "_waves")
+    __slots__ = ("_dependencies", "_lease", "_ledger", "_rebalancer", "_waves")
 
     def __init__(self, *, lease: HeldLease, dependencies: MachineControllerDependencies) -> None:
         self._lease = lease
         self._dependencies = dependencies
-        self._record = MachineControllerLedger(lease=lease, dependencies=dependencies)
-        orders = MachineOrderDispatcher(lease=lease, dependencies=dependencies, ledger=self._record)
+        self._ledger = MachineControllerLedger(lease=lease, dependencies=dependencies)
+        orders = MachineOrderDispatcher(lease=lease, dependencies=dependencies, ledger=self._ledger)
         self._waves = WaveExecutor(lease=lease, dependencies=dependencies, orders=orders)
         self._rebalancer = PoolRebalancer(lease=lease, dependencies=dependencies, orders=orders)
 
@@ -48,11 +48,11 @@
         try:
             while not self._lease.lost_event.is_set():
                 if not self._lease.is_valid:
-                    self._record.note_suspension()
+                    self._ledger.note_suspension()
                 else:
                     if self._has_work():
                         await self._run_round()
-                    await self._record.prune()
+                    await self._ledger.prune()
                 await asyncio.sleep(CONTROL_INTERVAL_S)
         finally:
             renewal.cancel()
@@ -64,8 +64,8 @@
         )
 
     async def _run_round(self) -> None:
-        await self._record.read()
-        if not self._record.is_read:
+        await self._ledger.read()
+        if not self._ledger.is_read:
             return
         listed = await self._dependencies.machines.list()
         if not isinstance(listed, Success):
@@ -79,8 +79,8 @@
             if record is not None:
                 in_waves.update(self._waves.reserved_machines(wave, record))
                 due.update(
-                    self._waves.workers_to_drain(wave, record, machines, self._record.published.due)
+                    self._waves.workers_to_drain(wave, record, machines, self._ledger.published.due)
                 )
-        await self._record.publish(frozenset(due), await self._rebalancer.recalls(machines))
+        await self._ledger.publish(frozenset(due), await self._rebalancer.recalls(machines))
         await self._rebalancer.rebalance(machines, in_waves)
-        await self._record.publish(frozenset(due), self._record.published.recalls)
+        await self._ledger.publish(frozenset(due), self._ledger.published.recalls)
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -269,9 +269,9 @@
             controller = machine_harness.controller
             assert controller is not None
             faults.lost_part = 1.0
-            await controller._record.publish(frozenset({"w"}), {})
+            await controller._ledger.publish(frozenset({"w"}), {})
             faults.lost_part = 0.0
-            await controller._record.publish(frozenset(), {})
+            await controller._ledger.publish(frozenset(), {})
             stored = MachineControllerRecord.decode(
                 machine_harness.store.items[machine_controller_key()].value
             )
