--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -413,8 +413,8 @@
                 wall_s=self._dependencies.wall_clock(),
             )
             demand = replace(demand, woke=resumes.count(may_act=self._lease.is_valid))
-            self._sizer.yield_some(machine_records.controller.recalls.get(self.service, 0))
-            for worker in self._sizer.emptying():
+            self._sizer.restrict_late_work(machine_records.controller.recalls.get(self.service, 0))
+            for worker in self._sizer.draining_workers():
                 self.decision_engine.evacuate(worker)
                 self._order_dispatcher.wake()
             if (
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -126,7 +126,7 @@
             "unseen_workers": len(self._scheduler_state.pending_recovery),
         }
 
-    def yield_some(self, count: int) -> None:
+    def restrict_late_work(self, count: int) -> None:
         """Keep late work off some workers, so that borrowed machines become free for other pools.
 
         The load: a burst begins on one queue while another queue still processes jobs that can't
@@ -146,7 +146,7 @@
         movable.sort(key=lambda worker: (not worker.is_yielding, worker.cpu_used))
         return movable[:count]
 
-    def emptying(self) -> Iterator[Worker]:
+    def draining_workers(self) -> Iterator[Worker]:
         """Yield the workers that are being drained."""
         for worker_id in self._cordoned:
             worker = self._scheduler_state.workers.get(worker_id)
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -103,7 +103,7 @@
         Late jobs start on the workers that are not recalled; jobs that can be on time use all.
         """
         harness = SizingHarness("a", "b")
-        harness.sizer.yield_some(1)
+        harness.sizer.restrict_late_work(1)
         harness.add_job(job("late", step(8), accepted_s=WALL_S - 60))
         self.assertEqual(1, len({order.run.worker_id for order in harness.start_orders()}))
         harness.add_job(job("in time", step(1)))
@@ -173,7 +173,7 @@
         """
         harness = SizingHarness(*"abcdefgh")
         late = job("late", step(4 * 20), accepted_s=WALL_S - 60.0)
-        harness.sizer.yield_some(5)
+        harness.sizer.restrict_late_work(5)
         harness.add_job(late)
         harness.start_orders()
         harness.assess()
@@ -185,7 +185,7 @@
         """Guards against late callers of a queue whose machines were freed for another burst."""
         harness = SizingHarness(*"abcdefgh")
         harness.add_job(job("late", step(4 * 20), accepted_s=WALL_S - 60.0))
-        harness.sizer.yield_some(5)
+        harness.sizer.restrict_late_work(5)
         harness.start_orders()
         harness.assess()
         harness.now_s += 0.4
