--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -32,7 +32,7 @@
         demand: Limits for measuring the demand of arriving jobs.
         idle_s: A worker may be offered once nothing has run on it for this long.
         drain_grace_s: Time that tasks which end by themselves get on a worker that is drained.
-        lasting_after_s: Lasting tasks are kept off a worker for this long after its offer was
+        lasting_exclusion_s: Lasting tasks are kept off a worker for this long after its offer was
             withdrawn, because an order to take it away may still arrive.
         max_lacking: Upper limit of the machines requested at once by a pool with few workers.
         max_lacking_ratio: Upper limit for a larger pool, as a multiple of its workers: in a burst a
@@ -43,7 +43,7 @@
     idle_s: float = 0.3
     demand: DemandLimits = field(default_factory=DemandLimits)
     drain_grace_s: float = 1.5
-    lasting_after_s: float = 3.0
+    lasting_exclusion_s: float = 3.0
     max_lacking: int = 64
     max_lacking_ratio: float = 4.0
 
@@ -284,14 +284,14 @@
         """Keep lasting tasks off workers that the controller may still consider free."""
         for worker_id in worker_ids:
             self._scheduler_state.defer_lasting_tasks(
-                worker_id, now_s + self._limits.lasting_after_s
+                worker_id, now_s + self._limits.lasting_exclusion_s
             )
 
     def _set_offered(self, worker: Worker, is_offered: bool, now_s: float) -> None:
         if worker.worker_id in self._cordoned:
             return
         if worker.is_cordoned and not is_offered:
-            worker.lasting_allowed_from_s = now_s + self._limits.lasting_after_s
+            worker.lasting_allowed_from_s = now_s + self._limits.lasting_exclusion_s
         worker.is_cordoned = is_offered
 
     def _cordon_due(self, due: frozenset[str], now_s: float) -> None:
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -49,7 +49,7 @@
         instance.start()
     await asyncio.sleep(1.0)
     await simulation.submit(JOB_ID, step(2, is_lasting=True))
-    await asyncio.sleep(SizingLimits().lasting_after_s + 1.0)
+    await asyncio.sleep(SizingLimits().lasting_exclusion_s + 1.0)
     return simulation
 
 
