--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -122,7 +122,7 @@
             instance=settings.instance,
             run_epoch=self._run_epoch,
             clock=boot_time_s,
-            times=self._lease_timing,
+            timing=self._lease_timing,
             log=self._log,
             strength=_strength_of(settings),
         )
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -37,7 +37,7 @@
         instance: Name of this instance, which is written into the keys.
         run_epoch: Runs an epoch until its key is lost.
         clock: Seconds, counting suspended time.
-        times: Times of the leases.
+        timing: Times of the leases.
         log: One line for each epoch.
         strength: Capacity of this instance to run schedulers, 0 to 1.
     """
@@ -57,7 +57,7 @@
         "_run_epoch",
         "_store",
         "_strength",
-        "_times",
+        "_timing",
         "_watcher",
     )
 
@@ -70,7 +70,7 @@
         instance: str,
         run_epoch: Callable[[str, HeldLease], Awaitable[None]],
         clock: Callable[[], float],
-        times: LeaseTiming,
+        timing: LeaseTiming,
         log: StructuredLog,
         strength: float = 1.0,
     ) -> None:
@@ -81,7 +81,7 @@
         self._instance = instance
         self._run_epoch = run_epoch
         self._clock = clock
-        self._times = times
+        self._timing = timing
         self._log = log
         self._holder_tokens: dict[str, int] = {}
         """Fencing tokens of the holders by service, as far as the watcher has reported."""
@@ -174,7 +174,7 @@
                 marker_key=self._marker_key_of(service),
                 value=self._instance.encode(),
                 clock=self._clock,
-                times=self._times,
+                timing=self._timing,
                 log=self._log,
             )
         finally:
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -52,7 +52,7 @@
         sent_s: Time on ``clock`` at which the creation or last renewal was sent.
         clock: Seconds, including time during which the host is suspended. A resumed holder must
             see that its grace period is over before it sends an earlier decision.
-        times: Times for holding the lease.
+        timing: Times for holding the lease.
         log: Receives the loss, suspension and resumption of the lease.
     """
 
@@ -62,7 +62,7 @@
         "_log",
         "_sent_s",
         "_store",
-        "_times",
+        "_timing",
         "key",
         "lost_event",
         "token",
@@ -77,14 +77,14 @@
         token: int,
         sent_s: float,
         clock: Callable[[], float],
-        times: LeaseTiming,
+        timing: LeaseTiming,
         log: StructuredLog,
     ) -> None:
         self._store = store
         self._lease_id = lease_id
         self._sent_s = sent_s
         self._clock = clock
-        self._times = times
+        self._timing = timing
         self._log = log
         self.key = key
         self.token = token
@@ -99,7 +99,7 @@
         marker_key: str,
         value: bytes,
         clock: Callable[[], float],
-        times: LeaseTiming,
+        timing: LeaseTiming,
         log: StructuredLog,
     ) -> HeldLease | None:
         """Create the key if it does not exist.
@@ -112,13 +112,13 @@
                 that it lost the lease before it learns of anything written later.
             value: Value of both keys.
             clock: Seconds, including time during which the host is suspended.
-            times: Times for holding the lease.
+            timing: Times for holding the lease.
             log: Receives failures.
 
         Returns:
             The held lease; ``None`` if the creation failed or its outcome is unknown.
         """
-        granted = await store.grant_lease(ttl_s=times.ttl_s)
+        granted = await store.grant_lease(ttl_s=timing.ttl_s)
         if not isinstance(granted, Success):
             log.line("duty-not-acquired", key=key, reason=str(granted.failure()))
             return None
@@ -140,7 +140,7 @@
                 token=outcome.unwrap().revision,
                 sent_s=sent_s,
                 clock=clock,
-                times=times,
+                timing=timing,
                 log=log,
             )
         # Also if the outcome is unknown: revoking the lease deletes a key created after all.
@@ -152,7 +152,7 @@
     @property
     def is_valid(self) -> bool:
         """Whether the holder may still act; to be checked before each action."""
-        return not self.lost_event.is_set() and self.since_renewal_s < self._times.grace_s
+        return not self.lost_event.is_set() and self.since_renewal_s < self._timing.grace_s
 
     @property
     def since_renewal_s(self) -> float:
@@ -177,13 +177,13 @@
         paused during its outage, the holder resumes with the first renewal that is answered. If it
         gave up, the key would still exist for its time to live, and nobody could act until then.
         """
-        pause_s = self._times.renewal_s
+        pause_s = self._timing.renewal_s
         while not self.lost_event.is_set():
             await asyncio.sleep(pause_s)
             was_suspended = self._is_past_grace
             if not was_suspended or await self._is_still_held():
                 is_renewed = await self._renew()
-                pause_s = self._times.renewal_s if is_renewed else self._times.retry_s
+                pause_s = self._timing.renewal_s if is_renewed else self._timing.retry_s
             self._log_suspension_change(was_suspended)
 
     async def _renew(self) -> bool:
@@ -198,7 +198,7 @@
 
     @property
     def _is_past_grace(self) -> bool:
-        return self.since_renewal_s >= self._times.grace_s
+        return self.since_renewal_s >= self._timing.grace_s
 
     async def _is_still_held(self) -> bool:
         """Whether the store confirms that the key still exists, after a suspension.
--- a/tests/held_leases.py
+++ b/tests/held_leases.py
@@ -15,7 +15,7 @@
     *,
     key: str = LEASE_KEY,
     marker_key: str = JobKeys(service=SERVICE).holder_mark,
-    times: LeaseTiming | None = None,
+    timing: LeaseTiming | None = None,
 ) -> HeldLease | None:
     """Acquire a key's lease; return ``None`` if another holder has it."""
     return await HeldLease.acquire(
@@ -24,7 +24,7 @@
         marker_key=marker_key,
         value=b"n0",
         clock=asyncio.get_running_loop().time,
-        times=times or LeaseTiming(),
+        timing=timing or LeaseTiming(),
         log=quiet_log(),
     )
 
@@ -34,9 +34,9 @@
     *,
     key: str = LEASE_KEY,
     marker_key: str = JobKeys(service=SERVICE).holder_mark,
-    times: LeaseTiming | None = None,
+    timing: LeaseTiming | None = None,
 ) -> HeldLease:
     """Acquire the lease of a key that is free."""
-    lease = await try_acquire(store, key=key, marker_key=marker_key, times=times)
+    lease = await try_acquire(store, key=key, marker_key=marker_key, timing=timing)
     assert lease is not None
     return lease
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -71,7 +71,7 @@
             instance=name,
             run_epoch=self._run_epoch,
             clock=self.now_s,
-            times=LeaseTiming(),
+            timing=LeaseTiming(),
             log=quiet_log(),
         )
 
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -117,7 +117,7 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             store_view = FaultInjectingStore(store=store)
-            lease = await acquire(store_view, times=LONG_LEASE)
+            lease = await acquire(store_view, timing=LONG_LEASE)
             record = ActiveWorkersRecord(
                 service=SERVICE, lease=lease, store=store_view, log=quiet_log()
             )
@@ -140,7 +140,7 @@
         async def scenario() -> None:
             store = RecordStore(rng=random.Random(1))
             store_view = FaultInjectingStore(store=store)
-            lease = await acquire(store_view, times=LONG_LEASE)
+            lease = await acquire(store_view, timing=LONG_LEASE)
             record = ActiveWorkersRecord(
                 service=SERVICE, lease=lease, store=store_view, log=quiet_log()
             )
@@ -184,7 +184,7 @@
         async def scenario() -> None:
             loop = asyncio.get_running_loop()
             store = RecordStore(rng=random.Random(1))
-            lease = await acquire(FaultInjectingStore(store=store), times=LONG_LEASE)
+            lease = await acquire(FaultInjectingStore(store=store), timing=LONG_LEASE)
             record = ActiveWorkersRecord(
                 service=SERVICE,
                 lease=lease,
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -237,7 +237,7 @@
                     instance=f"n{number}",
                     run_epoch=hold,
                     clock=asyncio.get_running_loop().time,
-                    times=LeaseTiming(ttl_s=60.0),
+                    timing=LeaseTiming(ttl_s=60.0),
                     log=quiet_log(),
                 )
                 for number in range(3)
@@ -273,7 +273,7 @@
                 instance=name,
                 run_epoch=None,  # type: ignore[arg-type]
                 clock=lambda: 0.0,
-                times=LeaseTiming(),
+                timing=LeaseTiming(),
                 log=quiet_log(),
                 strength=strength,
             )
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -153,7 +153,7 @@
                 instance="n0",
                 run_epoch=run_epoch,
                 clock=asyncio.get_running_loop().time,
-                times=LeaseTiming(),
+                timing=LeaseTiming(),
                 log=quiet_log(),
             )
             watching = asyncio.create_task(elector.run())
