--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -161,11 +161,11 @@
         return True
 
     def _begin_upkeep(self, name: str, wave: int) -> bool:
-        machines, most_at_once = self.waves.get(wave, (frozenset(), 0))
+        machines, max_at_once = self.waves.get(wave, (frozenset(), 0))
         if name not in machines:
             return False
         down = self._in_upkeep.setdefault(wave, set())
-        if len(down) >= most_at_once:
+        if len(down) >= max_at_once:
             self.violations.append(f"wave {wave}: {name} goes down while {len(down)} are down")
         down.add(name)
         self.had_upkeep.setdefault(wave, set()).add(name)
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -86,7 +86,7 @@
     lag = asyncio.create_task(testbed.fault_log.watch_lag())
     machines = len(testbed.fleet.machines)
     if testbed.rng.random() < 0.7:
-        testbed.ask_for_wave(1, count=int(machines * WAVE_PART), most_at_once=2)
+        testbed.ask_for_wave(1, count=int(machines * WAVE_PART), max_at_once=2)
     ends_s = loop.time() + plan.trouble_s
     series = [_trouble_on(testbed, ends_s) for _ in range(plan.series)]
     await asyncio.gather(testbed.callers.run(plan.jobs, plan.trouble_s), *series)
--- a/soak/_testbed.py
+++ b/soak/_testbed.py
@@ -143,11 +143,11 @@
         body = {"version": self.version, "routes": routes, "services": services, "limits": {}}
         self.store.put("op/config", json.dumps(body).encode())
 
-    def ask_for_wave(self, number: int, *, count: int, most_at_once: int) -> None:
+    def ask_for_wave(self, number: int, *, count: int, max_at_once: int) -> None:
         """Ask for the upkeep of some machines, as an operator does."""
         names = self.rng.sample(sorted(self.fleet.machines), count)
-        self.fleet.waves[number] = (frozenset(names), most_at_once)
-        body = {"wave": number, "machines": names, "durationS": 20, "maxCount": most_at_once}
+        self.fleet.waves[number] = (frozenset(names), max_at_once)
+        body = {"wave": number, "machines": names, "durationS": 20, "maxCount": max_at_once}
         self.store.put(f"op/wave/{number}", json.dumps(body).encode())
 
     async def _make_entry(self, number: int, machines_address: str) -> Entry:
--- a/src/shallotworks/platform/_configuration.py
+++ b/src/shallotworks/platform/_configuration.py
@@ -184,5 +184,5 @@
         wave=int(body["wave"]),
         machines=tuple(str(name) for name in body["machines"]),
         duration_s=float(body["durationS"]),
-        most_at_once=max(1, int(body["maxCount"])),
+        max_at_once=max(1, int(body["maxCount"])),
     )
--- a/src/shallotworks/scheduling/_protocols.py
+++ b/src/shallotworks/scheduling/_protocols.py
@@ -175,13 +175,13 @@
         wave: Number of the wave.
         machines: Names of the machines to maintain.
         duration_s: Time limit of the whole wave, in seconds.
-        most_at_once: How many of the machines may be down for the wave at the same time.
+        max_at_once: How many of the machines may be down for the wave at the same time.
     """
 
     wave: int
     machines: tuple[str, ...]
     duration_s: float
-    most_at_once: int
+    max_at_once: int
 
 
 class MaintenanceSchedule(Protocol):
--- a/src/shallotworks/scheduling/_wave_executor.py
+++ b/src/shallotworks/scheduling/_wave_executor.py
@@ -211,7 +211,7 @@
         ):
             return False
         remaining = len(wave.machines) - len(record.done)
-        rounds = math.ceil(remaining / max(1, wave.most_at_once))
+        rounds = math.ceil(remaining / max(1, wave.max_at_once))
         ends_s = record.first_s + wave.duration_s
         return (
             ends_s - self._dependencies.wall_clock() > rounds * SLOT_DURATION_S * YIELD_TIME_FACTOR
@@ -251,7 +251,7 @@
         }
         remaining.sort(key=lambda one: (one.worker_id not in draining, one.worker_id not in free))
         chosen = [
-            *remaining[: wave.most_at_once * DRAINED_AHEAD_PER_SLOT],
+            *remaining[: wave.max_at_once * DRAINED_AHEAD_PER_SLOT],
             *self._unconfirmed(record, machines),
         ]
         return {one.worker_id for one in chosen if one.worker_id}
@@ -278,7 +278,7 @@
         self, wave: MaintenanceWave, record: WaveRecord, revision: int, machines: dict[str, Machine]
     ) -> int:
         """Take slots and order maintenance; return the revision of the record."""
-        slots = max(0, wave.most_at_once - len(record.down))
+        slots = max(0, wave.max_at_once - len(record.down))
         remaining = self._remaining(wave, record, machines)
         free = [machine for machine in remaining if self._orders.is_reported_free(machine)]
         for machine in await self._orders.prepare(free[:slots]):
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -218,7 +218,7 @@
     def request_wave(self, *machines: str) -> None:
         """Request a wave that may take down all its machines at once."""
         self.requested_waves = (
-            MaintenanceWave(wave=1, machines=machines, duration_s=30, most_at_once=len(machines)),
+            MaintenanceWave(wave=1, machines=machines, duration_s=30, max_at_once=len(machines)),
         )
 
     def publish_due_workers(self, *workers: str) -> None:
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -198,7 +198,7 @@
 def wave(machine_harness: MachineHarness, *, most: int) -> MaintenanceWave:
     """Return a wave of all machines."""
     return MaintenanceWave(
-        wave=1, machines=tuple(machine_harness.platform.machines), duration_s=30, most_at_once=most
+        wave=1, machines=tuple(machine_harness.platform.machines), duration_s=30, max_at_once=most
     )
 
 
@@ -396,7 +396,7 @@
                 await asyncio.sleep(0.2)
             self.assertEqual(b"completed", machine_harness.store.items["status/1"].value)
             machine_harness.platform.busy = {"m0"}
-            second = MaintenanceWave(wave=2, machines=("m0",), duration_s=30, most_at_once=1)
+            second = MaintenanceWave(wave=2, machines=("m0",), duration_s=30, max_at_once=1)
             machine_harness.platform.requested_waves = (
                 *machine_harness.platform.requested_waves,
                 second,
@@ -447,7 +447,7 @@
             machine_harness = MachineHarness(antenna=4, coverage=2)
             machines = tuple(name for name in machine_harness.platform.machines)[:4]
             maintenance_wave = MaintenanceWave(
-                wave=1, machines=machines, duration_s=duration_s, most_at_once=2
+                wave=1, machines=machines, duration_s=duration_s, max_at_once=2
             )
             machine_harness.platform.requested_waves = (maintenance_wave,)
             machine_harness.store_predecessor_record()
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -110,7 +110,7 @@
         self.assertEqual(
             [(4, ("m1",), 20.0, 2)],
             [
-                (wave.wave, wave.machines, wave.duration_s, wave.most_at_once)
+                (wave.wave, wave.machines, wave.duration_s, wave.max_at_once)
                 for wave in operator_records.waves()
             ],
         )
