--- a/src/shallotworks/jobs/_records.py
+++ b/src/shallotworks/jobs/_records.py
@@ -37,7 +37,7 @@
         return f"{JOBS_PREFIX}{self.service}/"
 
     @property
-    def holder_mark(self) -> str:
+    def marker_key(self) -> str:
         """Marker key, which exists while the service has a scheduler; it sorts before all jobs."""
         return f"{self.prefix}!scheduler"
 
@@ -49,7 +49,7 @@
         """Key of a job's progress."""
         return f"{self.prefix}{job_id}{PROGRESS_SUFFIX}"
 
-    def pending(self) -> str:
+    def pending_counts(self) -> str:
         """Key of the record that counts, for each queue, the jobs that have not begun."""
         return f"shallotworks/pending/{self.service}"
 
--- a/src/shallotworks/jobs/_request_handler.py
+++ b/src/shallotworks/jobs/_request_handler.py
@@ -163,7 +163,9 @@
 
     async def waiting(self, policy: QueuePolicy, *, deadline_s: float) -> JobResponse:
         """Return how many jobs of a queue have not begun, as its scheduler last published."""
-        item = await self._get_with_retries(JobKeys(service=policy.service).pending(), deadline_s)
+        item = await self._get_with_retries(
+            JobKeys(service=policy.service).pending_counts(), deadline_s
+        )
         if isinstance(item, Failure):
             return self._answer("waiting", policy.queue, JobRequestStatus.REFUSED, failure=item)
         counts = json.loads(item.value) if item is not None else {}
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -322,4 +322,4 @@
     """Return the marker key of a lease, among the records its holder changes; see `HeldLease`."""
     if lease_key == MACHINE_CONTROLLER_KEY:
         return f"{MACHINES_PREFIX}!{lease_key}"
-    return JobKeys(service=lease_key.removeprefix(SCHEDULER_KEY_PREFIX)).holder_mark
+    return JobKeys(service=lease_key.removeprefix(SCHEDULER_KEY_PREFIX)).marker_key
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -181,7 +181,7 @@
             pause_s=JOB_WATCH_PAUSE_S,
         )
         self._demand_record = self._make_fenced_record(pool_demand_key(service))
-        self._pending_counts_record = self._make_fenced_record(self._keys.pending())
+        self._pending_counts_record = self._make_fenced_record(self._keys.pending_counts())
         self._job_records: dict[str, Item] = {}
         self._has_marker = False
         self._background_tasks: set[asyncio.Task[None]] = set()
@@ -249,7 +249,7 @@
 
     def on_write(self, item: Item) -> None:
         """Process a job record or a progress record that was created or changed."""
-        if item.key == self._keys.holder_mark:
+        if item.key == self._keys.marker_key:
             self._has_marker = item.created == self._lease.token
             if item.created > self._lease.token:
                 self._lease.mark_lost("another holder's marker key is in the job prefix")
@@ -296,7 +296,7 @@
         job that was accepted after its successor's epoch began, and that the successor may start at
         once.
         """
-        if key == self._keys.holder_mark:
+        if key == self._keys.marker_key:
             self._lease.mark_lost("its marker key in the job prefix was deleted")
             return
         job_id, is_progress = self._keys.parse(key)
--- a/tests/held_leases.py
+++ b/tests/held_leases.py
@@ -14,7 +14,7 @@
     store: Store,
     *,
     key: str = LEASE_KEY,
-    marker_key: str = JobKeys(service=SERVICE).holder_mark,
+    marker_key: str = JobKeys(service=SERVICE).marker_key,
     timing: LeaseTiming | None = None,
 ) -> HeldLease | None:
     """Acquire a key's lease; return ``None`` if another holder has it."""
@@ -33,7 +33,7 @@
     store: Store,
     *,
     key: str = LEASE_KEY,
-    marker_key: str = JobKeys(service=SERVICE).holder_mark,
+    marker_key: str = JobKeys(service=SERVICE).marker_key,
     timing: LeaseTiming | None = None,
 ) -> HeldLease:
     """Acquire the lease of a key that is free."""
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -67,7 +67,7 @@
         self.elector = LeaderElector(
             store=self.view,
             root="shallotworks/duty/scheduler/",
-            mark=lambda service: JobKeys(service=service).holder_mark,
+            mark=lambda service: JobKeys(service=service).marker_key,
             instance=name,
             run_epoch=self._run_epoch,
             clock=self.now_s,
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -270,7 +270,7 @@
         """
         store = FaultInjectingStore(store=self.store)
         orders = FaultInjectingOrders(fleet=self.fleet, faults=OrderFaults(cut=cut or set()))
-        marker_key = JobKeys(service=SERVICE).holder_mark
+        marker_key = JobKeys(service=SERVICE).marker_key
         lease = await acquire(
             store, key=f"shallotworks/duty/scheduler/{SERVICE}", marker_key=marker_key
         )
@@ -305,7 +305,7 @@
     def revoke(self) -> None:
         """Delete the scheduler's keys in the store."""
         self.store.revoke("shallotworks/duty/scheduler/")
-        self.store.revoke(JobKeys(service=SERVICE).holder_mark)
+        self.store.revoke(JobKeys(service=SERVICE).marker_key)
 
     async def kill(self, handle: SchedulerHandle) -> None:
         """Kill a scheduler, which releases nothing itself, and delete its keys."""
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -138,7 +138,7 @@
         keys = JobKeys(service="s")
         self.assertEqual(("ab", False), keys.parse(keys.job("ab")))
         self.assertEqual(("ab", True), keys.parse(keys.progress("ab")))
-        self.assertLess(keys.holder_mark, keys.job("0000000000000000"))
+        self.assertLess(keys.marker_key, keys.job("0000000000000000"))
 
 
 class ObjectiveTests(unittest.TestCase):
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -149,7 +149,7 @@
             elector = LeaderElector(
                 store=store_view,
                 root="duty/",
-                mark=lambda service: JobKeys(service=service).holder_mark,
+                mark=lambda service: JobKeys(service=service).marker_key,
                 instance="n0",
                 run_epoch=run_epoch,
                 clock=asyncio.get_running_loop().time,
