--- a/bench/turn.py
+++ b/bench/turn.py
@@ -163,8 +163,8 @@
     )
     for task in submitted:
         task.cancel()
-    for task in (*instance._tasks, *instance.elector._bids.values()):
+    for task in (*instance._tasks, *instance.elector._bid_tasks.values()):
         task.cancel()
     await asyncio.gather(
-        *instance._tasks, *instance.elector._bids.values(), *submitted, return_exceptions=True
+        *instance._tasks, *instance.elector._bid_tasks.values(), *submitted, return_exceptions=True
     )
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -117,8 +117,8 @@
         self._dependencies = self._make_dependencies()
         self._elector = LeaderElector(
             store=self._store,
-            root=LEASES_PREFIX,
-            mark=_marker_key_of,
+            key_prefix=LEASES_PREFIX,
+            marker_key_of=_marker_key_of,
             instance=settings.instance,
             run_epoch=self._run_epoch,
             clock=boot_time_s,
@@ -141,7 +141,7 @@
             metrics=self._metrics,
             log=self._log,
             processor_clock=time.process_time,
-            duties=self._elector.held,
+            duties=self._elector.held_services,
         )
         self._stop = asyncio.Event()
         self._watcher_tasks: list[asyncio.Task[None]] = []
@@ -288,7 +288,7 @@
 
     def _on_configuration(self, configuration: Configuration) -> None:
         schedulers = {SCHEDULER_KEY_PREFIX + service for service in configuration.services}
-        self._elector.serve(schedulers | {MACHINE_CONTROLLER_KEY})
+        self._elector.set_services(schedulers | {MACHINE_CONTROLLER_KEY})
 
     def _metrics_text(self) -> str:
         return to_exposition(summarise(self._metrics.freeze(), process=self._settings.instance))
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -32,8 +32,8 @@
 
     Args:
         store: The store.
-        root: Prefix of the keys; the name of the service follows it.
-        mark: Returns the marker key of a service; see `HeldLease.acquire`.
+        key_prefix: Prefix of the keys; the name of the service follows it.
+        marker_key_of: Returns the marker key of a service; see `HeldLease.acquire`.
         instance: Name of this instance, which is written into the keys.
         run_epoch: Runs an epoch until its key is lost.
         clock: Seconds, counting suspended time.
@@ -43,17 +43,17 @@
     """
 
     __slots__ = (
-        "_bids",
+        "_bid_tasks",
         "_clock",
         "_holder_tokens",
         "_instance",
         "_is_stopping",
         "_key_freed",
+        "_key_prefix",
         "_leases",
         "_log",
         "_marker_key_of",
         "_pending_acquisitions",
-        "_root",
         "_run_epoch",
         "_store",
         "_strength",
@@ -65,8 +65,8 @@
         self,
         *,
         store: Store,
-        root: str,
-        mark: Callable[[str], str],
+        key_prefix: str,
+        marker_key_of: Callable[[str], str],
         instance: str,
         run_epoch: Callable[[str, HeldLease], Awaitable[None]],
         clock: Callable[[], float],
@@ -76,8 +76,8 @@
     ) -> None:
         self._store = store
         self._strength = strength
-        self._root = root
-        self._marker_key_of = mark
+        self._key_prefix = key_prefix
+        self._marker_key_of = marker_key_of
         self._instance = instance
         self._run_epoch = run_epoch
         self._clock = clock
@@ -86,27 +86,27 @@
         self._holder_tokens: dict[str, int] = {}
         """Fencing tokens of the holders by service, as far as the watcher has reported."""
         self._leases: dict[str, HeldLease] = {}
-        self._bids: dict[str, asyncio.Task[None]] = {}
+        self._bid_tasks: dict[str, asyncio.Task[None]] = {}
         self._key_freed = asyncio.Event()
         self._pending_acquisitions = 0
         self._is_stopping = False
-        self._watcher = PrefixWatcher(store=store, prefix=root, listener=self, log=log)
+        self._watcher = PrefixWatcher(store=store, prefix=key_prefix, listener=self, log=log)
 
     async def run(self) -> None:
         """Watch which keys are held, until cancelled."""
         await self._watcher.run()
 
-    def serve(self, services: set[str]) -> None:
+    def set_services(self, services: set[str]) -> None:
         """Set the services to bid for; epochs of services that are no longer configured end."""
-        for service in services - set(self._bids):
-            self._bids[service] = asyncio.create_task(self._bid(service))
-        for service in set(self._bids) - services:
-            self._bids.pop(service).cancel()
+        for service in services - set(self._bid_tasks):
+            self._bid_tasks[service] = asyncio.create_task(self._bid(service))
+        for service in set(self._bid_tasks) - services:
+            self._bid_tasks.pop(service).cancel()
             lease = self._leases.get(service)
             if lease is not None:
                 lease.mark_lost("the service was removed from the configuration")
 
-    def held(self) -> list[str]:
+    def held_services(self) -> list[str]:
         """Return the services whose keys this instance holds."""
         return sorted(self._leases)
 
@@ -117,14 +117,14 @@
         for lease in leases:
             lease.mark_lost("stopping")
         await asyncio.wait_for(
-            asyncio.gather(*self._bids.values(), return_exceptions=True), timeout=2.0
+            asyncio.gather(*self._bid_tasks.values(), return_exceptions=True), timeout=2.0
         )
 
     # ---- events from the watcher of the keys
 
     def on_write(self, item: Item) -> None:
         """Process the creation of a key by its holder."""
-        service = item.key.removeprefix(self._root)
+        service = item.key.removeprefix(self._key_prefix)
         self._holder_tokens[service] = max(item.created, self._holder_tokens.get(service, 0))
         lease = self._leases.get(service)
         if lease is not None and item.created > lease.token:
@@ -137,7 +137,7 @@
         watcher reports that the earlier key was deleted; the new epoch then ended at its start.
         Only a deletion with a higher revision than the key's creation concerns that key.
         """
-        service = key.removeprefix(self._root)
+        service = key.removeprefix(self._key_prefix)
         lease = self._leases.get(service)
         if lease is not None and revision > lease.token:
             lease.mark_lost("its key was deleted")
@@ -154,7 +154,7 @@
                 await self._wait_for_free_key()
                 continue
             key_count = self._key_count
-            await asyncio.sleep(self._delay_s(service))
+            await asyncio.sleep(self._bid_delay_s(service))
             if service in self._holder_tokens or self._is_stopping or self._key_count > key_count:
                 # Also if this instance acquired another key during the delay, or began to: then
                 # instances that hold fewer keys bid first.
@@ -170,7 +170,7 @@
         try:
             return await HeldLease.acquire(
                 store=self._store,
-                key=self._root + service,
+                key=self._key_prefix + service,
                 marker_key=self._marker_key_of(service),
                 value=self._instance.encode(),
                 clock=self._clock,
@@ -208,7 +208,7 @@
             async with asyncio.timeout(BID_RETRY_S):
                 await self._key_freed.wait()
 
-    def _delay_s(self, service: str) -> float:
+    def _bid_delay_s(self, service: str) -> float:
         digest = hashlib.blake2b(f"{self._instance}/{service}".encode(), digest_size=4).digest()
         fraction = int.from_bytes(digest, "big") / 2**32
         strength_delay_s = (1 - self._strength) * WEAKEST_DELAY_S
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -66,8 +66,8 @@
         )
         self.elector = LeaderElector(
             store=self.view,
-            root="shallotworks/duty/scheduler/",
-            mark=lambda service: JobKeys(service=service).marker_key,
+            key_prefix="shallotworks/duty/scheduler/",
+            marker_key_of=lambda service: JobKeys(service=service).marker_key,
             instance=name,
             run_epoch=self._run_epoch,
             clock=self.now_s,
@@ -82,15 +82,17 @@
     def start(self) -> None:
         """Start trying to acquire the service's lease."""
         self._tasks.add(asyncio.create_task(self.elector.run()))
-        self.elector.serve({SERVICE})
+        self.elector.set_services({SERVICE})
 
     async def kill(self) -> None:
         """End the instance at once, without releasing or reporting anything."""
         self.view.faults.is_down = True
         self.orders.faults.cut = set(self._fleet.workers)
-        for task in (*self._tasks, *self.elector._bids.values()):
+        for task in (*self._tasks, *self.elector._bid_tasks.values()):
             task.cancel()
-        await asyncio.gather(*self._tasks, *self.elector._bids.values(), return_exceptions=True)
+        await asyncio.gather(
+            *self._tasks, *self.elector._bid_tasks.values(), return_exceptions=True
+        )
 
     async def _run_epoch(self, service: str, lease: HeldLease) -> None:
         dependencies = SchedulerDependencies(
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -232,8 +232,8 @@
             electors = [
                 LeaderElector(
                     store=FaultInjectingStore(store=store),
-                    root="duty/",
-                    mark=lambda duty: f"mark/{duty}",
+                    key_prefix="duty/",
+                    marker_key_of=lambda duty: f"mark/{duty}",
                     instance=f"n{number}",
                     run_epoch=hold,
                     clock=asyncio.get_running_loop().time,
@@ -244,7 +244,7 @@
             ]
             elector_tasks = [asyncio.create_task(elector.run()) for elector in electors]
             for elector in electors:
-                elector.serve({f"s{number}" for number in range(6)})
+                elector.set_services({f"s{number}" for number in range(6)})
                 await asyncio.sleep(0.1)
             await asyncio.sleep(3.0)
             held = [len(elector._leases) for elector in electors]
@@ -268,8 +268,8 @@
         def make_elector(name: str, strength: float) -> LeaderElector:
             return LeaderElector(
                 store=FaultInjectingStore(store=RecordStore(rng=random.Random(1))),
-                root="duty/",
-                mark=str,
+                key_prefix="duty/",
+                marker_key_of=str,
                 instance=name,
                 run_epoch=None,  # type: ignore[arg-type]
                 clock=lambda: 0.0,
@@ -284,7 +284,7 @@
                 map(str, range(strong_lease_count)), mock.Mock(spec=HeldLease)
             )
             weak = make_elector(f"w{number}", weak_strength)
-            self.assertLess(strong._delay_s("antenna"), weak._delay_s("antenna"))
+            self.assertLess(strong._bid_delay_s("antenna"), weak._bid_delay_s("antenna"))
 
 
 if __name__ == "__main__":
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -148,8 +148,8 @@
 
             elector = LeaderElector(
                 store=store_view,
-                root="duty/",
-                mark=lambda service: JobKeys(service=service).marker_key,
+                key_prefix="duty/",
+                marker_key_of=lambda service: JobKeys(service=service).marker_key,
                 instance="n0",
                 run_epoch=run_epoch,
                 clock=asyncio.get_running_loop().time,
@@ -157,7 +157,7 @@
                 log=quiet_log(),
             )
             watching = asyncio.create_task(elector.run())
-            elector.serve({"antenna"})
+            elector.set_services({"antenna"})
             await asyncio.sleep(2.0)
             # The elector acquires the key again before its watch reports the deletion.
             store_view.is_delayed = True
