--- a/src/shallotworks/platform/_machines.py
+++ b/src/shallotworks/platform/_machines.py
@@ -107,7 +107,7 @@
     def __init__(self, *, client: HttpClient | None) -> None:
         self._client = client
 
-    async def ask(
+    async def request_permits(
         self, step: tuple[str, int, int], worker_ids: tuple[str, ...]
     ) -> Result[Permits, Failure]:
         """Ask which of some workers may run a step; ``UNREACHABLE`` if there is no valid answer."""
--- a/src/shallotworks/scheduling/_protocols.py
+++ b/src/shallotworks/scheduling/_protocols.py
@@ -101,7 +101,7 @@
 class AdviceService(Protocol):
     """Decides which workers may run the steps of jobs in some queues."""
 
-    async def ask(
+    async def request_permits(
         self, step: tuple[str, int, int], worker_ids: tuple[str, ...]
     ) -> Result[Permits, Failure]:
         """Ask which of the given workers may run a step."""
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -365,7 +365,7 @@
         self.is_prepared.set()
 
     async def _request_advice(self, request: AdviceRequest) -> None:
-        outcome = await self._dependencies.advice.ask(request.step, request.worker_ids)
+        outcome = await self._dependencies.advice.request_permits(request.step, request.worker_ids)
         tracked_job = self.scheduler_state.tracked_jobs.get(request.step[0])
         step = tracked_job.steps.get(request.step[1:]) if tracked_job is not None else None
         if step is None:
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -43,7 +43,7 @@
 class AllAllowed:
     """An advice service that allows all workers."""
 
-    async def ask(
+    async def request_permits(
         self, step: tuple[str, int, int], worker_ids: tuple[str, ...]
     ) -> Result[Permits, Failure]:
         return Success(Permits(tickets=dict.fromkeys(worker_ids, "t"), valid_s=60.0))
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -831,7 +831,7 @@
     @staticmethod
     def _ask(body: dict[str, Any]) -> Any:
         advice = PlatformAdvice(client=FixedAnswerClient(body))  # type: ignore[arg-type]
-        return asyncio.run(advice.ask(("a", 0, 0), ("i-1",)))
+        return asyncio.run(advice.request_permits(("a", 0, 0), ("i-1",)))
 
 
 CONFIGURATION: dict[str, Any] = {"version": 2, "routes": [], "services": []}
