--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -51,7 +51,7 @@
 )
 from shallotworks.store import HeldLease, PrefixWatcher
 from tests.scheduling_fakes import policy, quiet_log, step, view
-from tests.scheduling_simulation import SERVICE, AllAllowed, Instance
+from tests.scheduling_simulation import SERVICE, AllowAllAdvice, Instance
 
 __all__ = ["RESTART_DEADLINE_S", "LastingTaskSimulation", "lasting_step"]
 
@@ -172,7 +172,7 @@
             store=self.view,
             orders=self.orders,
             directory=self._registry,
-            advice=AllAllowed(),
+            advice=AllowAllAdvice(),
             machine_records=self._machine_records,
             clock=self.now_s,
             wall_clock=self.now_s,
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -40,7 +40,7 @@
 SERVICE = "antenna"
 
 
-class AllAllowed:
+class AllowAllAdvice:
     """An advice service that allows all workers."""
 
     async def request_permits(
@@ -99,7 +99,7 @@
             store=self.view,
             orders=self.orders,
             directory=self.directory,
-            advice=AllAllowed(),
+            advice=AllowAllAdvice(),
             machine_records=MachineRecords(log=quiet_log()),
             clock=self.now_s,
             wall_clock=self.now_s,
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -46,7 +46,7 @@
 from shallotworks.store import HeldLease, PrefixWatcher
 from tests.held_leases import acquire
 from tests.scheduling_fakes import policy, quiet_log, step, view
-from tests.scheduling_simulation import AllAllowed
+from tests.scheduling_simulation import AllowAllAdvice
 from tests.virtual_clock import run_scenario
 
 SERVICE = "antenna"
@@ -282,7 +282,7 @@
             store=store,
             orders=orders,
             directory=self.fleet,
-            advice=AllAllowed(),
+            advice=AllowAllAdvice(),
             machine_records=machine_records,
             clock=now_s,
             wall_clock=now_s,
