--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -144,7 +144,7 @@
         log: StructuredLog,
     ) -> None:
         super().__init__(name=name, store=store, fleet=fleet)
-        self.view.faults = faults
+        self.store.faults = faults
         self.orders.faults = OrderFaults(cut=isolated)
         self.elector._log = log
         self._log = log
@@ -155,7 +155,7 @@
 
     async def kill(self) -> None:
         """End at once, without a handover."""
-        self.view.faults = RecordFaults()
+        self.store.faults = RecordFaults()
         self.orders.faults = OrderFaults()
         await super().kill()
 
@@ -169,7 +169,7 @@
         self.epoch_starts_s.append(self.now_s())
         self._start_watchers()
         dependencies = SchedulerDependencies(
-            store=self.view,
+            store=self.store,
             orders=self.orders,
             directory=self._registry,
             advice=AllowAllAdvice(),
@@ -192,7 +192,7 @@
             return
         self._are_watchers_started = True
         workers, machines = (
-            PrefixWatcher(store=self.view, prefix=prefix, listener=listener, log=quiet_log())
+            PrefixWatcher(store=self.store, prefix=prefix, listener=listener, log=quiet_log())
             for prefix, listener in (
                 (REGISTRY_PREFIX, self._registry),
                 (MACHINES_PREFIX, self._machine_records),
@@ -462,10 +462,10 @@
             return
         with self.fault_period():
             self._record_event("isolated from the store", instance.name)
-            instance.view.faults = RecordFaults(is_silent=True)
+            instance.store.faults = RecordFaults(is_silent=True)
             await asyncio.sleep(for_s)
             if instance in self.instances:
-                instance.view.faults = self._faults
+                instance.store.faults = self._faults
 
     def epochs_begun_after(self, at_s: float) -> int:
         """Return how many epochs began after a point in time."""
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -54,7 +54,7 @@
 
     def __init__(self, *, name: str, store: RecordStore, fleet: TaskWorkers) -> None:
         self.name = name
-        self.view = FaultInjectingStore(store=store)
+        self.store = FaultInjectingStore(store=store)
         self.orders = FaultInjectingOrders(fleet=fleet, faults=OrderFaults())
         self.service_schedulers: list[ServiceScheduler] = []
         self._tasks: set[asyncio.Task[None]] = set()
@@ -62,10 +62,10 @@
         self.directory: WorkerDirectory = fleet
         """Lists workers; a scenario may replace it before the instance starts."""
         self.job_handler = JobRequestHandler(
-            store=self.view, metrics=Metrics(), log=quiet_log(), wall_clock=self.now_s
+            store=self.store, metrics=Metrics(), log=quiet_log(), wall_clock=self.now_s
         )
         self.elector = LeaderElector(
-            store=self.view,
+            store=self.store,
             key_prefix="shallotworks/duty/scheduler/",
             marker_key_of=lambda service: JobKeys(service=service).marker_key,
             instance=name,
@@ -86,7 +86,7 @@
 
     async def kill(self) -> None:
         """End the instance at once, without releasing or reporting anything."""
-        self.view.faults.is_down = True
+        self.store.faults.is_down = True
         self.orders.faults.cut = set(self._fleet.workers)
         for task in (*self._tasks, *self.elector._bid_tasks.values()):
             task.cancel()
@@ -96,7 +96,7 @@
 
     async def _run_epoch(self, service: str, lease: HeldLease) -> None:
         dependencies = SchedulerDependencies(
-            store=self.view,
+            store=self.store,
             orders=self.orders,
             directory=self.directory,
             advice=AllowAllAdvice(),
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -236,7 +236,7 @@
             while len(simulation.fleet.done) < 2 or not scheduler_state.unstored_jobs():
                 await asyncio.sleep(0.001)
             # Slow enough that the key would be released before a commit that is not awaited.
-            scheduler.view.faults.delay_s = 0.05
+            scheduler.store.faults.delay_s = 0.05
             await scheduler.elector.stop()
             self.assertEqual([], scheduler_state.unstored_jobs())
             await _kill_instances(simulation)
@@ -357,7 +357,7 @@
             simulation = await _make_running_simulation(workers=1, instances=1)
             scheduler = simulation.instances[0]
             # The last renewal of the key may have been confirmed just before this.
-            scheduler.view.faults.is_down = True
+            scheduler.store.faults.is_down = True
             started_s = asyncio.get_running_loop().time()
             (worker,) = simulation.fleet.workers.values()
             while worker.names():
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -102,11 +102,11 @@
             await asyncio.sleep(2.0)
             scheduler = simulation.scheduler()
             assert scheduler is not None
-            scheduler.view.faults.late_part = 1.0
-            scheduler.view.faults.late_s = LATE_WRITE_S
+            scheduler.store.faults.late_part = 1.0
+            scheduler.store.faults.late_s = LATE_WRITE_S
             simulation.fleet.unlisted.add("w1")
             await asyncio.sleep(0.5)
-            scheduler.view.faults.late_part = 0.0
+            scheduler.store.faults.late_part = 0.0
             simulation.fleet.unlisted.clear()
             await asyncio.sleep(2.0)
             # The only task fits on no worker but the one that is listed again.
@@ -180,7 +180,7 @@
             await asyncio.sleep(2.0)
             service_scheduler = simulation.instances[0].service_schedulers[-1]
             token = service_scheduler.scheduler_state.token
-            faults = simulation.instances[0].view.faults
+            faults = simulation.instances[0].store.faults
             simulation.fleet.lasting.add(JOB_ID)
             await simulation.submit(JOB_ID, step(1, is_lasting=True))
             await asyncio.sleep(1.0)
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -31,7 +31,7 @@
 
 def _set_store_silent(simulation: SchedulingSimulation, is_silent: bool) -> None:
     for instance in simulation.instances:
-        instance.view.faults.is_silent = is_silent
+        instance.store.faults.is_silent = is_silent
 
 
 def _count_running_tasks(simulation: SchedulingSimulation) -> int:
@@ -190,9 +190,9 @@
             self.assertEqual(2, len(before.free))
             # The offers stay the same, so only the count of resumptions makes the record change.
             simulation.store.are_leases_paused = True
-            instance.view.faults.is_down = True
+            instance.store.faults.is_down = True
             await asyncio.sleep(7.0)
-            instance.view.faults.is_down = False
+            instance.store.faults.is_down = False
             await asyncio.sleep(1.5)
             after = PoolDemand.decode(simulation.store.items[pool_demand_key(SERVICE)].value)
             self.assertEqual(before.free, after.free)
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -158,7 +158,7 @@
             instance.start()
             await asyncio.sleep(0.5)
             service_scheduler = instance.service_schedulers[-1]
-            instance.view.faults.is_down = True
+            instance.store.faults.is_down = True
             service_scheduler._lease._sent_s -= 60.0
             self.assertFalse(service_scheduler._lease.is_valid)
             service_scheduler.decision_engine._started = MAX_STARTS_PER_DECISION
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -41,9 +41,9 @@
     scheduler = simulation.scheduler()
     if scheduler is None:
         return
-    scheduler.view.faults.is_silent = True
+    scheduler.store.faults.is_silent = True
     await asyncio.sleep(5.5)
-    scheduler.view.faults.is_silent = False
+    scheduler.store.faults.is_silent = False
 
 
 async def scheduler_cut_and_successor_without_two_workers(simulation: SchedulingSimulation) -> None:
@@ -51,12 +51,12 @@
     scheduler = simulation.scheduler()
     if scheduler is None:
         return
-    scheduler.view.faults.is_down = True
+    scheduler.store.faults.is_down = True
     for other in simulation.instances:
         if other is not scheduler:
             other.orders.faults.cut = {"w0", "w1"}
     await asyncio.sleep(6)
-    scheduler.view.faults.is_down = False
+    scheduler.store.faults.is_down = False
     for other in simulation.instances:
         other.orders.faults.cut = set()
 
@@ -65,21 +65,21 @@
     await asyncio.sleep(simulation.rng.uniform(2, 5))
     simulation.store.are_leases_paused = simulation.rng.random() < 0.5
     for instance in simulation.instances:
-        instance.view.faults.is_down = True
+        instance.store.faults.is_down = True
     await asyncio.sleep(4.5)
     for instance in simulation.instances:
-        instance.view.faults.is_down = False
+        instance.store.faults.is_down = False
     simulation.store.are_leases_paused = False
 
 
 async def lost_and_late_commits(simulation: SchedulingSimulation) -> None:
     for instance in simulation.instances:
-        instance.view.faults.lost_part = 0.1
-        instance.view.faults.late_part = 0.1
+        instance.store.faults.lost_part = 0.1
+        instance.store.faults.late_part = 0.1
     await asyncio.sleep(8)
     for instance in simulation.instances:
-        instance.view.faults.lost_part = 0.0
-        instance.view.faults.late_part = 0.0
+        instance.store.faults.lost_part = 0.0
+        instance.store.faults.late_part = 0.0
 
 
 async def late_orders(simulation: SchedulingSimulation) -> None:
