--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -96,9 +96,9 @@
             return
         worker.connection_closed_s = now_s
         self._connection_losses.append((now_s, worker.worker_id))
-        self.note_silent(worker, wall_s)
+        self.note_worker_silent(worker, wall_s)
 
-    def note_silent(self, worker: Worker, wall_s: float) -> None:
+    def note_worker_silent(self, worker: Worker, wall_s: float) -> None:
         """Blame the runs on probation of a worker that may have crashed."""
         on_probation = [one for one in self._assign_blame(worker) if one[1] is not Blame.LATE]
         if on_probation:
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -15,7 +15,7 @@
 BID_SPREAD_S = 0.2
 """The bids of different instances are spread over this time, in another order for each service,
 so that the services are spread over the instances."""
-DELAY_PER_HELD_KEY_S = 0.25
+DELAY_PER_HELD_LEASE_S = 0.25
 """Each service that an instance already schedules delays its next bid by this time."""
 BID_RETRY_S = 0.5
 """Longest wait for a held key to become free before it is checked again, and the pause after a
@@ -153,9 +153,13 @@
             if service in self._holder_tokens:
                 await self._wait_for_free_key()
                 continue
-            key_count = self._key_count
+            lease_count = self._lease_count
             await asyncio.sleep(self._bid_delay_s(service))
-            if service in self._holder_tokens or self._is_stopping or self._key_count > key_count:
+            if (
+                service in self._holder_tokens
+                or self._is_stopping
+                or self._lease_count > lease_count
+            ):
                 # Also if this instance acquired another key during the delay, or began to: then
                 # instances that hold fewer keys bid first.
                 continue
@@ -181,7 +185,7 @@
             self._pending_acquisitions -= 1
 
     @property
-    def _key_count(self) -> int:
+    def _lease_count(self) -> int:
         """Number of keys that this instance holds or is acquiring."""
         return len(self._leases) + self._pending_acquisitions
 
@@ -212,4 +216,6 @@
         digest = hashlib.blake2b(f"{self._instance}/{service}".encode(), digest_size=4).digest()
         fraction = int.from_bytes(digest, "big") / 2**32
         strength_delay_s = (1 - self._strength) * WEAKEST_DELAY_S
-        return fraction * BID_SPREAD_S + strength_delay_s + DELAY_PER_HELD_KEY_S * self._key_count
+        return (
+            fraction * BID_SPREAD_S + strength_delay_s + DELAY_PER_HELD_LEASE_S * self._lease_count
+        )
--- a/src/shallotworks/scheduling/_pool_rebalancer.py
+++ b/src/shallotworks/scheduling/_pool_rebalancer.py
@@ -284,14 +284,14 @@
         in_flight: dict[str, int] = {}
         for move in self._moves_in_flight.values():
             in_flight[move.service] = in_flight.get(move.service, 0) + 1
-        turns: list[tuple[int, str]] = []
+        ranked: list[tuple[int, str]] = []
         for service, demand in self._dependencies.machine_records.demands.items():
             if not self._orders.is_demand_current(service):
                 continue
-            turns.extend(
-                (turn, service) for turn in range(demand.lacking - in_flight.get(service, 0))
+            ranked.extend(
+                (rank, service) for rank in range(demand.lacking - in_flight.get(service, 0))
             )
-        return [service for _, service in sorted(turns)]
+        return [service for _, service in sorted(ranked)]
 
     def _take_lendable(
         self, idle: list[Machine], service: str, home_sizes: dict[str, int], sizes: dict[str, int]
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -384,7 +384,7 @@
             token=self.token,
         )
         worker.is_fenced = False
-        self.crashes.note_silent(worker, wall_s)
+        self.crashes.note_worker_silent(worker, wall_s)
         self._lapse_runs(worker, "lease out", now_s)
 
     def _lapse_runs(self, worker: Worker, reason: str, now_s: float) -> None:
