--- a/src/shallotworks/jobs/_request_handler.py
+++ b/src/shallotworks/jobs/_request_handler.py
@@ -60,7 +60,7 @@
     Args:
         store: The store.
         metrics: Counts requests by their outcome.
-        log: One line for each answer, except for reads that succeed.
+        log: Receives a line for each answer, except for reads that succeed.
         wall_clock: Time of day in seconds since 1970.
     """
 
@@ -82,10 +82,9 @@
     async def submit(self, job: Job, *, deadline_s: float) -> JobResponse:
         """Store a job; submitting the same job id again changes nothing.
 
-        The failure it guards against: a commit whose answer was lost may be carried out seconds
-        later, so that the job of a caller who was answered "not accepted" would run. Once one
-        attempt has an unknown outcome, the answer is either "accepted" or "unknown", never a
-        refusal.
+        A commit whose answer was lost may be carried out seconds later, and the job of a caller who
+        was answered "not accepted" would run. Once one attempt has an unknown outcome, the answer
+        is therefore either "accepted" or "unknown", never a refusal.
 
         Args:
             job: The job.
--- a/src/shallotworks/jobs/_spec.py
+++ b/src/shallotworks/jobs/_spec.py
@@ -98,9 +98,9 @@
         service: Service whose workers run its tasks.
         priority: Priority of the queue; 0 is the highest.
         most_attempts: Number of failed runs of one task at which its job fails.
-        stretch: Factor of the objective for the job's duration, which is this multiple of the job's
-            longest chain of steps plus ``target_latency_s``.
-        target_latency_s: Constant part of the objective.
+        stretch: The objective for the job's duration is this multiple of the job's critical path
+            (`Job.critical_path_s`), plus ``target_latency_s``.
+        target_latency_s: Constant part of the objective, in seconds.
         is_advised: Only workers that the advice service allows may run a step.
     """
 
@@ -150,7 +150,7 @@
         return self.repeats.first_s + occurrence * self.repeats.interval_s
 
     def critical_path_s(self) -> float:
-        """Estimated duration of the longest chain of steps."""
+        """Estimated duration of the longest chain of dependent steps."""
         ends_s: list[float] = []
         for step in self.steps:
             starts_s = max((ends_s[number] for number in step.after), default=0.0)
--- a/src/shallotworks/scheduling/_active_workers.py
+++ b/src/shallotworks/scheduling/_active_workers.py
@@ -1,4 +1,4 @@
-"""The record of the workers that may run a service's tasks, kept for the next epoch's scheduler."""
+"""Records the workers that may run a service's tasks, for the scheduler of the next epoch."""
 
 from __future__ import annotations
 
@@ -30,8 +30,9 @@
     Args:
         address: ``ip:port``.
         left_s: Time after the record was written at which whatever runs on the worker has ended. It
-            is set if the epoch that wrote the record never reached the worker, so that it started
-            nothing there, and sends no more orders; ``None`` if that epoch may have started tasks.
+            is set if the epoch that wrote the record never reached the worker, and so started
+            nothing there, and if that epoch sends no more orders. It is ``None`` if that epoch may
+            have started tasks.
     """
 
     address: str
@@ -39,18 +40,18 @@
 
 
 class ActiveWorkersRecord:
-    """The active workers record, as the holder of the service's key writes it.
+    """The active workers record, as the holder of the service's lease writes it.
 
-    It guards against this failure: a successor starts a task again while a worker that it does not
-    know, and can't reach, still runs it. An epoch therefore records a worker before it sends it the
-    first order. A successor holds earlier jobs back until it has reached each recorded worker, or
-    until the worker's leases have run out.
+    Without the record, a successor could start a task again while a worker that it does not know,
+    and can't reach, still runs it. An epoch therefore records a worker before it sends it the first
+    order. A successor holds earlier jobs back until it has reached each recorded worker, or
+    until the worker's leases have expired.
 
     Args:
         service: The service.
-        lease: The lease on the service's key.
+        lease: The service's lease.
         store: The store.
-        log: Why a record can't be read.
+        log: Receives the reason if a record can't be read.
     """
 
     __slots__ = ("_decoded_value", "_key", "_lock", "_log", "_record", "active_workers")
@@ -87,7 +88,7 @@
         self._load()
 
     async def update(self, compute_record: Callable[[], dict[str, ActiveWorker]]) -> bool:
-        """Write the record unless it is stored already; return whether the store confirmed it.
+        """Write the record unless it is stored already; return whether it is stored now.
 
         Args:
             compute_record: Returns the record to write; called when it is this write's turn.
@@ -106,8 +107,8 @@
             self.active_workers = self.decode(value)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self._log.line("runners-unreadable", key=self._key, reason=repr(error)[:200])
-            # The writer may have used workers that this epoch can't name and so can't poll: their
-            # leases have to run out.
+            # The writer may have used workers that this epoch doesn't know and so can't poll.
+            # Earlier jobs wait until the leases of those workers have expired.
             self.active_workers = {UNREADABLE_RECORD_ID: ActiveWorker(address="")}
 
 
--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -28,7 +28,7 @@
 MASS_CRASH_WINDOW_S = 0.05
 """Workers lost within this time of each other count as lost at the same moment."""
 MIN_MASS_CRASH_WORKERS = 4
-"""If this many workers are lost at the same moment, single tasks are not the cause."""
+"""If this many workers are lost at the same moment, no single task is taken for the cause."""
 FREQUENT_CRASH_WINDOW_S = 10.0
 """Crashes are frequent if `FREQUENT_CRASH_COUNT` of them fall within this time."""
 FREQUENT_CRASH_COUNT = 3
@@ -146,8 +146,8 @@
     ) -> None:
         """Make a blame certain; sole blame becomes shared where the cause is in doubt.
 
-        A worker that was not replaced may have survived the run for long. Of a run of an earlier
-        epoch it is unknown whether it was cleared without that being stored.
+        A worker that was not replaced may have survived the run for long. A run of an earlier epoch
+        may have been cleared by a scheduler that ended before it stored that.
         """
         blame = lost.blame
         if blame is Blame.SOLE and not (is_replaced and lost.run_id > self._first_run_id):
@@ -159,7 +159,7 @@
         self._may_miss_crashes = True
 
     def note_started(self, run: Run, wall_s: float) -> None:
-        """Store where a task of an earlier epoch runs, if runs of it may have been lost unnoticed.
+        """Store where a task of an earlier epoch's job starts, if its lost runs may be unrecorded.
 
         A scheduler that ends before it detects a crash leaves no blame. The start is therefore
         stored while it is sent, so that the next scheduler can blame it.
@@ -310,8 +310,8 @@
 
 
 def _late_blames(runs: Iterable[Run]) -> list[tuple[Run, Blame]]:
-    """Return late blame for runs; lasting ones are left out.
+    """Return late blame for all runs but lasting ones.
 
-    A lasting run would collect blame for unrelated crashes, one after the other.
+    A lasting run outlives many tasks, and would collect blame for unrelated crashes.
     """
     return [(run, Blame.LATE) for run in runs if not run.step.is_lasting]
--- a/src/shallotworks/scheduling/_decisions.py
+++ b/src/shallotworks/scheduling/_decisions.py
@@ -50,7 +50,7 @@
 
 
 class DecisionEngine:
-    """Decides on the basis of a scheduler state.
+    """Decides which orders and requests follow from a scheduler state.
 
     Args:
         scheduler_state: The known jobs, runs and workers.
@@ -104,7 +104,7 @@
 
     @property
     def has_reached_start_limit(self) -> bool:
-        """Whether the last decision reached its limit of starts, so that more tasks may wait."""
+        """Whether the last decision reached its limit of starts, so that more may be startable."""
         return self._started >= MAX_STARTS_PER_DECISION
 
     def evacuate(self, worker: Worker) -> None:
@@ -290,11 +290,11 @@
     def _hold_worker_for_lasting(self, step: TrackedStep, now_s: float) -> None:
         """Keep tasks that end off one worker, if lasting tasks of a step find no room.
 
-        Suppose that a lasting task which needs a third of a worker's memory has to be restarted in
-        a turn. Without the hold, smaller tasks that wait behind it take all room as soon as it
-        becomes free, and the lasting task is down until the turn is over. The worker with the most
-        room is held. Since nothing is started there, it has the most room in the next decision too.
-        Tasks of a turn take a second or two.
+        Suppose that a lasting task which needs a third of a worker's memory has to be restarted
+        during a burst of jobs. Without the hold, smaller tasks that come later in the order take
+        all room as soon as it becomes free, and the lasting task is down until the burst is over.
+        The worker with the most room is held. Since nothing is started there, it has the most room
+        in the next decision too. Tasks of a burst take a second or two.
         """
         placement = Placement.of(step, now_s=now_s, wall_s=self._wall_s)
         fitting = [
@@ -310,7 +310,7 @@
             self._held_worker_ids.add(chosen.worker_id)
 
     def _start_gang(self, step: TrackedStep, now_s: float) -> Iterator[StartOrder]:
-        """Start all members at once or none, since some alone would only occupy room and wait."""
+        """Start all members at once or none, since only some would occupy room and wait."""
         if len(step.waiting) < step.step.count:
             return
         for rack in self._racks(step):
@@ -406,9 +406,10 @@
 
 
 def _waits_only_for_capacity(step: TrackedStep) -> bool:
-    """Whether tasks of a step can wait only because of their size.
+    """Whether tasks of a step can only wait because they are too large for the free room.
 
-    Lasting tasks, for example, also stay off some workers for other reasons.
+    Other tasks may be kept off workers for further reasons, lasting ones for example after a
+    withdrawn offer.
     """
     job_step = step.step
     return not (
--- a/src/shallotworks/scheduling/_demand.py
+++ b/src/shallotworks/scheduling/_demand.py
@@ -1,9 +1,9 @@
 """Forecasts the cores that arriving jobs of a service will demand once a new machine could serve.
 
-Demand comes in bursts called turns. For some seconds the demand of a queue grows every second, and
-a machine arrives about two seconds after it was requested. A pool that is sized for the demand
-measured so far is therefore too small until the peak of the turn is over. This module performs no
-network calls.
+Demand comes in bursts. For some seconds the demand of a queue grows every second, and a machine
+arrives about two seconds after it was requested. A pool that is sized for the demand measured so
+far is therefore too small until the peak of the burst is over. This module performs no network
+calls.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
     Args:
         window_s: Length of the measurement window in seconds. A shorter window follows the start of
-            a turn sooner, but reacts more to single large jobs.
+            a burst sooner, but reacts more to single large jobs.
         min_onset_s: If several jobs have arrived after a quiet period, demand is also measured over
             the time since the first of them, once that time is at least this many seconds, and the
             larger result counts. Jobs that arrive at one moment show no rate.
@@ -68,8 +68,8 @@
 def _arrival_cores(recent: list[Arrival], wall_s: float, limits: DemandLimits) -> float:
     """Return the core-seconds that arrived per second in the recent past.
 
-    At the start of a turn the window also contains quiet time, and shows less than half of the
-    demand of the turn. The jobs that followed the first one of the window show that demand. The
+    At the start of a burst the window also contains quiet time, and shows less than half of the
+    demand of the burst. The jobs that followed the first one of the window show that demand. The
     first one is left out, because the interval before it is not known.
     """
     window_cores = sum(core_s for _, core_s in recent) / limits.window_s
--- a/src/shallotworks/scheduling/_isolation.py
+++ b/src/shallotworks/scheduling/_isolation.py
@@ -90,7 +90,7 @@
     def suspects(
         self, tracked_job: TrackedJob, names: Iterable[TaskName], wall_s: float
     ) -> list[TaskName]:
-        """Return which of some waiting tasks of a job have to be started in isolation.
+        """Return those waiting tasks of a job that have to be started in isolation.
 
         Uncertain lost runs of the job are resolved first, which may fail the job.
         """
@@ -151,7 +151,7 @@
         self._reserved[run] = (tracked_job.changes, now_s)
 
     def release_reservations(self, now_s: float) -> Iterator[tuple[Run, bool]]:
-        """Yield the reserved starts that no longer wait, each with whether it may be sent."""
+        """End reservations that are ready or cancelled; yield each start and whether to send it."""
         for run, (change, since_s) in list(self._reserved.items()):
             worker = self._workers.get(run.worker_id)
             tracked_job = self._tracked_jobs.get(run.name.job_id)
@@ -172,7 +172,7 @@
                 yield run, False
 
     def remove_job(self, job_id: str) -> None:
-        """Drop what is known of a job that has ended."""
+        """Remove a job that has ended."""
         self._cleared_jobs.discard(job_id)
 
 
--- a/src/shallotworks/scheduling/_leader_elector.py
+++ b/src/shallotworks/scheduling/_leader_elector.py
@@ -1,4 +1,4 @@
-"""Elects which instance schedules which service: the one that acquires the service's leased key."""
+"""Elects which instance schedules which service: the one that acquires the service's lease."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 WEAKEST_DELAY_S = 1.0
 """The weakest instance bids this much later than the strongest. A scheduler reads all open jobs
 at its start and half a megabit a second from then on, which takes seconds on an instance with
-half a core and a link of 5 Mbit/s. An instance with half a core also bids after a strong one
-that already schedules a service, since half of four times its processor is still more."""
+half a core and a link of 5 Mbit/s. An instance with half a core also bids after an instance with
+two cores that already schedules a service, since half of two cores is still more."""
 
 
 class LeaderElector:
-    """Bids for the keys of all services and runs an epoch for each key that is acquired.
+    """Bids for the leases of all services and runs an epoch for each lease that is acquired.
 
     Args:
         store: The store.
         key_prefix: Prefix of the keys; the name of the service follows it.
         marker_key_of: Returns the marker key of a service; see `HeldLease.acquire`.
         instance: Name of this instance, which is written into the keys.
-        run_epoch: Runs an epoch until its key is lost.
+        run_epoch: Runs an epoch until its lease is lost.
         clock: Seconds, counting suspended time.
         timing: Times of the leases.
         log: One line for each epoch.
@@ -84,7 +84,7 @@
         self._timing = timing
         self._log = log
         self._holder_tokens: dict[str, int] = {}
-        """Fencing tokens of the holders by service, as far as the watcher has reported."""
+        """Fencing tokens of the leaseholders by service, as far as the watcher has reported."""
         self._leases: dict[str, HeldLease] = {}
         self._bid_tasks: dict[str, asyncio.Task[None]] = {}
         self._key_freed = asyncio.Event()
@@ -93,7 +93,7 @@
         self._watcher = PrefixWatcher(store=store, prefix=key_prefix, listener=self, log=log)
 
     async def run(self) -> None:
-        """Watch which keys are held, until cancelled."""
+        """Watch which services have a leaseholder, until cancelled."""
         await self._watcher.run()
 
     def set_services(self, services: set[str]) -> None:
@@ -107,11 +107,11 @@
                 lease.mark_lost("the service was removed from the configuration")
 
     def held_services(self) -> list[str]:
-        """Return the services whose keys this instance holds."""
+        """Return the services whose leases this instance holds."""
         return sorted(self._leases)
 
     async def stop(self) -> None:
-        """Release all keys, so that successors can begin at once."""
+        """Release all leases, so that successors can begin at once."""
         self._is_stopping = True
         leases = list(self._leases.values())
         for lease in leases:
@@ -133,8 +133,8 @@
     def on_delete(self, key: str, revision: int) -> None:
         """Process the deletion of a key.
 
-        The failure: this instance bids as soon as its own epoch has ended, and may win before the
-        watcher reports that the earlier key was deleted; the new epoch then ended at its start.
+        This instance bids as soon as its own epoch has ended, and may acquire the lease before the
+        watcher reports that the earlier key was deleted. That report must not end the new epoch.
         Only a deletion with a higher revision than the key's creation concerns that key.
         """
         service = key.removeprefix(self._key_prefix)
@@ -160,8 +160,8 @@
                 or self._is_stopping
                 or self._lease_count > lease_count
             ):
-                # Also if this instance acquired another key during the delay, or began to: then
-                # instances that hold fewer keys bid first.
+                # The bid also starts anew if this instance acquired another lease during the delay,
+                # or began to, so that instances with fewer leases bid first.
                 continue
             lease = await self._acquire(service)
             if lease is None:
@@ -186,7 +186,7 @@
 
     @property
     def _lease_count(self) -> int:
-        """Number of keys that this instance holds or is acquiring."""
+        """Number of leases that this instance holds or is acquiring."""
         return len(self._leases) + self._pending_acquisitions
 
     async def _run_with_lease(self, service: str, lease: HeldLease) -> None:
@@ -196,7 +196,7 @@
         try:
             await self._run_epoch(service, lease)
         except Exception as error:
-            # A fault in one epoch must not end the instance; another instance acquires the key.
+            # A fault in one epoch must not end the instance; another instance acquires the lease.
             self._log.line("term-fault", service=service, reason=repr(error))
         finally:
             lease.mark_lost("the epoch has ended")
--- a/src/shallotworks/scheduling/_machine_controller.py
+++ b/src/shallotworks/scheduling/_machine_controller.py
@@ -25,7 +25,7 @@
 
 
 class MachineController:
-    """Controls machines during one epoch, from winning the lease until losing it.
+    """Controls machines during one epoch, from acquiring the lease until losing it.
 
     Args:
         lease: The controller's lease; its token fences each order.
--- a/src/shallotworks/scheduling/_machine_controller_ledger.py
+++ b/src/shallotworks/scheduling/_machine_controller_ledger.py
@@ -26,17 +26,19 @@
 PRUNE_INTERVAL_S = 1.0
 """Minimum time between writes of the record that only remove machines from it. Each store call is
 paid for, but machines have to be removed: a new controller does not order any machine that it finds
-named in the record, and the next burst of demand may need those machines."""
+named in the record until its predecessor's orders are old enough, and the next burst of demand may
+need those machines."""
 
 
 class MachineControllerLedger:
     """Publishes removed workers and ordered machines for one epoch of the controller.
 
-    It guards against two failures: the orders of two holders alternate on one machine; and every
-    queue waits for machines until a new controller has let the time pass in which its predecessor
-    may have ordered any of them. So each machine is named in the controller's record in the store
-    before the first order for it. The record that a new controller reads after winning the lease
-    names every machine that its predecessor may have ordered recently, and only those have to wait.
+    It guards against two failures. The orders of two holders must not alternate on one machine. And
+    queues must not wait for machines until a new controller has let the time pass in which its
+    predecessor may have ordered any of them. So each machine is named in the controller's record in
+    the store before the first order for it. The record that a new controller reads after it has
+    acquired the lease names every machine that its predecessor may have ordered recently, and only
+    those have to wait.
 
     Args:
         lease: The controller's lease.
@@ -108,9 +110,9 @@
     def note_suspension(self) -> None:
         """Note that the lease is suspended; pool demands known so far may be stale when it resumes.
 
-        The failure: a scheduler withdraws an offer during an outage and can't publish that. The
-        controller resumes, acts on the old offer, and takes the machine away while tasks that were
-        started there meanwhile are running.
+        A scheduler that withdraws an offer during an outage of the store can't publish that. If the
+        controller resumed and acted on the old offer, it would take the machine while tasks that
+        were started there meanwhile are running.
         """
         self._suspended_s = self._dependencies.clock()
         self._origins_at_suspension = {
@@ -203,9 +205,9 @@
     def _recently_removed_workers(self) -> tuple[str, ...]:
         """Return workers that this controller or its predecessor removed recently.
 
-        The failure: a scheduler and the controller on one instance are killed together, and the
-        next scheduler waits 10 s for workers that the old controller removed, because the new
-        controller does not publish their removal.
+        A scheduler and the controller on one instance may be killed together. If the new controller
+        did not publish the workers that the old one removed, the next scheduler would wait 10 s for
+        them.
         """
         now_s = self._dependencies.clock()
         self._removed_workers = {
--- a/src/shallotworks/scheduling/_machine_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_machine_order_dispatcher.py
@@ -59,9 +59,10 @@
         Args:
             machine: The machine.
             wave: The number of the wave that the maintenance belongs to.
-            is_first: No order was given for the machine in this wave before. A repeated order
-                is obeyed without effect if the maintenance is over. The worker on the machine by
-                then keeps running; reporting it as removed would make its tasks run twice.
+            is_first: Whether no order was given for the machine in this wave before. A repeated
+                order is obeyed without effect if the maintenance is over. The worker that is on the
+                machine by then keeps running, and reporting it as removed would make its tasks run
+                twice.
         """
         if not self._lease.is_valid:
             return MachineOrderStatus.REFUSED
@@ -95,9 +96,8 @@
     async def filter_free(self, machines: list[Machine]) -> list[Machine]:
         """Return machines without a worker and machines that the stored demands still offer.
 
-        The failure: a machine is taken after its scheduler withdrew the offer, and lasting tasks
-        end. The watched copy may be stale, so the stored demand is read again just before the
-        order.
+        Lasting tasks would end if a machine were taken after its scheduler withdrew the offer. The
+        watched copy may be stale, so the stored demand is read again just before the order.
         """
         by_pool: dict[str, list[Machine]] = {}
         for machine in machines:
--- a/src/shallotworks/scheduling/_model.py
+++ b/src/shallotworks/scheduling/_model.py
@@ -78,7 +78,7 @@
         name: The task.
         run_id: The run of the task.
         checkpoint: The latest checkpoint; empty for none.
-        percent: Progress of the task; a lasting task serves at 100.
+        percent: Progress of the task; a lasting task serves its users at 100.
         measurement: Measured over the last half second: the tail of the response times in
             milliseconds for a task with a target, otherwise the processor use in millicores.
     """
--- a/src/shallotworks/scheduling/_order_dispatcher.py
+++ b/src/shallotworks/scheduling/_order_dispatcher.py
@@ -36,16 +36,16 @@
 
     Args:
         lease_s: All runs on a worker end this long after the last order that extended its lease.
-            Long enough for a successor to take over after a crash (2.5 s) and for an outage of the
-            store; short enough that tasks on an unreachable worker run again soon.
+            This is long enough for a successor to take over after a crash (2.5 s) and for an outage
+            of the store, and short enough that tasks on an unreachable worker run again soon.
         poll_wait_s: How long the worker holds a poll open until a run ends.
         answer_s: Time for the answer to an order or poll, beyond the poll's own wait. Workers
             answer in milliseconds.
         idle_poll_s: Interval between polls of a worker without runs, which read its clock.
         full_lease_s: Leases are granted in full for this long after the last confirmed renewal of
-            the scheduler's key; later ones are cut so that none ends after the last full one. It
-            spans three renewals, and bounds how long a successor waits for a worker that it can't
-            reach.
+            the scheduler's own lease; later ones are cut so that none ends after the last full one.
+            It spans three renewals, and bounds how long a successor waits for a worker that it
+            can't reach.
     """
 
     lease_s: float = 5.0
@@ -61,15 +61,15 @@
 
     @property
     def lease_horizon_s(self) -> float:
-        """All runs end this long after the last confirmed renewal of the scheduler's key."""
+        """All runs end this long after the last confirmed renewal of the scheduler's own lease."""
         return self.lease_s + self.full_lease_s
 
     @property
     def recovery_s(self) -> float:
         """Time after which all runs of earlier epochs have ended on a worker that has not answered.
 
-        The last renewal of an earlier epoch's key was confirmed before this epoch's key was
-        created. The margin allows for slow clocks of workers, which are extrapolated from answers
+        The last renewal of an earlier epoch's lease was confirmed before this epoch's lease was
+        acquired. The margin allows for slow clocks of workers, which are extrapolated from answers
         that may be as old as the interval between polls.
         """
         skew_s = MAX_CLOCK_SKEW_RATIO * (
@@ -91,7 +91,8 @@
 _NO_ANSWER_STATUSES = (OrderStatus.UNANSWERED, OrderStatus.UNSENT)
 POLL_PAUSE_S = 0.3
 """Pause before the next poll of a worker after a failed poll, while the scheduler may give no
-orders, or until reported ends are stored: the worker would answer at once with the same ends."""
+orders, or until reported ends are stored. Before they are stored, the worker would answer at once
+with the same ends."""
 
 
 class OrderDispatcher:
@@ -99,14 +100,14 @@
 
     Args:
         scheduler_state: Jobs, workers and runs.
-        lease: The lease on the scheduler's key, which must be valid before each order.
+        lease: The scheduler's own lease, which must be valid before each order.
         orders: Client that sends the orders.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
         times: Times of orders and leases.
         is_recorded: Returns whether the stored record of active workers has a worker, by its id.
             Only then does a successor know that tasks may run there, and a lease may be granted.
-        log: Gets a line for each order.
+        log: Receives a line for each order.
         metrics: Counters and latencies.
         on_progress: Called after each poll's report, which may have changed jobs' progress.
     """
@@ -225,7 +226,7 @@
         """Stop polling workers, so that no further ends are recorded.
 
         An end that is recorded while the last progress is being stored would be missing in the
-        store when the key is released. An end that is not recorded stays with its worker, which
+        store when the lease is released. An end that is not recorded stays with its worker, which
         reports it to the successor.
         """
         for task in self._poll_tasks.values():
@@ -317,9 +318,10 @@
     def _may_extend_lease(self, worker: Worker, now_s: float) -> bool:
         """Return whether a poll may extend the worker's lease.
 
-        Each poll without an answer might have extended the lease. If polls of a worker that died
-        silently went on to do so, its tasks would never be started again. A poll is answered within
-        its wait, so after one without an answer the lease is not extended until one is answered.
+        A poll without an answer may have extended the lease. If all polls of a worker that died
+        silently could extend it, its tasks would never be started again. A worker answers a poll
+        within the poll's wait, so after a poll without an answer the lease is not extended until
+        the worker answers again.
         """
         return bool(worker.runs) and now_s - worker.reported_s < self._times.answer_overdue_s
 
@@ -335,7 +337,7 @@
         if not worker.is_fenced or worker.unsettled_ends or not worker.clock_ms:
             return True
         if self._clock() - worker.reported_s >= self._times.answer_overdue_s:
-            # Its lease is not extended until it has answered.
+            # The worker's lease is not extended until it has answered.
             return True
         awaited_phases = (RunPhase.UNANSWERED, RunPhase.STOPPED)
         return not worker.runs or any(run.phase in awaited_phases for run in worker.runs.values())
@@ -357,9 +359,9 @@
     def _extend_lease(self, worker: Worker, sent_s: float) -> int | None:
         """Extend a worker's lease, and record when it has certainly expired.
 
-        The horizon bounds leases of a scheduler that is cut off from the store. If it went on
-        granting full leases, its successor would have to wait that much longer for each worker that
-        it can't reach.
+        `OrderTimes.lease_horizon_s` bounds the leases that a scheduler grants while it is cut off
+        from the store. If it continued to grant full leases, its successor would have to wait that
+        much longer for each worker that it can't reach.
 
         The worker's clock is extrapolated from its last answer. The estimate is early by the delay
         of that answer, and late by what the clock has lost since; the recorded end allows for both.
--- a/src/shallotworks/scheduling/_placement.py
+++ b/src/shallotworks/scheduling/_placement.py
@@ -1,4 +1,4 @@
-"""Chooses the worker that runs a task, and says why other workers are rejected."""
+"""Chooses the worker that runs a task, and gives the reasons to reject other workers."""
 
 from __future__ import annotations
 
@@ -188,7 +188,7 @@
 class Candidates:
     """The workers that may run tasks of one step, while these are placed one after another.
 
-    The jobs of a turn have eight or more tasks, on pools of a hundred workers. All workers are
+    The jobs of a burst have eight or more tasks, on pools of a hundred workers. All workers are
     evaluated once per step. After a task is placed, only its worker is evaluated again.
 
     Args:
@@ -249,9 +249,10 @@
     """Whether a worker could be lent once its tasks that end have ended.
 
     Tasks that end are placed first on workers that can't be lent anyway, and then on the fullest,
-    so that other workers become idle for the queue that has its turn next. Otherwise, at the end of
-    a turn all its machines would be a third full, and none of them idle. A worker with a task that
-    has a target for its response times counts as lendable, so that no task is packed beside it.
+    so that other workers become idle for the queue that has the next burst. Otherwise, at the end
+    of a burst all its machines would be a third full, and none of them idle. A worker with a task
+    that has a target for its response times counts as lendable, so that no task is packed beside
+    it.
     """
     lasting = [run for run in worker.runs.values() if run.step.is_lasting]
     return not lasting or any(run.step.target_s for run in lasting)
--- a/src/shallotworks/scheduling/_pool_rebalancer.py
+++ b/src/shallotworks/scheduling/_pool_rebalancer.py
@@ -198,11 +198,11 @@
     async def recalls(self, machines: dict[str, Machine]) -> dict[str, int]:
         """Return how many borrowed machines each service is asked to free.
 
-        The load: a burst on one queue lacks machines while other queues process jobs of the
-        previous burst, which miss their objective in any case. Borrowers keep late work off as many
-        machines as are lacking. The count covers everything that is lacking, and not only what the
-        lenders lent: in a burst a queue needs three times its own machines, and a job in time is
-        worth fourteen late ones.
+        A burst on one queue may lack machines while other queues process jobs of the previous
+        burst, which miss their objective in any case. Borrowers keep late work off as many machines
+        as are lacking. All lacking machines count, and not only those that the lenders lent: in a
+        burst a queue needs three times its own machines, and a job in time is worth fourteen late
+        ones.
         """
         home_sizes = await self._home_sizes(machines)
         if home_sizes is None:
--- a/src/shallotworks/scheduling/_progress_writer.py
+++ b/src/shallotworks/scheduling/_progress_writer.py
@@ -22,28 +22,27 @@
 """Pause between commits of progress, so that ends that arrive close together share a commit."""
 STORE_RETRY_S = 0.1
 MAX_COMMIT_ENTRIES = 32
-"""Most conditions, writes and deletions of a commit, all counted together, which is the strict
-reading of the limit. Source: the platform's page on its store."""
+"""Maximum number of conditions, writes and deletions of a commit. They are counted together, since
+the limit may apply to their sum. Source: the platform's page on its store."""
 MAX_CONCURRENT_COMMITS = 4
 """In a burst, 800 tasks of as many jobs end in a second, but commits one after the other store only
-15 jobs in 30 ms. Ends that are not stored are not acknowledged, and meanwhile polls of their
-workers are held back."""
+15 jobs in 30 ms. Until an end is stored it is not acknowledged, and its worker is polled later."""
 
 
 class ProgressWriter:
     """Stores the progress of jobs in a scheduler's state.
 
-    Each commit is conditional on the scheduler's key being still its own, and on the progress
-    records being unchanged, which a caller's cancel writes too. After a conflict the current
-    records are applied to the scheduler's state. With a final state the commit deletes the job's
-    own record, which is needed only to run the job: a successor then reads 0.1 KB for a finished
-    job instead of 3 KB.
+    Each commit requires that the scheduler still holds its lease, and that the progress records are
+    unchanged, since the cancel of a caller writes them too. After a conflict the current records
+    are applied to the scheduler's state. A commit of a final state deletes the job's own record,
+    which is needed only to run the job, so that a successor reads 0.1 KB for a finished job instead
+    of 3 KB.
 
     Args:
         scheduler_state: Jobs, workers and runs.
-        lease: The lease on the scheduler's key.
+        lease: The scheduler's lease.
         store: The store.
-        log: Gets failures and conflicts.
+        log: Receives failures and conflicts.
         metrics: Counters.
         on_stored: Called after each commit and each conflict, unless the lease is lost.
     """
@@ -100,8 +99,8 @@
     async def wait_until_stored(self, longest_s: float) -> None:
         """Wait until all progress is stored, but no longer than ``longest_s``.
 
-        If an epoch stopped between two commits, its successor would have to wait for tasks that
-        have ended, until their workers have answered it.
+        If an epoch stopped between two commits, its successor would not know that some tasks have
+        ended, and would have to wait until their workers have answered it.
         """
         self._all_stored.clear()
         self.wake.set()
@@ -176,7 +175,7 @@
 
 
 def _batches(dirty: list[TrackedJob]) -> list[list[TrackedJob]]:
-    """Return the jobs for the next commits, as many for each as fit beside the key's condition."""
+    """Return the jobs for the next commits, as many for each as fit beside the lease condition."""
     batches: list[list[TrackedJob]] = [[]]
     used = 1
     for tracked_job in dirty:
--- a/src/shallotworks/scheduling/_room.py
+++ b/src/shallotworks/scheduling/_room.py
@@ -15,7 +15,7 @@
 class Room:
     """Upper bounds of the room on workers, taken when a decision begins.
 
-    Room only shrinks during a decision, so the bounds stay valid. In a turn hundreds of steps wait
+    Room only shrinks during a decision, so the bounds stay valid. In a burst hundreds of steps wait
     while a hundred workers are full, and without the bounds each decision would compare every step
     with every worker.
 
@@ -48,7 +48,7 @@
             self._gpus = max(self._gpus, view.gpus - worker.gpus_used)
 
     def is_short_of(self, step: TrackedStep) -> bool:
-        """Whether it is certain that no worker has room for a task of a step of tasks that end."""
+        """Whether certainly no worker has room for a task of the step; false for lasting steps."""
         job_step = step.step
         if job_step.is_lasting:
             # A worker is held for lasting tasks; see `DecisionEngine._hold_worker_for_lasting`.
--- a/src/shallotworks/scheduling/_scheduler_state.py
+++ b/src/shallotworks/scheduling/_scheduler_state.py
@@ -81,7 +81,7 @@
     Args:
         service: The service.
         token: The epoch's fencing token.
-        log: Gets a line for each end of a run and each change in a worker's state.
+        log: Receives a line for each end of a run and each change in a worker's state.
     """
 
     __slots__ = (
@@ -169,7 +169,7 @@
         if not tracked_job.progress.state.is_final:
             tracked_job.progress.finish(progress.state, now_s=progress.ended_s)
             self._close_job(tracked_job, progress.state.value)
-        # The stored final state wins: one that this scheduler has reached meanwhile is not stored.
+        # The stored final state wins over one that this scheduler has reached in the meantime.
         self._release_stored_ends(tracked_job, tracked_job.changes)
         self._drop_if_finished(tracked_job)
 
@@ -218,7 +218,7 @@
     def open_steps(self) -> Iterator[TrackedStep]:
         """Yield the steps with waiting tasks that may be started.
 
-        Jobs of earlier epochs are left out until all workers have been recovered.
+        Jobs of earlier epochs are omitted until all workers of earlier epochs have been recovered.
         """
         is_recovered = not self.pending_recovery
         for tracked_job in self.tracked_jobs.values():
@@ -355,7 +355,7 @@
             reason: How this is known.
             now_s: Time on the scheduler's clock in seconds.
             wall_s: Time of day in seconds.
-            is_planned: The worker was taken away and has not crashed.
+            is_planned: Whether the machine controller removed the worker, which has not crashed.
         """
         if worker_id in self.pending_recovery and not is_planned:
             self.crashes.note_earlier_runs_lost()
@@ -678,8 +678,9 @@
     def count_not_serving(self, step: TrackedStep, *, excluding: Run, now_s: float) -> int:
         """Return how many tasks of a lasting step, besides the excluded one, may not be serving.
 
-        A worker can die silently after it reported its task as serving; another task of the step
-        would then be stopped although its disruption budget is spent. So only recent reports count.
+        A worker can die silently after it reported its task as serving. If that report still
+        counted, another task of the step would be stopped although the disruption budget is spent,
+        so only recent reports count.
         For the same reason, an adopted run that the previous scheduler may have stopped just before
         the adoption does not count as serving.
         """
--- a/src/shallotworks/scheduling/_service_scheduler.py
+++ b/src/shallotworks/scheduling/_service_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of one service during one epoch, which lasts while it holds the service's key."""
+"""The scheduler of one service during one epoch, which ends when the service's lease is lost."""
 
 from __future__ import annotations
 
@@ -71,12 +71,12 @@
         orders: Sends orders to workers.
         directory: Lists workers.
         advice: Says which workers may run a step.
-        machine_records: What the machine controller published: workers to evacuate or taken away.
+        machine_records: Says which workers the machine controller drains, and which it has removed.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
         times: Times of orders.
-        log: Decisions.
-        metrics: Counters.
+        log: Receives the decisions and the state of the pool.
+        metrics: Counters and latencies.
         final_state_told_s: A job's final state is reported for this long. Source: the platform's
             settings.
         is_capacity_known: Whether the capacities of a service's workers are known well enough to
@@ -98,11 +98,11 @@
 
 
 class ServiceScheduler:
-    """Schedules one service while this instance holds the service's key.
+    """Schedules one service while this instance holds the service's lease.
 
     Args:
         service: The service.
-        lease: The lease on the service's key.
+        lease: The service's lease.
         dependencies: Services and settings that the scheduler uses.
     """
 
@@ -194,7 +194,7 @@
         )
 
     async def run(self) -> None:
-        """Schedule until the key is lost."""
+        """Schedule until the lease is lost."""
         self._log("term-begun")
         coroutines = (
             self._lease.renew_until_lost(),
@@ -228,7 +228,7 @@
         """Record for the successor only the workers that may still run a task.
 
         While instances are stopped one after another, each successor would otherwise wait for every
-        worker that its predecessors had used recently, most of which have moved away since.
+        worker that its predecessors had used recently, most of which were moved since.
         """
         is_silent = self._lease.since_renewal_s > MAX_RENEWAL_AGE_AT_HANDOVER_S
         if not is_silent and self.is_prepared.is_set():
@@ -270,7 +270,7 @@
             self.scheduler_state.update_progress(job_id, progress, item.revision)
             return
         if job_id in self.scheduler_state.finished_jobs:
-            # A stale event: this scheduler has stored the job's final state meanwhile.
+            # The event is stale: this scheduler has stored the job's final state meanwhile.
             return
         record = self._job_records.pop(job_id, None)
         if record is None and progress.state.is_final:
@@ -292,9 +292,9 @@
     def on_delete(self, key: str, revision: int) -> None:
         """Process the deletion of a record.
 
-        The marker key guards against this failure: a scheduler whose key was taken away starts a
-        job that was accepted after its successor's epoch began, and that the successor may start at
-        once.
+        A scheduler that has lost its lease without noticing could start a job that was accepted
+        after its successor's epoch began, and that the successor may start at once. The deletion of
+        the marker key guards against that: it is reported before any job that is stored later.
         """
         if key == self._keys.marker_key:
             self._lease.mark_lost("its marker key in the job prefix was deleted")
@@ -321,7 +321,7 @@
                 await self._order_dispatcher.wait(DECISION_INTERVAL_S)
 
     def _decide(self) -> bool:
-        """Decide and send the orders; return whether the decision was cut short and must go on."""
+        """Decide and send the orders; return whether the limit of starts leaves more to decide."""
         self._decide_once()
         is_waiting = any(True for _ in self.scheduler_state.open_steps())
         now_s, wall_s = self._dependencies.clock(), self._dependencies.wall_clock()
@@ -426,10 +426,10 @@
     async def _publish_demand(self, demand: PoolDemand) -> bool:
         """Publish the demand; return whether the store has confirmed it.
 
-        The failure: a lasting task is started on a worker that the store lists as free, and the
-        machine controller takes the worker. The offer was made by the previous epoch, or by a write
-        that was not answered. While the store may list a worker as free, and for a while after
-        that, no lasting task is placed on it.
+        The store may list a worker as free because the previous epoch offered it, or because of a
+        write that was not answered. A lasting task that is started there ends when the machine
+        controller removes the worker. While the store may list a worker as free, and for a while
+        after that, no lasting task is placed on it.
         """
         offers = self._possible_offers() | set(demand.free)
         if not await self._demand_record.put(demand.encode()):
@@ -469,7 +469,7 @@
 
 
 class _ResumeCounter:
-    """Counts how often an epoch has resumed after it was suspended for want of a valid lease.
+    """Counts how often an epoch has resumed after a suspension, while its lease was not valid.
 
     A machine controller that was suspended too acts only on demands published after the outage, so
     a scheduler that resumes publishes its demand again, even if nothing has changed for its pool.
--- a/src/shallotworks/scheduling/_sizing.py
+++ b/src/shallotworks/scheduling/_sizing.py
@@ -1,8 +1,8 @@
 """Computes how many machines a service lacks and which workers it can spare; uses no network.
 
-The load: demand comes in bursts. For some seconds a queue asks for several times its mean and more
-than its pool holds, and for next to nothing in between. Machines that wait for the next burst are
-paid for, and a machine arrives about two seconds after it was requested.
+Demand comes in bursts. For some seconds a queue demands several times its mean and more than its
+pool holds, and next to nothing between bursts. Machines that wait for the next burst are paid for,
+and a machine arrives about two seconds after it was requested.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
         idle_s: A worker may be offered once nothing has run on it for this long.
         drain_grace_s: Time that tasks which end by themselves get on a worker that is drained.
         lasting_exclusion_s: Lasting tasks are kept off a worker for this long after its offer was
-            withdrawn, because an order to take it away may still arrive.
+            withdrawn, because an order to remove it may still arrive.
         max_lacking: Upper limit of the machines requested at once by a pool with few workers.
         max_lacking_ratio: Upper limit for a larger pool, as a multiple of its workers: in a burst a
-            queue asks for several times its mean, however large its pool is.
+            queue demands several times its mean, however large its pool is.
     """
 
     backlog_s: float = 0.8
@@ -129,9 +129,9 @@
     def restrict_late_work(self, count: int) -> None:
         """Keep late work off some workers, so that borrowed machines become free for other pools.
 
-        The load: a burst begins on one queue while another queue still processes jobs that can't
-        meet their objective any more, on machines that it borrowed. The least used workers are
-        chosen; jobs that can still be on time use them as before.
+        A burst may begin on one queue while another queue still processes jobs that can't meet
+        their objective any more, on machines that it borrowed. The least used workers are chosen;
+        jobs that can still be on time use them as before.
         """
         yielding = {worker.worker_id for worker in self._least_used(count)}
         for worker in self._scheduler_state.workers.values():
@@ -225,10 +225,10 @@
     def _lendable(self, free: list[Worker], now_s: float, wall_s: float) -> set[str]:
         """Return those of some free workers that are not reserved for tasks.
 
-        Only as many are reserved as are needed by tasks that wait or may be lost. On a large pool a
-        job has always just arrived, or a worker with lasting tasks is silent, so a pool that lent
-        nothing meanwhile would never lend. Workers that late work is kept off are not reserved for
-        late work either, because they would stay idle.
+        Only as many are reserved as are needed by tasks that wait or may be lost. On a large pool
+        there is nearly always a job that has just arrived, or a silent worker with lasting tasks. A
+        pool that lent nothing in such moments would never lend. Workers that late work is kept off
+        are not reserved for late work either, because they would stay idle.
         """
         in_time, late = self._reserved_for_tasks(now_s, wall_s)
         # Prefer to reserve workers that are not offered: after a withdrawn offer, lasting tasks are
@@ -261,15 +261,15 @@
     def _is_known_empty(self, worker: Worker) -> bool:
         """Whether nothing runs on a worker, including runs of an earlier scheduler epoch.
 
-        The failure: a new scheduler offers a worker that it has not polled yet. The machine is
-        taken away, and lasting tasks that the predecessor started there end.
+        If a new scheduler offered a worker that it has not polled yet, the machine could be taken,
+        and lasting tasks that the predecessor started there would end.
         """
         return not worker.runs and worker.worker_id not in self._scheduler_state.pending_recovery
 
     def withdraw(self, now_s: float, *, wall_s: float) -> bool:
         """Withdraw as many offers as waiting tasks need; return whether any offer was withdrawn.
 
-        The controller may be about to take such a worker away. Tasks that end by themselves may be
+        The controller may be about to remove such a worker. Tasks that end by themselves may be
         lost with it and run again; lasting tasks are not placed on it for a while.
         """
         withdrawn = self._offered - self._lendable(self._empty_workers(), now_s, wall_s)
--- a/src/shallotworks/scheduling/_tracked_jobs.py
+++ b/src/shallotworks/scheduling/_tracked_jobs.py
@@ -14,7 +14,7 @@
 MAX_REFUSAL_BACKOFF_S = 32.0
 """Upper bound of that backoff."""
 MAX_USEFUL_OBJECTIVES = 3.0
-"""An answer that takes longer than this many times the objective counts for nothing. Source: the
+"""A job's result is useless if it takes longer than this many times the objective. Source: the
 platform's rules."""
 
 
--- a/src/shallotworks/scheduling/_wait_reason.py
+++ b/src/shallotworks/scheduling/_wait_reason.py
@@ -17,8 +17,8 @@
     """
 
     RECOVERY = "recovery"
-    """A run of an earlier epoch may still be active on workers that this scheduler has not seen
-    yet."""
+    """A run of an earlier epoch may still be active on workers that have not answered this
+    scheduler yet."""
     UNLISTED = "no-worker-listed"
     """No worker is listed by discovery."""
     UNREACHED = "no-worker-reached"
@@ -38,7 +38,7 @@
     QUARANTINED = "quarantined"
     """The worker is reserved for a task that may crash it."""
     PAUSED = "paused"
-    """An order to the worker failed a moment ago."""
+    """An order to the worker or a poll of it failed recently."""
     CLOSED_TO_LASTING = "closed-to-lasting"
     """The worker was offered for removal and the offer was withdrawn; the order to remove it may
     still arrive."""
--- a/src/shallotworks/scheduling/_waiting.py
+++ b/src/shallotworks/scheduling/_waiting.py
@@ -77,7 +77,7 @@
     """What a scheduler waits for before it starts tasks of earlier epochs.
 
     Args:
-        unseen: Ids of the workers that it has not seen yet, in order.
+        unseen: Ids of the workers that have not answered it yet, in order.
         left_s: Time in seconds until all runs on the last of these workers must have ended.
     """
 
@@ -95,10 +95,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WaitSummary:
-    """The tasks of one service that wait at one moment.
+    """The tasks of one service that wait at one point in time.
 
     Args:
-        counts: Number of tasks by reason; reasons without tasks are left out.
+        counts: Number of tasks by reason; reasons without tasks are omitted.
         lasting: Number of lasting tasks among them.
         longest: The task that has waited longest; of equal waits a lasting task.
         longest_lasting: The lasting task that has waited longest.
--- a/src/shallotworks/scheduling/_wave_executor.py
+++ b/src/shallotworks/scheduling/_wave_executor.py
@@ -25,7 +25,7 @@
 ABSENCE_TIMEOUT_S = 20.0
 """A machine counts as removed if it has not been listed for this long and the wave's time is over.
 A machine that lost power is not listed either, for 8 s in the users' workloads. A wave that is
-reported as completed too early would leave such a machine out, while a late wave costs little."""
+reported as completed too early would omit such a machine, while a late wave costs little."""
 SLOT_DURATION_S = 4.0
 """Time for which one machine occupies a slot: 1.5 s until its worker is drained, 2 s of maintenance
 (source: the platform's settings), and the time until its return is seen."""
@@ -150,10 +150,11 @@
     def _has_had_maintenance(self, machine: Machine, old_worker: str) -> bool:
         """Whether a machine's maintenance is known to have begun, and another worker is on it now.
 
-        The failure: an order is refused, and the machine's worker crashes and is replaced. Judged
-        by the new worker alone, the wave is reported as completed without the machine. A machine
-        that is off has no worker before or after. Maintenance takes it down at once, so if a list
-        read `LIST_STALENESS_S` later shows it up, its maintenance is over.
+        A new worker alone does not prove maintenance. If an order was refused and the machine's
+        worker crashed and was replaced, the wave would be reported as completed although the
+        machine had no maintenance. A machine that is off has no worker before or after its
+        maintenance. Maintenance takes it down at once, so if a list that was read
+        `LIST_STALENESS_S` later shows it up, its maintenance is over.
         """
         begun_s = self._begun_at_s.get(machine.name)
         if begun_s is None or machine.state is not MachineState.UP:
@@ -201,10 +202,10 @@
     def _must_yield(self, wave: MaintenanceWave, record: WaveRecord) -> bool:
         """Whether a wave has to wait because a queue lacks machines and there is time left.
 
-        The load: an operators' wave and a burst of demand begin in the same second. Without
-        yielding, six of the 19 machines that the burst lacked were down at once, for 2 s each. The
-        wave had 26 s, but 14 of its 15 machines were maintained during the burst. Demand is checked
-        in each round, so the wave proceeds between bursts, and during them if its time runs short.
+        A wave and a burst of demand may begin in the same second. Without yielding, six machines
+        were down at once, for 2 s each, during a burst that lacked 19. The wave had 26 s, but 14 of
+        its 15 machines were maintained during the burst. Demand is checked in each round, so the
+        wave proceeds between bursts, and during them if its time runs short.
         """
         if not any(
             demand.lacking for demand in self._dependencies.machine_records.demands.values()
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -23,11 +23,11 @@
         scheduler_state: The scheduler state.
         record: The active workers record, which the next epoch reads.
         directory: Lists workers.
-        machine_records: Says which workers the machine controller has taken away.
+        machine_records: Says which workers the machine controller has removed.
         clock: Seconds, counting suspended time.
         wall_clock: Time of day in seconds since 1970.
-        recovery_s: Time after which whatever an earlier epoch started on a worker that this epoch
-            has not reached has ended.
+        recovery_s: Time after which all runs of earlier epochs have ended on a worker that this
+            epoch has not reached.
     """
 
     __slots__ = (
@@ -116,10 +116,10 @@
         return is_stored
 
     def _listed_workers(self) -> dict[str, WorkerView]:
-        """Return the listed workers without those that were replaced or taken away.
+        """Return the listed workers without those that were replaced or removed.
 
-        Workers that were taken away stay listed for a while; they are removed from the scheduler
-        state here.
+        Workers that the machine controller has removed stay listed for a while. Their end is
+        recorded in the scheduler state here.
         """
         listed = self._directory.workers_of(self._scheduler_state.service)
         self._scheduler_state.drop_replaced(listed)
@@ -134,10 +134,10 @@
     async def update_record(self) -> bool:
         """Make the record name the workers that this epoch may use or that may still run its tasks.
 
-        The failure: a worker leaves or crashes, and stays in the record. After a crash or an outage
-        of the store the next epoch can't reach it, and holds all earlier jobs back for 7 s though
-        nothing runs there. So ended workers are removed, and drained ones that run nothing before
-        they leave, since they may end at a time when no scheduler runs.
+        If a worker that left or crashed stayed in the record, the next epoch after a crash or an
+        outage of the store could not reach it, and would hold all earlier jobs back for 7 s though
+        nothing runs there. So ended workers are removed from the record. Draining workers that run
+        nothing are removed before they leave, since they may leave while no scheduler runs.
 
         Returns:
             Whether the store has confirmed the record.
@@ -171,12 +171,12 @@
         """Return the workers that may still run a task, now that this epoch sends no more orders.
 
         A worker of an earlier epoch that was never reached keeps the time at which its tasks have
-        ended: where instances are stopped one after another, each successor would otherwise wait
+        ended. Otherwise, while instances are stopped one after another, each successor would wait
         the full recovery time for it.
 
-        The failure: a task ends on a worker, and before that end is stored the worker is omitted
-        because nothing runs there; the successor then runs the task again on another worker. Such a
-        worker still reports the end, so the successor has to poll it first.
+        A worker on which nothing runs is included as long as an end that it reported is not stored.
+        Without it the successor would run the ended task again on another worker; if it polls the
+        worker first, the worker reports the end again.
         """
         now_s = self._clock()
         active_workers: dict[str, ActiveWorker] = {}
--- a/src/shallotworks/store/__init__.py
+++ b/src/shallotworks/store/__init__.py
@@ -1,7 +1,7 @@
 """Interface of the key-value store that holds durable and shared state.
 
-Other packages use only the protocol and types named here. `PrefixWatcher` keeps a copy of all keys
-under a prefix up to date. `HeldLease` renews the lease of a key and carries its fencing token.
+Other packages use only the protocol and types named here. `PrefixWatcher` reports all changes
+of the keys under a prefix. `HeldLease` renews the lease of a key and carries its fencing token.
 `FencedRecord` is a record that only the holder of such a lease writes.
 """
 
--- a/src/shallotworks/store/_fenced_record.py
+++ b/src/shallotworks/store/_fenced_record.py
@@ -18,10 +18,10 @@
 class FencedRecord:
     """The latest record of a lease holder under one key; allows one write at a time.
 
-    The failure that it guards against: a write whose answer was lost is carried out seconds later,
-    after newer writes, and its older value replaces theirs. So each write requires the revision of
-    the previous one, and the value of a write without an answer counts as possible until a later
-    write is confirmed or the record is read again.
+    A write whose answer was lost may be carried out seconds later, and must not replace the value
+    of a newer write. So each write requires the revision of the previous one, and the value of a
+    write without an answer counts as possible until a later write is confirmed or the record is
+    read again.
 
     Args:
         key: The key.
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -1,4 +1,4 @@
-"""Holding the lease of a key, and with it the key's fencing token."""
+"""Holds the lease of a key; the revision of the key's creation is the fencing token."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
     Args:
         ttl_s: The store deletes the key this long after the last renewal. With 2 s, a successor
-            begins within 2.5 s of a crash, and four renewals fit in.
+            begins within 2.5 s of a crash, and the lease spans four renewals.
         renewal_s: Time between renewals.
         retry_s: Pause after a failed renewal.
         grace_s: The holder may act for this long after it sent the last confirmed renewal, so that
@@ -143,7 +143,8 @@
                 timing=timing,
                 log=log,
             )
-        # Also if the outcome is unknown: revoking the lease deletes a key created after all.
+        # The lease is revoked also if the outcome is unknown, which deletes a key that was created
+        # after all.
         await store.revoke_lease(lease_id)
         if not isinstance(outcome, Success):
             log.line("duty-not-acquired", key=key, reason=str(outcome.failure()))
@@ -203,9 +204,9 @@
     async def _is_still_held(self) -> bool:
         """Whether the store confirms that the key still exists, after a suspension.
 
-        It guards against two failures. A key is deleted while its lease still exists, and another
-        holder has the key by now. And a holder that is suspended because no answer reaches it keeps
-        renewing the lease, so that nobody else can win it; a read does not renew anything.
+        The key may have been deleted while its lease still exists, and another holder may have the
+        key by now. And a holder that is suspended because no answer reaches it must not keep
+        renewing the lease, since nobody else could acquire it. A read does not renew anything.
         """
         outcome = await self._store.get(self.key)
         if not isinstance(outcome, Success):
--- a/src/shallotworks/store/_prefix_watcher.py
+++ b/src/shallotworks/store/_prefix_watcher.py
@@ -1,4 +1,4 @@
-"""A copy of all keys under a prefix, kept up to date by watching."""
+"""Watches all keys under a prefix, and reads them again if the watch loses changes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 
 WATCH_WAIT_S = 1.0
 """Wait of one watch call. A silent connection is noticed after this time plus the client's grace
-period, so a change is seen within 1.7 s. A configuration must be in force within 2 s."""
+period, so a change is seen within 1.7 s. That is within the 2 s in which a configuration must be in
+force."""
 PROBE_WAIT_S = 0.05
 """Wait of one watch call while the store fails. A watch sent just before the store recovers has to
 time out before lease holders are known again; with the full wait that took up to 2 s."""
@@ -46,10 +47,10 @@
 class PrefixWatcher:
     """Reports all changes of the keys under a prefix to a listener.
 
-    The failure it guards against: the store compacts its history, and a watch that continues
-    silently skips changes. The store reports lost history, and everything is read again. The pages
-    of that read are no consistent snapshot, so the watch continues from the lowest revision of all
-    pages, and reporting a write twice does no harm.
+    If the store has compacted its history, a watch that continued would silently skip changes. The
+    store reports lost history, and everything is read again. The pages of that read are no
+    consistent snapshot, so the watch continues from the lowest revision of all pages, and reporting
+    a write twice does no harm.
 
     Args:
         store: The store.
@@ -147,7 +148,7 @@
             else:
                 self._write(event)
         # If changes arrive faster than answers can carry them, a watcher that pauses after a full
-        # answer never catches up: a leaving worker appears ready for many seconds more.
+        # answer never catches up. A leaving worker then appears ready for many seconds more.
         if self._pause_s and 0 < len(changes.events) < LARGE_ANSWER_EVENTS:
             await asyncio.sleep(self._pause_s)
         return Success(max(changes.revision, revision))
@@ -174,8 +175,8 @@
     def _log_listener_error(self, key: str, error: Exception) -> None:
         """Log an exception of the listener; changes of other keys are still reported.
 
-        The failure: one record that the listener does not expect ends the task that watches the
-        store, and no change of any key under the prefix is reported any more.
+        Otherwise one record that the listener does not expect would end the task that watches the
+        store, and no change of any key under the prefix would be reported any more.
         """
         self._log.line("listener-fault", prefix=self._prefix, key=key, reason=repr(error))
 
