--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -1,4 +1,4 @@
-"""Simulates lasting tasks on the stand-ins through faults, and checks the rules all the while.
+"""Simulates lasting tasks on the stand-ins through faults, and checks the rules throughout.
 
 Instances, service schedulers, leader electors, their watchers and the list of workers are the
 product's own; the store, the workers and the machine controller are stand-ins. Workers register in
@@ -63,7 +63,8 @@
 """A task counts as missed after this time; one that was stopped to be moved is back sooner.
 Source: the users' rules."""
 AWAY_AFTER_S = 4.5
-"""A task that has not served for this long counts as away. Source: the platform's settings."""
+"""A task that has not served for this long counts as unavailable.
+Source: the platform's settings."""
 MAX_TASK_LEASE_S = 6.0
 """The longest lease of what runs on a worker: a run that lapses later than this after the last
 fault lapses without a fault."""
@@ -78,7 +79,7 @@
 """Workers whose registration was lost in an outage of the store register again within this time
 after it."""
 REPLACEMENT_DELAY_S = 1.5
-"""A new worker starts this long after an earlier one crashed or was taken away."""
+"""A new worker starts this long after an earlier one crashed or was removed."""
 SAMPLE_INTERVAL_S = 0.2
 LEASE_EXPIRY_WAIT_S = 7.0
 """Leases that nobody extends have run out this long after a fault."""
@@ -130,7 +131,7 @@
         faults: Faults of the store that all instances meet.
         fleet: The workers.
         isolated: Workers that no instance can reach.
-        log: Its decisions.
+        log: Receives its decisions.
     """
 
     def __init__(
@@ -253,7 +254,7 @@
             self._check_disruption(end.name, "left to lapse")
 
     def take_away(self, worker: TaskWorker) -> None:
-        """Take away a worker that its scheduler offered: no lasting task may run there."""
+        """Remove a worker that its scheduler offered, on which no lasting task may run."""
         now_s = asyncio.get_running_loop().time()
         for name in worker.serving_tasks():
             self.violations.append(
@@ -279,7 +280,7 @@
 
 
 class LastingTaskSimulation:
-    """A store, workers, instances and lasting jobs, whose rules are checked all the while.
+    """A store, workers, instances and lasting jobs, whose rules are checked throughout.
 
     Args:
         seed: Seed of the random generator.
@@ -420,7 +421,7 @@
         instance.start()
 
     def scheduler(self) -> LastingInstance | None:
-        """Return the instance that holds the service's key."""
+        """Return the instance that holds the service's lease."""
         item = self.store.items.get(f"shallotworks/duty/scheduler/{SERVICE}")
         holders = [
             instance for instance in self.instances if item and instance.name == item.value.decode()
@@ -601,7 +602,7 @@
         self._record_event("reachable again", worker_id)
 
     async def maintain_worker(self, worker_id: str) -> None:
-        """Evacuate a worker as the machine controller does, and take it away once it is offered."""
+        """Drain a worker as the machine controller does, and remove it once it is offered."""
         await self._is_store_up.wait()
         self._record_event("due for maintenance", worker_id)
         self._due |= {worker_id}
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -202,7 +202,7 @@
         replacement.start()
 
     def scheduler(self) -> Instance | None:
-        """Return the instance that holds the service's key."""
+        """Return the instance that holds the service's lease."""
         item = self.store.items.get(f"shallotworks/duty/scheduler/{SERVICE}")
         if item is None:
             return None
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -217,7 +217,7 @@
         run_scenario(scenario())
 
     def test_a_scheduler_that_is_stopped_stores_all_progress(self) -> None:
-        """A scheduler stops between two commits of progress, and gives its key back.
+        """A scheduler stops between two commits of progress, and releases its lease.
 
         Its successor waits for workers on which nothing runs, or runs ended tasks again.
         """
@@ -235,7 +235,7 @@
             scheduler_state = scheduler.service_schedulers[-1].scheduler_state
             while len(simulation.fleet.done) < 2 or not scheduler_state.unstored_jobs():
                 await asyncio.sleep(0.001)
-            # Slow enough that the key would be released before a commit that is not awaited.
+            # The store is so slow that the lease would be released before an unawaited commit ends.
             scheduler.store.faults.delay_s = 0.05
             await scheduler.elector.stop()
             self.assertEqual([], scheduler_state.unstored_jobs())
@@ -356,7 +356,7 @@
         async def scenario() -> float:
             simulation = await _make_running_simulation(workers=1, instances=1)
             scheduler = simulation.instances[0]
-            # The last renewal of the key may have been confirmed just before this.
+            # The last renewal of the lease may have been confirmed just before this.
             scheduler.store.faults.is_down = True
             started_s = asyncio.get_running_loop().time()
             (worker,) = simulation.fleet.workers.values()
--- a/tests/test_finished_jobs.py
+++ b/tests/test_finished_jobs.py
@@ -1,4 +1,4 @@
-"""Tests of finished jobs: what of them is kept in the store and in the scheduler's state."""
+"""Tests of what the store and the scheduler's state keep of finished jobs."""
 
 import asyncio
 import json
@@ -141,7 +141,7 @@
     def test_a_stopped_scheduler_records_only_workers_with_runs(self) -> None:
         """Jobs waited for 10 s after each planned stop of an instance.
 
-        The record had all workers that were ever used; the successor waited for the gone ones.
+        The record named all workers ever used; the successor waited for those that had left.
         """
 
         async def scenario() -> None:
--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -74,7 +74,7 @@
         run_scenario(scenario())
 
     def test_no_refusal_after_a_try_with_unknown_outcome(self) -> None:
-        """A caller that is told of a refusal submits its job elsewhere, and it runs all the same.
+        """A caller whose job is refused submits it elsewhere, but the refused job runs too.
 
         The first commit is carried out late and unanswered, and the store refuses the second.
         """
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -232,7 +232,7 @@
 
 
 def followed_by_leaving(fault: FaultScenario) -> FaultScenario:
-    """Return a fault that is followed by a worker's leaving 0.5 s later."""
+    """Return a fault after which a worker leaves 0.5 s later."""
 
     async def both(simulation: LastingTaskSimulation) -> None:
         worker_id = used_worker(simulation)
@@ -307,7 +307,7 @@
                     self.assertLessEqual(simulation.epochs_begun_after(up_s[0]), 1)
 
     def test_an_offer_that_is_withdrawn_during_an_outage(self) -> None:
-        """A task is taken away with its worker just after the store is back.
+        """A task ends because its worker is removed just after the store is back.
 
         The store goes down before a withdrawn offer is stored, and still lists the worker as free.
         """
@@ -321,7 +321,7 @@
             simulation.fleet.absences[lost] = OrderStatus.GONE
             # Only the idle worker has room for the lost worker's task, so that its offer is
             # withdrawn. The task starts there 3 s later; the controller, which reads the offers
-            # just before its order, must not take the worker away when the store is back.
+            # just before its order, must not remove the worker when the store is back.
             while simulation.is_worker_cordoned(idle):
                 await asyncio.sleep(0.001)
             await simulation.store_outage(3.6, is_silent=True)
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -132,7 +132,7 @@
     def test_the_deletion_of_an_earlier_key_does_not_end_the_next_epoch(self) -> None:
         """After an outage every scheduler gave up within half a second of its start.
 
-        Its delayed watch reported the deletion of the key that it held before the outage.
+        Its delayed watch reported the deletion of the key whose lease it held before the outage.
         """
 
         async def scenario() -> None:
@@ -159,7 +159,7 @@
             watching = asyncio.create_task(elector.run())
             elector.set_services({"antenna"})
             await asyncio.sleep(2.0)
-            # The elector acquires the key again before its watch reports the deletion.
+            # The elector acquires the lease again before its watch reports the deletion.
             store_view.is_delayed = True
             store.revoke_lease(store.items["duty/antenna"].lease_id)
             await asyncio.sleep(3.0)
@@ -207,7 +207,7 @@
     def test_a_pool_with_tasks_to_recover_does_not_offer_its_workers(self) -> None:
         """Lasting tasks waited for 3 s after the recovery, although workers were idle.
 
-        No lasting task is placed on a withdrawn worker while an order may still take it away.
+        No lasting task is placed on a withdrawn worker while an order may still remove it.
         """
         harness = SchedulingHarness(view("a"), view("b"))
         harness.scheduler_state.pending_recovery["c"] = harness.now_s + 5.0
--- a/tests/test_scheduling_at_size.py
+++ b/tests/test_scheduling_at_size.py
@@ -1,4 +1,4 @@
-"""Tests of decisions in a turn: hundreds of tasks at once on pools of a hundred workers."""
+"""Tests of decisions in a burst: hundreds of tasks at once on pools of a hundred workers."""
 
 import asyncio
 import random
@@ -149,7 +149,7 @@
 class PauseTests(unittest.TestCase):
     def test_a_paused_scheduler_with_startable_tasks_is_idle(self) -> None:
         """Guards against a busy loop in a store outage after a decision reached its start limit."""
-        # After a decision at its start limit the next one follows at once. A paused scheduler
+        # After a decision at its start limit the next one follows at once. A suspended scheduler
         # decides nothing, so it must not ask again without end and use all of its processor.
 
         async def scenario() -> None:
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -350,7 +350,7 @@
 
 class RecoveryTests(unittest.TestCase):
     def test_earlier_jobs_wait_for_unseen_workers(self) -> None:
-        """Guards against not counting tasks that wait until the workers of before are seen."""
+        """Guards against not counting tasks that wait for workers of earlier epochs to answer."""
         # A new scheduler may not start tasks of earlier epochs before it has seen all workers that
         # they may run on. One of these workers is gone.
         harness = WaitingHarness("a", "b")
