--- a/src/shallotworks/jobs/_crashes.py
+++ b/src/shallotworks/jobs/_crashes.py
@@ -49,7 +49,7 @@
 
 
 def is_crash_looping(lost: Sequence[LostRun]) -> bool:
-    """Whether a task is given up because its runs keep crashing workers."""
+    """Whether a task is in a crash loop, which fails its job: its runs keep crashing workers."""
     crashes = [one.blame for one in lost if one.is_certain]
     early = [blame for blame in crashes if blame is not Blame.LATE]
     if crashes and crashes[-1] is Blame.SOLE and len(early) >= MAX_EARLY_CRASHES:
--- a/src/shallotworks/scheduling/_crash_blame.py
+++ b/src/shallotworks/scheduling/_crash_blame.py
@@ -107,7 +107,7 @@
             self._note(run, blame, is_certain=False, wall_s=wall_s)
 
     def note_worker_ended(self, worker: Worker, wall_s: float, *, is_replaced: bool) -> None:
-        """Blame the runs of a worker that has ended, including runs that were given up before.
+        """Blame the runs of a worker that has ended, and confirm earlier uncertain losses on it.
 
         Args:
             worker: The worker.
--- a/src/shallotworks/scheduling/_demand.py
+++ b/src/shallotworks/scheduling/_demand.py
@@ -70,7 +70,7 @@
 
     At the start of a burst the window also contains quiet time, and shows less than half of the
     demand of the burst. The jobs that followed the first one of the window show that demand. The
-    first one is left out, because the interval before it is not known.
+    first one is omitted, because the interval before it is not known.
     """
     window_cores = sum(core_s for _, core_s in recent) / limits.window_s
     since_s = wall_s - recent[0][0] if recent else 0.0
--- a/src/shallotworks/scheduling/_machine_records.py
+++ b/src/shallotworks/scheduling/_machine_records.py
@@ -1,6 +1,6 @@
 """Records through which schedulers and the machine controller communicate in the store.
 
-Each scheduler writes how many machines it lacks and which of its workers may be taken away now. The
+Each scheduler writes how many machines it lacks and which of its workers may be removed now. The
 controller writes which workers it wants drained and which workers it has removed. Nothing else
 writes these records.
 """
@@ -42,7 +42,7 @@
 
     Args:
         lacking: Number of machines that it could use at once.
-        free: Workers that may be taken away; the scheduler starts nothing on them.
+        free: Workers that may be removed; the scheduler starts nothing on them.
         token: The scheduler's fencing token.
         woke: How often the scheduler has resumed in this epoch after a store outage suspended it.
     """
--- a/src/shallotworks/scheduling/_worker_tracker.py
+++ b/src/shallotworks/scheduling/_worker_tracker.py
@@ -107,7 +107,7 @@
             if worker_id not in listed:
                 worker.is_listed = False
             elif listed[worker_id].is_draining:
-                # Set before the worker leaves the record, since nothing may start there afterwards.
+                # Set before the record omits the worker, since nothing may start there afterwards.
                 self._scheduler_state.update_worker(listed[worker_id])
         is_stored = await self.update_record()
         for worker_id, view in listed.items():
--- a/src/shallotworks/store/_fenced_record.py
+++ b/src/shallotworks/store/_fenced_record.py
@@ -91,8 +91,8 @@
     def _handle_conflict(self, conflict: Conflicted) -> bool:
         """Handle a conflicting write.
 
-        Marks the lease as lost if its key has another revision, and otherwise takes over the stored
-        record.
+        If the lease's key has another revision, the lease is marked as lost. Otherwise the stored
+        record becomes the known one.
 
         Returns:
             Whether the write may be repeated: the lease is still held, and the record exists.
--- a/src/shallotworks/store/_held_lease.py
+++ b/src/shallotworks/store/_held_lease.py
@@ -174,9 +174,10 @@
     async def renew_until_lost(self) -> None:
         """Renew the lease until it is lost.
 
-        After the grace period the lease is suspended and not given up. If the store's leases were
-        paused during its outage, the holder resumes with the first renewal that is answered. If it
-        gave up, the key would still exist for its time to live, and nobody could act until then.
+        After the grace period the holder is suspended, but does not release the lease. If the
+        store's leases were paused during its outage, the holder resumes with the first renewal that
+        is answered. A lease that its holder had abandoned would still exist for its time to live,
+        and nobody could act until then.
         """
         pause_s = self._timing.renewal_s
         while not self.lost_event.is_set():
