--- a/src/shallotworks/node/_instance_list_watcher.py
+++ b/src/shallotworks/node/_instance_list_watcher.py
@@ -101,7 +101,7 @@
         # listed before counts as removed.
         unavailable = leaving | (self._ever_listed - present)
         self._ever_listed |= present
-        self._dispatcher.set_leaving(unavailable)
+        self._dispatcher.set_leaving_instances(unavailable)
         own_instances = [
             entry
             for entry in self._view.state().instances.values()
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -121,7 +121,7 @@
         """Stop gracefully: refuse new requests, answer those in flight and release leases."""
         self._stopping = True
         self._record_event(EventKind.STOPPING, "")
-        self.relay.refuse_new()
+        self.relay.stop_admitting()
         self._dispatcher.stop_admitting()
         self._dispatcher.refuse_waiting()
         # Callers with persistent connections and the load balancer need time to see that this
--- a/src/shallotworks/requests/_dispatcher.py
+++ b/src/shallotworks/requests/_dispatcher.py
@@ -184,9 +184,9 @@
         self._refuse_waiter(waiter, ErrorKind.CANCELLED, "cancelled by the caller")
         return True
 
-    def set_leaving(self, names: frozenset[str]) -> None:
+    def set_leaving_instances(self, names: frozenset[str]) -> None:
         """Stop dispatching to instances that the platform will remove soon."""
-        self._index.set_leaving(names)
+        self._index.set_leaving_instances(names)
         self._refresh()
 
     def stop_admitting(self) -> None:
--- a/src/shallotworks/requests/_fleet_index.py
+++ b/src/shallotworks/requests/_fleet_index.py
@@ -105,7 +105,7 @@
         self.services: dict[str, ServiceLoad] = {}
         self.teams: dict[str, TeamLoad] = {}
 
-    def set_leaving(self, names: frozenset[str]) -> None:
+    def set_leaving_instances(self, names: frozenset[str]) -> None:
         """Set the names of the instances that the platform will remove soon."""
         self._leaving_changed = self._leaving_changed or names != self._leaving
         self._leaving = names
--- a/src/shallotworks/requests/_relay.py
+++ b/src/shallotworks/requests/_relay.py
@@ -113,7 +113,7 @@
         """Whether new requests are refused."""
         return self._stopping
 
-    def refuse_new(self) -> None:
+    def stop_admitting(self) -> None:
         """Refuse new requests from now on, as not run; requests in progress continue."""
         self._stopping = True
 
--- a/tests/test_dispatch_history.py
+++ b/tests/test_dispatch_history.py
@@ -130,7 +130,7 @@
             self.harness.config.set_instances([name], **facts[what])
         else:
             self.leaving ^= {name}
-            self.harness.dispatcher.set_leaving(frozenset(self.leaving))
+            self.harness.dispatcher.set_leaving_instances(frozenset(self.leaving))
 
     def entries(self, count: int) -> None:
         self.harness.entries[0] = count
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -373,7 +373,7 @@
             harness = make_harness(fleet(instances(3)))
             running = [await harness.grant() for _ in range(6)]
             harness.config.cordon("w0")
-            harness.dispatcher.set_leaving(frozenset({"w1"}))
+            harness.dispatcher.set_leaving_instances(frozenset({"w1"}))
             names = {(await harness.grant()).target.instance for _ in range(6)}
             self.assertEqual(names, {"w2"})
             for grant in running:
--- a/tests/test_instance_list_watcher.py
+++ b/tests/test_instance_list_watcher.py
@@ -69,7 +69,7 @@
     def __init__(self) -> None:
         self.leaving: frozenset[str] = frozenset()
 
-    def set_leaving(self, names: frozenset[str]) -> None:
+    def set_leaving_instances(self, names: frozenset[str]) -> None:
         self.leaving = names
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -136,7 +136,7 @@
 
     def test_stopping_instance_refuses_as_not_run(self) -> None:
         """A stopping instance refuses new requests and reports them as not run."""
-        self.relay.refuse_new()
+        self.relay.stop_admitting()
         answer = self.send()
         self.assertEqual((answer.status, answer.json()["ran"]), (503, "no"))
         self.assertEqual(self.runs(), 0)
