--- a/bench/_capacity_state.py
+++ b/bench/_capacity_state.py
@@ -238,7 +238,7 @@
     dispatcher = PoolDispatcher(
         config=_HeldConfig(state),
         data_centre="dc0",
-        live_entries=lambda: 1,
+        entry_count=lambda: 1,
         limits=DispatchLimits(),
         metrics=Metrics(),
         timeline=Timeline(process="bench", wall_clock_s=time.time),
--- a/bench/_dispatch_baselines.py
+++ b/bench/_dispatch_baselines.py
@@ -59,10 +59,10 @@
     """One queue in order of arrival, any class, any service, without bound."""
 
     def __init__(
-        self, *, members: dict[str, Instance], live_entries: Callable[[], int], rng: random.Random
+        self, *, members: dict[str, Instance], entry_count: Callable[[], int], rng: random.Random
     ) -> None:
         self._places = {name: _Place(instance=entry) for name, entry in members.items()}
-        self._entries = live_entries
+        self._entries = entry_count
         self._rng = rng
         self._queue: deque[tuple[Request, asyncio.Future]] = deque()
         self._next = 0
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -81,7 +81,7 @@
         if setup.budget:
             retry = BudgetedRetryPolicy(limits=RetryLimits(), metrics=Metrics(), rng=rng)
         if setup.first_come:
-            dispatcher = FirstCome(members=members, live_entries=lambda: setup.entries, rng=rng)
+            dispatcher = FirstCome(members=members, entry_count=lambda: setup.entries, rng=rng)
             return Entry(dispatcher=dispatcher, retry=retry)
         made = make_harness(
             fleet(members),
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -194,7 +194,7 @@
         self._dispatcher = PoolDispatcher(
             config=self.config,
             data_centre=self._settings.instance.data_centre,
-            live_entries=lambda: max(1, len(self.peers.live_entries())),
+            entry_count=lambda: max(1, len(self.peers.live_entries())),
             entry_rank=self._entry_rank,
             limits=_limits.dispatch_limits(self._settings),
             metrics=self.metrics,
--- a/src/shallotworks/requests/_dispatcher.py
+++ b/src/shallotworks/requests/_dispatcher.py
@@ -53,7 +53,7 @@
     Args:
         config: This process's copy of the configuration.
         data_centre: Data centre of this process.
-        live_entries: Returns the number of entry instances that serve this data centre, including
+        entry_count: Returns the number of entry instances that serve this data centre, including
             this one; each target's slots are divided among them.
         entry_rank: Returns the rank of this entry instance among them, from 0; all of them agree on
             the ranks.
@@ -81,7 +81,7 @@
         *,
         config: ConfigView,
         data_centre: str,
-        live_entries: Callable[[], int],
+        entry_count: Callable[[], int],
         entry_rank: Callable[[], int] = lambda: UNRANKED,
         limits: DispatchLimits,
         metrics: Metrics,
@@ -96,7 +96,7 @@
         self._index = FleetIndex(
             config=config,
             data_centre=data_centre,
-            live_entries=live_entries,
+            entry_count=entry_count,
             entry_rank=entry_rank,
             limits=limits,
             new_pool=self._new_pool,
--- a/src/shallotworks/requests/_fleet_index.py
+++ b/src/shallotworks/requests/_fleet_index.py
@@ -48,7 +48,7 @@
     Args:
         config: This process's copy of the configuration.
         data_centre: Data centre of this process.
-        live_entries: Returns the number of entry instances that serve this data centre, including
+        entry_count: Returns the number of entry instances that serve this data centre, including
             this one.
         entry_rank: Returns the rank of this entry instance among them, from 0; all of them agree on
             the ranks.
@@ -65,12 +65,12 @@
         "_config",
         "_data_centre",
         "_division",
+        "_entry_count",
         "_entry_rank",
         "_indexed_instances",
         "_leaving",
         "_leaving_changed",
         "_limits",
-        "_live_entries",
         "_new_pool",
         "_refresh_division_at_s",
         "_revision",
@@ -84,14 +84,14 @@
         *,
         config: ConfigView,
         data_centre: str,
-        live_entries: Callable[[], int],
+        entry_count: Callable[[], int],
         entry_rank: Callable[[], int],
         limits: DispatchLimits,
         new_pool: Callable[[str], PoolState],
     ) -> None:
         self._config = config
         self._data_centre = data_centre
-        self._live_entries = live_entries
+        self._entry_count = entry_count
         self._entry_rank = entry_rank
         self._limits = limits
         self._new_pool = new_pool
@@ -135,7 +135,7 @@
         if now_s < self._refresh_division_at_s:
             return self._division
         self._refresh_division_at_s = now_s + ENTRY_COUNT_REFRESH_S
-        return _SlotDivision(entries=max(1, self._live_entries()), rank=self._entry_rank())
+        return _SlotDivision(entries=max(1, self._entry_count()), rank=self._entry_rank())
 
     def _sync_services(self, state: FleetState) -> None:
         for name in [name for name in self.services if name not in state.services]:
--- a/tests/dispatch_fakes.py
+++ b/tests/dispatch_fakes.py
@@ -208,7 +208,7 @@
     dispatcher = PoolDispatcher(
         config=config,
         data_centre="here",
-        live_entries=lambda: live[0],
+        entry_count=lambda: live[0],
         entry_rank=lambda: rank,
         limits=limits or DispatchLimits(),
         metrics=metrics,
--- a/tests/entry.py
+++ b/tests/entry.py
@@ -89,7 +89,7 @@
         self.dispatcher = PoolDispatcher(
             config=SettableConfig(state),
             data_centre="here",
-            live_entries=lambda: entries,
+            entry_count=lambda: entries,
             limits=limits or DispatchLimits(probe_after_s=0.2),
             metrics=self.metrics,
             timeline=timeline,
