--- a/src/shallotworks/node/_limits.py
+++ b/src/shallotworks/node/_limits.py
@@ -16,7 +16,7 @@
     "dispatch_limits",
     "disruption_model",
     "target_client_limits",
-    "long_running_limit",
+    "max_long_running_requests",
     "idempotency_limits",
     "peer_timing",
     "planner_weights",
@@ -35,7 +35,7 @@
     )
 
 
-def long_running_limit(settings: Settings) -> int:
+def max_long_running_requests(settings: Settings) -> int:
     """Return how many long-running requests this instance accepts at once."""
     return max(1, int(settings.callers.threads * settings.callers.long_running_part))
 
@@ -53,7 +53,7 @@
     """Return the limits of the dispatcher."""
     return DispatchLimits(
         long_running_min_part=settings.requests.long_running_min_part,
-        reserve_factor=settings.requests.interactive_reserve_factor,
+        interactive_reserve_factor=settings.requests.interactive_reserve_factor,
         waiting_per_slot=settings.requests.waiting_per_slot,
         max_ejected_part=settings.requests.eject_part_max,
     )
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -222,7 +222,7 @@
             target_client=self._target_client,
             metrics=self.metrics,
             timeline=self.timeline,
-            long_running_limit=_limits.long_running_limit(self._settings),
+            max_long_running_requests=_limits.max_long_running_requests(self._settings),
         )
         caller_limits = _limits.request_limits(self._settings)
         callers = self._settings.callers
--- a/src/shallotworks/requests/_limits.py
+++ b/src/shallotworks/requests/_limits.py
@@ -14,9 +14,9 @@
     Args:
         long_running_min_part: Part of the usable slots that long-running work may always hold, at
             least one slot, regardless of how much interactive work waits.
-        reserve_factor: Slots that long-running work leaves free for interactive work beyond the
-            mean number of interactive slots, as a multiple of the square root of that mean.
-            Mean and reserve together are at least one slot.
+        interactive_reserve_factor: Slots that long-running work leaves free for interactive
+            work beyond the mean number of interactive slots, as a multiple of the square root
+            of that mean. Mean and reserve together are at least one slot.
         interactive_mean_time_constant_s: Time constant of that exponentially weighted mean.
         waiting_per_slot: Requests that may wait per usable slot of a pool.
         waiting_min: Requests that may wait at a pool, however few slots it has.
@@ -41,7 +41,7 @@
     """
 
     long_running_min_part: float = 0.05
-    reserve_factor: float = 0.35
+    interactive_reserve_factor: float = 0.35
     interactive_mean_time_constant_s: float = 5.0
     waiting_per_slot: int = 16
     waiting_min: int = 64
--- a/src/shallotworks/requests/_pool.py
+++ b/src/shallotworks/requests/_pool.py
@@ -178,7 +178,7 @@
         their deviation, which is about the square root of the mean.
         """
         mean = self.interactive.mean(now_s)
-        left = max(1.0, mean + self._limits.reserve_factor * math.sqrt(mean))
+        left = max(1.0, mean + self._limits.interactive_reserve_factor * math.sqrt(mean))
         return max(self.long_running_min(group), group.own_capacity - math.ceil(left))
 
     def long_running_min(self, group: TargetGroup) -> int:
--- a/src/shallotworks/requests/_relay.py
+++ b/src/shallotworks/requests/_relay.py
@@ -43,8 +43,8 @@
         target_client: Makes one attempt at a target.
         metrics: Records counts and latencies.
         timeline: Records events.
-        long_running_limit: Maximum number of long-running requests in progress, including waiting
-            ones.
+        max_long_running_requests: Maximum number of long-running requests in progress,
+            including waiting ones.
     """
 
     __slots__ = (
@@ -53,9 +53,9 @@
         "_idempotency_guard",
         "_in_flight",
         "_long_running_ids",
-        "_long_running_limit",
         "_loop",
         "_loop_calls",
+        "_max_long_running_requests",
         "_metrics",
         "_retry_policy",
         "_stopping",
@@ -73,9 +73,9 @@
         target_client: TargetClient,
         metrics: Metrics,
         timeline: Timeline,
-        long_running_limit: int,
+        max_long_running_requests: int,
     ) -> None:
-        self._long_running_limit = long_running_limit
+        self._max_long_running_requests = max_long_running_requests
         self._long_running_ids: set[str] = set()
         self._loop = loop
         self._loop_calls = LoopCallQueue(loop=loop, expects_deferred=lambda: self._in_flight > 0)
@@ -225,7 +225,7 @@
         # Each request occupies a thread from its arrival to its answer. Without this limit, waiting
         # long-running requests could occupy all threads, and an interactive request would find no
         # thread although slots are free for it.
-        if len(self._long_running_ids) >= self._long_running_limit:
+        if len(self._long_running_ids) >= self._max_long_running_requests:
             reason = "too many long-running requests are here already"
             return _fail(ErrorKind.OVERLOADED, reason, retry_after_s=RETRY_AFTER_S)
         self._long_running_ids.add(request.request_id)
--- a/tests/entry.py
+++ b/tests/entry.py
@@ -116,7 +116,7 @@
             target_client=self._target_client,
             metrics=self.metrics,
             timeline=timeline,
-            long_running_limit=THREAD_COUNT // 2,
+            max_long_running_requests=THREAD_COUNT // 2,
         )
         request_limits = RequestLimits(
             body_limit_bytes=BODY_LIMIT_BYTES, default_deadline_s=deadline_s, max_deadline_s=60.0
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -56,7 +56,7 @@
             target_client=self.target_client,
             metrics=Metrics(),
             timeline=Timeline(process="entry-1", wall_clock_s=lambda: 0.0),
-            long_running_limit=THREADS // 2,
+            max_long_running_requests=THREADS // 2,
         )
         limits = RequestLimits(
             body_limit_bytes=BODY_LIMIT_BYTES, default_deadline_s=5.0, max_deadline_s=60.0
