--- a/bench/plans.py
+++ b/bench/plans.py
@@ -283,7 +283,7 @@
 
 def _within(wave: list[Instance], state: FleetState, *, keeps_one: bool) -> bool:
     pools = Counter(entry.pool for entry in wave)
-    if any(taken > state.budget_of(pool) for pool, taken in pools.items()):
+    if any(taken > state.disruption_budget(pool) for pool, taken in pools.items()):
         return False
     if not keeps_one:
         return True
--- a/src/shallotworks/config/_proposer.py
+++ b/src/shallotworks/config/_proposer.py
@@ -142,7 +142,7 @@
         return (
             behind
             or self._replica.fault() is not None
-            or self._replica.age_s() > MAX_UNCONFIRMED_AGE_S
+            or self._replica.staleness_s() > MAX_UNCONFIRMED_AGE_S
         )
 
     async def _create(
--- a/src/shallotworks/config/_protocols.py
+++ b/src/shallotworks/config/_protocols.py
@@ -36,7 +36,7 @@
         """Return the state at this process's newest revision."""
         ...
 
-    def age_s(self) -> float:
+    def staleness_s(self) -> float:
         """Return the time since the state was last known to be the newest, in seconds."""
         ...
 
@@ -98,12 +98,12 @@
         """Call a listener on the event loop with each entry that is applied from now on."""
         ...
 
-    def age_s(self) -> float:
+    def staleness_s(self) -> float:
         """Return the time since the revision was last known to be the newest, in seconds."""
         ...
 
     def confirm_newest(self, revision: int, *, age_s: float = 0.0) -> None:
-        """Record that a revision was the store's newest some time ago, for `ConfigView.age_s`.
+        """Record that a revision was the newest some time ago, for `ConfigView.staleness_s`.
 
         A peer that forwards this also sends its own age, so that two processes which are both cut
         off from the store can't keep each other's state looking fresh.
--- a/src/shallotworks/config/_replica.py
+++ b/src/shallotworks/config/_replica.py
@@ -82,7 +82,7 @@
         """Return this process's newest revision."""
         return self._state.revision
 
-    def age_s(self) -> float:
+    def staleness_s(self) -> float:
         """Return the time since the state was last known to be the newest; infinite for never."""
         return asyncio.get_running_loop().time() - self._newest_confirmed_at_s
 
--- a/src/shallotworks/fleet/_state.py
+++ b/src/shallotworks/fleet/_state.py
@@ -45,7 +45,7 @@
         """Return the number of instances of a pool that are cordoned or failed."""
         return sum(1 for entry in self.instances_of(pool) if not entry.available)
 
-    def budget_of(self, pool: str) -> int:
+    def disruption_budget(self, pool: str) -> int:
         """Return the number of instances of a pool that may be unavailable at the same time.
 
         This is the smallest budget of the pool's services. In a pool without services every
@@ -61,7 +61,7 @@
         return Counter(entry.pool for entry in self.instances.values() if not entry.available)
 
     def budgets_by_pool(self) -> dict[str, int]:
-        """Return `budget_of` of every pool, computed in one pass over services and instances."""
+        """Return `disruption_budget` of every pool in one pass over services and instances."""
         budgets: dict[str, int] = {}
         for service in self.services.values():
             least = budgets.get(service.pool, service.max_unavailable)
--- a/src/shallotworks/node/_backend.py
+++ b/src/shallotworks/node/_backend.py
@@ -76,7 +76,7 @@
         dependencies = self._dependencies
         own = dependencies.settings.instance
         revisions = dependencies.peers.linked_revisions()
-        age_s = dependencies.config.age_s()
+        age_s = dependencies.config.staleness_s()
         config_fault = dependencies.config.fault()
         return StatusView(
             process=own.name,
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -243,7 +243,7 @@
             dispatcher=self._dispatcher,
             reader_count=lambda: 1 if self.peers.should_watch() else len(self.peers.live_entries()),
             should_read=lambda: self.peers.should_watch()
-            or self.config.age_s() > STALE_CONFIG_AGE_S,
+            or self.config.staleness_s() > STALE_CONFIG_AGE_S,
             metrics=self.metrics,
             author=self._process,
         )
--- a/src/shallotworks/operators/_views.py
+++ b/src/shallotworks/operators/_views.py
@@ -258,7 +258,7 @@
             instances=len(members[name]),
             available=sum(1 for entry in members[name] if entry.available),
             slots=sum(entry.slots for entry in members[name] if entry.available),
-            budget=state.budget_of(name),
+            budget=state.disruption_budget(name),
         )
         for name in sorted(state.pools)
     )
--- a/src/shallotworks/peers/_distribution.py
+++ b/src/shallotworks/peers/_distribution.py
@@ -110,7 +110,7 @@
 
     def confirmed_age_ms(self) -> int:
         """Return the time since the held revision was last confirmed as the newest."""
-        return int(min(UNCONFIRMED_AGE_MS, self._replica.age_s() * MS_PER_S))
+        return int(min(UNCONFIRMED_AGE_MS, self._replica.staleness_s() * MS_PER_S))
 
     def discard_link(self, link: Link) -> None:
         """Drop the snapshot parts received on a connection that has ended."""
--- a/src/shallotworks/peers/_network.py
+++ b/src/shallotworks/peers/_network.py
@@ -206,7 +206,7 @@
             data_centres_known=tuple(sorted(known - {own.data_centre})),
             revision=self._replica.revision(),
             newest_revision=self._distribution.newest_revision(),
-            config_age_s=self._replica.age_s(),
+            config_age_s=self._replica.staleness_s(),
             sent_bytes=self._links.sent_bytes(),
             received_bytes=self._links.received_bytes(),
         )
--- a/tests/dispatch_fakes.py
+++ b/tests/dispatch_fakes.py
@@ -48,7 +48,7 @@
     def state(self) -> FleetState:
         return self._state
 
-    def age_s(self) -> float:
+    def staleness_s(self) -> float:
         return 0.0
 
     async def wait_for(self, revision: int) -> FleetState:
--- a/tests/plan_fakes.py
+++ b/tests/plan_fakes.py
@@ -61,7 +61,7 @@
     def state(self) -> FleetState:
         return self._state
 
-    def age_s(self) -> float:
+    def staleness_s(self) -> float:
         return 0.0
 
     async def wait_for(self, revision: int) -> FleetState:
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -168,7 +168,7 @@
         run(scenario)
 
     def _check_budget(self, state: FleetState) -> None:
-        self.assertLessEqual(state.unavailable_in("archive"), state.budget_of("archive"))
+        self.assertLessEqual(state.unavailable_in("archive"), state.disruption_budget("archive"))
 
 
 class TargetFaultTests(unittest.TestCase):
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -286,7 +286,7 @@
             async with asyncio.timeout(1):
                 state = await watcher.wait_for(30)
             self.assertEqual(state, author.state())
-            self.assertLess(watcher.age_s(), 1)
+            self.assertLess(watcher.staleness_s(), 1)
             task.cancel()
 
         run(main)
@@ -370,7 +370,7 @@
                 refused = await config.propose(put_pool("d"), author="kari")
                 self.assertEqual(kind_of(refused), ErrorKind.STORE_REGRESSED)
                 self.assertEqual(config.revision(), 3)
-                self.assertGreater(config.age_s(), 5)
+                self.assertGreater(config.staleness_s(), 5)
                 kinds = [event.kind for event in config._timeline.events()]
                 self.assertEqual(kinds.count(EventKind.STORE_REGRESSED), 1)
                 self.assertEqual(store.calls["create"], 3)
--- a/tests/test_plans_machine.py
+++ b/tests/test_plans_machine.py
@@ -217,7 +217,7 @@
         except TimeoutError:
             state = self.state()
             pools = {state.instances[name].pool for name in state.plans[digest].instances}
-            full = [p for p in pools if state.unavailable_in(p) >= state.budget_of(p)]
+            full = [p for p in pools if state.unavailable_in(p) >= state.disruption_budget(p)]
             assert full, f"plan {digest} makes no progress although budget is left"
             self.wait(self.harness.plan_registry.cancel(digest, operator="kari"))
             self.wait(self.harness.until_ended(digest, timeout_s=PLAN_TIMEOUT_S))
@@ -249,7 +249,9 @@
             for pool in {after.instances[name].pool for name in change.names}:
                 out = after.unavailable_in(pool)
                 more = out > before.unavailable_in(pool)
-                self.expect(not more or out <= after.budget_of(pool), f"overspent: {change}")
+                self.expect(
+                    not more or out <= after.disruption_budget(pool), f"overspent: {change}"
+                )
         for record in after.plans.values():
             if not record.state.is_open:
                 self.ended.setdefault(record.digest, record.state)
