--- a/src/shallotworks/config/__init__.py
+++ b/src/shallotworks/config/__init__.py
@@ -9,8 +9,8 @@
 from ._compactor import Compactor
 from ._entries import Entry, Snapshot
 from ._protocols import Accepted, ConfigLog, ConfigReplica, ConfigView
+from ._revert import Difference, RecordKind, diff, revert_change
 from ._store import ConfigStore
-from ._undo import Difference, RecordKind, diff, undo
 
 __all__ = [
     "Accepted",
@@ -24,5 +24,5 @@
     "RecordKind",
     "Snapshot",
     "diff",
-    "undo",
+    "revert_change",
 ]
--- a/src/shallotworks/config/_undo.py
+++ b/src/shallotworks/config/_revert.py
@@ -30,7 +30,7 @@
     Team,
 )
 
-__all__ = ["Difference", "RecordKind", "diff", "undo"]
+__all__ = ["Difference", "RecordKind", "diff", "revert_change"]
 
 Record = DataCentre | Pool | Service | Team | Instance | PlanRecord
 
@@ -77,7 +77,7 @@
     return tuple(found)
 
 
-def undo(
+def revert_change(
     change: Change, *, before: FleetState, after: FleetState, newest: FleetState
 ) -> Result[Change, Failure]:
     """Return the change that reverts an earlier one.
--- a/src/shallotworks/config/_store.py
+++ b/src/shallotworks/config/_store.py
@@ -24,7 +24,7 @@
 from ._protocols import Accepted
 from ._replica import Replica
 from ._restore import restore
-from ._undo import undo
+from ._revert import revert_change
 
 __all__ = ["ConfigStore"]
 
@@ -174,7 +174,7 @@
 
         Returns:
             As `propose`; ``NOT_FOUND`` if the revision is not kept any more; as
-            `shallotworks.config.undo` if no change reverts it.
+            `shallotworks.config.revert_change` if no change reverts it.
         """
         listed = await read_entries(self._store, after=revision - 1, limit=1)
         before = await state_at(self._store, revision - 1)
@@ -187,7 +187,7 @@
         after = apply(before.unwrap(), entry.change)
         if not isinstance(after, Success):
             return Err(after.failure())
-        change = undo(
+        change = revert_change(
             entry.change, before=before.unwrap(), after=after.unwrap(), newest=self.state()
         )
         if not isinstance(change, Success):
