--- a/src/shallotworks/kv/_http_store.py
+++ b/src/shallotworks/kv/_http_store.py
@@ -112,7 +112,7 @@
     ) -> Result[int, Failure]:
         """Write a key and return its new version; ``CONFLICT`` if it has another version."""
         body = wire.SwapCall(key=key, value=value, version=version)
-        return _version(await self._write(SWAP, wire.SWAP_PATH, body, wire.WRITTEN))
+        return _version(await self._write(SWAP, wire.COMPARE_AND_SWAP_PATH, body, wire.WRITTEN))
 
     async def delete(self, key: str, *, version: int) -> Result[None, Failure]:
         """Delete a key; ``CONFLICT`` if it has another version."""
--- a/src/shallotworks/kv/wire.py
+++ b/src/shallotworks/kv/wire.py
@@ -28,7 +28,7 @@
     "LIST_PATH",
     "RENEW_PATH",
     "REVOKE_PATH",
-    "SWAP_PATH",
+    "COMPARE_AND_SWAP_PATH",
     "WATCH_PATH",
     "WATCH_RESULT",
     "WRITTEN",
@@ -44,7 +44,7 @@
 LIST_PATH = "/kv/v1/keys"
 WATCH_PATH = "/kv/v1/watch"
 CREATE_PATH = "/kv/v1/create"
-SWAP_PATH = "/kv/v1/swap"
+COMPARE_AND_SWAP_PATH = "/kv/v1/swap"
 DELETE_PATH = "/kv/v1/delete"
 GRANT_PATH = "/kv/v1/leases/grant"
 RENEW_PATH = "/kv/v1/leases/renew"
--- a/src/shallotworks/standins/_platform_routes.py
+++ b/src/shallotworks/standins/_platform_routes.py
@@ -100,7 +100,7 @@
             ("GET", wire.LIST_PATH): self._list,
             ("GET", wire.WATCH_PATH): self._watch,
             ("POST", wire.CREATE_PATH): self._create,
-            ("POST", wire.SWAP_PATH): self._swap,
+            ("POST", wire.COMPARE_AND_SWAP_PATH): self._swap,
             ("POST", wire.DELETE_PATH): self._delete,
             ("POST", wire.GRANT_PATH): self._grant,
             ("POST", wire.RENEW_PATH): self._renew,
