--- a/bench/plans.py
+++ b/bench/plans.py
@@ -104,18 +104,20 @@
         self._rng = random.Random(seed)
 
     def plan_lease_of(self, digest: str, name: str) -> StorePlanLease:
-        """Return one process's duty of a plan, over its own way to the store."""
+        """Return the lease of one process on a plan, over its own connection to the store."""
         self.stores[name] = ProcessStore(self.store)
         self.candidates[name] = LeaseCandidate(
             store=self.stores[name],
-            duty=f"plan/{digest}",
+            lease_name=f"plan/{digest}",
             holder=name,
             metrics=self.metrics,
             timeline=self.timeline,
             rng=self._rng,
             ttl_s=self._ttl_s,
         )
-        return StorePlanLease(candidate=self.candidates[name], is_eligible=lambda: True, held=set())
+        return StorePlanLease(
+            candidate=self.candidates[name], is_eligible=lambda: True, held_names=set()
+        )
 
     async def crash(self, task: asyncio.Task[None], name: str) -> None:
         """End a conductor whose last words no longer reach the store."""
--- a/src/shallotworks/kv/_lease_candidate.py
+++ b/src/shallotworks/kv/_lease_candidate.py
@@ -67,7 +67,7 @@
 
     Args:
         store: The platform's key-value service.
-        duty: Name of the duty; its key is ``lease/<duty>``.
+        lease_name: Name of the lease; its key is ``lease/<lease_name>``.
         holder: Name of this process.
         metrics: Counts events, under ``lease``.
         timeline: Records when the lease is acquired and lost.
@@ -77,10 +77,10 @@
 
     __slots__ = (
         "_acquired",
-        "_duty",
         "_held",
         "_holder",
         "_key",
+        "_lease_name",
         "_metrics",
         "_rng",
         "_store",
@@ -92,7 +92,7 @@
         self,
         *,
         store: KeyValueStore,
-        duty: str,
+        lease_name: str,
         holder: str,
         metrics: Metrics,
         timeline: Timeline,
@@ -100,8 +100,8 @@
         ttl_s: float = DEFAULT_TTL_S,
     ) -> None:
         self._store = store
-        self._duty = duty
-        self._key = f"lease/{duty}"
+        self._lease_name = lease_name
+        self._key = f"lease/{lease_name}"
         self._holder = holder
         self._metrics = metrics
         self._timeline = timeline
@@ -111,9 +111,9 @@
         self._acquired = asyncio.Event()
 
     @property
-    def duty(self) -> str:
-        """Name of the duty."""
-        return self._duty
+    def lease_name(self) -> str:
+        """Name of the lease."""
+        return self._lease_name
 
     def lease_record(self) -> LeaseRecord | None:
         """Return the lease with its token while it is held by this process's own clock."""
@@ -176,7 +176,7 @@
             return False
         lease = granted.unwrap()
         lease_record = LeaseRecord(
-            duty=self._duty, holder=self._holder, fencing_token=lease.fencing_token
+            duty=self._lease_name, holder=self._holder, fencing_token=lease.fencing_token
         )
         if not await self._create_key(lease, lease_record):
             await self._store.revoke_lease(lease.lease_id)
@@ -229,7 +229,7 @@
 
     def _mark_lost(self, why: str) -> None:
         self._record_event(EventKind.LEASE_LOST, f"lost: {why}")
-        logging.warning("lost the lease for duty %s: %s", self._duty, why)
+        logging.warning("lost the lease for duty %s: %s", self._lease_name, why)
         self._held = None
 
     async def _revoke(self) -> None:
@@ -247,5 +247,5 @@
     def _record_event(self, kind: EventKind, what: str) -> None:
         assert self._held is not None
         token = self._held.lease_record.fencing_token
-        self._timeline.record(kind, subject=Subject(), detail=f"{self._duty} #{token} {what}")
+        self._timeline.record(kind, subject=Subject(), detail=f"{self._lease_name} #{token} {what}")
         self._metrics.count("lease.taken" if kind is EventKind.LEASE_TAKEN else "lease.lost")
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -331,7 +331,7 @@
     def _make_plan_lease(self, digest: str) -> StorePlanLease:
         candidate = LeaseCandidate(
             store=self._store,
-            duty=f"plan/{digest}",
+            lease_name=f"plan/{digest}",
             holder=self._process,
             metrics=self.metrics,
             timeline=self.timeline,
@@ -342,7 +342,7 @@
             candidate=candidate,
             is_eligible=self.peers.should_watch,
             pause_factor=lambda: self._pause_factor(digest),
-            held=self._held_leases,
+            held_names=self._held_leases,
         )
 
     def _entry_rank(self) -> int:
@@ -372,7 +372,7 @@
         """
         data_centres = self.config.state().data_centres
         own = self._settings.instance.data_centre
-        return 1.0 + rank_among(data_centres, own, duty=f"plan/{digest}")
+        return 1.0 + rank_among(data_centres, own, lease_name=f"plan/{digest}")
 
     def _is_live(self, process: str) -> bool:
         """Return whether a process is known to run; an unknown process may run, too."""
--- a/src/shallotworks/node/_plan_lease.py
+++ b/src/shallotworks/node/_plan_lease.py
@@ -18,10 +18,10 @@
         candidate: Acquires and renews the lease.
         is_eligible: Returns whether this process may acquire the lease.
         pause_factor: Returns the factor on the pauses between attempts; see `LeaseCandidate.run`.
-        held: Names of the leases that this process holds; updated for operators.
+        held_names: Names of the leases that this process holds; updated for operators.
     """
 
-    __slots__ = ("_candidacy", "_candidate", "_held", "_is_eligible", "_pause_factor")
+    __slots__ = ("_candidacy", "_candidate", "_held_names", "_is_eligible", "_pause_factor")
 
     def __init__(
         self,
@@ -29,12 +29,12 @@
         candidate: LeaseCandidate,
         is_eligible: Callable[[], bool],
         pause_factor: Callable[[], float],
-        held: set[str],
+        held_names: set[str],
     ) -> None:
         self._pause_factor = pause_factor
         self._candidate = candidate
         self._is_eligible = is_eligible
-        self._held = held
+        self._held_names = held_names
         self._candidacy: asyncio.Task[None] | None = None
 
     async def acquire(self) -> int:
@@ -45,7 +45,7 @@
             )
             self._candidacy = asyncio.create_task(work)
         lease_record = await self._candidate.wait_until_held()
-        self._held.add(self._candidate.duty)
+        self._held_names.add(self._candidate.lease_name)
         return lease_record.fencing_token
 
     def is_held(self) -> bool:
@@ -54,7 +54,7 @@
 
     async def release(self) -> None:
         """Release the lease if it is held, and stop trying to acquire it."""
-        self._held.discard(self._candidate.duty)
+        self._held_names.discard(self._candidate.lease_name)
         if self._candidacy is None:
             return
         self._candidacy.cancel()
--- a/src/shallotworks/peers/_rendezvous.py
+++ b/src/shallotworks/peers/_rendezvous.py
@@ -44,12 +44,12 @@
     return tuple(ranked[:WATCHERS_PER_DATA_CENTRE])
 
 
-def rank_among(names: Iterable[str], own: str, *, duty: str) -> int:
-    """Return how many of the names rank before ``own`` for a duty; 0 for the first."""
-    own_score = (_score(duty, own), own)
-    return sum(1 for name in names if (_score(duty, name), name) > own_score)
+def rank_among(names: Iterable[str], own: str, *, lease_name: str) -> int:
+    """Return how many of the names rank before ``own`` for a lease; 0 for the first."""
+    own_score = (_score(lease_name, own), own)
+    return sum(1 for name in names if (_score(lease_name, name), name) > own_score)
 
 
-def _score(duty: str, name: str) -> bytes:
-    """Return the rendezvous hash of a name for a duty."""
-    return blake2b(f"{duty}/{name}".encode(), digest_size=SCORE_BYTES).digest()
+def _score(lease_name: str, name: str) -> bytes:
+    """Return the rendezvous hash of a name for a lease."""
+    return blake2b(f"{lease_name}/{name}".encode(), digest_size=SCORE_BYTES).digest()
--- a/tests/test_lease_candidate.py
+++ b/tests/test_lease_candidate.py
@@ -28,7 +28,7 @@
         self.timeline = Timeline(process=name, wall_clock_s=lambda: 0.0)
         return LeaseCandidate(
             store=store,
-            duty="plan/1",
+            lease_name="plan/1",
             holder=name,
             metrics=Metrics(),
             timeline=self.timeline,
