--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -9,7 +9,13 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, replace
 
-from tests.dispatch_fakes import fleet, instances, make_harness, make_request, run_on_virtual_clock
+from tests.dispatch_fakes import (
+    make_fleet,
+    make_harness,
+    make_instances,
+    make_request,
+    run_on_virtual_clock,
+)
 
 from bench._dispatch_baselines import EveryRetry, FirstCome, LeastInFlight, RandomChoice
 from bench._dispatch_load import Entry, FakeTarget, Load, Tally, offer
@@ -70,7 +76,7 @@
 
     def __init__(self, setup: Setup, seed: int, *, slots: int = SLOTS) -> None:
         self.rng = random.Random(seed)
-        members = instances(WORKERS, slots=slots)
+        members = make_instances(WORKERS, slots=slots)
         self.targets = {name: FakeTarget(instance=entry) for name, entry in members.items()}
         self.entries = [self._entry(setup, seed, rank) for rank in range(setup.entries)]
 
@@ -84,7 +90,7 @@
             dispatcher = FirstCome(members=members, entry_count=lambda: setup.entries, rng=rng)
             return Entry(dispatcher=dispatcher, retry=retry)
         made = make_harness(
-            fleet(members),
+            make_fleet(members),
             limits=setup.limits,
             seed=seed * 100 + rank,
             selector=setup.selector(rng) if setup.selector else None,
@@ -310,7 +316,7 @@
 
 
 async def _cost_of_waiting(waiting: int) -> tuple[float, float]:
-    made = make_harness(fleet(instances(1)), limits=DispatchLimits(waiting_min=NEVER))
+    made = make_harness(make_fleet(make_instances(1)), limits=DispatchLimits(waiting_min=NEVER))
     for _ in range(8):
         await made.grant(within_s=1000)
     requests = [made.request(within_s=1000) for _ in range(waiting)]
@@ -338,8 +344,8 @@
 def _many(*, pools: int, workers: int) -> FleetState:
     members = {}
     for number in range(workers):
-        members.update(instances(1, pool=f"p{number % pools}", prefix=f"w{number}-"))
-    state = fleet(members)
+        members.update(make_instances(1, pool=f"p{number % pools}", prefix=f"w{number}-"))
+    state = make_fleet(members)
     services = {
         f"s{number}": Service(name=f"s{number}", pool=f"p{number}", share=1.0, max_unavailable=1)
         for number in range(pools)
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -23,7 +23,7 @@
 
 from returns.result import Failure as Err
 from returns.result import Result
-from tests.plan_fakes import ConductorHarness, fjellsending, fleet, run, tijera
+from tests.plan_fakes import ConductorHarness, fjellsending, make_fleet, run, tijera
 
 from shallotworks.errors import ErrorKind, Failure
 from shallotworks.fleet import (
@@ -152,7 +152,7 @@
     while sum(sizes) < TARGET_INSTANCES:
         pool = rng.randrange(TARGET_POOLS)
         sizes[pool] += sizes[pool] < 10
-    return fleet(
+    return make_fleet(
         centres=tuple(f"dc{number:02d}" for number in range(TARGET_CENTRES)),
         pools={f"pool{number:03d}": size for number, size in enumerate(sizes)},
     )
@@ -250,7 +250,7 @@
     while sum(sizes) < SMALL_INSTANCES:
         sizes[rng.randrange(3)] += 1
     pools = {f"p{number}": size for number, size in enumerate(sizes)}
-    state = fleet(centres=("x", "y"), pools=pools, budget=rng.randint(1, 2), per_rack=2)
+    state = make_fleet(centres=("x", "y"), pools=pools, budget=rng.randint(1, 2), per_rack=2)
     plan = Planner(weights=weights, model=DisruptionModel()).plan(state, EVERYTHING, author="bench")
     chosen = plan.unwrap().measures
     every = list(_all_measures(state, keeps_one=keeps_one))
@@ -311,7 +311,7 @@
     calls_before = sum(harness.store.calls.values())
     writes_before = len(harness.config.history)
     started_s = asyncio.get_running_loop().time()
-    await harness.until_ended(plan.digest)
+    await harness.wait_until_ended(plan.digest)
     took_s = asyncio.get_running_loop().time() - started_s
     writes = len(harness.config.history) - writes_before
     made = [change for change, _ in harness.config.history[writes_before:]]
@@ -354,7 +354,7 @@
     while max(_tokens(harness)) == token:
         await asyncio.sleep(0.05)
     pauses_s.append(asyncio.get_running_loop().time() - killed_s)
-    await harness.until_ended(plan.digest)
+    await harness.wait_until_ended(plan.digest)
     await harness.stop()
 
 
--- a/tests/dispatch_fakes.py
+++ b/tests/dispatch_fakes.py
@@ -69,7 +69,7 @@
         self.set_instances(list(names), condition=Condition.CORDONED)
 
 
-def instances(
+def make_instances(
     count: int, *, slots: int = 8, data_centre: str = "here", pool: str = "pool", prefix: str = "w"
 ) -> dict[str, Instance]:
     """Return instances of one pool by name."""
@@ -86,7 +86,7 @@
     }
 
 
-def fleet(
+def make_fleet(
     members: dict[str, Instance],
     *,
     shares: dict[str, float] | None = None,
@@ -221,13 +221,13 @@
     )
 
 
-async def settle() -> None:
+async def run_ready_tasks() -> None:
     """Let every ready task run without advancing the clock."""
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-def granted(task: "asyncio.Task[Result[Grant, Failure]]") -> bool:
+def has_grant(task: "asyncio.Task[Result[Grant, Failure]]") -> bool:
     """Whether a task has finished with a grant."""
     return task.done() and isinstance(task.result(), Success)
 
--- a/tests/entry.py
+++ b/tests/entry.py
@@ -24,7 +24,7 @@
 )
 from shallotworks.standins import WorkerStandIn
 from shallotworks.timeline import Timeline
-from tests.dispatch_fakes import SettableConfig, fleet
+from tests.dispatch_fakes import SettableConfig, make_fleet
 from tests.fakes import LoopThread
 
 BODY_LIMIT_BYTES = 64 * 1024
@@ -53,7 +53,7 @@
         )
         for worker in workers
     }
-    return fleet(members, shares={name: 1 / len(services) for name in services}, quotas=quotas)
+    return make_fleet(members, shares={name: 1 / len(services) for name in services}, quotas=quotas)
 
 
 class InProcessEntry:
--- a/tests/plan_fakes.py
+++ b/tests/plan_fakes.py
@@ -270,7 +270,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def until_ended(self, digest: str, *, timeout_s: float = 36_000.0) -> FleetState:
+    async def wait_until_ended(self, digest: str, *, timeout_s: float = 36_000.0) -> FleetState:
         async with asyncio.timeout(timeout_s):
             while self.config.state().plans[digest].state.is_open:
                 await self.config.wait_for(self.config.state().revision + 1)
@@ -292,14 +292,16 @@
         loop.close()
 
 
-async def confirmed(harness: ConductorHarness, intent: Intent, operator: str = "kari") -> str:
+async def propose_and_confirm(
+    harness: ConductorHarness, intent: Intent, operator: str = "kari"
+) -> str:
     """Propose and confirm an intent; return the digest of the plan."""
     plan = (await harness.plan_registry.propose(intent, author=operator)).unwrap()
     (await harness.plan_registry.confirm(plan.digest, operator=operator)).unwrap()
     return plan.digest
 
 
-def fleet(
+def make_fleet(
     *,
     centres: tuple[str, ...],
     pools: dict[str, int],
@@ -339,7 +341,7 @@
 def fjellsending(*, budget: int = 2) -> FleetState:
     """Return the fleet of Fjellsending: four data centres, five pools of eight instances."""
     services = ("fault-trace", "antenna-sweep", "spare-parts", "archive", "coverage")
-    return fleet(
+    return make_fleet(
         centres=("bergen", "forde", "odda", "voss"), pools=dict.fromkeys(services, 8), budget=budget
     )
 
@@ -347,7 +349,7 @@
 def tijera() -> FleetState:
     """Return the fleet of Tijera de Plata: three data centres, five pools of six instances."""
     services = ("booking", "walk-in", "day-sheet", "commissions", "supplies")
-    return fleet(
+    return make_fleet(
         centres=("leon", "puebla", "queretaro"),
         pools=dict.fromkeys(services, 6),
         budget=2,
--- a/tests/test_conductor.py
+++ b/tests/test_conductor.py
@@ -6,7 +6,7 @@
 from shallotworks.errors import ErrorKind
 from shallotworks.fleet import Condition, PlanState, SetHealth
 from shallotworks.plans import Drain, InPool, InRack, Maintain, Named, Return
-from tests.plan_fakes import ConductorHarness, confirmed, fjellsending, run
+from tests.plan_fakes import ConductorHarness, fjellsending, propose_and_confirm, run
 
 
 class EndToEndTests(unittest.TestCase):
@@ -27,7 +27,7 @@
             await asyncio.sleep(30)
             self.assertTrue(harness.config.state().plans[plan.digest].state.is_open)
             harness.targets.work.clear()
-            state = await harness.until_ended(plan.digest)
+            state = await harness.wait_until_ended(plan.digest)
             self.assertIs(state.plans[plan.digest].state, PlanState.DONE)
             for name in plan.instances:
                 self.assertIs(state.instances[name].condition, Condition.CORDONED)
@@ -41,8 +41,8 @@
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
             harness.start_conductor()
-            digest = await confirmed(harness, Maintain(selection=InPool(pool="archive")))
-            state = await harness.until_ended(digest)
+            digest = await propose_and_confirm(harness, Maintain(selection=InPool(pool="archive")))
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             self.assertEqual(sorted(harness.targets.reboots), [f"archive-{n}" for n in range(8)])
             for entry in state.instances_of("archive"):
@@ -59,10 +59,12 @@
             harness = ConductorHarness(fjellsending())
             harness.start_conductor()
             one = Named(names=("archive-0",))
-            await harness.until_ended(await confirmed(harness, Drain(selection=one)))
+            await harness.wait_until_ended(await propose_and_confirm(harness, Drain(selection=one)))
             failed = SetHealth(names=one.names, healthy=False)
             await harness.config.propose(failed, author="peer")
-            state = await harness.until_ended(await confirmed(harness, Return(selection=one)))
+            state = await harness.wait_until_ended(
+                await propose_and_confirm(harness, Return(selection=one))
+            )
             self.assertTrue(state.instances["archive-0"].available)
             await harness.stop()
 
@@ -75,7 +77,7 @@
 
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
-            kept = await confirmed(harness, Drain(selection=Named(names=("archive-0",))))
+            kept = await propose_and_confirm(harness, Drain(selection=Named(names=("archive-0",))))
             intent = Drain(selection=Named(names=("coverage-0",)))
             old = (await harness.plan_registry.propose(intent, author="kari")).unwrap().digest
             for healthy in (False, True):
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -19,7 +19,7 @@
     Move,
     Named,
 )
-from tests.plan_fakes import ConductorHarness, confirmed, fjellsending, run, tijera
+from tests.plan_fakes import ConductorHarness, fjellsending, propose_and_confirm, run, tijera
 
 ARCHIVE = Maintain(selection=InPool(pool="archive"))
 ARCHIVE_NAMES = [f"archive-{number}" for number in range(8)]
@@ -37,13 +37,13 @@
             harness = ConductorHarness(fjellsending())
             first = harness.start_conductor()
             harness.start_conductor()
-            digest = await confirmed(harness, ARCHIVE)
+            digest = await propose_and_confirm(harness, ARCHIVE)
             await asyncio.sleep(at_s)
             await harness.kill(first)
             token = harness.lease.token
             await asyncio.sleep(10)
             self.assertGreater(harness.lease.token, token)
-            state = await harness.until_ended(digest)
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             self.assertEqual(sorted(harness.targets.reboots), ARCHIVE_NAMES)
             await harness.stop()
@@ -59,14 +59,14 @@
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
             first = harness.start_conductor()
-            digest = await confirmed(harness, ARCHIVE)
+            digest = await propose_and_confirm(harness, ARCHIVE)
             await asyncio.sleep(10)
             harness.pause(first)
             await asyncio.sleep(harness.lease.ttl_s)
             harness.start_conductor()
             await asyncio.sleep(3)
             history_length = len(harness.config.history)
-            state = await harness.until_ended(digest)
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             authors = {author for _, author in harness.config.history[history_length:]}
             self.assertEqual(authors, {"entry-1"})
@@ -88,7 +88,7 @@
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
             harness.start_conductor()
-            digest = await confirmed(harness, ARCHIVE)
+            digest = await propose_and_confirm(harness, ARCHIVE)
             await asyncio.sleep(10)
             harness.config.down = True
             revision = harness.config.state().revision
@@ -97,7 +97,7 @@
             self.assertEqual(harness.config.state().revision, revision)
             self.assertLessEqual(len(harness.targets.reboots), reboots + 2)
             harness.config.down = False
-            state = await harness.until_ended(digest)
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             await harness.stop()
 
@@ -112,9 +112,9 @@
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
             harness.start_conductor()
-            digest = await confirmed(harness, ARCHIVE)
+            digest = await propose_and_confirm(harness, ARCHIVE)
             harness.config.lost_answers = 12
-            state = await harness.until_ended(digest)
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             self.assertEqual(sorted(harness.targets.reboots), ARCHIVE_NAMES)
             await harness.stop()
@@ -132,14 +132,14 @@
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
             harness.start_conductor()
-            digest = await confirmed(harness, ARCHIVE)
+            digest = await propose_and_confirm(harness, ARCHIVE)
             down = SetHealth(names=("archive-6", "archive-7"), healthy=False)
             await harness.config.propose(down, author="peer")
             await asyncio.sleep(1200)
             self.assertLessEqual(len(harness.targets.reboots), 2)
             up = SetHealth(names=("archive-6", "archive-7"), healthy=True)
             await harness.config.propose(up, author="peer")
-            state = await harness.until_ended(digest)
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             await harness.stop()
 
@@ -157,11 +157,11 @@
             harness.start_conductor()
             halves = [Named(names=tuple(ARCHIVE_NAMES[start::2])) for start in (0, 1)]
             digests = [
-                await confirmed(harness, Maintain(selection=half), operator)
+                await propose_and_confirm(harness, Maintain(selection=half), operator)
                 for half, operator in zip(halves, ("kari", "ola"), strict=True)
             ]
             for digest in digests:
-                state = await harness.until_ended(digest)
+                state = await harness.wait_until_ended(digest)
                 self.assertIs(state.plans[digest].state, PlanState.DONE)
             await harness.stop()
 
@@ -182,8 +182,8 @@
             harness = ConductorHarness(fjellsending())
             harness.targets.work["archive-3"] = 1
             harness.start_conductor()
-            digest = await confirmed(harness, ARCHIVE)
-            state = await harness.until_ended(digest)
+            digest = await propose_and_confirm(harness, ARCHIVE)
+            state = await harness.wait_until_ended(digest)
             record = state.plans[digest]
             self.assertIs(record.state, PlanState.FAILED)
             self.assertIn("7 of 8 instances done: archive-3 never emptied", record.outcome)
@@ -213,8 +213,8 @@
                 return await real_reboot(instance, reboot_id=reboot_id, fencing_token=fencing_token)
 
             harness.targets.reboot = reboot_after_late_work  # type: ignore[method-assign]
-            digest = await confirmed(harness, ARCHIVE)
-            state = await harness.until_ended(digest)
+            digest = await propose_and_confirm(harness, ARCHIVE)
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             self.assertEqual(sorted(harness.targets.reboots), ARCHIVE_NAMES)
             await harness.stop()
@@ -234,14 +234,14 @@
             harness = ConductorHarness(fjellsending())
             harness.change_instance("archive-0", incarnation="first")
             harness.start_conductor()
-            digest = await confirmed(harness, ARCHIVE)
+            digest = await propose_and_confirm(harness, ARCHIVE)
             while "archive-0" not in harness.targets.reboots:
                 await asyncio.sleep(0.1)
             if fault == "dead":
                 harness.targets.dead.add("archive-0")
             else:
                 harness.targets.incarnations["archive-0"] = "second"
-            state = await harness.until_ended(digest)
+            state = await harness.wait_until_ended(digest)
             record = state.plans[digest]
             self.assertIs(record.state, PlanState.FAILED)
             self.assertIn(message, record.outcome)
@@ -261,7 +261,7 @@
         async def scenario() -> None:
             harness = ConductorHarness(fjellsending())
             harness.start_conductor()
-            digest = await confirmed(harness, ARCHIVE)
+            digest = await propose_and_confirm(harness, ARCHIVE)
             while len(harness.targets.reboots) < 2:
                 await asyncio.sleep(0.1)
             harness.targets.dead.update(harness.targets.reboots)
@@ -269,7 +269,7 @@
             self.assertEqual(len(harness.targets.reboots), 2)
             self.assertTrue(harness.config.state().plans[digest].state.is_open)
             harness.targets.dead.clear()
-            state = await harness.until_ended(digest)
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             await harness.stop()
 
@@ -288,10 +288,10 @@
             harness = ConductorHarness(fjellsending())
             harness.start_conductor()
             harness.targets.work["archive-1"] = 1
-            digest = await confirmed(harness, ARCHIVE)
+            digest = await propose_and_confirm(harness, ARCHIVE)
             await asyncio.sleep(at_s)
             (await harness.plan_registry.cancel(digest[:8], operator="ola")).unwrap()
-            state = await harness.until_ended(digest)
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.CANCELLED)
             self.assertTrue(all(entry.available for entry in state.instances.values()))
             self.assertLessEqual(len(harness.targets.reboots), 2)
@@ -310,12 +310,12 @@
             harness.start_conductor()
             names = ("archive-0", "archive-1")
             intent = Move(from_pool="archive", to_pool="coverage", names=names)
-            digest = await confirmed(harness, intent)
+            digest = await propose_and_confirm(harness, intent)
             while harness.config.state().instances["archive-0"].pool != "coverage":
                 harness.targets.dead.update(names if harness.targets.work else ())
                 await asyncio.sleep(0.01)
             (await harness.plan_registry.cancel(digest, operator="kari")).unwrap()
-            state = await harness.until_ended(digest)
+            state = await harness.wait_until_ended(digest)
             self.assertEqual({state.instances[name].pool for name in names}, {"archive"})
             self.assertTrue(all(state.instances[name].available for name in names))
             await harness.stop()
@@ -331,8 +331,8 @@
             harness = ConductorHarness(tijera())
             harness.start_conductor()
             intent = Move(from_pool="supplies", to_pool="booking", count=3)
-            digest = await confirmed(harness, intent)
-            state = await harness.until_ended(digest)
+            digest = await propose_and_confirm(harness, intent)
+            state = await harness.wait_until_ended(digest)
             self.assertIs(state.plans[digest].state, PlanState.DONE)
             self.assertEqual(len(list(state.instances_of("booking"))), 9)
             self.assertTrue(all(entry.available for entry in state.instances_of("booking")))
@@ -350,7 +350,9 @@
             window = MaintenanceWindow(opens_s=20 * 3600, closes_s=6 * 3600)
             harness = ConductorHarness(tijera(), policy=ConductorPolicy(window=window))
             harness.start_conductor()
-            digest = await confirmed(harness, Drain(selection=Named(names=("booking-0",))))
+            digest = await propose_and_confirm(
+                harness, Drain(selection=Named(names=("booking-0",)))
+            )
             change_checks = harness.config.checks
             cordoned_left_s: list[float] = []
             change_checks.append(
@@ -360,7 +362,7 @@
                     else None
                 )
             )
-            await harness.until_ended(digest, timeout_s=86_400)
+            await harness.wait_until_ended(digest, timeout_s=86_400)
             self.assertEqual(len(cordoned_left_s), 1)
             self.assertGreater(cordoned_left_s[0], 0)
             await harness.stop()
--- a/tests/test_dispatch_history.py
+++ b/tests/test_dispatch_history.py
@@ -13,11 +13,11 @@
 from shallotworks.requests import AttemptOutcome, DispatchLimits, Grant, Request, RequestClass
 from tests.dispatch_fakes import (
     DispatchHarness,
-    fleet,
-    instances,
+    make_fleet,
     make_harness,
+    make_instances,
     run_on_virtual_clock,
-    settle,
+    run_ready_tasks,
 )
 
 SLOTS = 2
@@ -59,8 +59,8 @@
 
     def __init__(self, case: unittest.TestCase) -> None:
         self.case = case
-        state = fleet(
-            instances(WORKERS, slots=SLOTS),
+        state = make_fleet(
+            make_instances(WORKERS, slots=SLOTS),
             shares={"trace": 0.5, "parts": 0.3},
             quotas={"crew": QUOTA},
         )
@@ -79,7 +79,7 @@
                 await asyncio.sleep(step[1])
             else:
                 getattr(self, step[0])(*step[1:])
-            await settle()
+            await run_ready_tasks()
             self.collect()
             self.check()
         await self.finish()
@@ -174,7 +174,7 @@
                 grant = self.held.pop(number)
                 self.harness.dispatcher.release(grant, AttemptOutcome.ANSWERED, duration_s=0.01)
             await asyncio.sleep(1.0)
-            await settle()
+            await run_ready_tasks()
             self.collect()
             self.check()
         self.case.assertEqual(set(self.answers.values()) | {1}, {1})
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -8,13 +8,13 @@
 from shallotworks.requests import AttemptOutcome, DispatchLimits
 from tests.dispatch_fakes import (
     LONG_RUNNING,
-    fleet,
-    granted,
-    instances,
+    has_grant,
     kind_of,
+    make_fleet,
     make_harness,
+    make_instances,
     run_on_virtual_clock,
-    settle,
+    run_ready_tasks,
 )
 
 
@@ -23,16 +23,16 @@
         """A request beyond the slots waits until another one is released."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(2, slots=2)))
+            harness = make_harness(make_fleet(make_instances(2, slots=2)))
             grants = [await harness.grant() for _ in range(4)]
             self.assertEqual(Counter(g.target.instance for g in grants), {"w0": 2, "w1": 2})
             fifth = harness.start()
-            await settle()
+            await run_ready_tasks()
             self.assertFalse(fifth.done())
             harness.done(grants[0])
             harness.done(grants[0])
-            await settle()
-            self.assertTrue(granted(fifth))
+            await run_ready_tasks()
+            self.assertTrue(has_grant(fifth))
             self.assertEqual(harness.dispatcher.in_flight, 4)
             self.assertEqual(harness.metrics.counters()["dispatch.released-twice"], 1)
 
@@ -44,10 +44,10 @@
         async def scenario() -> None:
             held: Counter[str] = Counter()
             for rank in range(3):
-                harness = make_harness(fleet(instances(5)), entries=3, rank=rank)
+                harness = make_harness(make_fleet(make_instances(5)), entries=3, rank=rank)
                 tasks = [harness.start() for _ in range(40)]
-                await settle()
-                held.update(t.result().unwrap().target.instance for t in tasks if granted(t))
+                await run_ready_tasks()
+                held.update(t.result().unwrap().target.instance for t in tasks if has_grant(t))
             self.assertEqual(held, {f"w{number}": 8 for number in range(5)})
 
         run_on_virtual_clock(scenario)
@@ -59,16 +59,16 @@
         """
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(1)), entries=2, rank=0)
+            harness = make_harness(make_fleet(make_instances(1)), entries=2, rank=0)
             tasks = [harness.start(within_s=1000) for _ in range(64)]
-            await settle()
+            await run_ready_tasks()
             seen = []
             for outcome in [AttemptOutcome.ANSWERED] * 4 + [AttemptOutcome.REFUSED]:
                 seen.append(len(_granted_tasks(tasks)))
                 for task in _granted_tasks(tasks):
                     tasks.remove(task)
                     harness.dispatcher.release(task.result().unwrap(), outcome, duration_s=0.0)
-                await settle()
+                await run_ready_tasks()
             await asyncio.sleep(0.3)
             seen.append(len(_granted_tasks(tasks)))
             self.assertEqual((seen[0], max(seen), seen[-1]), (4, 8, 4))
@@ -79,7 +79,7 @@
         """An unknown service or team is NOT_FOUND; a service without targets is NO_TARGET."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet({}))
+            harness = make_harness(make_fleet({}))
             tasks = [harness.start("none"), harness.start(team="x"), harness.start()]
             await asyncio.wait(tasks)
             kinds = [kind_of(task) for task in tasks]
@@ -92,20 +92,20 @@
         """A stopping dispatcher refuses new requests but not waiting ones or retries."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(1, slots=1)))
+            harness = make_harness(make_fleet(make_instances(1, slots=1)))
             first = await harness.grant()
             waiting = harness.start()
-            await settle()
+            await run_ready_tasks()
             harness.dispatcher.stop_admitting()
             late = harness.start()
             retry = harness.ask(harness.request(), tried=frozenset({"w9"}))
-            await settle()
+            await run_ready_tasks()
             self.assertIs(kind_of(late), ErrorKind.STOPPING)
             harness.done(first)
-            await settle()
-            self.assertTrue(granted(waiting))
+            await run_ready_tasks()
+            self.assertTrue(has_grant(waiting))
             harness.dispatcher.refuse_waiting()
-            await settle()
+            await run_ready_tasks()
             self.assertIs(kind_of(retry), ErrorKind.STOPPING)
 
         run_on_virtual_clock(scenario)
@@ -116,15 +116,15 @@
         """Long-running requests that waited longer don't delay an interactive one."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(1, slots=4)))
+            harness = make_harness(make_fleet(make_instances(1, slots=4)))
             grants = [await harness.grant(request_class=LONG_RUNNING) for _ in range(3)]
             grants.append(await harness.grant())
             slow = harness.start(request_class=LONG_RUNNING)
             quick = harness.start()
-            await settle()
+            await run_ready_tasks()
             harness.done(grants[0])
-            await settle()
-            self.assertTrue(granted(quick))
+            await run_ready_tasks()
+            self.assertTrue(has_grant(quick))
             self.assertFalse(slow.done())
 
         run_on_virtual_clock(scenario)
@@ -133,11 +133,11 @@
         """Long-running work must not take the last slot from an interactive request."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(2)))
+            harness = make_harness(make_fleet(make_instances(2)))
             tasks = [harness.start(request_class=LONG_RUNNING) for _ in range(30)]
-            await settle()
-            self.assertEqual(sum(map(granted, tasks)), 15)
-            self.assertTrue(granted(await _wait_done(harness.start())))
+            await run_ready_tasks()
+            self.assertEqual(sum(map(has_grant, tasks)), 15)
+            self.assertTrue(has_grant(await _wait_done(harness.start())))
 
         run_on_virtual_clock(scenario)
 
@@ -146,13 +146,13 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(long_running_min_part=0.25, waiting_min=10_000)
-            harness = make_harness(fleet(instances(1)), limits=limits)
+            harness = make_harness(make_fleet(make_instances(1)), limits=limits)
             flood = [harness.start(within_s=1000) for _ in range(200)]
             nightly = [harness.start(request_class=LONG_RUNNING, within_s=1000) for _ in range(20)]
             answered = 0
             for _ in range(30):
-                await settle()
-                running = [t for t in flood + nightly if granted(t)]
+                await run_ready_tasks()
+                running = [t for t in flood + nightly if has_grant(t)]
                 self.assertLessEqual(sum(t in nightly for t in running), 2)
                 for task in running:
                     harness.done(task.result().unwrap())
@@ -168,12 +168,14 @@
         """A service uses slots of an unused share, and they return as slots become free."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(1), shares={"trace": 0.75, "parts": 0.25}))
+            harness = make_harness(
+                make_fleet(make_instances(1), shares={"trace": 0.75, "parts": 0.25})
+            )
             lent = [await harness.grant("parts") for _ in range(8)]
             tasks = [harness.start(name) for name in ("parts", "trace") for _ in range(8)]
             for grant in lent:
                 harness.done(grant)
-                await settle()
+                await run_ready_tasks()
             names = Counter(
                 "parts" if task in tasks[:8] else "trace" for task in _granted_tasks(tasks)
             )
@@ -187,17 +189,17 @@
         async def scenario() -> None:
             limits = DispatchLimits(team_waiting_per_slot=2)
             harness = make_harness(
-                fleet(instances(1), quotas={"crew": 2, "none": 0}), limits=limits
+                make_fleet(make_instances(1), quotas={"crew": 2, "none": 0}), limits=limits
             )
             tasks = [harness.start(team="crew") for _ in range(7)]
             other = harness.start()
-            await settle()
-            self.assertEqual([granted(task) for task in tasks[:3]], [True, True, False])
+            await run_ready_tasks()
+            self.assertEqual([has_grant(task) for task in tasks[:3]], [True, True, False])
             self.assertIs(kind_of(tasks[6]), ErrorKind.OVER_QUOTA)
-            self.assertTrue(granted(other))
+            self.assertTrue(has_grant(other))
             harness.done(tasks[0].result().unwrap())
-            await settle()
-            self.assertEqual([granted(task) for task in tasks[2:4]], [True, False])
+            await run_ready_tasks()
+            self.assertEqual([has_grant(task) for task in tasks[2:4]], [True, False])
             self.assertIs(
                 kind_of(await _wait_done(harness.start(team="none"))), ErrorKind.OVER_QUOTA
             )
@@ -208,17 +210,17 @@
         """Requests queued while their team was below its quota start only within the quota."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(1, slots=4), quotas={"crew": 1}))
+            harness = make_harness(make_fleet(make_instances(1, slots=4), quotas={"crew": 1}))
             held = [await harness.grant() for _ in range(4)]
             tasks = [harness.start(team="crew", within_s=30) for _ in range(3)]
-            await settle()
+            await run_ready_tasks()
             for grant in held:
                 harness.done(grant)
-            await settle()
-            self.assertEqual(sum(map(granted, tasks)), 1)
+            await run_ready_tasks()
+            self.assertEqual(sum(map(has_grant, tasks)), 1)
             harness.done(tasks[0].result().unwrap())
-            await settle()
-            self.assertEqual(sum(map(granted, tasks)), 2)
+            await run_ready_tasks()
+            self.assertEqual(sum(map(has_grant, tasks)), 2)
 
         run_on_virtual_clock(scenario)
 
@@ -232,21 +234,21 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(waiting_min=4, waiting_per_slot=0)
-            state = fleet(instances(1, slots=2), shares={"trace": 0.5, "parts": 0.5})
+            state = make_fleet(make_instances(1, slots=2), shares={"trace": 0.5, "parts": 0.5})
             harness = make_harness(state, limits=limits)
             for _ in range(2):
                 await harness.grant("parts")
             archive = [harness.start("trace", request_class=LONG_RUNNING) for _ in range(2)]
             greedy = [harness.start("parts") for _ in range(4)]
-            await settle()
+            await run_ready_tasks()
             self.assertEqual([kind_of(task) for task in archive], [ErrorKind.OVERLOADED] * 2)
             self.assertFalse(any(task.done() for task in greedy))
             modest = harness.start("trace")
-            await settle()
+            await run_ready_tasks()
             self.assertIs(kind_of(greedy[3]), ErrorKind.OVERLOADED)
             self.assertFalse(modest.done())
             more = harness.start("parts")
-            await settle()
+            await run_ready_tasks()
             self.assertIs(kind_of(more), ErrorKind.OVERLOADED)
             self.assertGreater(more.result().failure().retry_after_s, 0)
 
@@ -257,10 +259,10 @@
 
         async def scenario() -> None:
             harness = make_harness(
-                fleet(instances(1, slots=1)), limits=DispatchLimits(waiting_max=5)
+                make_fleet(make_instances(1, slots=1)), limits=DispatchLimits(waiting_max=5)
             )
             tasks = [harness.start() for _ in range(10)]
-            await settle()
+            await run_ready_tasks()
             self.assertEqual(harness.dispatcher.waiting, 5)
             self.assertIs(kind_of(tasks[9]), ErrorKind.OVERLOADED)
 
@@ -270,12 +272,12 @@
         """A request that would miss its deadline is refused on arrival, not at the deadline."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(1, slots=1)))
+            harness = make_harness(make_fleet(make_instances(1, slots=1)))
             for _ in range(20):
                 harness.done(await harness.grant(), duration_s=1.0)
             held = await harness.grant()
             tasks = [harness.start(within_s=3.0) for _ in range(5)]
-            await settle()
+            await run_ready_tasks()
             refused = [task for task in tasks if task.done()]
             self.assertEqual(len(refused), 4)
             self.assertIs(kind_of(refused[0]), ErrorKind.OVERLOADED)
@@ -289,15 +291,15 @@
         """A deadline below the usual duration alone is no reason to refuse a request."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(8)))
+            harness = make_harness(make_fleet(make_instances(8)))
             for _ in range(20):
                 harness.done(await harness.grant(), duration_s=1.0)
             held = [await harness.grant() for _ in range(64)]
             waiting = harness.start(within_s=0.9)
             await asyncio.sleep(0.1)
             harness.done(held[0])
-            await settle()
-            self.assertTrue(granted(waiting))
+            await run_ready_tasks()
+            self.assertTrue(has_grant(waiting))
             await asyncio.sleep(10.0)
             self.assertNotIn("dispatch.refused.deadline-exceeded", harness.metrics.counters())
 
@@ -307,16 +309,16 @@
         """Estimates that are far too long must not refuse requests while slots become free."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(1, slots=1)))
+            harness = make_harness(make_fleet(make_instances(1, slots=1)))
             harness.done(await harness.grant(), duration_s=1000.0)
             for _ in range(200):
                 harness.done(await harness.grant(within_s=1.0), duration_s=0.01)
             held = await harness.grant()
             waiting = harness.start(within_s=1.0)
-            await settle()
+            await run_ready_tasks()
             harness.done(held)
-            await settle()
-            self.assertTrue(granted(waiting))
+            await run_ready_tasks()
+            self.assertTrue(has_grant(waiting))
 
         run_on_virtual_clock(scenario)
 
@@ -327,22 +329,22 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(waiting_min=10_000)
-            harness = make_harness(fleet(instances(1, slots=2)), limits=limits)
+            harness = make_harness(make_fleet(make_instances(1, slots=2)), limits=limits)
             held = [await harness.grant(), await harness.grant()]
             requests = [harness.request(request_class=LONG_RUNNING) for _ in range(5_000)]
             tasks = [harness.ask(request) for request in requests]
-            await settle()
+            await run_ready_tasks()
             last = harness.start()
-            await settle()
+            await run_ready_tasks()
             cancelled = [harness.dispatcher.cancel(request.request_id) for request in requests]
             self.assertTrue(all(cancelled))
             self.assertFalse(harness.dispatcher.cancel(requests[0].request_id))
-            await settle()
+            await run_ready_tasks()
             self.assertEqual({kind_of(task) for task in tasks}, {ErrorKind.CANCELLED})
             self.assertEqual(harness.dispatcher.waiting, 1)
             harness.done(held[0])
-            await settle()
-            self.assertTrue(granted(last))
+            await run_ready_tasks()
+            self.assertTrue(has_grant(last))
 
         run_on_virtual_clock(scenario)
 
@@ -350,16 +352,16 @@
         """A task cancelled between its grant and its resumption must not leak the slot."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(1, slots=1)))
+            harness = make_harness(make_fleet(make_instances(1, slots=1)))
             first = await harness.grant()
             unlucky, queued, next_one = harness.start(), harness.start(), harness.start()
-            await settle()
+            await run_ready_tasks()
             queued.cancel()
             harness.done(first)
             unlucky.cancel()
-            await settle()
+            await run_ready_tasks()
             self.assertTrue(unlucky.cancelled() and queued.cancelled())
-            self.assertTrue(granted(next_one))
+            self.assertTrue(has_grant(next_one))
             self.assertEqual((harness.dispatcher.in_flight, harness.dispatcher.waiting), (1, 0))
 
         run_on_virtual_clock(scenario)
@@ -370,7 +372,7 @@
         """Targets that are cordoned or about to leave get no new requests."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(3)))
+            harness = make_harness(make_fleet(make_instances(3)))
             running = [await harness.grant() for _ in range(6)]
             harness.config.cordon("w0")
             harness.dispatcher.set_leaving_instances(frozenset({"w1"}))
@@ -387,10 +389,10 @@
         """Waiting requests are refused when the last target is gone, not at their deadline."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(1, slots=1)))
+            harness = make_harness(make_fleet(make_instances(1, slots=1)))
             await harness.grant()
             waiting = harness.start(within_s=1000)
-            await settle()
+            await run_ready_tasks()
             harness.config.cordon("w0")
             await asyncio.sleep(0.2)
             self.assertIs(kind_of(waiting), ErrorKind.NO_TARGET)
@@ -402,21 +404,21 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(slow_start_s=8.0)
-            harness = make_harness(fleet(instances(1)), limits=limits)
+            harness = make_harness(make_fleet(make_instances(1)), limits=limits)
             harness.config.set_instances(["w0"], healthy=False)
             self.assertIs(kind_of(await _wait_done(harness.start())), ErrorKind.NO_TARGET)
             harness.config.set_instances(["w0"], healthy=True)
             tasks = [harness.start(within_s=100) for _ in range(9)]
-            await settle()
-            self.assertEqual(sum(map(granted, tasks)), 1)
+            await run_ready_tasks()
+            self.assertEqual(sum(map(has_grant, tasks)), 1)
             await asyncio.sleep(1.05)
             late = harness.start(within_s=200)
-            await settle()
-            self.assertEqual((granted(late), sum(map(granted, tasks))), (False, 2))
+            await run_ready_tasks()
+            self.assertEqual((has_grant(late), sum(map(has_grant, tasks))), (False, 2))
             await asyncio.sleep(2.95)
-            self.assertEqual(sum(map(granted, tasks)), 4)
+            self.assertEqual(sum(map(has_grant, tasks)), 4)
             await asyncio.sleep(5.0)
-            self.assertEqual(sum(map(granted, tasks)), 8)
+            self.assertEqual(sum(map(has_grant, tasks)), 8)
 
         run_on_virtual_clock(scenario)
 
@@ -427,19 +429,19 @@
         """
 
         async def scenario() -> None:
-            members = instances(1, slots=2)
-            members |= instances(1, slots=2, data_centre="there", prefix="far")
-            harness = make_harness(fleet(members))
+            members = make_instances(1, slots=2)
+            members |= make_instances(1, slots=2, data_centre="there", prefix="far")
+            harness = make_harness(make_fleet(members))
             grants = [await harness.grant() for _ in range(4)]
             names = [grant.target.instance for grant in grants]
             self.assertEqual(names, ["w0", "w0", "far0", "far0"])
             slow = harness.start(request_class=LONG_RUNNING)
             harness.done(grants[3])
-            await settle()
+            await run_ready_tasks()
             self.assertFalse(slow.done())
             harness.config.cordon("w0")
             harness.done(grants[2])
-            await settle()
+            await run_ready_tasks()
             self.assertEqual(slow.result().unwrap().target.instance, "far0")
 
         run_on_virtual_clock(scenario)
@@ -451,4 +453,4 @@
 
 
 def _granted_tasks(tasks: list[asyncio.Task]) -> list[asyncio.Task]:
-    return [task for task in tasks if granted(task)]
+    return [task for task in tasks if has_grant(task)]
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -10,12 +10,12 @@
 from shallotworks.timeline import EventKind
 from tests.dispatch_fakes import (
     DispatchHarness,
-    fleet,
-    granted,
-    instances,
+    has_grant,
+    make_fleet,
     make_harness,
+    make_instances,
     run_on_virtual_clock,
-    settle,
+    run_ready_tasks,
 )
 
 OK = AttemptOutcome.ANSWERED
@@ -44,7 +44,7 @@
         """
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(8)))
+            harness = make_harness(make_fleet(make_instances(8)))
             busy = [await harness.grant() for _ in range(40)]
             seen = await attempts(harness, 200, {"w3"}, outcome)  # type: ignore[arg-type]
             self.assertEqual(seen["w3"], 3)
@@ -59,7 +59,7 @@
 
         async def scenario() -> None:
             limits = DispatchLimits(probe_after_s=4.0, slow_start_s=8.0)
-            harness = make_harness(fleet(instances(2)), limits=limits)
+            harness = make_harness(make_fleet(make_instances(2)), limits=limits)
             await attempts(harness, 20, {"w0"}, ERROR)
             probes = []
             for second in range(60):
@@ -82,7 +82,7 @@
         """A non-idempotent request does not probe while an idempotent one may come instead."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(2)))
+            harness = make_harness(make_fleet(make_instances(2)))
             await attempts(harness, 20, {"w0"}, ERROR)
             await asyncio.sleep(10.0)
             booking = await harness.grant(idempotent=False)
@@ -95,7 +95,7 @@
         """Of eight targets of which five fail, four are ejected and the fifth stays in service."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(8)))
+            harness = make_harness(make_fleet(make_instances(8)))
             bad = {f"w{number}" for number in range(5)}
             await attempts(harness, 200, bad, ERROR)
             self.assertEqual(harness.metrics.counters()["targets.ejected"], 4)
@@ -115,8 +115,8 @@
         """
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(8)))
-            everyone = set(instances(8))
+            harness = make_harness(make_fleet(make_instances(8)))
+            everyone = set(make_instances(8))
             await attempts(harness, 200, everyone, AttemptOutcome.TIMED_OUT)
             held = [await harness.grant() for _ in range(64)]
             counters = harness.metrics.counters()
@@ -139,21 +139,21 @@
         """
 
         async def scenario() -> None:
-            members = instances(2, slots=2)
-            far = instances(6, slots=2, data_centre="there", prefix="far")
-            harness = make_harness(fleet(members | far))
+            members = make_instances(2, slots=2)
+            far = make_instances(6, slots=2, data_centre="there", prefix="far")
+            harness = make_harness(make_fleet(members | far))
             for _ in range(40):
                 local = [await harness.grant() for _ in range(4)]
                 remote = harness.start()
-                await settle()
-                if granted(remote):
+                await run_ready_tasks()
+                if has_grant(remote):
                     grant = remote.result().unwrap()
                     harness.dispatcher.release(grant, AttemptOutcome.TIMED_OUT, duration_s=2.0)
                 else:
                     remote.cancel()
                 for held in local:
                     harness.done(held)
-            await settle()
+            await run_ready_tasks()
             self.assertEqual(harness.metrics.counters()["targets.ejected"], 6)
             seen = await attempts(harness, 50, {"w0"}, ERROR)
             self.assertEqual(seen["w0"], 3)
@@ -167,7 +167,7 @@
         """
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(2)))
+            harness = make_harness(make_fleet(make_instances(2)))
             refused = AttemptOutcome.REFUSED
             seen = await attempts(harness, 50, {"w0"}, refused)
             self.assertEqual(seen["w0"], 1)
@@ -185,7 +185,7 @@
         """A different machine under an ejected target's name is not ejected."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(2)))
+            harness = make_harness(make_fleet(make_instances(2)))
             await attempts(harness, 20, {"w0"}, ERROR)
             harness.config.set_instances(["w0"], address="127.0.0.1:1")
             seen = await attempts(harness, 40, set(), OK)
@@ -202,17 +202,17 @@
         """
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(2, slots=1)))
+            harness = make_harness(make_fleet(make_instances(2, slots=1)))
             held = {(g := await harness.grant()).target.instance: g for _ in range(2)}
             retry = harness.ask(harness.request(within_s=5.0), tried=frozenset({"w0"}))
             other = harness.start()
-            await settle()
+            await run_ready_tasks()
             harness.done(held["w0"])
-            await settle()
+            await run_ready_tasks()
             self.assertFalse(retry.done())
             self.assertEqual(other.result().unwrap().target.instance, "w0")
             harness.done(held["w1"])
-            await settle()
+            await run_ready_tasks()
             self.assertEqual(retry.result().unwrap().target.instance, "w1")
 
         run_on_virtual_clock(scenario)
@@ -221,10 +221,10 @@
         """A request that tried every target is still granted a slot."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(2)))
+            harness = make_harness(make_fleet(make_instances(2)))
             task = harness.ask(harness.request(), tried=frozenset({"w0", "w1"}))
-            await settle()
-            self.assertTrue(granted(task))
+            await run_ready_tasks()
+            self.assertTrue(has_grant(task))
 
         run_on_virtual_clock(scenario)
 
@@ -234,7 +234,7 @@
         async def scenario() -> None:
             seen: Counter[str] = Counter()
             for seed in range(60):
-                harness = make_harness(fleet(instances(8)), seed=seed)
+                harness = make_harness(make_fleet(make_instances(8)), seed=seed)
                 seen[(await harness.grant()).target.instance] += 1
             self.assertLessEqual(max(seen.values()), 16)
 
@@ -244,7 +244,7 @@
         """Timeline events of ejections name the instance."""
 
         async def scenario() -> None:
-            harness = make_harness(fleet(instances(3)))
+            harness = make_harness(make_fleet(make_instances(3)))
             await attempts(harness, 30, {"w1"}, ERROR)
             kinds = [
                 (event.kind, event.subject.instance)
--- a/tests/test_plan_sessions.py
+++ b/tests/test_plan_sessions.py
@@ -58,7 +58,7 @@
         self.write(f"plan status, {after_s:.0f} s later", render_progress(plan, progress))
 
     async def end(self, digest: str) -> None:
-        record = (await self.harness.until_ended(digest)).plans[digest]
+        record = (await self.harness.wait_until_ended(digest)).plans[digest]
         self.write("at the end", f"{record.state.value}: {record.outcome}\n")
 
     def write(self, command: str, answer: str) -> None:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -29,7 +29,7 @@
     decode_intent,
     encode_intent,
 )
-from tests.plan_fakes import fjellsending, fleet, tijera
+from tests.plan_fakes import fjellsending, make_fleet, tijera
 
 MAINTAIN_ALL = Maintain(selection=NotMaintainedSince(before_s=1.0))
 LOW_BUFFER_WEIGHTS = PlannerWeights(buffer=0.7, roll_out=0.2, moves=0.1)
@@ -155,7 +155,7 @@
 
     def test_a_service_without_budget_is_never_disturbed(self) -> None:
         """A budget of 0 is unsatisfiable: a wave that waited for a permit would wait forever."""
-        state = fleet(centres=("bergen",), pools={"spare-parts": 4}, budget=0)
+        state = make_fleet(centres=("bergen",), pools={"spare-parts": 4}, budget=0)
         failure = PLANNER.plan(state, MAINTAIN_ALL, author="kari").failure()
         self.assertIs(failure.kind, ErrorKind.UNSATISFIABLE)
         self.assertIn("spare-parts allows no instance", failure.reason)
@@ -173,7 +173,7 @@
     ) -> None:
         """With any weights, each instance is in one wave and no wave exceeds a budget."""
         pools = {f"p{number}": size for number, size in enumerate(sizes)}
-        state = fleet(centres=("x", "y"), pools=pools, budget=budget)
+        state = make_fleet(centres=("x", "y"), pools=pools, budget=budget)
         out = tuple(f"p{number}-0" for number in failed if f"p{number}" in pools)
         state = replace_instances(state, out, healthy=False)
         weights = PlannerWeights(buffer=buffer, roll_out=1 - buffer, moves=0.1)
--- a/tests/test_plans_machine.py
+++ b/tests/test_plans_machine.py
@@ -34,7 +34,7 @@
     Return,
 )
 from shallotworks.standins import StoreFaults
-from tests.plan_fakes import ConductorHarness, fleet
+from tests.plan_fakes import ConductorHarness, make_fleet
 
 POOLS = ("a", "b", "c")
 NAMES = tuple(f"{pool}-{number}" for pool in POOLS for number in range(4))
@@ -74,7 +74,7 @@
         super().__init__()
         self.loop = looptime.new_event_loop()
         self.harness = ConductorHarness(
-            fleet(centres=("x", "y"), pools=dict.fromkeys(POOLS, 4), budget=2),
+            make_fleet(centres=("x", "y"), pools=dict.fromkeys(POOLS, 4), budget=2),
             policy=POLICY,
             reboot_s=8.0,
         )
@@ -213,14 +213,14 @@
     def wait_until_ended(self, digest: str) -> None:
         """Wait for a plan to end; cancel it if it is blocked, as drains can block each other."""
         try:
-            self.wait(self.harness.until_ended(digest, timeout_s=PLAN_TIMEOUT_S))
+            self.wait(self.harness.wait_until_ended(digest, timeout_s=PLAN_TIMEOUT_S))
         except TimeoutError:
             state = self.state()
             pools = {state.instances[name].pool for name in state.plans[digest].instances}
             full = [p for p in pools if state.unavailable_in(p) >= state.disruption_budget(p)]
             assert full, f"plan {digest} makes no progress although budget is left"
             self.wait(self.harness.plan_registry.cancel(digest, operator="kari"))
-            self.wait(self.harness.until_ended(digest, timeout_s=PLAN_TIMEOUT_S))
+            self.wait(self.harness.wait_until_ended(digest, timeout_s=PLAN_TIMEOUT_S))
 
     def check_end(self, digest: str) -> None:
         state = self.state()
