--- a/src/shallotworks/node/_acknowledgements.py
+++ b/src/shallotworks/node/_acknowledgements.py
@@ -28,5 +28,5 @@
 
     def lowest_acknowledged_revision(self) -> int:
         """Return the newest revision that this process and all connected peers hold."""
-        heard = self._peers.linked_revisions()
-        return min((self._replica.revision(), *heard.values()))
+        revisions_by_peer = self._peers.linked_revisions()
+        return min((self._replica.revision(), *revisions_by_peer.values()))
--- a/src/shallotworks/peers/_members.py
+++ b/src/shallotworks/peers/_members.py
@@ -220,7 +220,7 @@
         tracked.last_evidence_s = now_s
         self._set_state(tracked, MemberState.ALIVE)
 
-    def heard_in_data_centre(self, *, now_s: float) -> tuple[int, ...]:
+    def vouched_in_data_centre(self, *, now_s: float) -> tuple[int, ...]:
         """Return the checksums of the members of this data centre that this process vouches for."""
         since_s = now_s - VOUCH_INTERVALS * self._timing.mesh_interval_s
         return tuple(
--- a/src/shallotworks/peers/_network.py
+++ b/src/shallotworks/peers/_network.py
@@ -219,7 +219,9 @@
             revision=self._replica.revision(),
             newest_revision=self._distribution.newest_revision(),
             newest_age_ms=self._distribution.confirmed_age_ms(),
-            heard=self._table.heard_in_data_centre(now_s=_now_s()) if link.same_data_centre else (),
+            heard=(
+                self._table.vouched_in_data_centre(now_s=_now_s()) if link.same_data_centre else ()
+            ),
             records=updates.records,
             loads=self._loads.next_for(link) if link.same_data_centre else (),
         )
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -162,7 +162,7 @@
                 for task in running:
                     if task.done():
                         task.result()
-            self._resume()
+            self._continue()
             await asyncio.gather(*running)
         finally:
             await cancel_all(running)
@@ -216,7 +216,7 @@
             self._pause(f"{len(self._failed_instances())} instances did not come back")
             await self._wait_for_next_state()
             await self._retry_failed()
-        self._resume()
+        self._continue()
 
     async def _wait_for_window(self, wave: Wave) -> None:
         """Wait until the remaining maintenance window is long enough for a wave that cordons."""
@@ -226,7 +226,7 @@
         while window.left_s(self._dependencies.wall_clock_s()) < wave.duration_s:
             self._pause("outside the maintenance window")
             await self._wait_for_next_state()
-        self._resume()
+        self._continue()
 
     async def _retry_failed(self) -> None:
         """Run the steps of instances that did not come back in time again.
@@ -354,7 +354,7 @@
             self._dependencies.metrics.count("plans.pauses")
             self._record_event(EventKind.PLAN_PAUSED, why)
 
-    def _resume(self) -> None:
+    def _continue(self) -> None:
         if self._paused:
             self._paused = False
             self._record_event(EventKind.PLAN_STEP, "goes on")
--- a/src/shallotworks/plans/_registry.py
+++ b/src/shallotworks/plans/_registry.py
@@ -279,12 +279,12 @@
 
     async def _refuse_stale(self, plan: Plan, *, operator: str) -> Result[PlanRecord, Failure]:
         self._metrics.count(f"plans.confirms_refused.{ErrorKind.STALE_PLAN.value}")
-        fresh = await self.propose(plan.intent, author=operator)
+        new_proposal = await self.propose(plan.intent, author=operator)
         reason = f"what plan {plan.short_digest} rests on has changed"
-        if isinstance(fresh, Success):
-            reason += f"; fresh proposal: plan {fresh.unwrap().short_digest}"
+        if isinstance(new_proposal, Success):
+            reason += f"; fresh proposal: plan {new_proposal.unwrap().short_digest}"
         else:
-            reason += f"; no fresh proposal: {fresh.failure().reason}"
+            reason += f"; no fresh proposal: {new_proposal.failure().reason}"
         return _refuse(ErrorKind.STALE_PLAN, reason)
 
     def _confirmation(self, plan: Plan, operator: str) -> ConfirmPlan:
--- a/src/shallotworks/requests/_claim_ledger.py
+++ b/src/shallotworks/requests/_claim_ledger.py
@@ -55,12 +55,12 @@
             dropped; their keys stay claimed, so their requests never run again.
     """
 
-    __slots__ = ("_endings_max", "_held", "_metrics", "_pending_writes", "_store")
+    __slots__ = ("_held", "_max_pending_writes", "_metrics", "_pending_writes", "_store")
 
     def __init__(self, *, store: KeyValueStore, metrics: Metrics, endings_max: int) -> None:
         self._store = store
         self._metrics = metrics
-        self._endings_max = endings_max
+        self._max_pending_writes = endings_max
         self._held: dict[str, HeldClaim] = {}
         self._pending_writes: dict[str, PendingWrite] = {}
 
@@ -111,7 +111,7 @@
                 return
 
     def _add_pending_write(self, key: str, pending_write: PendingWrite) -> None:
-        if len(self._pending_writes) >= self._endings_max:
+        if len(self._pending_writes) >= self._max_pending_writes:
             self._metrics.count("once.endings-dropped")
             return
         self._pending_writes[key] = pending_write
--- a/src/shallotworks/requests/_estimate.py
+++ b/src/shallotworks/requests/_estimate.py
@@ -70,5 +70,5 @@
 
     def mean(self, now_s: float) -> float:
         """Return the weighted mean at an event loop time."""
-        forgotten = 1.0 - math.exp((self._updated_at_s - now_s) / self._time_constant_s)
-        return self._mean + (self.count - self._mean) * forgotten
+        weight = 1.0 - math.exp((self._updated_at_s - now_s) / self._time_constant_s)
+        return self._mean + (self.count - self._mean) * weight
--- a/src/shallotworks/requests/_target_client.py
+++ b/src/shallotworks/requests/_target_client.py
@@ -190,8 +190,8 @@
             usable = (
                 entry.generation == pool.generation and entry.idle_since_s >= now_s - max_idle_s
             )
-            fresh = idempotent and entry.idle_since_s >= now_s - UNCHECKED_IDLE_AGE_S
-            if usable and (fresh or entry.connection.is_connected):
+            recently_used = idempotent and entry.idle_since_s >= now_s - UNCHECKED_IDLE_AGE_S
+            if usable and (recently_used or entry.connection.is_connected):
                 return entry.connection
             entry.connection.close()
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -23,15 +23,15 @@
 
 
 async def attempts(
-    harness: DispatchHarness, count: int, bad: set[str], outcome: AttemptOutcome
+    harness: DispatchHarness, count: int, failing: set[str], outcome: AttemptOutcome
 ) -> Counter:
-    """Make attempts one after another that fail at the `bad` targets; count attempts per target."""
+    """Make attempts one after another, failing at some targets; count attempts per target."""
     seen: Counter[str] = Counter()
     for _ in range(count):
         grant = await harness.grant(within_s=1000)
         name = grant.target.instance
         seen[name] += 1
-        harness.dispatcher.release(grant, outcome if name in bad else OK, duration_s=0.01)
+        harness.dispatcher.release(grant, outcome if name in failing else OK, duration_s=0.01)
     return seen
 
 
@@ -96,12 +96,12 @@
 
         async def scenario() -> None:
             harness = make_harness(make_fleet(make_instances(8)))
-            bad = {f"w{number}" for number in range(5)}
-            await attempts(harness, 200, bad, ERROR)
+            failing = {f"w{number}" for number in range(5)}
+            await attempts(harness, 200, failing, ERROR)
             self.assertEqual(harness.metrics.counters()["targets.ejected"], 4)
-            later = await attempts(harness, 400, bad, ERROR)
+            later = await attempts(harness, 400, failing, ERROR)
             self.assertLess(
-                sum(later[name] for name in bad), 60, "it must not rank as least loaded"
+                sum(later[name] for name in failing), 60, "it must not rank as least loaded"
             )
             held = [await harness.grant() for _ in range(32)]
             self.assertEqual(len({grant.target.instance for grant in held}), 4)
