--- a/src/shallotworks/config/_history.py
+++ b/src/shallotworks/config/_history.py
@@ -29,7 +29,7 @@
     Args:
         store: The platform's key-value service.
         after: Revision before the first entry read.
-        limit: Most entries read.
+        limit: Maximum number of entries read.
 
     Returns:
         The entries; the store's failure; ``INTERNAL`` if an entry can't be decoded.
--- a/src/shallotworks/config/_log_reader.py
+++ b/src/shallotworks/config/_log_reader.py
@@ -24,8 +24,8 @@
 """Pages and snapshots that one read processes before it fails, if the log grows faster than this
 process reads it."""
 WATCH_WAIT_S = 4.0
-"""Half of the 8 s within which a change must be in force, so that a watch on a connection that went
-silent ends in time."""
+"""Half of the 8 s within which a change must be in force, so that a watch on a connection that no
+longer carries data ends in time."""
 WATCHED_BLOCK_DIGITS = 3
 """Trailing digits of a revision that a watch leaves open, so that it covers only the block of a
 thousand revisions that the next revision is in. Compaction deletes entries far behind that block,
--- a/src/shallotworks/config/_proposer.py
+++ b/src/shallotworks/config/_proposer.py
@@ -28,8 +28,8 @@
 """Longest random delay after a lost race, which spreads the losers over the time of a few
 proposals."""
 MAX_UNCONFIRMED_AGE_S = 300.0
-"""Age up to which a state that was known to be the newest can't be older than the entries that
-compaction has deleted since."""
+"""A state that was the newest within this time can't be so old that compaction has deleted the
+entries that follow it."""
 CHANGE_ID_BITS = 96
 
 
--- a/src/shallotworks/config/_protocols.py
+++ b/src/shallotworks/config/_protocols.py
@@ -59,7 +59,7 @@
         Returns:
             The revision that the change became; the reason for which it is refused (see
             `shallotworks.fleet.apply`); ``STORE_UNAVAILABLE`` if it was certainly not accepted;
-            ``OUTCOME_UNKNOWN`` if it may have been accepted, or may still come into force.
+            ``OUTCOME_UNKNOWN`` if it may have been accepted, or may still be.
         """
         ...
 
@@ -106,7 +106,7 @@
         """Record that a revision was the newest some time ago, for `ConfigView.staleness_s`.
 
         A peer that forwards this also sends its own age, so that two processes which are both cut
-        off from the store can't keep each other's state looking fresh.
+        off from the store can't make each other's state look current.
 
         Args:
             revision: The revision.
--- a/src/shallotworks/config/_snapshots.py
+++ b/src/shallotworks/config/_snapshots.py
@@ -41,7 +41,7 @@
 """Below the service's limit of 1 MB, with room for the base64 encoding."""
 COMPRESSION_LEVEL = 6
 MAX_LISTED_PARTS = 64
-"""Most parts of snapshots that one call lists."""
+"""Maximum number of snapshot parts that one call lists."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -127,7 +127,10 @@
 
 
 async def is_complete(store: KeyValueStore, pointer: Pointer) -> bool:
-    """Return whether a snapshot has all its parts; a store that lost writes may lack some."""
+    """Return whether a snapshot has all its parts, which a store that lost writes may lack.
+
+    A snapshot whose parts can't be read, for example while the store is down, counts as complete.
+    """
     outcome = await read_snapshot(store, pointer)
     return isinstance(outcome, Success) or outcome.failure().kind is not ErrorKind.CONFLICT
 
--- a/src/shallotworks/config/_window.py
+++ b/src/shallotworks/config/_window.py
@@ -10,7 +10,7 @@
 __all__ = ["EntryWindow"]
 
 WINDOW_ENTRIES = 1_000
-"""Four hours at the 6,000 changes a day that the design is for."""
+"""Entries kept in memory; they span four hours at the design load of 6,000 changes a day."""
 
 
 class EntryWindow:
--- a/src/shallotworks/kv/_calls.py
+++ b/src/shallotworks/kv/_calls.py
@@ -26,7 +26,7 @@
 DEADLINE_MARGIN_S = 0.05
 """Subtracted from the time of an attempt, so that its result returns from the thread in time."""
 MAX_TIMEOUT_FACTOR = 4.0
-"""Most by which the time of one attempt is multiplied for a slow service."""
+"""Largest factor by which the timeout of an attempt is multiplied for a slow service."""
 QUICK_ANSWER_FRACTION = 0.5
 """An answer within this part of `PlatformLimits.attempt_timeout_s` resets the factor to 1."""
 HTTP_OK = 200
@@ -38,9 +38,9 @@
 
     Args:
         deadline_s: Time within which a call ends, retries included.
-        attempt_timeout_s: Time for one attempt. The service answers within milliseconds, so that a
-            longer silence means that the connection has gone silent. The time is up to four times
-            as long while the service is slow on fresh connections too.
+        attempt_timeout_s: Time for one attempt. The service answers within milliseconds, so a
+            timeout means that the connection no longer carries data. The time is up to four times
+            as long while the service is slow on new connections too.
         watch_grace_s: Time beyond its own wait after which a watch times out.
         attempts: Attempts for one read; a write has one.
         threads: Calls in flight at once, not counting watches.
@@ -229,11 +229,11 @@
         return exchange
 
     def _adapt_timeout(self, exchange: ExchangeResult, duration_s: float) -> None:
-        """Lengthen the timeout for a slow service, and reset it after a silent connection.
+        """Lengthen the timeout for a slow service; reset it if only a connection was silent.
 
         A store that takes 1.5 s for each call answers all of them, but with a fixed timeout of 1 s
-        no call would ever succeed. After a connection went silent, the next call uses a fresh one
-        and gets a quick answer, which resets the factor at once.
+        no call would ever succeed. If a connection stopped carrying data, the next call uses a new
+        one and gets a quick answer, which resets the factor at once.
         """
         if exchange.outcome is ExchangeOutcome.TIMED_OUT:
             self._timeout_factor = min(MAX_TIMEOUT_FACTOR, self._timeout_factor * 2)
--- a/src/shallotworks/kv/_lease_candidate.py
+++ b/src/shallotworks/kv/_lease_candidate.py
@@ -1,4 +1,4 @@
-"""Leader election for a named duty, by a lease in the platform's key-value service."""
+"""Leader election by a named lease in the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseRecord:
-    """A held lease on a duty; this is also the value of the duty's key.
+    """A held lease, as stored in the value of the lease's key.
 
     Args:
-        duty: Name of the duty.
+        duty: Name of the lease.
         holder: Name of the process that holds the lease.
-        fencing_token: Increases with each holder; every action for the duty carries it.
+        fencing_token: Increases with each holder; every action under the lease carries it.
     """
 
     duty: str
@@ -57,13 +57,13 @@
 
 
 class LeaseCandidate:
-    """One candidate for the lease on one duty; must be used on the event loop.
+    """One candidate for one lease; must be used on the event loop.
 
-    Code that acts for the duty checks `is_held` before each action and sends the fencing token with
-    it, so that the receiver refuses an action that was under way when the lease expired.
+    Code that acts under the lease checks `is_held` before each action and sends the fencing token
+    with it, so that the receiver refuses an action that was under way when the lease expired.
 
     A waiting candidate reads the key once per half to whole time to live, so that only a few
-    processes should be candidates for one duty, or be ranked by ``pause_factor`` of `run`.
+    processes should be candidates for one lease, or be ranked by ``pause_factor`` of `run`.
 
     Args:
         store: The platform's key-value service.
@@ -120,7 +120,7 @@
         return self._held.lease_record if self._held is not None and self.is_held() else None
 
     def is_held(self) -> bool:
-        """Return whether this process may act for the duty now.
+        """Return whether this process may act under the lease now.
 
         A process that is paused past the end of its lease, while another process acquires it, would
         continue as before when it resumes. Therefore the expiry is computed from the time at which
@@ -229,7 +229,7 @@
 
     def _mark_lost(self, why: str) -> None:
         self._record_event(EventKind.LEASE_LOST, f"lost: {why}")
-        logging.warning("lost the lease for duty %s: %s", self._lease_name, why)
+        logging.warning("lost lease %s: %s", self._lease_name, why)
         self._held = None
 
     async def _revoke(self) -> None:
--- a/src/shallotworks/kv/_transport.py
+++ b/src/shallotworks/kv/_transport.py
@@ -18,10 +18,11 @@
 __all__ = ["ExchangeOutcome", "ExchangeResult", "HttpRequest", "HttpTransport"]
 
 MAX_CONNECTION_AGE_S = 60.0
-"""Age at which connections are replaced, so that few can have gone silent without being noticed."""
+"""Age at which connections are replaced, so that few of them can have stopped carrying data
+unnoticed."""
 MIN_TIMEOUT_S = 0.001
 DEADLINE_GRACE_S = 0.02
-"""Time after a request's timeout at which a slow answer is given up. The library's timeout applies
+"""Time after a request's timeout at which a slow answer is abandoned. The library's timeout applies
 to each read of the socket, so that an answer that arrives in small pieces could exceed it."""
 
 
--- a/src/shallotworks/node/_node.py
+++ b/src/shallotworks/node/_node.py
@@ -307,7 +307,7 @@
             raise _cannot_listen(self._settings, error) from error
 
     async def _load_configuration(self) -> None:
-        """Load the configuration from peers or from the store, whichever provides it first."""
+        """Wait for the peers' configuration, then read the store; retry until one provides it."""
         if self._settings.peers.seeds:
             await asyncio.sleep(PEER_CONFIG_WAIT_S)
         while True:
--- a/src/shallotworks/peers/_members.py
+++ b/src/shallotworks/peers/_members.py
@@ -3,7 +3,7 @@
 A message from a member is direct evidence that it is alive. Indirect evidence is a heartbeat in
 which another peer vouches for the member, because that peer itself received a message from it.
 One broken connection between two members therefore makes neither count as failed. No process
-vouches on indirect evidence, so vouches can't keep each other alive in a cycle.
+vouches on indirect evidence, so a cycle of vouches can't keep a failed member alive.
 """
 
 from __future__ import annotations
--- a/src/shallotworks/peers/_rendezvous.py
+++ b/src/shallotworks/peers/_rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing that picks the relays and store watchers of a data centre.
+"""Rendezvous hashing that selects the relays and store watchers of a data centre.
 
-All processes that see the same members pick the same ones.
+All processes that see the same members select the same relays and watchers.
 """
 
 from __future__ import annotations
--- a/src/shallotworks/plans/_instance_run.py
+++ b/src/shallotworks/plans/_instance_run.py
@@ -28,11 +28,11 @@
     """Timeouts and limits of a conductor.
 
     Args:
-        acknowledgement_timeout_s: Maximum wait for entry instances to acknowledge a cordon. An
-            entry instance that is partitioned off can't be asked; its requests are waited for at
+        acknowledgement_timeout_s: Maximum wait for entry instances to acknowledge a cordon. A
+            partitioned entry instance can't acknowledge it; the drain waits for its requests at
             the target.
         drain_timeout_s: Maximum wait for a target to empty. After it an instance whose step ends
-            with a return is returned without a reboot or a move.
+            with a return is returned without a reboot or a move; any other drain continues.
         return_timeout_s: Maximum wait for a rebooted target. After it the instance stays cordoned.
         final_return_timeout_s: Maximum wait for an instance that did not come back when it is
             tried again.
--- a/src/shallotworks/plans/_plan_run.py
+++ b/src/shallotworks/plans/_plan_run.py
@@ -100,7 +100,7 @@
             await self._writer.close()
 
     def _inherit_failures(self) -> None:
-        """Adopt the failures that an earlier conductor recorded, so that no wave waits for them."""
+        """Mark instances that failed under an earlier conductor, so that no wave waits for them."""
         state = self._dependencies.view.state()
         for name, step in self._steps.items():
             failed = self._is_held(name) and not state.instances[name].healthy
@@ -198,9 +198,9 @@
         )
 
     async def _wait_until_acknowledged(self, revision: int) -> None:
-        """Wait until all entry instances acknowledged a revision, at most for the policy's timeout.
+        """Wait until all entry instances have acknowledged a revision, or until the timeout.
 
-        The timeout covers an entry instance that is partitioned off.
+        A partitioned entry instance can't acknowledge it and must not block the plan.
         """
         policy = self._dependencies.policy
         deadline_s = _loop_time_s() + policy.acknowledgement_timeout_s
@@ -229,7 +229,7 @@
         self._continue()
 
     async def _retry_failed(self) -> None:
-        """Run the steps of instances that did not come back in time again.
+        """Repeat the steps of the instances that did not come back in time.
 
         An instance that failed under an earlier conductor gets the full timeout once.
         """
--- a/src/shallotworks/plans/_registry.py
+++ b/src/shallotworks/plans/_registry.py
@@ -140,7 +140,8 @@
         known = state.plans.get(plan.digest)
         if known is not None:
             return _confirm_again(known, operator)
-        # Half of the retention of proposals, so that `prune` deletes none while it is confirmed.
+        # A proposal expires at half of its retention, so that `prune` never deletes one while it
+        # is confirmed.
         too_old = plan.base_revision < state.revision - PROPOSAL_RETENTION_REVISIONS // 2
         if too_old or not _selects_same_instances(plan, state):
             return await self._refuse_stale(plan, operator=operator)
--- a/src/shallotworks/plans/_writer.py
+++ b/src/shallotworks/plans/_writer.py
@@ -1,4 +1,4 @@
-"""Writes a conductor's changes to the log, each with its fencing token."""
+"""Writes a conductor's changes to the log; all but reports of health carry its fencing token."""
 
 from __future__ import annotations
 
--- a/src/shallotworks/requests/_fleet_index.py
+++ b/src/shallotworks/requests/_fleet_index.py
@@ -25,10 +25,10 @@
 class _SlotDivision:
     """Division of each target's slots among the entry instances of a data centre.
 
-    Each entry instance has an equal number of slots. The remainder goes to some of them by rank,
-    starting at a different rank for each target. The entry instances exchange no messages for this,
-    so the division also holds during a network partition. While they disagree on how many of them
-    are live, the target itself refuses requests beyond its slots.
+    Each entry instance has an equal number of slots, at least one. The remainder goes to some of
+    them by rank, starting at a different rank for each target. The entry instances exchange no
+    messages for this, so the division also holds during a network partition. While they disagree on
+    how many of them are live, the target itself refuses requests beyond its slots.
     """
 
     entries: int
--- a/src/shallotworks/requests/_health.py
+++ b/src/shallotworks/requests/_health.py
@@ -195,7 +195,7 @@
         return ejected < allowed
 
     def _representative_data_centres(self) -> Collection[str]:
-        """Return the data centres that are counted when judging the pool.
+        """Return the data centres that count for the ejection limit and the self-suspicion.
 
         A data centre in which all targets are failing is probably unreachable from here rather than
         broken. It neither counts against the part of the pool that may be ejected nor makes this
--- a/src/shallotworks/requests/_idempotency.py
+++ b/src/shallotworks/requests/_idempotency.py
@@ -333,7 +333,7 @@
     def _is_regression_over(self, version: int) -> bool:
         """Whether a whole window has passed since the store was first seen to have regressed.
 
-        A store that comes back empty or from an older copy has lost the records of keys that ran,
+        A store that is restored empty or from an older copy has lost the records of keys that ran,
         so a successful create no longer proves that nothing did. This shows as a version not above
         one seen before. Every lost key was claimed before the regression was noticed, so after one
         window none of them has to be kept any longer and claims are safe again.
--- a/src/shallotworks/requests/_loop_call_queue.py
+++ b/src/shallotworks/requests/_loop_call_queue.py
@@ -20,7 +20,7 @@
 
 
 class LoopCallTimeoutError(Exception):
-    """Raised if the loop returns no result in time; a later result goes to `on_unclaimed`."""
+    """Raised if the loop returns no result in time; `on_unclaimed` receives a later result."""
 
 
 class LoopCallQueue:
@@ -50,8 +50,8 @@
     def defer(self, work: Callable[[], None]) -> None:
         """Run work on the loop before the next call's work, or within `SWEEP_INTERVAL_S`.
 
-        The inbox is in order, so a slot whose release is deferred is free before a later call asks
-        for one.
+        The inbox is in order, so a slot whose release is deferred is free before a later call
+        requests one.
         """
         self._inbox.append(work)
 
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -28,9 +28,9 @@
 class ConductorTakeoverTests(unittest.TestCase):
     @parameterized.expand([(f"{at_s}s", at_s) for at_s in (0.1, 1.0, 3.2, 4.0, 15.0, 24.0, 70.0)])
     def test_another_conductor_continues_the_plan(self, _name: str, at_s: float) -> None:
-        """When the conducting process dies at any point, another takes the lease within 10 s.
+        """When the conducting process crashes, another one acquires the lease within 10 s.
 
-        It resumes from the state: the wave must not stop, and no target reboots twice.
+        It continues the plan from the state: the wave must not stop, no target reboots twice.
         """
 
         async def scenario() -> None:
@@ -51,7 +51,7 @@
         run(scenario)
 
     def test_a_conductor_paused_past_its_lease_is_fenced(self) -> None:
-        """A conductor paused past its lease, clock included, writes again after another took over.
+        """A conductor whose clock was paused with it writes again after another took over.
 
         Its outdated fencing token is refused by the log, so only the new conductor acts.
         """
@@ -227,7 +227,7 @@
     ) -> None:
         """After the reboot a target never answers, or another machine answers under its name.
 
-        It stays cordoned, as it would fail requests or get work of the wrong size; others go on.
+        It would fail requests or get work of a wrong size, so it stays cordoned; others continue.
         """
 
         async def scenario() -> None:
@@ -253,9 +253,9 @@
         run(scenario)
 
     def test_the_plan_pauses_when_too_many_do_not_come_back(self) -> None:
-        """A faulty image keeps rebooted targets from coming back; going on would lose them all.
+        """A faulty image keeps rebooted targets from coming back; the plan must not lose all.
 
-        The plan pauses after two failed instances, and resumes when they answer again.
+        The plan pauses after two failed instances, and continues when they answer again.
         """
 
         async def scenario() -> None:
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -350,9 +350,9 @@
     """The store is restored after an outage without writes that it had accepted."""
 
     def test_older_or_empty_store_is_reported_and_not_written(self) -> None:
-        """A store restored from an old backup or set up empty is neither adopted nor written to.
+        """A store restored from an old backup or set up empty is neither applied nor written.
 
-        Adopting it would undo cordons and moves; writing to it would fork the history.
+        Applying it would revert cordons and moves; writing to it would fork the history.
         """
 
         async def main() -> None:
--- a/tests/test_http_store.py
+++ b/tests/test_http_store.py
@@ -190,7 +190,7 @@
         self.assertEqual(self.count("outages"), 0)
 
     def test_watch_on_a_silent_connection_times_out(self) -> None:
-        """A watch on a connection that went silent times out soon after its own wait."""
+        """A watch on a connection that stops carrying data times out soon after its own wait."""
 
         async def main(store: KeyValueStore) -> None:
             first = await store.watch("a", after_version=0, wait_s=0.01)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -80,7 +80,7 @@
     def test_answered_key_gives_the_first_answer_anywhere(self) -> None:
         """A repeat through another instance gets the first answer and does not run.
 
-        The first run costs a create and a swap besides the lease.
+        The first run costs a create and a compare-and-swap besides the lease.
         """
 
         async def scenario() -> None:
@@ -141,7 +141,7 @@
 
     @parameterized.expand([("running", None), ("marked", "mark_outcome_unknown")])
     def test_key_of_a_dead_owner_never_runs_again(self, _name: str, last_act: str | None) -> None:
-        """After the owner died, its request may have run; the key stays at unknown outcome."""
+        """After its owner crashed, a request may have run; the key stays at unknown outcome."""
 
         async def scenario() -> None:
             shared = SharedStore()
--- a/tests/test_idempotency_history.py
+++ b/tests/test_idempotency_history.py
@@ -116,7 +116,7 @@
         self.run_in_background(self.guards[which].reconcile())
 
     def replace(self, which: int) -> None:
-        """Replace a process that died; a request that it was running may have run."""
+        """Replace a crashed process; a request that it was running may have run."""
         self.live.discard(self.names[which])
         if self.holder is not None and self.holder[0] is self.guards[which]:
             self.ran = True
--- a/tests/test_loop_call_queue.py
+++ b/tests/test_loop_call_queue.py
@@ -67,7 +67,7 @@
         self.assertEqual(self.unclaimed, ["slot"])
 
     def test_result_ready_before_abandonment_is_handed_back_once(self) -> None:
-        """A result produced before the loop learns of the timeout is handed back exactly once."""
+        """A result produced before the loop handles the timeout is handed back exactly once."""
 
         async def stuck() -> str:
             time.sleep(0.3)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -110,7 +110,7 @@
     async def test_a_broken_link_between_two_members_suspects_neither(self, fleet: Fleet) -> None:
         """A third member that reaches both vouches for them when the path between two is lost.
 
-        If each removed the other, they would pick different watchers and relays.
+        If each removed the other, they would select different watchers and relays.
         """
         pair = {"a0:1", "a1:1"}
         fleet.network.is_partitioned = lambda source, target: {source, target} == pair
@@ -316,7 +316,7 @@
     async def test_failed_relays_are_replaced(self, fleet: Fleet) -> None:
         """Both relays of a data centre lose power together, which must isolate it only for seconds.
 
-        The other members pick the same two successors, and changes pass between data centres again.
+        The other members select the same successors, and changes pass between data centres again.
         """
         for slot in (0, 1):
             fleet.kill(relay_name(fleet, "a", slot))
@@ -329,7 +329,7 @@
     async def test_peers_do_not_refresh_an_unconfirmed_age(self, fleet: Fleet) -> None:
         """While the store is down for all, the configuration must age at every process.
 
-        Confirmations passed on without their age would keep it looking fresh indefinitely.
+        Confirmations forwarded without their age would make it look current indefinitely.
         """
         fleet.accept_change_at("a0")
         await asyncio.sleep(60)
