--- a/src/shallotworks/fleet/_records.py
+++ b/src/shallotworks/fleet/_records.py
@@ -118,7 +118,8 @@
     Args:
         name: Unique name.
         pool: The pool whose instances serve it.
-        share: Fraction of the pool's slots that is reserved for it, 0 to 1.
+        share: Fraction of the pool's slots that it is entitled to while requests wait, 0 to 1.
+            Other services may use the part that it leaves free.
         max_unavailable: Availability budget: number of instances of the pool that may be
             unavailable at the same time, for any reason.
         connections_per_instance: Maximum number of connections to each instance.
