--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -32,9 +32,9 @@
     drawn += [seed for seed in REGRESSION_SEEDS if kept and seed not in drawn]
     drawn += [random.SystemRandom().randrange(1_000, 2**31) for _ in range(fresh)]
     root = pathlib.Path(folder or tempfile.mkdtemp(prefix="soak-"))
-    plans = [RunPlan(seed=seed, trouble_s=trouble_s, entries=entries) for seed in drawn]
+    plans = [RunPlan(seed=seed, fault_period_s=trouble_s, entries=entries) for seed in drawn]
     typer.echo(f"{len(plans)} runs, {jobs} at a time; logs in {root}")
-    results = asyncio.run(_play_all(plans, root, jobs))
+    results = asyncio.run(_run_all(plans, root, jobs))
     broken = [one for one in results if one.violations]
     settled = sorted(one.settled_s for one in results)
     typer.echo(
@@ -45,7 +45,7 @@
     raise typer.Exit(1 if broken else 0)
 
 
-async def _play_all(plans: list[RunPlan], root: pathlib.Path, jobs: int) -> list[RunResult]:
+async def _run_all(plans: list[RunPlan], root: pathlib.Path, jobs: int) -> list[RunResult]:
     limit = asyncio.Semaphore(jobs)
 
     async def one(plan: RunPlan) -> RunResult:
@@ -53,13 +53,13 @@
             folder = root / f"seed-{plan.seed}"
             folder.mkdir(parents=True, exist_ok=True)
             result = await run_soak(plan, folder=folder)
-            _tell(result)
+            _print_result(result)
             return result
 
     return await asyncio.gather(*(one(plan) for plan in plans))
 
 
-def _tell(result: RunResult) -> None:
+def _print_result(result: RunResult) -> None:
     state = "BROKEN" if result.violations else "kept"
     typer.echo(
         f"seed {result.seed}: {state}, {result.accepted} jobs, {result.starts} starts, "
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -18,18 +18,18 @@
 HOST = "soak.example"
 QUEUES = {"traces": "/traces/", "orders": "/orders/"}
 """Queues, each with the prefix of its paths; each is served by the service of its name."""
-MOST_ATTEMPTS = 2
+MAX_ATTEMPTS = 2
 DEADLINE_MS = 3000
-CALL_S = 3.2
-SLACK_S = 0.2
+CALL_TIMEOUT_S = 3.2
+CLOSE_RACE_S = 0.2
 """A connection that ends sooner after the last byte of a request may have crossed it."""
-HAND_IN_TRIES = 12
-GIVE_UP_PART = 0.2
+MAX_SUBMIT_ATTEMPTS = 12
+GIVE_UP_RATIO = 0.2
 """Part of the callers that take a first refusal for an answer."""
 
 CPU_MILLICORES = (1000, 1500)
 """What the tasks of a job's first and second step ask of the processor."""
-CRASHING_PART = 0.05
+CRASHING_JOB_RATIO = 0.05
 """Part of the jobs whose first task crashes its workers."""
 
 
@@ -55,9 +55,9 @@
     accepted_s: float = 0.0
     is_cancel_sent: bool = False
     cancelled_s: float = 0.0
-    answers: list[int] = field(default_factory=list)
+    submit_statuses: list[int] = field(default_factory=list)
     """What each try to hand it in was told; 0 for no answer."""
-    shown: str = ""
+    last_state: str = ""
 
 
 class Callers:
@@ -88,9 +88,9 @@
         self._fault_log = fault_log
         self._session: aiohttp.ClientSession | None = None
 
-    async def run(self, count: int, over_s: float) -> None:
+    async def run(self, count: int, submit_period_s: float) -> None:
         """Hand in jobs at drawn moments; cancel some."""
-        await asyncio.gather(*(self._life_of(number, over_s) for number in range(count)))
+        await asyncio.gather(*(self._run_job(number, submit_period_s) for number in range(count)))
 
     async def close(self) -> None:
         """Close all connections."""
@@ -109,11 +109,11 @@
             self._fault_log.record_violation(
                 f"{job.job_id} is shown as completed by {name} and is not"
             )
-        if job.shown == "completed" and state != "completed":
+        if job.last_state == "completed" and state != "completed":
             self._fault_log.record_violation(
                 f"{job.job_id} was completed and is shown as {state} by {name}"
             )
-        job.shown = state
+        job.last_state = state
         return state
 
     async def call(
@@ -132,52 +132,54 @@
                 f"http://{proxy.address}{path}",
                 json=body,
                 headers={"Host": HOST, "Shallotworks-Deadline-Ms": str(DEADLINE_MS)},
-                timeout=aiohttp.ClientTimeout(total=CALL_S),
+                timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S),
             ) as response:
                 answer = await response.json(content_type=None)
                 return response.status, answer if isinstance(answer, dict) else {}
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-            self._judge_loss(name, incarnation, sent_s, repr(error))
+            self._check_lost_answer(name, incarnation, sent_s, repr(error))
             return 0, {}
 
-    def _judge_loss(self, name: str, incarnation: int, sent_s: float, error: str) -> None:
+    def _check_lost_answer(self, name: str, incarnation: int, sent_s: float, error: str) -> None:
         """A stop that was announced must not cut off requests that it has read."""
-        held_s = time.monotonic() - sent_s
-        lag_s = self._fault_log.lag_s()
-        if held_s < SLACK_S + lag_s or not self._fault_log.is_calm(name, since_s=sent_s):
+        waited_s = time.monotonic() - sent_s
+        max_lag_s = self._fault_log.max_lag_s()
+        if waited_s < CLOSE_RACE_S + max_lag_s or not self._fault_log.is_fault_free(
+            name, since_s=sent_s
+        ):
             return
         self._fault_log.record_violation(
-            f"{name} ({incarnation}) gave no answer after {held_s:.2f} s, with nothing wrong "
-            f"(the soak's own loop was {lag_s:.2f} s late): {error}"
+            f"{name} ({incarnation}) gave no answer after {waited_s:.2f} s, with nothing wrong "
+            f"(the soak's own loop was {max_lag_s:.2f} s late): {error}"
         )
 
-    async def _life_of(self, number: int, over_s: float) -> None:
-        await asyncio.sleep(self._rng.uniform(0, over_s))
-        job, body = self._draw(number)
+    async def _run_job(self, number: int, submit_period_s: float) -> None:
+        await asyncio.sleep(self._rng.uniform(0, submit_period_s))
+        job, body = self._draw_job(number)
         self.jobs[job.job_id] = job
-        patience = 1 if self._rng.random() < GIVE_UP_PART else HAND_IN_TRIES
-        if not await self._hand_in(job, body, patience):
+        max_attempts = 1 if self._rng.random() < GIVE_UP_RATIO else MAX_SUBMIT_ATTEMPTS
+        if not await self._submit(job, body, max_attempts):
             return
         if self._rng.random() < 0.1:
             # The same request comes again, after its answer, at another instance.
             await asyncio.sleep(self._rng.uniform(0, 2.0))
-            await self._hand_in(job, body, 1)
+            await self._submit(job, body, 1)
         if not job.is_lasting and self._rng.random() < 0.12:
             await asyncio.sleep(self._rng.uniform(0, 1.0))
             await self.cancel(job)
 
-    async def _hand_in(self, job: CalledJob, body: object, tries: int) -> bool:
-        for _ in range(tries):
+    async def _submit(self, job: CalledJob, body: object, max_attempts: int) -> bool:
+        for _ in range(max_attempts):
             name = self._rng.choice(list(self._entries))
             status, _ = await self.call("POST", name, QUEUES[job.queue] + job.job_id, body)
-            job.answers.append(status)
+            job.submit_statuses.append(status)
             if status == 200:
                 job.accepted_s = job.accepted_s or time.monotonic()
                 return True
             if status in (400, 404, 405, 410, 413):
                 self._fault_log.record_violation(f"{job.job_id} is refused with {status} by {name}")
                 return False
-            if status in (429, 503) and tries == 1:
+            if status in (429, 503) and max_attempts == 1:
                 return False
             await asyncio.sleep(self._rng.uniform(0.1, 0.5))
         return False
@@ -185,7 +187,7 @@
     async def cancel(self, job: CalledJob) -> None:
         """Cancel a job, at drawn instances, until that is acknowledged."""
         job.is_cancel_sent = True
-        for _ in range(HAND_IN_TRIES):
+        for _ in range(MAX_SUBMIT_ATTEMPTS):
             name = self._rng.choice(list(self._entries))
             status, _ = await self.call("DELETE", name, QUEUES[job.queue] + job.job_id)
             if status in (200, 410):
@@ -195,7 +197,7 @@
                 return
             await asyncio.sleep(0.3)
 
-    def _draw(self, number: int) -> tuple[CalledJob, dict[str, object]]:
+    def _draw_job(self, number: int) -> tuple[CalledJob, dict[str, object]]:
         rng = self._rng
         job_id = f"{number:016x}"
         steps: list[dict[str, object]] = [
@@ -224,13 +226,13 @@
             queue=rng.choice(list(QUEUES)),
             tasks=tasks,
             fails=fails,
-            crashes=self._crash_rng.random() < CRASHING_PART,
+            crashes=self._crash_rng.random() < CRASHING_JOB_RATIO,
             is_lasting=is_lasting,
         )
-        self._teach(job, counts)
+        self._register_tasks(job, counts)
         return job, {"spec": f"spec {number}", "steps": steps}
 
-    def _teach(self, job: CalledJob, counts: list[int]) -> None:
+    def _register_tasks(self, job: CalledJob, counts: list[int]) -> None:
         """Tell the workers, which judge their orders, what the job's tasks are."""
         fleet = self._fleet
         if job.is_lasting:
--- a/soak/_fault_scenarios.py
+++ b/soak/_fault_scenarios.py
@@ -8,19 +8,19 @@
 from dataclasses import replace
 
 from shallotworks.standins import OrderFaults, RecordFaults
-from soak._fault_log import EVERYONE
+from soak._fault_log import ALL_INSTANCES
 from soak._testbed import Entry, Testbed
 
 __all__ = ["FAULT_SCENARIOS"]
 
-GRACE_S = 6.0
-IN_FORCE_S = 2.0
+STOP_GRACE_S = 6.0
+CONFIG_IN_FORCE_S = 2.0
 """A configuration is in force this long after it was written."""
 
 FaultScenario = Callable[[Testbed], Awaitable[None]]
 
 
-def _one(testbed: Testbed) -> Entry:
+def _draw_entry(testbed: Testbed) -> Entry:
     """Draw an entry process, more often one that holds a duty."""
     holders = {
         item.value.decode()
@@ -33,10 +33,10 @@
     return testbed.entries[chosen]
 
 
-async def kill(testbed: Testbed) -> None:
+async def kill_in_series(testbed: Testbed) -> None:
     """Processes are killed, in a series."""
     for _ in range(testbed.rng.randint(1, 3)):
-        entry = _one(testbed)
+        entry = _draw_entry(testbed)
         fault = testbed.fault_log.begin("kill", entry.process.name)
         entry.process.send(signal.SIGKILL)
         await asyncio.sleep(testbed.rng.uniform(0.3, 2.0))
@@ -45,7 +45,7 @@
 
 async def kill_all(testbed: Testbed) -> None:
     """All processes are killed at once."""
-    fault = testbed.fault_log.begin("kill-all", EVERYONE)
+    fault = testbed.fault_log.begin("kill-all", ALL_INSTANCES)
     for entry in testbed.entries.values():
         entry.process.send(signal.SIGKILL)
     await asyncio.sleep(2.0)
@@ -54,7 +54,7 @@
 
 async def pause(testbed: Testbed) -> None:
     """A process stands still and wakes again."""
-    entry = _one(testbed)
+    entry = _draw_entry(testbed)
     fault = testbed.fault_log.begin("pause", entry.process.name)
     entry.process.send(signal.SIGSTOP)
     await asyncio.sleep(testbed.rng.uniform(0.5, 7.0))
@@ -68,9 +68,9 @@
     testbed.rng.shuffle(names)
     for name in names[: testbed.rng.randint(1, len(names))]:
         fault = testbed.fault_log.begin("stop", name)
-        is_in_time = await testbed.entries[name].process.terminate(GRACE_S)
+        is_in_time = await testbed.entries[name].process.terminate(STOP_GRACE_S)
         # One that stands still for half of its grace can't use it.
-        if not is_in_time and testbed.fault_log.is_calm(name, since_s=fault.began_s):
+        if not is_in_time and testbed.fault_log.is_fault_free(name, since_s=fault.began_s):
             testbed.fault_log.record_violation(f"{name} did not end within its grace")
         await asyncio.sleep(testbed.rng.uniform(0.5, 1.5))
         testbed.fault_log.end(fault)
@@ -83,63 +83,63 @@
         await asyncio.sleep(testbed.rng.uniform(0.0, 0.3))
 
 
-async def store_link(testbed: Testbed) -> None:
+async def disturb_store_link(testbed: Testbed) -> None:
     """The way between a process and the store is harmed."""
-    entry = _one(testbed)
+    entry = _draw_entry(testbed)
     proxy = entry.store_link
-    how = testbed.rng.choice(["delay", "reset", "refuse", "cut-to", "cut-from", "cut", "silence"])
-    fault = testbed.fault_log.begin(f"store-link-{how}", entry.process.name)
-    if how == "delay":
+    mode = testbed.rng.choice(["delay", "reset", "refuse", "cut-to", "cut-from", "cut", "silence"])
+    fault = testbed.fault_log.begin(f"store-link-{mode}", entry.process.name)
+    if mode == "delay":
         proxy.delay_s = testbed.rng.uniform(0.05, 0.4)
-    elif how == "silence":
+    elif mode == "silence":
         proxy.silence()
-    elif how in ("reset", "refuse"):
-        proxy.is_refusing = how == "refuse"
+    elif mode in ("reset", "refuse"):
+        proxy.is_refusing = mode == "refuse"
         proxy.reset()
-    proxy.is_cut_to = how in ("cut-to", "cut")
-    proxy.is_cut_from = how in ("cut-from", "cut")
+    proxy.is_cut_to_target = mode in ("cut-to", "cut")
+    proxy.is_cut_from_target = mode in ("cut-from", "cut")
     await asyncio.sleep(testbed.rng.uniform(1.0, 7.0))
-    proxy.heal()
+    proxy.clear_faults()
     testbed.fault_log.end(fault)
 
 
-async def worker_links(testbed: Testbed) -> None:
+async def disturb_worker_links(testbed: Testbed) -> None:
     """The ways to some workers are harmed."""
     proxies = testbed.fleet.proxies()
     chosen = testbed.rng.sample(proxies, testbed.rng.randint(1, 3))
-    how = testbed.rng.choice(["delay", "reset", "cut-to", "cut-from", "cut", "silence"])
-    fault = testbed.fault_log.begin(f"worker-links-{how}", EVERYONE)
+    mode = testbed.rng.choice(["delay", "reset", "cut-to", "cut-from", "cut", "silence"])
+    fault = testbed.fault_log.begin(f"worker-links-{mode}", ALL_INSTANCES)
     for proxy in chosen:
-        if how == "delay":
+        if mode == "delay":
             proxy.delay_s = testbed.rng.uniform(0.05, 0.5)
-        elif how == "silence":
+        elif mode == "silence":
             proxy.silence()
-        elif how == "reset":
+        elif mode == "reset":
             proxy.reset()
-        proxy.is_cut_to = how in ("cut-to", "cut")
-        proxy.is_cut_from = how in ("cut-from", "cut")
+        proxy.is_cut_to_target = mode in ("cut-to", "cut")
+        proxy.is_cut_from_target = mode in ("cut-from", "cut")
     await asyncio.sleep(testbed.rng.uniform(1.0, 7.0))
     for proxy in chosen:
-        proxy.heal()
+        proxy.clear_faults()
     testbed.fault_log.end(fault)
 
 
-async def caller_links(testbed: Testbed) -> None:
+async def disturb_caller_link(testbed: Testbed) -> None:
     """The way between callers and a process is harmed."""
-    entry = _one(testbed)
+    entry = _draw_entry(testbed)
     fault = testbed.fault_log.begin("caller-links", entry.process.name)
-    entry.callers.silence()
-    entry.callers.delay_s = testbed.rng.uniform(0.0, 0.3)
+    entry.caller_link.silence()
+    entry.caller_link.delay_s = testbed.rng.uniform(0.0, 0.3)
     await asyncio.sleep(testbed.rng.uniform(0.5, 3.0))
-    entry.callers.reset()
-    entry.callers.heal()
+    entry.caller_link.reset()
+    entry.caller_link.clear_faults()
     testbed.fault_log.end(fault)
 
 
-async def store_faults(testbed: Testbed) -> None:
+async def inject_store_faults(testbed: Testbed) -> None:
     """The store is down, silent, slow, or loses answers, for all processes or for some."""
     entries = list(testbed.entries.values())
-    chosen = entries if testbed.rng.random() < 0.6 else [_one(testbed)]
+    chosen = entries if testbed.rng.random() < 0.6 else [_draw_entry(testbed)]
     draws = (
         RecordFaults(is_down=True),
         RecordFaults(is_silent=True),
@@ -148,8 +148,8 @@
         RecordFaults(late_part=0.3, late_s=testbed.rng.uniform(1, 6)),
     )
     faults = testbed.rng.choice(draws)
-    whom = EVERYONE if len(chosen) > 1 else chosen[0].process.name
-    fault = testbed.fault_log.begin(f"store {faults}", whom)
+    instance = ALL_INSTANCES if len(chosen) > 1 else chosen[0].process.name
+    fault = testbed.fault_log.begin(f"store {faults}", instance)
     testbed.store.are_leases_paused = len(chosen) > 1 and testbed.rng.random() < 0.5
     for entry in chosen:
         entry.store.faults = replace(faults)
@@ -160,9 +160,9 @@
     testbed.fault_log.end(fault)
 
 
-async def store_forgets(testbed: Testbed) -> None:
+async def drop_store_data(testbed: Testbed) -> None:
     """The store drops its history, and keys are taken away with no request that shows it."""
-    fault = testbed.fault_log.begin("store-forgets", EVERYONE)
+    fault = testbed.fault_log.begin("store-forgets", ALL_INSTANCES)
     for _ in range(testbed.rng.randint(1, 3)):
         if testbed.rng.random() < 0.5:
             testbed.store.compact_history()
@@ -172,20 +172,20 @@
     testbed.fault_log.end(fault)
 
 
-async def workers_crash(testbed: Testbed) -> None:
+async def crash_workers(testbed: Testbed) -> None:
     """Workers end silently, alone or with their rack, and come back."""
     names = sorted(testbed.fleet.machines)
     count = testbed.rng.choice([1, 2, 3])
-    fault = testbed.fault_log.begin("workers-crash", EVERYONE)
+    fault = testbed.fault_log.begin("workers-crash", ALL_INSTANCES)
     for name in testbed.rng.sample(names, count):
         testbed.fleet.crash(name, down_s=testbed.rng.uniform(0.3, 6.0))
     await asyncio.sleep(6.0)
     testbed.fault_log.end(fault)
 
 
-async def orders_late(testbed: Testbed) -> None:
+async def delay_orders(testbed: Testbed) -> None:
     """Orders to workers are carried out late, or not answered."""
-    fault = testbed.fault_log.begin("orders-late", EVERYONE)
+    fault = testbed.fault_log.begin("orders-late", ALL_INSTANCES)
     testbed.fleet.orders.faults = OrderFaults(
         late_part=0.1, lost_part=0.1, late_s=testbed.rng.uniform(1, 8)
     )
@@ -196,9 +196,9 @@
     testbed.fault_log.end(fault)
 
 
-async def machines_down(testbed: Testbed) -> None:
+async def fail_machines_api(testbed: Testbed) -> None:
     """The list of machines can't be read, and no order for a machine is taken."""
-    fault = testbed.fault_log.begin("machines-down", EVERYONE)
+    fault = testbed.fault_log.begin("machines-down", ALL_INSTANCES)
     testbed.machines.is_down = True
     await asyncio.sleep(testbed.rng.uniform(1.0, 4.0))
     testbed.machines.is_down = False
@@ -215,47 +215,47 @@
     prefix = f"/extra-{testbed.version}/"
     testbed.extra_queues[prefix] = f"extra-{testbed.version}"
     testbed.write_configuration()
-    await asyncio.sleep(IN_FORCE_S)
+    await asyncio.sleep(CONFIG_IN_FORCE_S)
     for _ in range(4):
         for name in list(testbed.entries):
-            await _expect(testbed, name, prefix, is_there=True)
+            await _check_queue(testbed, name, prefix, is_expected=True)
         await asyncio.sleep(0.5)
     del testbed.extra_queues[prefix]
     testbed.write_configuration()
-    await asyncio.sleep(IN_FORCE_S)
+    await asyncio.sleep(CONFIG_IN_FORCE_S)
     for name in list(testbed.entries):
-        await _expect(testbed, name, prefix, is_there=False)
+        await _check_queue(testbed, name, prefix, is_expected=False)
 
 
-async def _expect(testbed: Testbed, name: str, prefix: str, *, is_there: bool) -> None:
+async def _check_queue(testbed: Testbed, name: str, prefix: str, *, is_expected: bool) -> None:
     assert testbed.callers is not None
     asked_s = asyncio.get_running_loop().time()
     status, _ = await testbed.callers.call("GET", name, prefix)
-    if status in (0, 503) or not testbed.fault_log.is_calm(
-        name, since_s=asked_s - IN_FORCE_S, but=""
+    if status in (0, 503) or not testbed.fault_log.is_fault_free(
+        name, since_s=asked_s - CONFIG_IN_FORCE_S, ignored_kind=""
     ):
         return
-    if (status == 404) is is_there:
+    if (status == 404) is is_expected:
         testbed.fault_log.record_violation(
-            f"{name} answers {status} on a queue: there is one = {is_there}"
+            f"{name} answers {status} on a queue: there is one = {is_expected}"
         )
 
 
 FAULT_SCENARIOS: tuple[FaultScenario, ...] = (
-    kill,
+    kill_in_series,
     kill_all,
     pause,
     stop_in_turn,
     reload_settings,
-    store_link,
-    store_link,
-    worker_links,
-    caller_links,
-    store_faults,
-    store_faults,
-    store_forgets,
-    workers_crash,
-    orders_late,
-    machines_down,
+    disturb_store_link,
+    disturb_store_link,
+    disturb_worker_links,
+    disturb_caller_link,
+    inject_store_faults,
+    inject_store_faults,
+    drop_store_data,
+    crash_workers,
+    delay_orders,
+    fail_machines_api,
     add_and_drop_a_queue,
 )
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -21,8 +21,8 @@
 )
 from soak._proxy import Proxy
 
-HEARTBEAT_S = 1.5
-LAPSE_S = 3 * HEARTBEAT_S
+HEARTBEAT_INTERVAL_S = 1.5
+REGISTRATION_TTL_S = 3 * HEARTBEAT_INTERVAL_S
 """A worker that says nothing is no longer registered after this."""
 ABSENCE_S = 2.0
 """How long a moved machine, or one that has its upkeep, is away."""
@@ -31,10 +31,10 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Place:
+class _Machine:
     """A machine, and what serves its worker."""
 
-    row: ListedMachine
+    listed: ListedMachine
     rack: str
     proxy: Proxy
     server: WorkerServer | None = None
@@ -51,14 +51,14 @@
 
     def __init__(self, *, fleet: Fleet, rng: random.Random) -> None:
         super().__init__(rng=rng)
-        self._machines = fleet
+        self._fleet = fleet
         self.crashed_under: Counter[TaskName] = Counter()
         """Workers that have crashed under each task, by its doing or not."""
 
     def crash(self, worker: TaskWorker) -> None:
         """Crash a worker's machine."""
-        name = self._machines.machine_of(worker.view.worker_id)
-        self._machines.crash(name, down_s=self.rng.uniform(1.0, 4.0))
+        name = self._fleet.machine_of(worker.view.worker_id)
+        self._fleet.crash(name, down_s=self.rng.uniform(1.0, 4.0))
 
 
 class Fleet:
@@ -77,44 +77,44 @@
         self.violations: list[str] = []
         self.waves: dict[int, tuple[frozenset[str], int]] = {}
         """The machines and the limit of each wave."""
-        self.had_upkeep: dict[int, set[str]] = {}
-        self._in_upkeep: dict[int, set[str]] = {}
+        self.maintained: dict[int, set[str]] = {}
+        self._in_maintenance: dict[int, set[str]] = {}
         self._highest_token: dict[str, int] = {}
         self._store = store
         self._host = host
-        self._places: dict[str, _Place] = {}
-        self._lives = 0
+        self._machines: dict[str, _Machine] = {}
+        self._last_worker_number = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def add(self, name: str, pool: str, rack: str) -> None:
         """Add a machine with a worker."""
         proxy = Proxy(host=self._host, target="")
         await proxy.start()
-        row = ListedMachine(name=name, pool=pool)
-        self.machines[name] = row
-        self._places[name] = _Place(row=row, rack=rack, proxy=proxy)
-        await self._begin(self._places[name])
+        listed = ListedMachine(name=name, pool=pool)
+        self.machines[name] = listed
+        self._machines[name] = _Machine(listed=listed, rack=rack, proxy=proxy)
+        await self._start_worker(self._machines[name])
 
     async def stop(self) -> None:
         """Close everything."""
         for task in list(self._tasks):
             task.cancel()
-        for place in self._places.values():
-            await place.proxy.stop()
-            if place.server is not None:
-                await place.server.listener.stop()
+        for machine in self._machines.values():
+            await machine.proxy.stop()
+            if machine.server is not None:
+                await machine.server.listener.stop()
 
     async def heartbeat(self) -> None:
         """Let living workers write their entries, until cancelled."""
         while True:
-            for place in self._places.values():
-                if place.view is not None and place.row.worker_id:
-                    self._register(place.view)
-            await asyncio.sleep(HEARTBEAT_S)
+            for machine in self._machines.values():
+                if machine.view is not None and machine.listed.worker_id:
+                    self._register(machine.view)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def proxies(self) -> list[Proxy]:
         """Return the proxy of each machine's worker."""
-        return [place.proxy for place in self._places.values()]
+        return [machine.proxy for machine in self._machines.values()]
 
     def machine_of(self, worker_id: str) -> str:
         """Return the machine that a worker is or was on."""
@@ -124,96 +124,107 @@
         """Let the capacity of machines shrink and grow, one after the other, until cancelled."""
         while True:
             await asyncio.sleep(rng.uniform(0.5, 3.0))
-            place = self._places[rng.choice(sorted(self._places))]
+            machine = self._machines[rng.choice(sorted(self._machines))]
             size = rng.choice([CPU_MILLICORES, int(CPU_MILLICORES * rng.uniform(0.25, 1.0))])
-            if place.view is None:
+            if machine.view is None:
                 continue
-            worker = self.workers.workers[place.view.worker_id]
+            worker = self.workers.workers[machine.view.worker_id]
             worker.resize(size)
-            place.view = worker.view
-            self._register(place.view)
+            machine.view = worker.view
+            self._register(machine.view)
 
     def crash(self, name: str, *, down_s: float) -> None:
         """Let a machine's worker end silently; another incarnation comes later."""
-        place = self._places[name]
-        if place.row.state != "up":
+        machine = self._machines[name]
+        if machine.listed.state != "up":
             return
-        if place.row.worker_id in self.workers.workers:
-            self.workers.crashed_under.update(self.workers.workers[place.row.worker_id].names())
-        old = self._end(place)
-        place.row.state = "down"
-        self._spawn(self._return(place, old, down_s, LAPSE_S))
+        if machine.listed.worker_id in self.workers.workers:
+            self.workers.crashed_under.update(
+                self.workers.workers[machine.listed.worker_id].names()
+            )
+        old_worker_id = self._end_worker(machine)
+        machine.listed.state = "down"
+        self._spawn(self._return_machine(machine, old_worker_id, down_s, REGISTRATION_TTL_S))
 
     def execute_order(self, order: MachineOrder) -> bool:
         """Carry out a move or an upkeep; whether the machine took it."""
-        row = order.machine
-        if order.token < self._highest_token.get(row.name, 0):
-            self.violations.append(f"{row.name}: order with token {order.token} after a higher one")
-        self._highest_token[row.name] = max(order.token, self._highest_token.get(row.name, 0))
-        if order.wave and not self._begin_upkeep(row.name, order.wave):
+        listed = order.machine
+        if order.token < self._highest_token.get(listed.name, 0):
+            self.violations.append(
+                f"{listed.name}: order with token {order.token} after a higher one"
+            )
+        self._highest_token[listed.name] = max(order.token, self._highest_token.get(listed.name, 0))
+        if order.wave and not self._begin_maintenance(listed.name, order.wave):
             return False
-        place = self._places[row.name]
-        old = self._end(place)
-        row.state = "upkeep" if order.wave else "moving"
+        machine = self._machines[listed.name]
+        old_worker_id = self._end_worker(machine)
+        listed.state = "upkeep" if order.wave else "moving"
         if order.pool:
-            row.pool = order.pool
-        self._spawn(self._return(place, old, ABSENCE_S, 0.0, order.wave))
+            listed.pool = order.pool
+        self._spawn(self._return_machine(machine, old_worker_id, ABSENCE_S, 0.0, order.wave))
         return True
 
-    def _begin_upkeep(self, name: str, wave: int) -> bool:
+    def _begin_maintenance(self, name: str, wave: int) -> bool:
         machines, max_at_once = self.waves.get(wave, (frozenset(), 0))
         if name not in machines:
             return False
-        down = self._in_upkeep.setdefault(wave, set())
+        down = self._in_maintenance.setdefault(wave, set())
         if len(down) >= max_at_once:
             self.violations.append(f"wave {wave}: {name} goes down while {len(down)} are down")
         down.add(name)
-        self.had_upkeep.setdefault(wave, set()).add(name)
+        self.maintained.setdefault(wave, set()).add(name)
         return True
 
-    def _end(self, place: _Place) -> str:
-        worker_id, place.row.worker_id = place.row.worker_id, ""
-        place.view = None
+    def _end_worker(self, machine: _Machine) -> str:
+        worker_id, machine.listed.worker_id = machine.listed.worker_id, ""
+        machine.view = None
         worker = self.workers.workers.get(worker_id)
         if worker is not None:
             worker.crash()
         return worker_id
 
-    async def _return(
-        self, place: _Place, old: str, down_s: float, lapse_s: float, wave: int = 0
+    async def _return_machine(
+        self,
+        machine: _Machine,
+        old_worker_id: str,
+        down_s: float,
+        expiry_delay_s: float,
+        wave: int = 0,
     ) -> None:
         """Bring a machine back; the entry of its old worker lapses meanwhile, or after."""
-        unlisting = asyncio.get_running_loop().call_later(lapse_s, self._unregister, old)
+        expiry = asyncio.get_running_loop().call_later(
+            expiry_delay_s, self._unregister, old_worker_id
+        )
         await asyncio.sleep(down_s)
         if wave:
-            self._in_upkeep[wave].discard(place.row.name)
-        await self._begin(place)
+            self._in_maintenance[wave].discard(machine.listed.name)
+        await self._start_worker(machine)
         # Not before: an order taken meanwhile would bring a second worker.
-        place.row.state = "up"
-        if unlisting.when() < asyncio.get_running_loop().time():
-            self._unregister(old)
+        machine.listed.state = "up"
+        if expiry.when() < asyncio.get_running_loop().time():
+            self._unregister(old_worker_id)
 
-    async def _begin(self, place: _Place) -> None:
-        self._lives += 1
+    async def _start_worker(self, machine: _Machine) -> None:
+        self._last_worker_number += 1
         view = WorkerView(
-            worker_id=f"w-{place.row.name}-{self._lives}",
-            service=place.row.pool,
-            address=place.proxy.address,
+            worker_id=f"w-{machine.listed.name}-{self._last_worker_number}",
+            service=machine.listed.pool,
+            address=machine.proxy.address,
             data_centre="dc-1",
             cpu_millicores=CPU_MILLICORES,
             memory_mb=MEMORY_MB,
-            rack=place.rack,
+            rack=machine.rack,
         )
         # Half of the machines take whatever they are given.
-        self.workers.add(view).is_guarded = self._lives % 2 == 0
+        self.workers.add(view).is_guarded = self._last_worker_number % 2 == 0
         # The old worker's connections end with it; its address goes to the new one.
-        if place.server is not None:
-            await place.server.listener.stop()
-        place.proxy.reset()
-        place.server = WorkerServer(orders=self.orders, view=view, host=self._host)
-        place.proxy.target = await place.server.listener.start()
-        place.view = view
-        place.row.worker_id = view.worker_id
+        if machine.server is not None:
+            await machine.server.listener.stop()
+        machine.proxy.reset()
+        machine.server = WorkerServer(orders=self.orders, view=view, host=self._host)
+        machine.proxy.target = await machine.server.listener.start()
+        machine.view = view
+        machine.listed.worker_id = view.worker_id
         self._register(view)
 
     def _register(self, view: WorkerView) -> None:
@@ -236,7 +247,7 @@
         if key in self._store.items:
             self._store.delete(key)
 
-    def _spawn(self, work: object) -> None:
-        task = asyncio.ensure_future(work)  # type: ignore[call-overload]
+    def _spawn(self, coroutine: object) -> None:
+        task = asyncio.ensure_future(coroutine)  # type: ignore[call-overload]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/soak/_processes.py
+++ b/soak/_processes.py
@@ -15,7 +15,7 @@
 READY_PORT = 18622
 PR_SET_PDEATHSIG = 1
 """Source: the kernel's header ``linux/prctl.h``."""
-RESTART_S = 0.4
+RESTART_DELAY_S = 0.4
 """Between a process's end and its next start."""
 
 SETTINGS = """\
@@ -39,7 +39,7 @@
 """
 
 
-def _end_with_parent() -> None:
+def _kill_with_parent() -> None:
     """Have the kernel end this process when the soak ends, however that ends.
 
     The failure: a soak that was killed left its processes, and the next one's callers met them.
@@ -60,14 +60,14 @@
         self.name = name
         self.ip = ip
         self.incarnation = 0
-        self.own_ends: list[str] = []
+        self.unexpected_exits: list[str] = []
         """Ends that no signal of the soak explains."""
         self._folder = folder
         self._settings = folder / f"{name}.toml"
         self._process: asyncio.subprocess.Process | None = None
-        self._expects_end = False
-        self._is_over = False
-        self._keeper: asyncio.Task[None] | None = None
+        self._is_exit_expected = False
+        self._is_stopping = False
+        self._supervisor: asyncio.Task[None] | None = None
 
     @property
     def callers_address(self) -> str:
@@ -90,15 +90,15 @@
 
     def start(self) -> None:
         """Start it, and again whenever it has ended."""
-        self._keeper = asyncio.create_task(self._keep())
+        self._supervisor = asyncio.create_task(self._supervise())
 
     async def stop(self) -> None:
         """End it for good."""
-        self._is_over = True
+        self._is_stopping = True
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
-        if self._keeper is not None:
-            await asyncio.wait([self._keeper], timeout=5.0)
+        if self._supervisor is not None:
+            await asyncio.wait([self._supervisor], timeout=5.0)
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal to the process."""
@@ -106,7 +106,7 @@
         if process is None or process.returncode is not None:
             return
         if number in (signal.SIGTERM, signal.SIGKILL):
-            self._expects_end = True
+            self._is_exit_expected = True
         process.send_signal(number)
 
     async def terminate(self, grace_s: float) -> bool:
@@ -126,9 +126,9 @@
             return False
         return True
 
-    async def _keep(self) -> None:
-        while not self._is_over:
-            self._expects_end = False
+    async def _supervise(self) -> None:
+        while not self._is_stopping:
+            self._is_exit_expected = False
             self.incarnation += 1
             with open(self._folder / f"{self.name}.log", "ab") as log:
                 self._process = await asyncio.create_subprocess_exec(
@@ -141,9 +141,9 @@
                     },
                     stdout=log,
                     stderr=log,
-                    preexec_fn=_end_with_parent,
+                    preexec_fn=_kill_with_parent,
                 )
             code = await self._process.wait()
-            if not self._expects_end and not self._is_over:
-                self.own_ends.append(f"{self.name} ended by itself with code {code}")
-            await asyncio.sleep(RESTART_S)
+            if not self._is_exit_expected and not self._is_stopping:
+                self.unexpected_exits.append(f"{self.name} ended by itself with code {code}")
+            await asyncio.sleep(RESTART_DELAY_S)
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -37,9 +37,9 @@
         self.target = target
         self.delay_s = 0.0
         self.is_refusing = False
-        self.is_cut_to = False
+        self.is_cut_to_target = False
         """Nothing reaches the target."""
-        self.is_cut_from = False
+        self.is_cut_from_target = False
         """Nothing comes back from the target."""
         self.address = ""
         self._host = host
@@ -73,10 +73,10 @@
         for connection in self._connections:
             connection.is_silent = True
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """Undo everything but silence."""
         self.delay_s = 0.0
-        self.is_refusing = self.is_cut_to = self.is_cut_from = False
+        self.is_refusing = self.is_cut_to_target = self.is_cut_from_target = False
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.is_refusing:
@@ -84,15 +84,15 @@
             return
         host, port = self.target.rsplit(":", 1)
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        connection = _Connection((writer, far_writer))
+        connection = _Connection((writer, target_writer))
         self._connections.add(connection)
         pumps = [
-            asyncio.create_task(self._pump(connection, reader, far_writer, is_to=True)),
-            asyncio.create_task(self._pump(connection, far_reader, writer, is_to=False)),
+            asyncio.create_task(self._pump(connection, reader, target_writer, is_to_target=True)),
+            asyncio.create_task(self._pump(connection, target_reader, writer, is_to_target=False)),
         ]
         self._tasks.update(pumps)
         await asyncio.gather(*pumps, return_exceptions=True)
@@ -105,11 +105,13 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        is_to: bool,
+        is_to_target: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                while connection.is_silent or (self.is_cut_to if is_to else self.is_cut_from):
+                while connection.is_silent or (
+                    self.is_cut_to_target if is_to_target else self.is_cut_from_target
+                ):
                     await asyncio.sleep(HOLD_POLL_S)
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -7,16 +7,16 @@
 from dataclasses import dataclass
 
 from soak._callers import CalledJob
-from soak._fault_log import EVERYONE
+from soak._fault_log import ALL_INSTANCES
 from soak._fault_scenarios import FAULT_SCENARIOS
 from soak._slots import Slot
 from soak._testbed import Testbed
 
 __all__ = ["RunPlan", "RunResult", "run_soak"]
 
-WAVE_PART = 0.4
+WAVE_MACHINE_RATIO = 0.4
 SETTLE_POLL_S = 0.5
-MOST_CRASHES = 2
+MIN_CRASHES_TO_FAIL = 2
 """A task under which so many workers have crashed may be given up. Source: the users' rules."""
 
 
@@ -28,7 +28,7 @@
         seed: Draws it.
         entries: Entry processes.
         jobs: Jobs that callers hand in.
-        trouble_s: How long faults begin.
+        fault_period_s: How long faults begin.
         series: Troubles that go on side by side, one after the other in each series.
         settle_s: Time for accepted jobs to end once all faults are over.
     """
@@ -36,7 +36,7 @@
     seed: int
     entries: int = 3
     jobs: int = 60
-    trouble_s: float = 18.0
+    fault_period_s: float = 18.0
     series: int = 2
     settle_s: float = 40.0
 
@@ -73,36 +73,36 @@
     testbed = Testbed(seed=plan.seed, entries=plan.entries, folder=folder, slot=slot.number)
     try:
         await testbed.start()
-        return await _play_in(testbed, plan)
+        return await _run_in(testbed, plan)
     finally:
         await testbed.stop()
         slot.close()
 
 
-async def _play_in(testbed: Testbed, plan: RunPlan) -> RunResult:
+async def _run_in(testbed: Testbed, plan: RunPlan) -> RunResult:
     assert testbed.callers is not None
     loop = asyncio.get_running_loop()
-    watching = asyncio.create_task(_watch_states(testbed))
-    lag = asyncio.create_task(testbed.fault_log.watch_lag())
+    polling = asyncio.create_task(_poll_states(testbed))
+    lag_sampling = asyncio.create_task(testbed.fault_log.sample_lag())
     machines = len(testbed.fleet.machines)
     if testbed.rng.random() < 0.7:
-        testbed.ask_for_wave(1, count=int(machines * WAVE_PART), max_at_once=2)
-    ends_s = loop.time() + plan.trouble_s
-    series = [_trouble_on(testbed, ends_s) for _ in range(plan.series)]
-    await asyncio.gather(testbed.callers.run(plan.jobs, plan.trouble_s), *series)
+        testbed.request_wave(1, count=int(machines * WAVE_MACHINE_RATIO), max_at_once=2)
+    ends_s = loop.time() + plan.fault_period_s
+    series = [_inject_faults(testbed, ends_s) for _ in range(plan.series)]
+    await asyncio.gather(testbed.callers.run(plan.jobs, plan.fault_period_s), *series)
     began_s = loop.time()
-    settling = testbed.fault_log.begin("settling", EVERYONE)
+    settling = testbed.fault_log.begin("settling", ALL_INSTANCES)
     await _cancel_lasting(testbed)
     while loop.time() - began_s < plan.settle_s and _open_jobs(testbed):
         await asyncio.sleep(SETTLE_POLL_S)
         await _ask_states(testbed, _open_jobs(testbed))
     settled_s = loop.time() - began_s
     await _await_waves(testbed)
-    for task in (watching, lag):
+    for task in (polling, lag_sampling):
         task.cancel()
-    await asyncio.gather(watching, lag, return_exceptions=True)
+    await asyncio.gather(polling, lag_sampling, return_exceptions=True)
     testbed.fault_log.end(settling)
-    await _judge_end(testbed)
+    await _check_end(testbed)
     return RunResult(
         seed=plan.seed,
         violations=(
@@ -117,7 +117,7 @@
     )
 
 
-async def _trouble_on(testbed: Testbed, ends_s: float) -> None:
+async def _inject_faults(testbed: Testbed, ends_s: float) -> None:
     loop = asyncio.get_running_loop()
     await asyncio.sleep(testbed.rng.uniform(0.0, 3.0))
     while loop.time() < ends_s:
@@ -125,7 +125,7 @@
         await asyncio.sleep(testbed.rng.uniform(0.0, 3.0))
 
 
-async def _watch_states(testbed: Testbed) -> None:
+async def _poll_states(testbed: Testbed) -> None:
     """Ask for states all the while, each time at any instance."""
     while True:
         await _ask_states(testbed, _open_jobs(testbed)[:5])
@@ -142,7 +142,9 @@
     assert testbed.callers is not None
     final = ("completed", "failed", "cancelled")
     return [
-        job for job in testbed.callers.jobs.values() if job.accepted_s and job.shown not in final
+        job
+        for job in testbed.callers.jobs.values()
+        if job.accepted_s and job.last_state not in final
     ]
 
 
@@ -165,13 +167,15 @@
     testbed.fault_log.record_violation("a wave was not completed 30 s after the last trouble")
 
 
-async def _judge_end(testbed: Testbed) -> None:
+async def _check_end(testbed: Testbed) -> None:
     assert testbed.callers is not None
     record_violation = testbed.fault_log.record_violation
     begun = {name.job_id for name in testbed.fleet.workers.begun}
     for job in testbed.callers.jobs.values():
         if not job.accepted_s:
-            is_refused = bool(job.answers) and all(status in (429, 503) for status in job.answers)
+            is_refused = bool(job.submit_statuses) and all(
+                status in (429, 503) for status in job.submit_statuses
+            )
             if is_refused and job.job_id in begun:
                 record_violation(f"{job.job_id} was refused each time, and runs")
             continue
@@ -179,23 +183,23 @@
         if len(states) != 1:
             record_violation(f"{job.job_id} is shown as {sorted(map(str, states))} at the end")
             continue
-        _judge_state(testbed, job, str(states.pop()))
+        _check_final_state(testbed, job, str(states.pop()))
     for wave, (machines, _) in testbed.fleet.waves.items():
-        missed = machines - testbed.fleet.had_upkeep.get(wave, set())
+        missed = machines - testbed.fleet.maintained.get(wave, set())
         item = testbed.store.items.get(f"status/wave/{wave}")
         if missed and item is not None and b"completed" in item.value:
             record_violation(f"wave {wave} is said to be completed without {sorted(missed)}")
     for entry in testbed.entries.values():
-        for text in entry.process.own_ends:
+        for text in entry.process.unexpected_exits:
             record_violation(text)
 
 
-def _judge_state(testbed: Testbed, job: CalledJob, state: str) -> None:
+def _check_final_state(testbed: Testbed, job: CalledJob, state: str) -> None:
     allowed = {"completed"}
     if job.is_cancel_sent:
         allowed.add("cancelled")
     crashed_under = testbed.fleet.workers.crashed_under
-    if any(crashed_under[task] >= MOST_CRASHES for task in job.tasks):
+    if any(crashed_under[task] >= MIN_CRASHES_TO_FAIL for task in job.tasks):
         allowed.add("failed")
     if job.fails or job.crashes:
         allowed = {"failed"} | (allowed - {"completed"})
--- a/soak/_slots.py
+++ b/soak/_slots.py
@@ -7,7 +7,7 @@
 __all__ = ["Slot"]
 
 GUARD_PORT = 18620
-MOST_SLOTS = 250
+MAX_SLOTS = 250
 
 
 class Slot:
@@ -18,7 +18,7 @@
     """
 
     def __init__(self) -> None:
-        for number in range(1, MOST_SLOTS + 1):
+        for number in range(1, MAX_SLOTS + 1):
             guard = socket.socket()
             try:
                 guard.bind((f"127.77.{number}.1", GUARD_PORT))
@@ -28,7 +28,7 @@
             self.number = number
             self._guard = guard
             return
-        raise OSError(f"all {MOST_SLOTS} slots are in use")
+        raise OSError(f"all {MAX_SLOTS} slots are in use")
 
     def close(self) -> None:
         """Give the addresses back."""
--- a/soak/_testbed.py
+++ b/soak/_testbed.py
@@ -14,14 +14,14 @@
     RecordStore,
     StoreServer,
 )
-from soak._callers import HOST, MOST_ATTEMPTS, QUEUES, Callers
-from soak._fault_log import EVERYONE, FaultLog
+from soak._callers import HOST, MAX_ATTEMPTS, QUEUES, Callers
+from soak._fault_log import ALL_INSTANCES, FaultLog
 from soak._fleet import Fleet
 from soak._processes import EntryProcess
 from soak._proxy import Proxy
 
 SPARE_POOL = "spare"
-MACHINES_A_POOL = 4
+MACHINES_PER_POOL = 4
 SPARE_MACHINES = 2
 
 
@@ -31,7 +31,7 @@
 
     Args:
         process: The process.
-        callers: The proxy between callers and it.
+        caller_link: The proxy between callers and it.
         store: The store as it meets it, with faults.
         store_server: Serves that.
         store_link: The proxy between it and the store.
@@ -39,7 +39,7 @@
     """
 
     process: EntryProcess
-    callers: Proxy
+    caller_link: Proxy
     store: FaultInjectingStore
     store_server: StoreServer
     store_link: Proxy
@@ -62,7 +62,7 @@
         self.store = RecordStore(rng=random.Random(seed + 1))
         self.host = f"127.77.{slot}.1"
         self.fleet = Fleet(store=self.store, rng=random.Random(seed + 2), host=self.host)
-        self.fleet.workers.most_attempts = MOST_ATTEMPTS
+        self.fleet.workers.most_attempts = MAX_ATTEMPTS
         self.machines = MachinesServer(
             machines=self.fleet.machines, execute_order=self.fleet.execute_order, host=self.host
         )
@@ -72,7 +72,7 @@
         """Prefixes of queues that were added, with the queue's name."""
         self._folder = folder
         self._slot = slot
-        self._count = entries
+        self._entry_count = entries
         self._seed = seed
         self._background: list[asyncio.Task[None]] = []
         self.callers: Callers | None = None
@@ -80,30 +80,30 @@
     async def start(self) -> None:
         """Start everything; return once each entry process has a configuration."""
         machines_address = await self.machines.listener.start()
-        pools = [pool for pool in QUEUES for _ in range(MACHINES_A_POOL)]
+        pools = [pool for pool in QUEUES for _ in range(MACHINES_PER_POOL)]
         pools += [SPARE_POOL] * SPARE_MACHINES
         for number, pool in enumerate(pools):
             await self.fleet.add(f"m{number}", pool, f"rack-{number % 3}")
         # Draws of their own, so that what a seed draws else stays as it was.
         resizing = self.fleet.resize(random.Random(self._seed + 3))
         self._background = [
-            asyncio.create_task(work) for work in (self.fleet.heartbeat(), resizing)
+            asyncio.create_task(coroutine) for coroutine in (self.fleet.heartbeat(), resizing)
         ]
         self.write_configuration()
-        for number in range(self._count):
+        for number in range(self._entry_count):
             entry = await self._make_entry(number, machines_address)
             self.entries[entry.process.name] = entry
             entry.process.start()
         self.callers = Callers(
-            entries={name: (one.process, one.callers) for name, one in self.entries.items()},
+            entries={name: (one.process, one.caller_link) for name, one in self.entries.items()},
             fleet=self.fleet.workers,
             rng=self.rng,
             crash_rng=random.Random(self._seed + 4),
             fault_log=self.fault_log,
         )
-        starting = self.fault_log.begin("start", EVERYONE)
+        starting = self.fault_log.begin("start", ALL_INSTANCES)
         for name in self.entries:
-            await self._await_answer(name)
+            await self._await_first_answer(name)
         self.fault_log.end(starting)
 
     async def stop(self) -> None:
@@ -115,7 +115,7 @@
             task.cancel()
         await self.fleet.stop()
         for entry in self.entries.values():
-            for proxy in (entry.callers, entry.store_link, entry.machines_link):
+            for proxy in (entry.caller_link, entry.store_link, entry.machines_link):
                 await proxy.stop()
             await entry.store_server.listener.stop()
         await self.machines.listener.stop()
@@ -131,7 +131,7 @@
                 "host": HOST,
                 "prefix": prefix,
                 "service": service,
-                "maxAttempts": MOST_ATTEMPTS,
+                "maxAttempts": MAX_ATTEMPTS,
                 "stretch": 3.0,
                 "targetLatencyMs": 2000,
                 "timeoutMs": 3000,
@@ -143,7 +143,7 @@
         body = {"version": self.version, "routes": routes, "services": services, "limits": {}}
         self.store.put("op/config", json.dumps(body).encode())
 
-    def ask_for_wave(self, number: int, *, count: int, max_at_once: int) -> None:
+    def request_wave(self, number: int, *, count: int, max_at_once: int) -> None:
         """Ask for the upkeep of some machines, as an operator does."""
         names = self.rng.sample(sorted(self.fleet.machines), count)
         self.fleet.waves[number] = (frozenset(names), max_at_once)
@@ -158,18 +158,18 @@
         await server.listener.start()
         entry = Entry(
             process=process,
-            callers=Proxy(host=self.host, target=process.callers_address),
+            caller_link=Proxy(host=self.host, target=process.callers_address),
             store=view,
             store_server=server,
             store_link=Proxy(host=self.host, target=server.listener.address),
             machines_link=Proxy(host=self.host, target=machines_address),
         )
-        for proxy in (entry.callers, entry.store_link, entry.machines_link):
+        for proxy in (entry.caller_link, entry.store_link, entry.machines_link):
             await proxy.start()
         process.write_settings(store=entry.store_link.address, machines=entry.machines_link.address)
         return entry
 
-    async def _await_answer(self, name: str) -> None:
+    async def _await_first_answer(self, name: str) -> None:
         assert self.callers is not None
         for _ in range(200):
             status, _ = await self.callers.call("GET", name, next(iter(QUEUES.values())))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,7 +17,7 @@
 class SoakTests(unittest.TestCase):
     def test_a_short_run_keeps_the_promises(self) -> None:
         """Jobs are accepted and end, and nothing breaks, through faults drawn by a fixed seed."""
-        plan = RunPlan(seed=SEED, jobs=25, trouble_s=8.0, settle_s=60.0)
+        plan = RunPlan(seed=SEED, jobs=25, fault_period_s=8.0, settle_s=60.0)
         with tempfile.TemporaryDirectory() as folder:
             result = asyncio.run(run_soak(plan, folder=pathlib.Path(folder)))
         self.assertEqual((), result.violations, result.timeline)
