--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,7 +1,8 @@
-"""A randomized soak: the real programs as separate processes, faults injected from outside them.
+"""A randomized soak test: real entry processes, with faults injected from outside of them.
 
-Each run draws its faults from a seed: connections through loopback proxies are delayed, reset, cut
-one way or silenced; processes are stopped, paused, killed and restarted by signals; the store, the
-workers and the machines misbehave. While it runs it judges what callers and workers see. It starts
-the entry processes and ends them by their ids, and uses the loopback range only.
+Each run draws its faults from a seed. Connections through loopback proxies are delayed, reset, cut
+in one direction or silenced; processes are stopped, paused, killed and restarted by signals; the
+store, the workers and the machines fail. Each run checks the answers that callers get and the
+orders that workers get. The soak starts the entry processes, ends them by their process ids and
+uses loopback addresses only.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -19,14 +19,14 @@
 @app.command()
 def main(
     seeds: Annotated[str, typer.Option(help="Seeds: one, FIRST-LAST, or none.")] = "1-50",
-    kept: Annotated[bool, typer.Option(help="Play the seeds that once failed, too.")] = False,
-    fresh: Annotated[int, typer.Option(help="Runs with seeds drawn now, beside these.")] = 0,
-    jobs: Annotated[int, typer.Option(help="Runs side by side; each takes about a core.")] = 4,
-    trouble_s: Annotated[float, typer.Option(help="How long troubles begin in a run.")] = 18.0,
-    entries: Annotated[int, typer.Option(help="Entry processes of a run.")] = 3,
-    folder: Annotated[str, typer.Option(help="Where logs go; a new folder if left out.")] = "",
+    kept: Annotated[bool, typer.Option(help="Also run the seeds that have failed.")] = False,
+    fresh: Annotated[int, typer.Option(help="Additional runs with new random seeds.")] = 0,
+    jobs: Annotated[int, typer.Option(help="Concurrent runs; each uses about one core.")] = 4,
+    trouble_s: Annotated[float, typer.Option(help="Time in which faults start in a run.")] = 18.0,
+    entries: Annotated[int, typer.Option(help="Entry processes in a run.")] = 3,
+    folder: Annotated[str, typer.Option(help="Folder for logs; a new one by default.")] = "",
 ) -> None:
-    """Play runs and say what broke; exits with 1 where a promise was broken."""
+    """Run the soak and print the violations; exits with 1 where there were any."""
     first, _, last = seeds.partition("-")
     drawn = list(range(int(first), int(last or first) + 1)) if seeds != "none" else []
     drawn += [seed for seed in REGRESSION_SEEDS if kept and seed not in drawn]
@@ -40,7 +40,7 @@
     typer.echo(
         f"{len(results)} runs, {sum(one.accepted for one in results)} jobs, "
         f"{sum(one.starts for one in results)} starts; settled in {settled[len(settled) // 2]} s "
-        f"(half), {settled[-1]} s (worst); {len(broken)} with breaches"
+        f"(median), {settled[-1]} s (longest); {len(broken)} with violations"
     )
     raise typer.Exit(1 if broken else 0)
 
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers: they hand jobs in, ask for their states, cancel some, and remember the answers."""
+"""Callers: they submit jobs, poll their states, cancel some, and record the answers."""
 
 from __future__ import annotations
 
@@ -17,33 +17,36 @@
 
 HOST = "soak.example"
 QUEUES = {"traces": "/traces/", "orders": "/orders/"}
-"""Queues, each with the prefix of its paths; each is served by the service of its name."""
+"""Path prefix of each queue; a queue is served by the service of the same name."""
 MAX_ATTEMPTS = 2
 DEADLINE_MS = 3000
 CALL_TIMEOUT_S = 3.2
 CLOSE_RACE_S = 0.2
-"""A connection that ends sooner after the last byte of a request may have crossed it."""
+"""A connection that closes within this time of a request may have closed before it arrived."""
 MAX_SUBMIT_ATTEMPTS = 12
 GIVE_UP_RATIO = 0.2
-"""Part of the callers that take a first refusal for an answer."""
+"""Fraction of the callers that don't retry a refused job."""
 
 CPU_MILLICORES = (1000, 1500)
-"""What the tasks of a job's first and second step ask of the processor."""
+"""CPU demand of a task in a job's first and second step."""
 CRASHING_JOB_RATIO = 0.05
-"""Part of the jobs whose first task crashes its workers."""
+"""Fraction of the jobs whose first task crashes its workers."""
 
 
 @dataclass(slots=True, kw_only=True)
 class CalledJob:
-    """A job as its caller knows it.
+    """A job, with what its caller knows of it.
 
     Args:
-        job_id: Its id.
-        queue: Its queue.
-        tasks: Its tasks.
-        fails: Its first task always fails.
-        crashes: Its first task crashes each worker that starts it.
-        is_lasting: Its tasks last until it is cancelled.
+        job_id: Id of the job.
+        queue: Queue that it is submitted to.
+        tasks: Names of its tasks.
+        fails: Whether its first task always fails.
+        crashes: Whether its first task crashes each worker that starts it.
+        is_lasting: Whether its tasks run until the job is cancelled.
+        accepted_s: Monotonic time of its first acceptance; 0 if none.
+        is_cancel_sent: Whether its caller has tried to cancel it.
+        cancelled_s: Monotonic time at which a cancellation was acknowledged; 0 if none.
     """
 
     job_id: str
@@ -56,19 +59,20 @@
     is_cancel_sent: bool = False
     cancelled_s: float = 0.0
     submit_statuses: list[int] = field(default_factory=list)
-    """What each try to hand it in was told; 0 for no answer."""
+    """Status of each attempt to submit it; 0 for no answer."""
     last_state: str = ""
+    """Newest state that an instance has answered; empty before the first."""
 
 
 class Callers:
-    """All callers.
+    """All callers of one run.
 
     Args:
-        entries: The entry processes, with the proxy before each.
-        fleet: The workers, which are told what each job's tasks are.
-        rng: Draws.
-        crash_rng: Draws the jobs that crash workers.
-        fault_log: Where violations go, and what is under way.
+        entries: The entry processes, each with the proxy in front of it.
+        fleet: The workers; each job's tasks are registered with them before it is submitted.
+        rng: Random source for everything except jobs that crash workers.
+        crash_rng: Random source for the jobs that crash workers.
+        fault_log: Takes violations, and knows which faults are in force.
     """
 
     def __init__(
@@ -89,7 +93,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def run(self, count: int, submit_period_s: float) -> None:
-        """Hand in jobs at drawn moments; cancel some."""
+        """Submit jobs at random times within the period, and cancel some."""
         await asyncio.gather(*(self._run_job(number, submit_period_s) for number in range(count)))
 
     async def close(self) -> None:
@@ -98,7 +102,11 @@
             await self._session.close()
 
     async def state(self, job: CalledJob, name: str) -> str | None:
-        """Ask one instance for a job's state; ``None`` for no clear answer."""
+        """Ask one instance for a job's state; check it against the workers and earlier answers.
+
+        Returns:
+            The state, ``"gone"`` for a status of 410, or ``None`` for any other status.
+        """
         status, body = await self.call("GET", name, QUEUES[job.queue] + job.job_id)
         if status == 410:
             return "gone"
@@ -107,11 +115,11 @@
         state = str(body.get("state"))
         if state == "completed" and not all(task in self._fleet.done for task in job.tasks):
             self._fault_log.record_violation(
-                f"{job.job_id} is shown as completed by {name} and is not"
+                f"{job.job_id} is reported as completed by {name} while tasks of it are not done"
             )
         if job.last_state == "completed" and state != "completed":
             self._fault_log.record_violation(
-                f"{job.job_id} was completed and is shown as {state} by {name}"
+                f"{job.job_id} is reported as {state} by {name} after it was reported as completed"
             )
         job.last_state = state
         return state
@@ -119,7 +127,7 @@
     async def call(
         self, method: str, name: str, path: str, body: object | None = None
     ) -> tuple[int, dict[str, object]]:
-        """Make one call at one instance; status 0 for no answer."""
+        """Send one request to one instance; return status 0 if there is no answer."""
         entry, proxy = self._entries[name]
         if self._session is None:
             self._session = aiohttp.ClientSession(
@@ -141,7 +149,11 @@
             return 0, {}
 
     def _check_lost_answer(self, name: str, incarnation: int, sent_s: float, error: str) -> None:
-        """A stop that was announced must not cut off requests that it has read."""
+        """Record a violation if a request got no answer without a fault that explains it.
+
+        A planned stop doesn't explain it: a process that stops must answer the requests that it
+        has read.
+        """
         waited_s = time.monotonic() - sent_s
         max_lag_s = self._fault_log.max_lag_s()
         if waited_s < CLOSE_RACE_S + max_lag_s or not self._fault_log.is_fault_free(
@@ -149,8 +161,8 @@
         ):
             return
         self._fault_log.record_violation(
-            f"{name} ({incarnation}) gave no answer after {waited_s:.2f} s, with nothing wrong "
-            f"(the soak's own loop was {max_lag_s:.2f} s late): {error}"
+            f"{name} (incarnation {incarnation}) gave no answer after {waited_s:.2f} s without a "
+            f"fault (the soak's own event loop lagged by {max_lag_s:.2f} s): {error}"
         )
 
     async def _run_job(self, number: int, submit_period_s: float) -> None:
@@ -161,7 +173,7 @@
         if not await self._submit(job, body, max_attempts):
             return
         if self._rng.random() < 0.1:
-            # The same request comes again, after its answer, at another instance.
+            # Submits the job again after it was accepted, at an instance drawn anew.
             await asyncio.sleep(self._rng.uniform(0, 2.0))
             await self._submit(job, body, 1)
         if not job.is_lasting and self._rng.random() < 0.12:
@@ -177,7 +189,9 @@
                 job.accepted_s = job.accepted_s or time.monotonic()
                 return True
             if status in (400, 404, 405, 410, 413):
-                self._fault_log.record_violation(f"{job.job_id} is refused with {status} by {name}")
+                self._fault_log.record_violation(
+                    f"{job.job_id} was refused with status {status} by {name}"
+                )
                 return False
             if status in (429, 503) and max_attempts == 1:
                 return False
@@ -185,7 +199,7 @@
         return False
 
     async def cancel(self, job: CalledJob) -> None:
-        """Cancel a job, at drawn instances, until that is acknowledged."""
+        """Cancel a job at random instances until one acknowledges it."""
         job.is_cancel_sent = True
         for _ in range(MAX_SUBMIT_ATTEMPTS):
             name = self._rng.choice(list(self._entries))
@@ -233,7 +247,7 @@
         return job, {"spec": f"spec {number}", "steps": steps}
 
     def _register_tasks(self, job: CalledJob, counts: list[int]) -> None:
-        """Tell the workers, which judge their orders, what the job's tasks are."""
+        """Register the job's tasks with the workers, which check their orders against them."""
         fleet = self._fleet
         if job.is_lasting:
             fleet.lasting.add(job.job_id)
--- a/soak/_fault_log.py
+++ b/soak/_fault_log.py
@@ -1,4 +1,4 @@
-"""What a run has seen: faults with their times, and broken promises."""
+"""The record of one run: its faults with their times, and the violations that were found."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 
 RECOVERY_S = 3.0
-"""After a fault, promises with a time bound hold again this much later."""
+"""Guarantees with a time bound hold again this long after the end of a fault."""
 ALL_INSTANCES = "*"
 LAG_SAMPLE_INTERVAL_S = 0.05
 MAX_LAG_SAMPLES = 60
-"""Measurements of the last 3 s."""
+"""Samples of the last 3 s."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -20,10 +20,10 @@
     """A fault that is or was in force.
 
     Args:
-        kind: Which.
-        instance: An instance's name, or ``ALL_INSTANCES``.
-        began_s: Since when, on the steady clock.
-        ended_s: Until when.
+        kind: Name of the fault.
+        instance: Name of the affected instance, or ``ALL_INSTANCES``.
+        began_s: Start, on the monotonic clock.
+        ended_s: End, on the monotonic clock; infinite while the fault is in force.
     """
 
     kind: str
@@ -33,7 +33,7 @@
 
 
 class FaultLog:
-    """Collects faults and violations of one run."""
+    """Collects the faults and the violations of one run."""
 
     def __init__(self) -> None:
         self._lags: deque[float] = deque(maxlen=MAX_LAG_SAMPLES)
@@ -42,40 +42,42 @@
         self.violations: list[str] = []
 
     async def sample_lag(self) -> None:
-        """Measure how late the soak's own loop is, until cancelled."""
+        """Measure the lag of the soak's own event loop until cancelled."""
         while True:
             due_s = time.monotonic() + LAG_SAMPLE_INTERVAL_S
             await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
             self._lags.append(time.monotonic() - due_s)
 
     def max_lag_s(self) -> float:
-        """Return how late the soak's own loop was at the worst within the last seconds.
+        """Return the largest lag of the soak's own event loop among the newest samples.
 
-        Callers and proxies run on it, so that what they measure contains it.
+        Callers and proxies run on this loop, so the times that they measure include its lag.
         """
         return max(self._lags, default=0.0)
 
     def begin(self, kind: str, instance: str) -> FaultRecord:
-        """Note that a fault begins."""
+        """Record the start of a fault."""
         fault = FaultRecord(kind=kind, instance=instance, began_s=time.monotonic())
         self.faults.append(fault)
         return fault
 
     def end(self, fault: FaultRecord) -> None:
-        """Note that it has ended."""
+        """Record the end of a fault."""
         fault.ended_s = time.monotonic()
 
     def record_violation(self, text: str) -> None:
-        """Note a broken promise."""
+        """Record a violation with the time since the start of the run."""
         self.violations.append(f"{time.monotonic() - self.began_s:.2f} s: {text}")
 
     def is_fault_free(self, instance: str, *, since_s: float, ignored_kind: str = "stop") -> bool:
-        """Whether nothing but one kind of planned work has touched an instance of late.
+        """Return whether no fault has affected an instance since a time.
 
         Args:
-            instance: The instance.
-            since_s: From when on; the time in which a fault still tells is taken off.
-            ignored_kind: The kind that doesn't count: a stop is announced.
+            instance: Name of the instance.
+            since_s: Start of the period, on the monotonic clock; a fault that ended less than
+                ``RECOVERY_S`` earlier counts too.
+            ignored_kind: Kind of fault that doesn't count; by default the planned stop, which
+                is announced to the process.
         """
         return not any(
             fault.kind != ignored_kind
@@ -85,7 +87,7 @@
         )
 
     def timeline(self) -> list[str]:
-        """Return the faults as lines."""
+        """Return one line of text for each fault."""
         return [
             f"{fault.began_s - self.began_s:6.2f} to {fault.ended_s - self.began_s:6.2f} s  "
             f"{fault.kind} {fault.instance}"
--- a/soak/_fault_scenarios.py
+++ b/soak/_fault_scenarios.py
@@ -1,4 +1,4 @@
-"""The faults that a run draws from, each put in force for a while and then undone."""
+"""The fault scenarios that a run draws from; each injects a fault for a while, then removes it."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 STOP_GRACE_S = 6.0
 CONFIG_IN_FORCE_S = 2.0
-"""A configuration is in force this long after it was written."""
+"""A configuration is in force at all instances this long after it was written."""
 
 FaultScenario = Callable[[Testbed], Awaitable[None]]
 
 
 def _draw_entry(testbed: Testbed) -> Entry:
-    """Draw an entry process, more often one that holds a duty."""
+    """Draw an entry process, with a preference for one that holds a lease."""
     holders = {
         item.value.decode()
         for key, item in testbed.store.items.items()
@@ -34,7 +34,7 @@
 
 
 async def kill_in_series(testbed: Testbed) -> None:
-    """Processes are killed, in a series."""
+    """Kill one to three processes one after the other."""
     for _ in range(testbed.rng.randint(1, 3)):
         entry = _draw_entry(testbed)
         fault = testbed.fault_log.begin("kill", entry.process.name)
@@ -44,7 +44,7 @@
 
 
 async def kill_all(testbed: Testbed) -> None:
-    """All processes are killed at once."""
+    """Kill all processes at once."""
     fault = testbed.fault_log.begin("kill-all", ALL_INSTANCES)
     for entry in testbed.entries.values():
         entry.process.send(signal.SIGKILL)
@@ -53,7 +53,7 @@
 
 
 async def pause(testbed: Testbed) -> None:
-    """A process stands still and wakes again."""
+    """Pause a process with SIGSTOP and resume it."""
     entry = _draw_entry(testbed)
     fault = testbed.fault_log.begin("pause", entry.process.name)
     entry.process.send(signal.SIGSTOP)
@@ -63,28 +63,28 @@
 
 
 async def stop_in_turn(testbed: Testbed) -> None:
-    """Processes are asked to stop, one after the other, and start again."""
+    """Stop processes with SIGTERM one after the other; each restarts."""
     names = sorted(testbed.entries)
     testbed.rng.shuffle(names)
     for name in names[: testbed.rng.randint(1, len(names))]:
         fault = testbed.fault_log.begin("stop", name)
         is_in_time = await testbed.entries[name].process.terminate(STOP_GRACE_S)
-        # One that stands still for half of its grace can't use it.
+        # A process that another fault pauses for half of its grace period can't stop in time.
         if not is_in_time and testbed.fault_log.is_fault_free(name, since_s=fault.began_s):
-            testbed.fault_log.record_violation(f"{name} did not end within its grace")
+            testbed.fault_log.record_violation(f"{name} did not end within its grace period")
         await asyncio.sleep(testbed.rng.uniform(0.5, 1.5))
         testbed.fault_log.end(fault)
 
 
 async def reload_settings(testbed: Testbed) -> None:
-    """Processes are told that their settings have changed."""
+    """Make all processes reload their settings with SIGHUP."""
     for entry in testbed.entries.values():
         entry.process.send(signal.SIGHUP)
         await asyncio.sleep(testbed.rng.uniform(0.0, 0.3))
 
 
 async def disturb_store_link(testbed: Testbed) -> None:
-    """The way between a process and the store is harmed."""
+    """Delay, reset, refuse, cut or silence the connections between a process and the store."""
     entry = _draw_entry(testbed)
     proxy = entry.store_link
     mode = testbed.rng.choice(["delay", "reset", "refuse", "cut-to", "cut-from", "cut", "silence"])
@@ -104,7 +104,7 @@
 
 
 async def disturb_worker_links(testbed: Testbed) -> None:
-    """The ways to some workers are harmed."""
+    """Delay, reset, cut or silence the connections to one to three workers."""
     proxies = testbed.fleet.proxies()
     chosen = testbed.rng.sample(proxies, testbed.rng.randint(1, 3))
     mode = testbed.rng.choice(["delay", "reset", "cut-to", "cut-from", "cut", "silence"])
@@ -125,7 +125,7 @@
 
 
 async def disturb_caller_link(testbed: Testbed) -> None:
-    """The way between callers and a process is harmed."""
+    """Silence the open connections between callers and a process, and delay new ones."""
     entry = _draw_entry(testbed)
     fault = testbed.fault_log.begin("caller-links", entry.process.name)
     entry.caller_link.silence()
@@ -137,7 +137,7 @@
 
 
 async def inject_store_faults(testbed: Testbed) -> None:
-    """The store is down, silent, slow, or loses answers, for all processes or for some."""
+    """Make the store down, silent or slow, or lose or delay commits, for all processes or one."""
     entries = list(testbed.entries.values())
     chosen = entries if testbed.rng.random() < 0.6 else [_draw_entry(testbed)]
     draws = (
@@ -161,7 +161,7 @@
 
 
 async def drop_store_data(testbed: Testbed) -> None:
-    """The store drops its history, and keys are taken away with no request that shows it."""
+    """Compact the store's history, or delete the leased keys without a request of their holders."""
     fault = testbed.fault_log.begin("store-forgets", ALL_INSTANCES)
     for _ in range(testbed.rng.randint(1, 3)):
         if testbed.rng.random() < 0.5:
@@ -173,7 +173,7 @@
 
 
 async def crash_workers(testbed: Testbed) -> None:
-    """Workers end silently, alone or with their rack, and come back."""
+    """Crash one to three random workers; new incarnations return later."""
     names = sorted(testbed.fleet.machines)
     count = testbed.rng.choice([1, 2, 3])
     fault = testbed.fault_log.begin("workers-crash", ALL_INSTANCES)
@@ -184,20 +184,20 @@
 
 
 async def delay_orders(testbed: Testbed) -> None:
-    """Orders to workers are carried out late, or not answered."""
+    """Delay some orders to workers, and lose the answers of some."""
     fault = testbed.fault_log.begin("orders-late", ALL_INSTANCES)
     testbed.fleet.orders.faults = OrderFaults(
         late_part=0.1, lost_part=0.1, late_s=testbed.rng.uniform(1, 8)
     )
     await asyncio.sleep(testbed.rng.uniform(2.0, 5.0))
     testbed.fleet.orders.faults = OrderFaults()
-    # What was late is carried out up to 8 s after its order.
+    # A delayed order is executed up to 8 s after it was sent.
     await asyncio.sleep(8.0)
     testbed.fault_log.end(fault)
 
 
 async def fail_machines_api(testbed: Testbed) -> None:
-    """The list of machines can't be read, and no order for a machine is taken."""
+    """Make the machines API fail: machines can't be listed, and no order is accepted."""
     fault = testbed.fault_log.begin("machines-down", ALL_INSTANCES)
     testbed.machines.is_down = True
     await asyncio.sleep(testbed.rng.uniform(1.0, 4.0))
@@ -206,10 +206,10 @@
 
 
 async def add_and_drop_a_queue(testbed: Testbed) -> None:
-    """A queue is added, used and removed; all processes have each version in force in time.
+    """Add a queue, call it and remove it; check that each configuration is in force in time.
 
-    Judged only for processes without a fault: a new queue is known 2 s after it was written,
-    never unknown again in the same process until it is removed, and unknown 2 s after that.
+    Only processes without a fault are checked. They must know a new queue 2 s after it was
+    written, must not forget it until it is removed, and must not know it 2 s after that.
     """
     assert testbed.callers is not None
     prefix = f"/extra-{testbed.version}/"
@@ -237,7 +237,7 @@
         return
     if (status == 404) is is_expected:
         testbed.fault_log.record_violation(
-            f"{name} answers {status} on a queue: there is one = {is_expected}"
+            f"{name} answers {status} for a queue; expected to exist: {is_expected}"
         )
 
 
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -1,4 +1,4 @@
-"""Machines and the workers on them: they register, crash, come back, move and have their upkeep."""
+"""Machines and their workers, which register, crash, restart, move and undergo maintenance."""
 
 from __future__ import annotations
 
@@ -23,16 +23,24 @@
 
 HEARTBEAT_INTERVAL_S = 1.5
 REGISTRATION_TTL_S = 3 * HEARTBEAT_INTERVAL_S
-"""A worker that says nothing is no longer registered after this."""
+"""The registration of a worker without heartbeats expires after this time."""
 ABSENCE_S = 2.0
-"""How long a moved machine, or one that has its upkeep, is away."""
+"""How long a machine is away during a move or its maintenance."""
 CPU_MILLICORES = 8_000
 MEMORY_MB = 16_000
 
 
 @dataclass(slots=True, kw_only=True)
 class _Machine:
-    """A machine, and what serves its worker."""
+    """A machine with its worker.
+
+    Args:
+        listed: The machine in the form in which the machines API lists it.
+        rack: Its rack.
+        proxy: The proxy in front of its worker.
+        server: Serves the current worker; ``None`` before the first start.
+        view: The registration of the running worker; ``None`` while none runs.
+    """
 
     listed: ListedMachine
     rack: str
@@ -42,32 +50,32 @@
 
 
 class _Workers(CrashingWorkers):
-    """Workers whose machines come back after a crash.
+    """Workers whose machines return after a crash.
 
     Args:
-        fleet: Their machines.
-        rng: Draws.
+        fleet: The machines of the workers.
+        rng: Random source.
     """
 
     def __init__(self, *, fleet: Fleet, rng: random.Random) -> None:
         super().__init__(rng=rng)
         self._fleet = fleet
         self.crashed_under: Counter[TaskName] = Counter()
-        """Workers that have crashed under each task, by its doing or not."""
+        """Number of workers that crashed while they ran a task, whether or not it was the cause."""
 
     def crash(self, worker: TaskWorker) -> None:
-        """Crash a worker's machine."""
+        """Crash the machine of a worker for a random time."""
         name = self._fleet.machine_of(worker.view.worker_id)
         self._fleet.crash(name, down_s=self.rng.uniform(1.0, 4.0))
 
 
 class Fleet:
-    """All machines.
+    """All machines of one run.
 
     Args:
-        store: Where workers register.
-        rng: Draws.
-        host: Loopback address of workers.
+        store: The store in which workers register.
+        rng: Random source.
+        host: Loopback address that workers listen on.
     """
 
     def __init__(self, *, store: RecordStore, rng: random.Random, host: str) -> None:
@@ -76,7 +84,7 @@
         self.machines: dict[str, ListedMachine] = {}
         self.violations: list[str] = []
         self.waves: dict[int, tuple[frozenset[str], int]] = {}
-        """The machines and the limit of each wave."""
+        """For each wave its machines, and how many of them may be down at once."""
         self.maintained: dict[int, set[str]] = {}
         self._in_maintenance: dict[int, set[str]] = {}
         self._highest_token: dict[str, int] = {}
@@ -87,7 +95,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def add(self, name: str, pool: str, rack: str) -> None:
-        """Add a machine with a worker."""
+        """Add a machine and start its worker."""
         proxy = Proxy(host=self._host, target="")
         await proxy.start()
         listed = ListedMachine(name=name, pool=pool)
@@ -96,7 +104,7 @@
         await self._start_worker(self._machines[name])
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Cancel background tasks; close all proxies and servers."""
         for task in list(self._tasks):
             task.cancel()
         for machine in self._machines.values():
@@ -105,7 +113,7 @@
                 await machine.server.listener.stop()
 
     async def heartbeat(self) -> None:
-        """Let living workers write their entries, until cancelled."""
+        """Renew the registrations of all running workers until cancelled."""
         while True:
             for machine in self._machines.values():
                 if machine.view is not None and machine.listed.worker_id:
@@ -117,11 +125,11 @@
         return [machine.proxy for machine in self._machines.values()]
 
     def machine_of(self, worker_id: str) -> str:
-        """Return the machine that a worker is or was on."""
+        """Return the name of the machine that a worker runs or ran on."""
         return worker_id.split("-")[1]
 
     async def resize(self, rng: random.Random) -> None:
-        """Let the capacity of machines shrink and grow, one after the other, until cancelled."""
+        """Change the capacity of one random machine after the other until cancelled."""
         while True:
             await asyncio.sleep(rng.uniform(0.5, 3.0))
             machine = self._machines[rng.choice(sorted(self._machines))]
@@ -134,7 +142,7 @@
             self._register(machine.view)
 
     def crash(self, name: str, *, down_s: float) -> None:
-        """Let a machine's worker end silently; another incarnation comes later."""
+        """End a machine's worker without deregistration; start a new one after ``down_s``."""
         machine = self._machines[name]
         if machine.listed.state != "up":
             return
@@ -147,11 +155,11 @@
         self._spawn(self._return_machine(machine, old_worker_id, down_s, REGISTRATION_TTL_S))
 
     def execute_order(self, order: MachineOrder) -> bool:
-        """Carry out a move or an upkeep; whether the machine took it."""
+        """Execute a move or a maintenance order; return whether the machine accepted it."""
         listed = order.machine
         if order.token < self._highest_token.get(listed.name, 0):
             self.violations.append(
-                f"{listed.name}: order with token {order.token} after a higher one"
+                f"{listed.name}: order with fencing token {order.token} after a higher one"
             )
         self._highest_token[listed.name] = max(order.token, self._highest_token.get(listed.name, 0))
         if order.wave and not self._begin_maintenance(listed.name, order.wave):
@@ -191,7 +199,11 @@
         expiry_delay_s: float,
         wave: int = 0,
     ) -> None:
-        """Bring a machine back; the entry of its old worker lapses meanwhile, or after."""
+        """Start a new worker after ``down_s``.
+
+        The registration of the old worker expires after ``expiry_delay_s``, which may be before
+        or after the start of the new one.
+        """
         expiry = asyncio.get_running_loop().call_later(
             expiry_delay_s, self._unregister, old_worker_id
         )
@@ -199,7 +211,7 @@
         if wave:
             self._in_maintenance[wave].discard(machine.listed.name)
         await self._start_worker(machine)
-        # Not before: an order taken meanwhile would bring a second worker.
+        # Set after the start: an order accepted during it would start a second worker.
         machine.listed.state = "up"
         if expiry.when() < asyncio.get_running_loop().time():
             self._unregister(old_worker_id)
@@ -215,9 +227,9 @@
             memory_mb=MEMORY_MB,
             rack=machine.rack,
         )
-        # Half of the machines take whatever they are given.
+        # Every second worker refuses no start for lack of capacity.
         self.workers.add(view).is_guarded = self._last_worker_number % 2 == 0
-        # The old worker's connections end with it; its address goes to the new one.
+        # The old worker's connections end with it; the new one is served at the same address.
         if machine.server is not None:
             await machine.server.listener.stop()
         machine.proxy.reset()
--- a/soak/_processes.py
+++ b/soak/_processes.py
@@ -1,4 +1,4 @@
-"""One entry instance as a process of its own, handled by signals from outside."""
+"""One entry instance as a process of its own, controlled by signals."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 PR_SET_PDEATHSIG = 1
 """Source: the kernel's header ``linux/prctl.h``."""
 RESTART_DELAY_S = 0.4
-"""Between a process's end and its next start."""
+"""Time between the end of a process and its next start."""
 
 SETTINGS = """\
 nodeName = "{name}"
@@ -40,20 +40,21 @@
 
 
 def _kill_with_parent() -> None:
-    """Have the kernel end this process when the soak ends, however that ends.
+    """Make the kernel kill this process when the soak ends for any reason.
 
-    The failure: a soak that was killed left its processes, and the next one's callers met them.
+    A killed soak would otherwise leave its processes running, and the callers of the next soak
+    would reach them.
     """
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL))
 
 
 class EntryProcess:
-    """An entry process that is started again whenever it ends.
+    """An entry process that is restarted whenever it ends.
 
     Args:
-        name: Its name.
-        ip: Its own loopback address.
-        folder: Where its settings and its log go.
+        name: Name of the instance.
+        ip: Loopback address that no other process uses.
+        folder: Folder for its settings and its log.
     """
 
     def __init__(self, *, name: str, ip: str, folder: pathlib.Path) -> None:
@@ -61,7 +62,7 @@
         self.ip = ip
         self.incarnation = 0
         self.unexpected_exits: list[str] = []
-        """Ends that no signal of the soak explains."""
+        """Messages about exits that no signal of the soak explains."""
         self._folder = folder
         self._settings = folder / f"{name}.toml"
         self._process: asyncio.subprocess.Process | None = None
@@ -71,11 +72,11 @@
 
     @property
     def callers_address(self) -> str:
-        """Where callers connect."""
+        """Address that callers connect to."""
         return f"{self.ip}:{CALLERS_PORT}"
 
     def write_settings(self, *, store: str, machines: str) -> None:
-        """Write the settings file."""
+        """Write the settings file with the addresses of the store and of the machines API."""
         self._settings.write_text(
             SETTINGS.format(
                 name=self.name,
@@ -89,11 +90,11 @@
         )
 
     def start(self) -> None:
-        """Start it, and again whenever it has ended."""
+        """Start the process, and restart it whenever it ends."""
         self._supervisor = asyncio.create_task(self._supervise())
 
     async def stop(self) -> None:
-        """End it for good."""
+        """Kill the process without a restart."""
         self._is_stopping = True
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
@@ -101,7 +102,7 @@
             await asyncio.wait([self._supervisor], timeout=5.0)
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process."""
+        """Send a signal to the process if it runs."""
         process = self._process
         if process is None or process.returncode is not None:
             return
@@ -110,10 +111,10 @@
         process.send_signal(number)
 
     async def terminate(self, grace_s: float) -> bool:
-        """Ask it to stop, and kill it when its grace is over; it starts again.
+        """Send SIGTERM, and SIGKILL after the grace period; the process is restarted.
 
         Returns:
-            Whether it has ended within its grace.
+            Whether the process ended within its grace period.
         """
         process = self._process
         if process is None or process.returncode is not None:
@@ -145,5 +146,7 @@
                 )
             code = await self._process.wait()
             if not self._is_exit_expected and not self._is_stopping:
-                self.unexpected_exits.append(f"{self.name} ended by itself with code {code}")
+                self.unexpected_exits.append(
+                    f"{self.name} exited with code {code} without a signal"
+                )
             await asyncio.sleep(RESTART_DELAY_S)
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections can be delayed, reset, cut one way or silenced."""
+"""A loopback proxy whose connections can be delayed, reset, cut in one direction or silenced."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
-    Bytes in a direction that is cut are held and passed on when it heals, as a network that sends
-    them again would do; bytes of a silenced connection are never passed on.
+    Bytes in a cut direction are held and forwarded once the cut is removed, as TCP retransmission
+    does; bytes of a silenced connection are never forwarded.
 
     Args:
         host: Address to listen on.
-        target: ``host:port`` that it passes on to; may change between connections.
+        target: ``host:port`` to forward to; may change between connections.
     """
 
     def __init__(self, *, host: str, target: str) -> None:
@@ -38,9 +38,9 @@
         self.delay_s = 0.0
         self.is_refusing = False
         self.is_cut_to_target = False
-        """Nothing reaches the target."""
+        """Whether bytes to the target are held."""
         self.is_cut_from_target = False
-        """Nothing comes back from the target."""
+        """Whether bytes from the target are held."""
         self.address = ""
         self._host = host
         self._connections: set[_Connection] = set()
@@ -48,14 +48,14 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> str:
-        """Listen on any free port; return the address."""
+        """Listen on a free port; return the address."""
         self._server = await asyncio.start_server(self._accept, self._host, 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
         return self.address
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -69,12 +69,12 @@
             connection.abort()
 
     def silence(self) -> None:
-        """Let all open connections go silent for good; new ones work."""
+        """Stop forwarding on all open connections permanently; new connections work."""
         for connection in self._connections:
             connection.is_silent = True
 
     def clear_faults(self) -> None:
-        """Undo everything but silence."""
+        """Remove all faults except the silence of open connections."""
         self.delay_s = 0.0
         self.is_refusing = self.is_cut_to_target = self.is_cut_from_target = False
 
--- a/soak/_regression_seeds.py
+++ b/soak/_regression_seeds.py
@@ -1,4 +1,4 @@
-"""Seeds that a run has failed on, each with its cause; all are played again by ``--kept``."""
+"""Seeds of runs that failed, each with its cause; ``--kept`` runs all of them again."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 REQUEST_CUT_AT_STOP = (
     "open: at the end of a planned stop a request was cut off 0.21 to 0.38 s after it was sent, "
-    "beside a load of twice the cores; not again with less. How late the soak's own loop was is "
-    "told since, and was not measured in those runs, so that the cause is not shown"
+    "on a machine loaded with twice its cores; not reproduced at a lower load. These runs did not "
+    "measure the lag of the soak's own event loop, which is reported now, so the cause is unknown"
 )
 
 REGRESSION_SEEDS: dict[int, str] = {
     1: REQUEST_CUT_AT_STOP,
-    2: "a process that stood still through half of its grace was judged for ending late; the trace "
-    "shows the pause, so only stops beside nothing else are judged",
+    2: "a process that was paused for half of its grace period was reported as ending late; the "
+    "trace shows the pause, so only stops without a concurrent fault are checked",
     4: REQUEST_CUT_AT_STOP,
     6: REQUEST_CUT_AT_STOP,
     11: REQUEST_CUT_AT_STOP,
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run: a testbed, callers, faults that overlap, and the result."""
+"""One run of the soak: a testbed, callers, overlapping faults, and the result."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 WAVE_MACHINE_RATIO = 0.4
 SETTLE_POLL_S = 0.5
 MIN_CRASHES_TO_FAIL = 2
-"""A task under which so many workers have crashed may be given up. Source: the users' rules."""
+"""A task may fail permanently once this many workers crashed under it. Source: the users' rules."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunPlan:
-    """What a run consists of.
+    """Parameters of one run.
 
     Args:
-        seed: Draws it.
-        entries: Entry processes.
-        jobs: Jobs that callers hand in.
-        fault_period_s: How long faults begin.
-        series: Troubles that go on side by side, one after the other in each series.
-        settle_s: Time for accepted jobs to end once all faults are over.
+        seed: Seed of all random sources of the run.
+        entries: Number of entry processes.
+        jobs: Number of jobs that callers submit.
+        fault_period_s: Time in which jobs are submitted and faults start.
+        series: Number of concurrent series of faults; faults of one series don't overlap.
+        settle_s: Time limit for accepted jobs to end after all faults have ended.
     """
 
     seed: int
@@ -43,15 +43,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunResult:
-    """What a run has shown.
+    """Result of one run.
 
     Args:
-        seed: Its seed.
-        violations: Broken promises.
-        timeline: Its faults.
-        accepted: Jobs that were accepted.
-        starts: Runs of tasks that workers began.
-        settled_s: Time from the end of the faults until all accepted jobs had ended.
+        seed: Seed of the run.
+        violations: Messages about violated guarantees.
+        timeline: One line for each fault.
+        accepted: Number of accepted jobs.
+        starts: Number of runs of tasks that workers started.
+        settled_s: Time from the end of the faults until all accepted jobs had ended, or until
+            the time limit for that.
     """
 
     seed: int
@@ -63,11 +64,11 @@
 
 
 async def run_soak(plan: RunPlan, *, folder: pathlib.Path) -> RunResult:
-    """Play one run.
+    """Run the soak once.
 
     Args:
-        plan: The run.
-        folder: Where logs and settings go.
+        plan: Parameters of the run.
+        folder: Folder for logs and settings.
     """
     slot = Slot()
     testbed = Testbed(seed=plan.seed, entries=plan.entries, folder=folder, slot=slot.number)
@@ -126,7 +127,7 @@
 
 
 async def _poll_states(testbed: Testbed) -> None:
-    """Ask for states all the while, each time at any instance."""
+    """Poll the states of open jobs, up to five per round, at random instances until cancelled."""
     while True:
         await _ask_states(testbed, _open_jobs(testbed)[:5])
         await asyncio.sleep(SETTLE_POLL_S)
@@ -156,7 +157,11 @@
 
 
 async def _await_waves(testbed: Testbed) -> None:
-    """Wait for waves; a machine that was away may take a while, a lie none."""
+    """Wait until each wave is reported as completed.
+
+    A machine that was away delays its wave. A wave that is falsely reported as completed ends the
+    wait; `_check_end` reports it.
+    """
     for _ in range(60):
         states = [
             testbed.store.items.get(f"status/wave/{number}") for number in testbed.fleet.waves
@@ -164,7 +169,7 @@
         if all(item is not None and b"completed" in item.value for item in states):
             return
         await asyncio.sleep(SETTLE_POLL_S)
-    testbed.fault_log.record_violation("a wave was not completed 30 s after the last trouble")
+    testbed.fault_log.record_violation("a wave was not completed 30 s after the last fault")
 
 
 async def _check_end(testbed: Testbed) -> None:
@@ -177,18 +182,20 @@
                 status in (429, 503) for status in job.submit_statuses
             )
             if is_refused and job.job_id in begun:
-                record_violation(f"{job.job_id} was refused each time, and runs")
+                record_violation(
+                    f"{job.job_id} runs although each attempt to submit it was refused"
+                )
             continue
         states = {await testbed.callers.state(job, name) for name in testbed.entries} - {None}
         if len(states) != 1:
-            record_violation(f"{job.job_id} is shown as {sorted(map(str, states))} at the end")
+            record_violation(f"{job.job_id} is reported as {sorted(map(str, states))} at the end")
             continue
         _check_final_state(testbed, job, str(states.pop()))
     for wave, (machines, _) in testbed.fleet.waves.items():
         missed = machines - testbed.fleet.maintained.get(wave, set())
         item = testbed.store.items.get(f"status/wave/{wave}")
         if missed and item is not None and b"completed" in item.value:
-            record_violation(f"wave {wave} is said to be completed without {sorted(missed)}")
+            record_violation(f"wave {wave} is reported as completed without {sorted(missed)}")
     for entry in testbed.entries.values():
         for text in entry.process.unexpected_exits:
             record_violation(text)
--- a/soak/_slots.py
+++ b/soak/_slots.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of one run, which no other run on the machine uses at the same time."""
+"""Loopback addresses of one run that no other run on the machine uses at the same time."""
 
 from __future__ import annotations
 
@@ -11,10 +11,13 @@
 
 
 class Slot:
-    """Claims a part of the loopback range, until closed.
+    """Reserves a part of the loopback range until closed.
 
-    The failure it guards against: two runs side by side, as of a test and of a long soak, whose
-    callers reach each other's entry processes and take their answers for broken promises.
+    Without it, callers of two concurrent runs (such as a test and a long soak) would reach each
+    other's entry processes and report their answers as violations.
+
+    Raises:
+        OSError: All slots are in use.
     """
 
     def __init__(self) -> None:
@@ -31,5 +34,5 @@
         raise OSError(f"all {MAX_SLOTS} slots are in use")
 
     def close(self) -> None:
-        """Give the addresses back."""
+        """Release the addresses."""
         self._guard.close()
--- a/soak/_testbed.py
+++ b/soak/_testbed.py
@@ -1,4 +1,4 @@
-"""One run's whole testbed: the platform, the workers, the entry processes and the ways between."""
+"""The testbed of one run: platform, workers, entry processes, and the proxies between them."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class Entry:
-    """An entry process and its ways to the others.
+    """An entry process and its connections.
 
     Args:
         process: The process.
-        caller_link: The proxy between callers and it.
-        store: The store as it meets it, with faults.
-        store_server: Serves that.
-        store_link: The proxy between it and the store.
-        machines_link: The proxy between it and the machines.
+        caller_link: The proxy between callers and the process.
+        store: This process's view of the store, with injected faults.
+        store_server: Serves ``store`` to the process.
+        store_link: The proxy between the process and ``store_server``.
+        machines_link: The proxy between the process and the machines API.
     """
 
     process: EntryProcess
@@ -47,13 +47,13 @@
 
 
 class Testbed:
-    """Everything of one run.
+    """All components of one run.
 
     Args:
-        seed: Draws all that is drawn.
+        seed: Seed of all random sources.
         entries: Number of entry processes.
-        folder: Where logs and settings go.
-        slot: Which loopback addresses it uses; runs side by side use different ones.
+        folder: Folder for logs and settings.
+        slot: Number of the reserved loopback addresses; concurrent runs use different ones.
     """
 
     def __init__(self, *, seed: int, entries: int, folder: pathlib.Path, slot: int) -> None:
@@ -69,7 +69,7 @@
         self.entries: dict[str, Entry] = {}
         self.version = 10
         self.extra_queues: dict[str, str] = {}
-        """Prefixes of queues that were added, with the queue's name."""
+        """Name of each added queue by the prefix of its paths."""
         self._folder = folder
         self._slot = slot
         self._entry_count = entries
@@ -78,13 +78,13 @@
         self.callers: Callers | None = None
 
     async def start(self) -> None:
-        """Start everything; return once each entry process has a configuration."""
+        """Start all components; return once each entry process has a configuration."""
         machines_address = await self.machines.listener.start()
         pools = [pool for pool in QUEUES for _ in range(MACHINES_PER_POOL)]
         pools += [SPARE_POOL] * SPARE_MACHINES
         for number, pool in enumerate(pools):
             await self.fleet.add(f"m{number}", pool, f"rack-{number % 3}")
-        # Draws of their own, so that what a seed draws else stays as it was.
+        # A separate random source keeps all other draws of a seed unchanged.
         resizing = self.fleet.resize(random.Random(self._seed + 3))
         self._background = [
             asyncio.create_task(coroutine) for coroutine in (self.fleet.heartbeat(), resizing)
@@ -107,7 +107,7 @@
         self.fault_log.end(starting)
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all components."""
         if self.callers is not None:
             await self.callers.close()
         await asyncio.gather(*(one.process.stop() for one in self.entries.values()))
@@ -121,7 +121,7 @@
         await self.machines.listener.stop()
 
     def write_configuration(self) -> None:
-        """Write the newest configuration, as an operator does."""
+        """Write a new version of the configuration, as an operator does."""
         self.version += 3
         rows = [(name, prefix, name) for name, prefix in QUEUES.items()]
         rows += [(name, prefix, next(iter(QUEUES))) for prefix, name in self.extra_queues.items()]
@@ -144,7 +144,7 @@
         self.store.put("op/config", json.dumps(body).encode())
 
     def request_wave(self, number: int, *, count: int, max_at_once: int) -> None:
-        """Ask for the upkeep of some machines, as an operator does."""
+        """Request maintenance of some random machines, as an operator does."""
         names = self.rng.sample(sorted(self.fleet.machines), count)
         self.fleet.waves[number] = (frozenset(names), max_at_once)
         body = {"wave": number, "machines": names, "durationS": 20, "maxCount": max_at_once}
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,7 +1,7 @@
-"""A short run of the soak: real processes, faults from outside, judged by callers and workers.
+"""A short run of the soak: real processes and injected faults, checked by callers and workers.
 
-The long runs are played by hand (``python -m soak``); this one shows in CI that the whole path
-serves through a kill, a stop and a store that fails, and that the soak itself works.
+Long runs are started manually (``python -m soak``). This one checks in CI that jobs are served
+through a kill, a stop and a failing store, and that the soak itself works.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 
 
 class SoakTests(unittest.TestCase):
-    def test_a_short_run_keeps_the_promises(self) -> None:
-        """Jobs are accepted and end, and nothing breaks, through faults drawn by a fixed seed."""
+    def test_short_run_has_no_violations(self) -> None:
+        """Jobs are accepted and end without violations, with the faults of a fixed seed."""
         plan = RunPlan(seed=SEED, jobs=25, fault_period_s=8.0, settle_s=60.0)
         with tempfile.TemporaryDirectory() as folder:
             result = asyncio.run(run_soak(plan, folder=pathlib.Path(folder)))
