--- a/bench/_capacity_instance.py
+++ b/bench/_capacity_instance.py
@@ -13,7 +13,7 @@
 
 WARM_UP_S = 5.0
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-USER_TICKS_AT = 11
+USER_TICKS_INDEX = 11
 """Index of the user's ticks in ``/proc/PID/stat`` after the command's name; the system's follow."""
 
 
@@ -41,20 +41,20 @@
         process("bench._entry", "serve", f"--platform-port={platform_port}") as (pid, _),
     ):
         time.sleep(WARM_UP_S)
-        started_s, used = time.monotonic(), _ticks(pid)
+        started_s, ticks_before = time.monotonic(), _processor_ticks(pid)
         time.sleep(window_s)
         elapsed_s = time.monotonic() - started_s
         return InstanceCost(
             window_s=window_s,
-            core_part=(_ticks(pid) - used) / TICKS_PER_S / elapsed_s,
+            core_part=(_processor_ticks(pid) - ticks_before) / TICKS_PER_S / elapsed_s,
             memory_bytes=_status(pid, "VmRSS") * 1024,
             threads=_status(pid, "Threads"),
         )
 
 
-def _ticks(pid: int) -> int:
+def _processor_ticks(pid: int) -> int:
     after_name = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8").rpartition(")")[2].split()
-    return int(after_name[USER_TICKS_AT]) + int(after_name[USER_TICKS_AT + 1])
+    return int(after_name[USER_TICKS_INDEX]) + int(after_name[USER_TICKS_INDEX + 1])
 
 
 def _status(pid: int, name: str) -> int:
--- a/bench/_capacity_peers.py
+++ b/bench/_capacity_peers.py
@@ -10,23 +10,23 @@
 from dataclasses import asdict, dataclass
 from random import Random
 
-from bench._peer_nodes import Cost, Node, ProbeOrder, free_address, linked
+from bench._peer_nodes import Cost, Node, ProbeOrder, free_address, wait_linked
 from shallotworks.fleet import PutTeam, Team
 from shallotworks.standins import MemoryStore
 
-__all__ = ["Spread", "cost_by_data_centres", "cost_by_mesh_peers", "spread"]
+__all__ = ["FleetCost", "cost_by_data_centres", "cost_by_mesh_peers", "fleet_cost"]
 
-WINDOW_S = 12.0
-IDLE_S = 9.0
-CHANGES = 40
-CHANGE_EVERY_S = 0.25
-IN_FORCE_S = 8.0
-STEADY_S = 4.0
+PROBE_WINDOW_S = 12.0
+IDLE_WINDOW_S = 9.0
+CHANGE_COUNT = 40
+CHANGE_INTERVAL_S = 0.25
+IN_FORCE_TIMEOUT_S = 8.0
+STABLE_S = 4.0
 SETTLE_TIMEOUT_S = 120.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Spread:
+class FleetCost:
     """How a whole fleet did, all of its nodes on one event loop.
 
     Args:
@@ -58,24 +58,26 @@
 
 async def cost_by_mesh_peers(peers: int) -> Cost:
     """Measure a process with so many peers in its own data centre and none elsewhere."""
-    return await _probed(["here"] * peers, links=peers)
+    return await _run_probe(["here"] * peers, links=peers)
 
 
 async def cost_by_data_centres(data_centres: int) -> Cost:
     """Measure a relay alone in its data centre, connected to one relay in each other."""
-    return await _probed([f"dc{index}" for index in range(data_centres)], links=data_centres)
+    return await _run_probe([f"dc{index}" for index in range(data_centres)], links=data_centres)
 
 
-async def _probed(places: list[str], *, links: int) -> Cost:
-    addresses = [free_address() for _ in places]
+async def _run_probe(data_centre_names: list[str], *, links: int) -> Cost:
+    addresses = [free_address() for _ in data_centre_names]
     nodes = [
         Node(name=f"n{index}", address=address, data_centre=place, seeds=tuple(addresses))
-        for index, (place, address) in enumerate(zip(places, addresses, strict=True))
+        for index, (place, address) in enumerate(zip(data_centre_names, addresses, strict=True))
     ]
     for node in nodes:
         await node.peers.start()
-    await linked(nodes, lambda _: len(nodes) - 1)
-    order = ProbeOrder(data_centre="here", seeds=tuple(addresses), links=links, window_s=WINDOW_S)
+    await wait_linked(nodes, lambda _: len(nodes) - 1)
+    order = ProbeOrder(
+        data_centre="here", seeds=tuple(addresses), links=links, window_s=PROBE_WINDOW_S
+    )
     probe = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -88,7 +90,7 @@
     return Cost(**json.loads(printed))
 
 
-async def spread(*, data_centres: int, per_data_centre: int) -> Spread:
+async def fleet_cost(*, data_centres: int, per_data_centre: int) -> FleetCost:
     """Run a whole fleet on this loop and pass changes through it."""
     store = MemoryStore()
     nodes = _fleet(data_centres, per_data_centre, store)
@@ -96,16 +98,16 @@
     for node in nodes:
         await node.peers.start()
     relays = min(2, per_data_centre) * data_centres
-    ends = len(nodes) * (per_data_centre - 1) + relays * (data_centres - 1)
-    linked_after_s = await _settled(nodes, ends=ends) - started_s
+    link_ends = len(nodes) * (per_data_centre - 1) + relays * (data_centres - 1)
+    linked_after_s = await _wait_settled(nodes, link_ends=link_ends) - started_s
     watches = [
         asyncio.create_task(node.config.run_watch(should_watch=node.peers.should_watch))
         for node in nodes
     ]
     await asyncio.sleep(5)
-    idle = await _idle(nodes, store)
-    held_s = await _changes(nodes)
-    result = Spread(
+    idle = await _measure_idle(nodes, store)
+    changed = await _measure_changes(nodes)
+    result = FleetCost(
         nodes=len(nodes),
         data_centres=data_centres,
         linked_after_s=linked_after_s,
@@ -113,10 +115,10 @@
         store_calls_per_s=idle.store_calls_per_s,
         idle_core_part=idle.core_part,
         idle_bytes_per_s=idle.bytes_per_s,
-        bytes_per_change=held_s.bytes_per_change(idle),
-        core_s_per_change=held_s.core_s_per_change(idle),
-        last_p50_s=statistics.median(held_s.last_s),
-        last_p99_s=sorted(held_s.last_s)[int(0.99 * len(held_s.last_s))],
+        bytes_per_change=changed.bytes_per_change(idle),
+        core_s_per_change=changed.core_s_per_change(idle),
+        last_p50_s=statistics.median(changed.last_node_s),
+        last_p99_s=sorted(changed.last_node_s)[int(0.99 * len(changed.last_node_s))],
     )
     for task in watches:
         task.cancel()
@@ -125,24 +127,28 @@
     return result
 
 
-async def _settled(nodes: list[Node], *, ends: int) -> float:
+async def _wait_settled(nodes: list[Node], *, link_ends: int) -> float:
     """Wait for the connections to be those wanted for a while; returns since when they are."""
     async with asyncio.timeout(SETTLE_TIMEOUT_S):
         since_s = time.monotonic()
-        while time.monotonic() - since_s < STEADY_S:
+        while time.monotonic() - since_s < STABLE_S:
             await asyncio.sleep(0.25)
-            if sum(node.peers.status().links for node in nodes) != ends:
+            if sum(node.peers.status().links for node in nodes) != link_ends:
                 since_s = time.monotonic()
     return since_s
 
 
 def _fleet(data_centres: int, per_data_centre: int, store: MemoryStore) -> list[Node]:
-    places = [f"dc{number:02}" for number in range(data_centres)]
-    addresses = {place: [free_address() for _ in range(per_data_centre)] for place in places}
+    data_centre_names = [f"dc{number:02}" for number in range(data_centres)]
+    addresses = {
+        place: [free_address() for _ in range(per_data_centre)] for place in data_centre_names
+    }
     nodes = []
-    for number, place in enumerate(places):
-        following = [addresses[places[(number + step) % data_centres]][0] for step in (1, 2)]
-        seeds = tuple(addresses[place] + following)
+    for number, place in enumerate(data_centre_names):
+        next_seeds = [
+            addresses[data_centre_names[(number + step) % data_centres]][0] for step in (1, 2)
+        ]
+        seeds = tuple(addresses[place] + next_seeds)
         for index, address in enumerate(addresses[place]):
             name = f"{place}-{index:02}"
             node = Node(name=name, address=address, data_centre=place, seeds=seeds, store=store)
@@ -151,65 +157,65 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Idle:
+class _IdleCost:
     core_part: float
     bytes_per_s: float
     store_calls_per_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Changed:
+class _ChangeCost:
     nodes: int
     elapsed_s: float
     used_s: float
-    carried_bytes: int
-    last_s: list[float]
+    frame_bytes: int
+    last_node_s: list[float]
 
-    def bytes_per_change(self, idle: _Idle) -> float:
-        extra = self.carried_bytes / self.nodes - idle.bytes_per_s * self.elapsed_s
-        return extra / len(self.last_s)
+    def bytes_per_change(self, idle: _IdleCost) -> float:
+        extra = self.frame_bytes / self.nodes - idle.bytes_per_s * self.elapsed_s
+        return extra / len(self.last_node_s)
 
-    def core_s_per_change(self, idle: _Idle) -> float:
+    def core_s_per_change(self, idle: _IdleCost) -> float:
         extra = self.used_s / self.nodes - idle.core_part * self.elapsed_s
-        return extra / len(self.last_s)
+        return extra / len(self.last_node_s)
 
 
-async def _idle(nodes: list[Node], store: MemoryStore) -> _Idle:
-    carried, calls = _carried(nodes), store.calls.total()
+async def _measure_idle(nodes: list[Node], store: MemoryStore) -> _IdleCost:
+    bytes_before, calls = _frame_bytes(nodes), store.calls.total()
     started_s, used_s = time.monotonic(), time.process_time()
-    await asyncio.sleep(IDLE_S)
+    await asyncio.sleep(IDLE_WINDOW_S)
     elapsed_s = time.monotonic() - started_s
-    return _Idle(
+    return _IdleCost(
         core_part=(time.process_time() - used_s) / elapsed_s / len(nodes),
-        bytes_per_s=(_carried(nodes) - carried) / elapsed_s / len(nodes),
+        bytes_per_s=(_frame_bytes(nodes) - bytes_before) / elapsed_s / len(nodes),
         store_calls_per_s=(store.calls.total() - calls) / elapsed_s,
     )
 
 
-async def _changes(nodes: list[Node]) -> _Changed:
+async def _measure_changes(nodes: list[Node]) -> _ChangeCost:
     random = Random(1)
-    carried = _carried(nodes)
+    bytes_before = _frame_bytes(nodes)
     started_s, used_s = time.monotonic(), time.process_time()
-    last_s = []
-    for number in range(CHANGES):
+    last_node_s = []
+    for number in range(CHANGE_COUNT):
         change = PutTeam(team=Team(name=f"team-{number % 78}", quota_slots=number))
         accepted = await random.choice(nodes).config.propose(change, author="bench")
         accepted_s = time.monotonic()
         revision = accepted.unwrap().revision
-        async with asyncio.timeout(IN_FORCE_S):
+        async with asyncio.timeout(IN_FORCE_TIMEOUT_S):
             await asyncio.gather(*(node.config.wait_for(revision) for node in nodes))
-        last_s.append(time.monotonic() - accepted_s)
-        await asyncio.sleep(CHANGE_EVERY_S)
+        last_node_s.append(time.monotonic() - accepted_s)
+        await asyncio.sleep(CHANGE_INTERVAL_S)
     await asyncio.sleep(1.0)
-    return _Changed(
+    return _ChangeCost(
         nodes=len(nodes),
         elapsed_s=time.monotonic() - started_s,
         used_s=time.process_time() - used_s,
-        carried_bytes=_carried(nodes) - carried,
-        last_s=last_s,
+        frame_bytes=_frame_bytes(nodes) - bytes_before,
+        last_node_s=last_node_s,
     )
 
 
-def _carried(nodes: list[Node]) -> int:
+def _frame_bytes(nodes: list[Node]) -> int:
     statuses = [node.peers.status() for node in nodes]
     return sum(status.sent_bytes + status.received_bytes for status in statuses)
--- a/bench/_capacity_state.py
+++ b/bench/_capacity_state.py
@@ -48,7 +48,7 @@
 INSTANCES_PER_DATA_CENTRE = 50
 INSTANCES_PER_RACK = 4
 ROUNDS = 30
-REQUESTS = 2_000
+REQUEST_COUNT = 2_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -113,14 +113,14 @@
 def fleet_of(instances: int) -> FleetState:
     """Return a fleet in the proportions of the target."""
     pools = [f"pool-{number}" for number in range(round(instances / INSTANCES_PER_POOL))]
-    places = [f"dc{number}" for number in range(-(-instances // INSTANCES_PER_DATA_CENTRE))]
+    data_centres = [f"dc{number}" for number in range(-(-instances // INSTANCES_PER_DATA_CENTRE))]
     teams = [f"team-{number}" for number in range(round(instances / INSTANCES_PER_TEAM))]
     members = {}
     for number in range(instances):
         name = f"worker-{instances}-{number:05}"
         members[name] = Instance(
             name=name,
-            data_centre=places[number // INSTANCES_PER_DATA_CENTRE],
+            data_centre=data_centres[number // INSTANCES_PER_DATA_CENTRE],
             rack=f"rack-{number // INSTANCES_PER_RACK}",
             pool=pools[number % len(pools)],
             address=f"10.{number // 250}.0.{number % 250}:8080",
@@ -130,7 +130,7 @@
         )
     return FleetState(
         revision=1,
-        data_centres={name: DataCentre(name=name, region="r") for name in places},
+        data_centres={name: DataCentre(name=name, region="r") for name in data_centres},
         pools={name: Pool(name=name) for name in pools},
         services={
             f"service-{name}": Service(
@@ -152,19 +152,23 @@
     cordon = SetCondition(names=(first,), condition=Condition.CORDONED)
     entry = _entry(2, cordon)
     planner = Planner(weights=PlannerWeights(), model=DisruptionModel())
-    one = Maintain(selection=InDataCentre(data_centre="dc0"))
-    every = Maintain(selection=NotMaintainedSince(before_s=1.0))
+    maintain_data_centre = Maintain(selection=InDataCentre(data_centre="dc0"))
+    maintain_all = Maintain(selection=NotMaintainedSince(before_s=1.0))
     return StateCost(
         instances=instances,
         pools=len(state.pools),
         memory_bytes=_memory_of(lambda: Snapshot.decode(encoded)),
         snapshot_bytes=len(encoded),
-        encode_s=_time_of(lambda: Snapshot(state=state, last_change_id="c").encode()),
-        decode_s=_time_of(lambda: Snapshot.decode(encoded)),
-        apply_s=_time_of(lambda: apply(state, cordon).unwrap()),
-        entry_s=_time_of(lambda: Entry.decode(entry.encode())),
-        plan_s=_time_of(lambda: planner.plan(state, one, author="bench").unwrap(), rounds=5),
-        plan_all_s=_time_of(lambda: planner.plan(state, every, author="bench").unwrap(), rounds=2),
+        encode_s=_min_time_s(lambda: Snapshot(state=state, last_change_id="c").encode()),
+        decode_s=_min_time_s(lambda: Snapshot.decode(encoded)),
+        apply_s=_min_time_s(lambda: apply(state, cordon).unwrap()),
+        entry_s=_min_time_s(lambda: Entry.decode(entry.encode())),
+        plan_s=_min_time_s(
+            lambda: planner.plan(state, maintain_data_centre, author="bench").unwrap(), rounds=5
+        ),
+        plan_all_s=_min_time_s(
+            lambda: planner.plan(state, maintain_all, author="bench").unwrap(), rounds=2
+        ),
         dispatch_s=min(asyncio.run(_dispatch_s(state)) for _ in range(5)),
     )
 
@@ -203,24 +207,24 @@
     The reader keeps short strings for the next time, which would hide their share.
     """
     tracemalloc.start()
-    kept = build()
+    built = build()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del built
     return size
 
 
-def _time_of(work: Callable[[], object], *, rounds: int = ROUNDS) -> float:
+def _min_time_s(function: Callable[[], object], *, rounds: int = ROUNDS) -> float:
     """Return the least time of some rounds, the one that other processes disturbed least."""
     best_s = float("inf")
     for _ in range(rounds):
         started_s = time.perf_counter()
-        work()
+        function()
         best_s = min(best_s, time.perf_counter() - started_s)
     return best_s
 
 
-class _HeldConfig:
+class _FixedConfig:
     def __init__(self, state: FleetState) -> None:
         self._state = state
 
@@ -236,7 +240,7 @@
 
 async def _dispatch_s(state: FleetState) -> float:
     dispatcher = PoolDispatcher(
-        config=_HeldConfig(state),
+        config=_FixedConfig(state),
         data_centre="dc0",
         entry_count=lambda: 1,
         limits=DispatchLimits(),
@@ -247,7 +251,7 @@
     services = sorted(state.services)
     deadline_s = asyncio.get_running_loop().time() + 600
     started_s = time.perf_counter()
-    for number in range(REQUESTS):
+    for number in range(REQUEST_COUNT):
         request = Request(
             request_id=f"r{number}",
             service=services[number % min(len(services), 20)],
@@ -263,4 +267,4 @@
         )
         grant = (await dispatcher.acquire(request, tried=frozenset())).unwrap()
         dispatcher.release(grant, AttemptOutcome.ANSWERED, duration_s=0.01)
-    return (time.perf_counter() - started_s) / REQUESTS
+    return (time.perf_counter() - started_s) / REQUEST_COUNT
--- a/bench/_dispatch_baselines.py
+++ b/bench/_dispatch_baselines.py
@@ -13,7 +13,7 @@
 from shallotworks.fleet import Instance
 from shallotworks.requests import AttemptOutcome, Grant, Request, Target
 
-__all__ = ["EveryRetry", "FirstCome", "LeastInFlight", "RandomChoice"]
+__all__ = ["UnlimitedRetry", "FirstComeFirstServed", "LeastInFlight", "RandomChoice"]
 
 MAX_ATTEMPTS = 4
 
@@ -25,19 +25,19 @@
         self._rng = rng
 
     def choose(self, free_targets: Sequence, *, tried: frozenset[str]) -> object:
-        left = [entry for entry in free_targets if entry.instance.name not in tried]
-        return self._rng.choice(left) if left else None
+        untried = [entry for entry in free_targets if entry.instance.name not in tried]
+        return self._rng.choice(untried) if untried else None
 
 
 class LeastInFlight:
     """Takes the target with the fewest grants of this process, the first by name among equals."""
 
     def choose(self, free_targets: Sequence, *, tried: frozenset[str]) -> object:
-        left = (entry for entry in free_targets if entry.instance.name not in tried)
-        return min(left, key=lambda e: (e.in_flight, e.instance.name), default=None)
+        untried = (entry for entry in free_targets if entry.instance.name not in tried)
+        return min(untried, key=lambda e: (e.in_flight, e.instance.name), default=None)
 
 
-class EveryRetry:
+class UnlimitedRetry:
     """Retries every failed attempt at once, up to a number of attempts."""
 
     def count_first_attempt(self, request: Request) -> None:
@@ -50,19 +50,19 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Place:
+class _TargetSlots:
     instance: Instance
     in_flight: int = 0
 
 
-class FirstCome:
+class FirstComeFirstServed:
     """One queue in order of arrival, any class, any service, without bound."""
 
     def __init__(
         self, *, members: dict[str, Instance], entry_count: Callable[[], int], rng: random.Random
     ) -> None:
-        self._places = {name: _Place(instance=entry) for name, entry in members.items()}
-        self._entries = entry_count
+        self._targets = {name: _TargetSlots(instance=entry) for name, entry in members.items()}
+        self._entries = live_entries
         self._rng = rng
         self._queue: deque[tuple[Request, asyncio.Future]] = deque()
         self._next = 0
@@ -81,7 +81,7 @@
             timer.cancel()
 
     def release(self, grant: Grant, outcome: AttemptOutcome, *, duration_s: float) -> None:
-        self._places[grant.target.instance].in_flight -= 1
+        self._targets[grant.target.instance].in_flight -= 1
         while self._queue and self._queue[0][1].done():
             self._queue.popleft()
         if self._queue:
@@ -89,17 +89,23 @@
             answer.set_result(Success(self._grant(request)))
 
     def _grant(self, request: Request) -> Grant | None:
-        part = max(1, next(iter(self._places.values())).instance.slots // self._entries())
-        free = [place for place in self._places.values() if place.in_flight < part]
+        slots_per_entry = max(
+            1, next(iter(self._targets.values())).instance.slots // self._entries()
+        )
+        free = [
+            target_slots
+            for target_slots in self._targets.values()
+            if target_slots.in_flight < slots_per_entry
+        ]
         if not free:
             return None
-        place = self._rng.choice(free)
-        place.in_flight += 1
+        target_slots = self._rng.choice(free)
+        target_slots.in_flight += 1
         self._next += 1
         target = Target(
-            instance=place.instance.name,
-            address=place.instance.address,
-            data_centre=place.instance.data_centre,
+            instance=target_slots.instance.name,
+            address=target_slots.instance.address,
+            data_centre=target_slots.instance.data_centre,
         )
         return Grant(grant_id=self._next, request_id=request.request_id, target=target)
 
--- a/bench/_dispatch_load.py
+++ b/bench/_dispatch_load.py
@@ -12,8 +12,8 @@
 
 __all__ = ["Entry", "FakeTarget", "Load", "Tally", "offer"]
 
-FAIL_AT_ONCE_S = 0.001
-SPREAD_SIGMA = 0.5
+FAST_FAILURE_S = 0.001
+WORK_SIGMA = 0.5
 ATTEMPT_TIMEOUT_S = 2.0
 
 
@@ -26,12 +26,12 @@
     silent: bool = False
     in_flight: int = 0
     refusals: int = 0
-    attempts_while_bad: int = 0
+    attempts_while_faulty: int = 0
     last_attempt_s: float = 0.0
 
     async def attempt(self, work_s: float) -> AttemptOutcome:
         self.last_attempt_s = asyncio.get_running_loop().time()
-        self.attempts_while_bad += int(self.fails or self.silent)
+        self.attempts_while_faulty += int(self.fails or self.silent)
         if self.in_flight >= self.instance.slots:
             self.refusals += 1
             return AttemptOutcome.REFUSED
@@ -46,7 +46,7 @@
             await asyncio.sleep(ATTEMPT_TIMEOUT_S)
             return AttemptOutcome.TIMED_OUT
         if self.fails:
-            await asyncio.sleep(FAIL_AT_ONCE_S)
+            await asyncio.sleep(FAST_FAILURE_S)
             return AttemptOutcome.TARGET_ERROR
         await asyncio.sleep(work_s)
         return AttemptOutcome.ANSWERED
@@ -138,12 +138,12 @@
             request_class=load.request_class,
             deadline_s=at_s + load.within_s,
         )
-        median_s = load.mean_work_s / 2.718281828 ** (SPREAD_SIGMA**2 / 2)
-        work_s = median_s * rng.lognormvariate(0.0, SPREAD_SIGMA)
+        median_s = load.mean_work_s / 2.718281828 ** (WORK_SIGMA**2 / 2)
+        work_s = median_s * rng.lognormvariate(0.0, WORK_SIGMA)
         entry = entries[load.entry] if load.entry is not None else rng.choice(entries)
-        counted = tally if at_s >= from_s else Tally()
+        counted_tally = tally if at_s >= from_s else Tally()
         window = Window(tally=tally, from_s=from_s, until_s=until_s)
-        task = asyncio.create_task(_request(entry, request, work_s, targets, counted, window))
+        task = asyncio.create_task(_request(entry, request, work_s, targets, counted_tally, window))
         running.add(task)
         task.add_done_callback(running.discard)
     for task in running:
@@ -170,16 +170,16 @@
         if not isinstance(grant, Success):
             tally.refused += 1
             return
-        held = grant.unwrap()
+        granted = grant.unwrap()
         attempts += 1
         tally.attempts += 1
         sent_s = loop.time()
         outcome = AttemptOutcome.ABANDONED
         try:
-            outcome = await targets[held.target.instance].attempt(work_s)
+            outcome = await targets[granted.target.instance].attempt(work_s)
         finally:
             window.add_work(sent_s, loop.time())
-            entry.dispatcher.release(held, outcome, duration_s=loop.time() - sent_s)
+            entry.dispatcher.release(granted, outcome, duration_s=loop.time() - sent_s)
         if outcome is AttemptOutcome.ANSWERED:
             if loop.time() > request.deadline_s:
                 tally.late += 1
@@ -191,5 +191,5 @@
         if delay_s is None:
             tally.failed += 1
             return
-        tried |= {held.target.instance}
+        tried |= {granted.target.instance}
         await asyncio.sleep(delay_s)
--- a/bench/_entry.py
+++ b/bench/_entry.py
@@ -102,8 +102,8 @@
     parser.add_argument("what", choices=["platform", "serve"])
     parser.add_argument("--platform-port", type=int, default=0)
     parser.add_argument("--target-port", type=int, default=0)
-    given = parser.parse_args()
-    if given.what == "platform":
+    arguments = parser.parse_args()
+    if arguments.what == "platform":
         serve_platform()
     else:
-        asyncio.run(serve_entry(given.platform_port, given.target_port))
+        asyncio.run(serve_entry(arguments.platform_port, arguments.target_port))
--- a/bench/_load.py
+++ b/bench/_load.py
@@ -9,7 +9,7 @@
 import time
 from dataclasses import asdict, dataclass
 
-__all__ = ["LoadResult", "drive"]
+__all__ = ["LoadResult", "run_load"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -33,7 +33,7 @@
     longest_ms: float
 
 
-def drive(*, port: int, callers: int, seconds: float) -> LoadResult:
+def run_load(*, port: int, callers: int, seconds: float) -> LoadResult:
     """Send requests from so many threads for so long; raw sockets, to cost little themselves."""
     request = (
         b"GET /empty HTTP/1.1\r\nHost: bench\r\nShallot-Service: bench\r\n"
@@ -52,14 +52,14 @@
                     connection = socket.create_connection(("127.0.0.1", port), timeout=10)
                     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 connection.sendall(request)
-                whole, keep = _read_answer(connection)
+                is_complete, stays_open = _read_answer(connection)
             except OSError:
-                whole, keep = False, False
-            if not whole:
+                is_complete, stays_open = False, False
+            if not is_complete:
                 errors[number] += 1
             else:
                 durations[number].append(time.monotonic() - started_s)
-            if not keep and connection is not None:
+            if not stays_open and connection is not None:
                 connection.close()
                 connection = None
         if connection is not None:
@@ -71,12 +71,12 @@
         thread.start()
     for thread in threads:
         thread.join()
-    took_s = time.monotonic() - began_s
-    times = sorted(duration for each in durations for duration in each)
+    elapsed_s = time.monotonic() - began_s
+    times = sorted(duration for caller_durations in durations for duration in caller_durations)
     return LoadResult(
         requests=len(times),
         errors=sum(errors),
-        per_s=len(times) / took_s,
+        per_s=len(times) / elapsed_s,
         p50_ms=_quantile_ms(times, 0.5),
         p99_ms=_quantile_ms(times, 0.99),
         longest_ms=_quantile_ms(times, 1.0),
@@ -87,10 +87,10 @@
     """Read one answer; returns whether it was a whole 200 and whether the connection stays."""
     data = b""
     while b"\r\n\r\n" not in data:
-        part = connection.recv(65536)
-        if not part:
+        chunk = connection.recv(65536)
+        if not chunk:
             return False, False
-        data += part
+        data += chunk
     head, _, body = data.partition(b"\r\n\r\n")
     lower = head.lower()
     length = 0
@@ -98,10 +98,10 @@
         if line.startswith(b"content-length:"):
             length = int(line.split(b":")[1])
     while len(body) < length:
-        part = connection.recv(65536)
-        if not part:
+        chunk = connection.recv(65536)
+        if not chunk:
             return False, False
-        body += part
+        body += chunk
     return head.startswith(b"HTTP/1.1 200"), b"connection: close" not in lower
 
 
@@ -116,6 +116,6 @@
     parser.add_argument("port", type=int)
     parser.add_argument("callers", type=int)
     parser.add_argument("seconds", type=float)
-    given = parser.parse_args()
-    outcome = drive(port=given.port, callers=given.callers, seconds=given.seconds)
+    arguments = parser.parse_args()
+    outcome = run_load(port=arguments.port, callers=arguments.callers, seconds=arguments.seconds)
     print(json.dumps(asdict(outcome)))
--- a/bench/_peer_nodes.py
+++ b/bench/_peer_nodes.py
@@ -25,13 +25,13 @@
 from shallotworks.standins import MemoryStore
 from shallotworks.timeline import Timeline
 
-__all__ = ["Cost", "Node", "ProbeOrder", "free_address", "linked", "measure"]
+__all__ = ["Cost", "Node", "ProbeOrder", "free_address", "wait_linked", "measure"]
 
 KEYS = FleetKeys(keys=(b"the key of the measured fleet",))
 SEGMENT_HEADER_BYTES = 52
 """IPv4 header of 20 bytes and TCP header of 32 with time stamps."""
 TCP_INFO_BYTES = 192
-SEGMENTS_AT = 136
+SEGMENTS_OFFSET = 136
 """Offset of the segments sent and received in Linux's ``struct tcp_info``."""
 LINK_TIMEOUT_S = 60.0
 RECORDS_SETTLE_S = 13.0
@@ -57,11 +57,11 @@
     async def listen(
         self, address: str, on_stream: Callable[[ByteStream], Awaitable[None]]
     ) -> Listener:
-        async def counted(stream: ByteStream) -> None:
+        async def register_stream(stream: ByteStream) -> None:
             self._streams.append(stream)
             await on_stream(stream)
 
-        return await super().listen(address, counted)
+        return await super().listen(address, register_stream)
 
     def segments(self) -> int:
         """Return the segments sent and received on the connections open now."""
@@ -69,11 +69,11 @@
 
 
 def _segments(stream: ByteStream) -> int:
-    held = stream._writer.get_extra_info("socket")  # type: ignore[attr-defined]
-    if held is None or held.fileno() < 0:
+    raw_socket = stream._writer.get_extra_info("socket")  # type: ignore[attr-defined]
+    if raw_socket is None or raw_socket.fileno() < 0:
         return 0
-    info = held.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-    sent, received = struct.unpack_from("II", info, SEGMENTS_AT)
+    info = raw_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+    sent, received = struct.unpack_from("II", info, SEGMENTS_OFFSET)
     return int(sent) + int(received)
 
 
@@ -171,7 +171,7 @@
     raise OSError("no free port")
 
 
-async def linked(nodes: list[Node], links: Callable[[Node], int]) -> float:
+async def wait_linked(nodes: list[Node], links: Callable[[Node], int]) -> float:
     """Wait until each node has its connections; returns how long that took."""
     started_s = time.monotonic()
     async with asyncio.timeout(LINK_TIMEOUT_S):
@@ -210,7 +210,7 @@
         name="probe", address=free_address(), data_centre=order.data_centre, seeds=order.seeds
     )
     await node.peers.start()
-    await linked([node], lambda _: order.links)
+    await wait_linked([node], lambda _: order.links)
     await asyncio.sleep(RECORDS_SETTLE_S)
     cost = await measure(node, window_s=order.window_s)
     await node.peers.stop()
--- a/bench/_processes.py
+++ b/bench/_processes.py
@@ -72,5 +72,5 @@
 def load(*, port: int, callers: int, seconds: float) -> LoadResult:
     """Drive one load from a process of its own, so that it shares no interpreter."""
     arguments = [sys.executable, "-m", "bench._load", str(port), str(callers), str(seconds)]
-    done = subprocess.run(arguments, check=True, capture_output=True, text=True)
-    return LoadResult(**json.loads(done.stdout))
+    completed = subprocess.run(arguments, check=True, capture_output=True, text=True)
+    return LoadResult(**json.loads(completed.stdout))
--- a/bench/bottlenecks.py
+++ b/bench/bottlenecks.py
@@ -17,7 +17,7 @@
 
 __all__ = ["DayLog", "Event", "print_day", "read_events"]
 
-ON_ITS_WAY_S = 2.2
+MACHINE_ARRIVAL_S = 2.2
 """A machine that was ordered is listed as a worker after about this long."""
 STATE_FIELDS = (
     "workers",
@@ -48,8 +48,8 @@
     "holder",
     "binds",
 )
-SCHEDULER_KEYS = "shallotworks/duty/scheduler/"
-LATE_START_S = 0.5
+SCHEDULER_LEASE_PREFIX = "shallotworks/duty/scheduler/"
+MIN_COUNTED_WAIT_S = 0.5
 """A job whose first task started later than this after its acceptance counts as one that waited."""
 
 
@@ -95,13 +95,13 @@
         service: Whose scheduler ran it.
         accepted_s: When it was first accepted.
         started_s: When its first task was started.
-        bad_ends: Ends of runs other than done.
+        unsuccessful_ends: Ends of runs other than done.
     """
 
     service: str = ""
     accepted_s: float | None = None
     started_s: float | None = None
-    bad_ends: Counter[str] = field(default_factory=Counter)
+    unsuccessful_ends: Counter[str] = field(default_factory=Counter)
 
 
 class DayLog:
@@ -112,40 +112,40 @@
     """
 
     __slots__ = (
-        "_rests",
+        "_lease_suspensions",
         "_saturated",
         "_services",
         "_states",
+        "demands",
+        "epochs",
         "jobs",
-        "lacks",
         "moves",
-        "terms",
     )
 
     def __init__(self, *, events: Iterable[Event]) -> None:
         self._services: dict[int, str] = {}
         self._states: dict[tuple[str, int], Event] = {}
-        self.lacks: dict[tuple[str, int], tuple[int, int]] = {}
+        self.demands: dict[tuple[str, int], tuple[int, int]] = {}
         """The most machines that a service lacked and offered in a second."""
         self.moves: list[tuple[float, str, str]] = []
         """Time, from which pool, to which."""
-        self.terms: dict[str, list[tuple[float, str]]] = defaultdict(list)
+        self.epochs: dict[str, list[tuple[float, str]]] = defaultdict(list)
         self.jobs: dict[str, JobTimes] = defaultdict(JobTimes)
-        self._rests: dict[str, list[tuple[float, bool]]] = defaultdict(list)
+        self._lease_suspensions: dict[str, list[tuple[float, bool]]] = defaultdict(list)
         """For each duty's key when it began to rest, and when it no longer did."""
         self._saturated: dict[str, list[tuple[float, bool]]] = defaultdict(list)
         """For each process when it had no processor left, and when it had again."""
         readers = {
             "pool-state": self._read_state,
-            "need-told": self._read_need,
+            "need-told": self._read_demand,
             "machine-ordered": self._read_order,
-            "term-begun": self._read_term,
+            "term-begun": self._read_epoch,
             "job-submit": self._read_submit,
             "run-started": self._read_start,
             "run-ended": self._read_end,
-            "duty-rests": self._read_rest,
-            "duty-resumed": self._read_rest,
-            "duty-lost": self._read_rest,
+            "duty-rests": self._read_lease_suspension,
+            "duty-resumed": self._read_lease_suspension,
+            "duty-lost": self._read_lease_suspension,
             "process-saturated": self._read_load,
             "process-relieved": self._read_load,
         }
@@ -162,19 +162,19 @@
     def _read_state(self, event: Event) -> None:
         self._states[(event.fields["service"], int(event.at_s // 1))] = event
 
-    def _read_need(self, event: Event) -> None:
+    def _read_demand(self, event: Event) -> None:
         key = (event.fields["service"], int(event.at_s // 1))
-        lacking, free = self.lacks.get(key, (0, 0))
-        told = event.fields
-        self.lacks[key] = (max(lacking, told["lacking"]), max(free, told["free"]))
+        lacking, free = self.demands.get(key, (0, 0))
+        fields = event.fields
+        self.demands[key] = (max(lacking, fields["lacking"]), max(free, fields["free"]))
 
     def _read_order(self, event: Event) -> None:
         if event.fields["order"] == "move" and event.fields["outcome"] == "obeyed":
             self.moves.append((event.at_s, event.fields["pool"], event.fields["to"]))
 
-    def _read_term(self, event: Event) -> None:
+    def _read_epoch(self, event: Event) -> None:
         self._services[event.fields["token"]] = event.fields["service"]
-        self.terms[event.fields["service"]].append((event.at_s, event.process))
+        self.epochs[event.fields["service"]].append((event.at_s, event.process))
 
     def _read_submit(self, event: Event) -> None:
         job = self.jobs[event.fields["id"]]
@@ -189,11 +189,11 @@
 
     def _read_end(self, event: Event) -> None:
         if event.fields["how"] != "done":
-            self.jobs[event.fields["id"]].bad_ends[event.fields["how"]] += 1
+            self.jobs[event.fields["id"]].unsuccessful_ends[event.fields["how"]] += 1
 
-    def _read_rest(self, event: Event) -> None:
+    def _read_lease_suspension(self, event: Event) -> None:
         key = event.fields["key"]
-        self._rests[key].append((event.at_s, event.name == "duty-rests"))
+        self._lease_suspensions[key].append((event.at_s, event.name == "duty-rests"))
 
     def _read_load(self, event: Event) -> None:
         self._saturated[event.process].append((event.at_s, event.name == "process-saturated"))
@@ -208,12 +208,12 @@
         )
         for second in seconds:
             state = self._states[(service, second)].fields
-            lacking, offered = self.lacks.get((service, second), ("", ""))
+            lacking, offered = self.demands.get((service, second), ("", ""))
             within = [row for row in self.moves if second <= row[0] < second + 1]
-            coming = sum(
+            arriving = sum(
                 1
                 for at_s, _, target in self.moves
-                if target == service and at_s < second + 1 <= at_s + ON_ITS_WAY_S
+                if target == service and at_s < second + 1 <= at_s + MACHINE_ARRIVAL_S
             )
             yield (
                 second,
@@ -223,28 +223,28 @@
                 offered,
                 sum(1 for row in within if row[2] == service) or "",
                 sum(1 for row in within if row[1] == service) or "",
-                coming or "",
-                self._holder(service, second + 1),
-                self._binds(service, second),
+                arriving or "",
+                self._holder_process(service, second + 1),
+                self._bottleneck(service, second),
             )
 
-    def _binds(self, service: str, second: int) -> str:
+    def _bottleneck(self, service: str, second: int) -> str:
         """Return what kept a service's tasks waiting in a second; empty where nothing did.
 
         A scheduler that may not act lacks the store, one that may not touch earlier jobs waits for
         recovery, one whose process is saturated lacks dispatch, whatever it says of its machines.
         """
-        if _is_on(self._rests[SCHEDULER_KEYS + service], second + 1):
+        if _last_state(self._lease_suspensions[SCHEDULER_LEASE_PREFIX + service], second + 1):
             return "store"
         if self._states[(service, second)].fields.get("tasks_recovering", 0):
             return "recovery"
-        if _is_on(self._saturated[self._holder(service, second + 1)], second + 1):
+        if _last_state(self._saturated[self._holder_process(service, second + 1)], second + 1):
             return "dispatch"
-        lacking, _ = self.lacks.get((service, second), (0, 0))
+        lacking, _ = self.demands.get((service, second), (0, 0))
         return "machines" if lacking else ""
 
-    def _holder(self, service: str, at_s: float) -> str:
-        before = [process for begun_s, process in self.terms[service] if begun_s < at_s]
+    def _holder_process(self, service: str, at_s: float) -> str:
+        before = [process for begun_s, process in self.epochs[service] if begun_s < at_s]
         return before[-1] if before else ""
 
     def machine_seconds(self, service: str) -> dict[str, int]:
@@ -256,9 +256,9 @@
         }
 
 
-def _is_on(changes: list[tuple[float, bool]], at_s: float) -> bool:
+def _last_state(changes: list[tuple[float, bool]], at_s: float) -> bool:
     """Return the last state before a moment."""
-    return next((is_on for began_s, is_on in reversed(changes) if began_s < at_s), False)
+    return next((state for began_s, state in reversed(changes) if began_s < at_s), False)
 
 
 def print_day(log: DayLog, out: TextIO) -> None:
@@ -289,10 +289,10 @@
             for job in jobs
             if job.started_s is not None and job.accepted_s is not None
         ]
-        waited = [wait_s for wait_s in waits_s if wait_s > LATE_START_S]
+        waited = [wait_s for wait_s in waits_s if wait_s > MIN_COUNTED_WAIT_S]
         ends: Counter[str] = Counter()
         for job in jobs:
-            ends.update(job.bad_ends)
+            ends.update(job.unsuccessful_ends)
         print(
             f"{service or '(never started)'}: {len(jobs)} jobs, {len(waited)} waited "
             f"{sum(waited):.0f} s, longest {max(waits_s, default=0):.1f} s, {dict(ends)}",
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bench._capacity_instance import instance_cost
-from bench._capacity_peers import cost_by_data_centres, cost_by_mesh_peers, spread
+from bench._capacity_peers import cost_by_data_centres, cost_by_mesh_peers, fleet_cost
 from bench._capacity_state import state_cost, timeline_bytes, window_cost
 from bench._fit import fit
 from bench._peer_nodes import Cost
@@ -21,13 +21,13 @@
 __all__ = ["main"]
 
 RESULTS = Path(__file__).parent / "results" / "capacity.json"
-MESH_PEERS = (2, 4, 9, 18, 36)
-DATA_CENTRES = (3, 6, 12, 21, 42)
-FLEETS = ((5, 2), (8, 4), (11, 5), (22, 5), (22, 10))
-INSTANCES = (100, 275, 550, 1_100, 2_200)
-EVENTS = (2_500, 5_000, 10_000, 20_000)
+MESH_PEER_COUNTS = (2, 4, 9, 18, 36)
+DATA_CENTRE_COUNTS = (3, 6, 12, 21, 42)
+FLEET_SIZES = ((5, 2), (8, 4), (11, 5), (22, 5), (22, 10))
+INSTANCE_COUNTS = (100, 275, 550, 1_100, 2_200)
+EVENT_COUNTS = (2_500, 5_000, 10_000, 20_000)
 INSTANCE_WINDOW_S = 20.0
-WINDOWS = (125, 250, 500, 1_000)
+WINDOW_ENTRIES = (125, 250, 500, 1_000)
 
 PEER_FIELDS = (
     "core_part",
@@ -47,7 +47,7 @@
     "plan_all_s",
     "dispatch_s",
 )
-SPREAD_FIELDS = ("store_calls_per_s", "idle_bytes_per_s", "bytes_per_change", "last_p50_s")
+FLEET_FIELDS = ("store_calls_per_s", "idle_bytes_per_s", "bytes_per_change", "last_p50_s")
 
 _Row = dict[str, Any]
 
@@ -62,10 +62,14 @@
 
 def measure_state(results: dict[str, Any]) -> None:
     """Measure what the fleet's size costs a process."""
-    _keep(results, "state", "instances", [asdict(state_cost(size)) for size in INSTANCES])
-    _keep(results, "window", "entries", [asdict(window_cost(size)) for size in WINDOWS])
-    lines = [{"events": size, "memory_bytes": timeline_bytes(size)} for size in EVENTS]
-    _keep(results, "time line", "events", lines)
+    _add_results(
+        results, "state", "instances", [asdict(state_cost(size)) for size in INSTANCE_COUNTS]
+    )
+    _add_results(
+        results, "window", "entries", [asdict(window_cost(size)) for size in WINDOW_ENTRIES]
+    )
+    lines = [{"events": size, "memory_bytes": timeline_bytes(size)} for size in EVENT_COUNTS]
+    _add_results(results, "time line", "events", lines)
 
 
 def measure_peers(results: dict[str, Any]) -> None:
@@ -73,15 +77,17 @@
     instance = asdict(instance_cost(INSTANCE_WINDOW_S))
     results["instance"] = instance
     print("-- one idle entry instance, whole\n  ", _line(instance))
-    mesh = [_measured(size, asyncio.run(cost_by_mesh_peers(size))) for size in MESH_PEERS]
-    _keep(results, "mesh", "peers", mesh)
-    far = [_measured(size, asyncio.run(cost_by_data_centres(size))) for size in DATA_CENTRES]
-    _keep(results, "data centres", "peers", far)
+    mesh = [_peer_row(size, asyncio.run(cost_by_mesh_peers(size))) for size in MESH_PEER_COUNTS]
+    _add_results(results, "mesh", "peers", mesh)
+    remote = [
+        _peer_row(size, asyncio.run(cost_by_data_centres(size))) for size in DATA_CENTRE_COUNTS
+    ]
+    _add_results(results, "data centres", "peers", remote)
     fleets = [
-        asdict(asyncio.run(spread(data_centres=centres, per_data_centre=each)))
-        for centres, each in FLEETS
+        asdict(asyncio.run(fleet_cost(data_centres=centres, per_data_centre=per_data_centre)))
+        for centres, per_data_centre in FLEET_SIZES
     ]
-    _keep(results, "fleet", "nodes", fleets)
+    _add_results(results, "fleet", "nodes", fleets)
 
 
 def write(results: dict[str, Any]) -> None:
@@ -89,18 +95,18 @@
     RESULTS.write_text(json.dumps(results, indent=1) + "\n", encoding="utf-8")
 
 
-def _measured(size: int, cost: Cost) -> _Row:
+def _peer_row(size: int, cost: Cost) -> _Row:
     """Return one row; bytes by peer too, since a heartbeat grows with the members it marks."""
-    each = cost.wire_bytes_per_s / size
-    return {"peers": size, **asdict(cost), "wire_bytes_per_s_and_peer": each}
+    bytes_per_peer = cost.wire_bytes_per_s / size
+    return {"peers": size, **asdict(cost), "wire_bytes_per_s_and_peer": bytes_per_peer}
 
 
 def _line(row: _Row) -> str:
     return "  ".join(f"{key}={value:.6g}" for key, value in row.items())
 
 
-def _keep(results: dict[str, Any], name: str, by: str, rows: Sequence[_Row]) -> None:
-    fields = [field for field in (*PEER_FIELDS, *STATE_FIELDS, *SPREAD_FIELDS) if field in rows[0]]
+def _add_results(results: dict[str, Any], name: str, by: str, rows: Sequence[_Row]) -> None:
+    fields = [field for field in (*PEER_FIELDS, *STATE_FIELDS, *FLEET_FIELDS) if field in rows[0]]
     lines = {}
     for field in dict.fromkeys(fields):
         lines[field] = asdict(fit([(row[by], row[field]) for row in rows]))
--- a/bench/config.py
+++ b/bench/config.py
@@ -43,13 +43,13 @@
 SIZES = (275, 550, 1_100, 2_200)
 INSTANCES_PER_POOL = 3.6
 TARGET_INSTANCES = 1_100
-ENDED_PLANS = 200
+ENDED_PLAN_COUNT = 200
 INSTANCES_PER_PLAN = 4
-APPLIES = 2_000
-PROPOSALS = 300
-RACING = 4
-WATCHERS = 8
-FAST = PlatformLimits(rate_per_s=5_000, burst=5_000)
+APPLY_COUNT = 2_000
+PROPOSAL_COUNT = 300
+RACING_PROPOSERS = 4
+WATCHER_COUNT = 8
+UNTHROTTLED_LIMITS = PlatformLimits(rate_per_s=5_000, burst=5_000)
 
 
 def main() -> None:
@@ -67,7 +67,7 @@
     pool_names = [f"pool-{number:04d}" for number in range(pools)]
     centres = [f"centre-{number:02d}" for number in range(22)]
     names = [f"worker-{number:05d}" for number in range(instances)]
-    plans = [_ended_plan(number, names, rng) for number in range(ENDED_PLANS)]
+    plans = [_ended_plan(number, names, rng) for number in range(ENDED_PLAN_COUNT)]
     return FleetState(
         revision=6_000,
         data_centres={
@@ -156,9 +156,9 @@
         state = apply(state, cordon).unwrap()
     assert isinstance(apply(state, change), Success)
     started_s = time.perf_counter()
-    for _ in range(APPLIES):
+    for _ in range(APPLY_COUNT):
         apply(state, change)
-    return (time.perf_counter() - started_s) / APPLIES * 1e6
+    return (time.perf_counter() - started_s) / APPLY_COUNT * 1e6
 
 
 def _ms(function: Callable[[], object]) -> float:
@@ -172,10 +172,10 @@
 
 def _memory_kb(encoded: bytes) -> float:
     tracemalloc.start()
-    held = Snapshot.decode(encoded)
+    snapshot = Snapshot.decode(encoded)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del held
+    del snapshot
     return size / 1e3
 
 
@@ -185,7 +185,9 @@
     def process(name: str) -> ConfigStore:
         metrics = Metrics()
         timeline = Timeline(process=name, wall_clock_s=time.time)
-        store = HttpKeyValueStore(address=address, metrics=metrics, timeline=timeline, limits=FAST)
+        store = HttpKeyValueStore(
+            address=address, metrics=metrics, timeline=timeline, limits=UNTHROTTLED_LIMITS
+        )
         stores.append(store)
         return ConfigStore(
             store=store,
@@ -200,8 +202,12 @@
         await _publish(author, stores[0])
         await _measure_load(process("newcomer"), address)
         await _measure_propose(author, address)
-        await _measure_race([process(f"racer-{number}") for number in range(RACING)], address)
-        await _measure_follow(author, [process(f"watcher-{n}") for n in range(WATCHERS)], address)
+        await _measure_race(
+            [process(f"racer-{number}") for number in range(RACING_PROPOSERS)], address
+        )
+        await _measure_watchers(
+            author, [process(f"watcher-{n}") for n in range(WATCHER_COUNT)], address
+        )
         await author.close()
     finally:
         for store in stores:
@@ -223,18 +229,20 @@
     before = _calls(address)
     started_s = time.perf_counter()
     revision = (await newcomer.load()).unwrap()
-    took_ms = (time.perf_counter() - started_s) * 1e3
-    print(f"newcomer loads revision {revision}: {took_ms:.0f} ms, {_calls(address) - before} calls")
+    elapsed_ms = (time.perf_counter() - started_s) * 1e3
+    print(
+        f"newcomer loads revision {revision}: {elapsed_ms:.0f} ms, {_calls(address) - before} calls"
+    )
 
 
 async def _measure_propose(author: ConfigStore, address: str) -> None:
     before = _calls(address)
     times_ms = []
-    for number in range(PROPOSALS):
+    for number in range(PROPOSAL_COUNT):
         started_s = time.perf_counter()
         (await author.propose(_toggle(number), author="bench")).unwrap()
         times_ms.append((time.perf_counter() - started_s) * 1e3)
-    calls = (_calls(address) - before) / PROPOSALS
+    calls = (_calls(address) - before) / PROPOSAL_COUNT
     print(f"propose, alone: {_quantiles(times_ms)}, {calls:.2f} calls a change")
 
 
@@ -245,38 +253,40 @@
     times_ms: list[float] = []
 
     async def propose_some(racer: ConfigStore, offset: int) -> None:
-        for number in range(PROPOSALS // RACING):
+        for number in range(PROPOSAL_COUNT // RACING_PROPOSERS):
             started_s = time.perf_counter()
-            change = _toggle(offset + number * RACING)
+            change = _toggle(offset + number * RACING_PROPOSERS)
             (await racer.propose(change, author="bench")).unwrap()
             times_ms.append((time.perf_counter() - started_s) * 1e3)
 
     await asyncio.gather(*(propose_some(racer, n) for n, racer in enumerate(racers)))
     calls = (_calls(address) - before) / len(times_ms)
-    print(f"propose, {RACING} at once: {_quantiles(times_ms)}, {calls:.2f} calls a change")
+    print(
+        f"propose, {RACING_PROPOSERS} at once: {_quantiles(times_ms)}, {calls:.2f} calls a change"
+    )
 
 
-async def _measure_follow(author: ConfigStore, watchers: list[ConfigStore], address: str) -> None:
+async def _measure_watchers(author: ConfigStore, watchers: list[ConfigStore], address: str) -> None:
     (await author.load()).unwrap()
-    tasks = [asyncio.create_task(each.run_watch(should_watch=lambda: True)) for each in watchers]
+    tasks = [asyncio.create_task(store.run_watch(should_watch=lambda: True)) for store in watchers]
     for watcher in watchers:
         await watcher.wait_for(author.revision())
     await asyncio.sleep(0.2)
     before = _calls(address)
     times_ms = []
-    for number in range(PROPOSALS // 3):
+    for number in range(PROPOSAL_COUNT // 3):
         accepted = (await author.propose(_toggle(number), author="bench")).unwrap()
         started_s = time.perf_counter()
         await asyncio.gather(*(watcher.wait_for(accepted.revision) for watcher in watchers))
         times_ms.append((time.perf_counter() - started_s) * 1e3)
     calls = (_calls(address) - before) / len(times_ms)
     print(
-        f"accepted to in force at the last of {WATCHERS} watchers: {_quantiles(times_ms)},"
+        f"accepted to in force at the last of {WATCHER_COUNT} watchers: {_quantiles(times_ms)},"
         f" {calls:.2f} calls a change"
     )
     before, started_s = _calls(address), time.perf_counter()
     await asyncio.sleep(20)
-    rate = (_calls(address) - before) / (time.perf_counter() - started_s) / WATCHERS
+    rate = (_calls(address) - before) / (time.perf_counter() - started_s) / WATCHER_COUNT
     print(f"a quiet watcher: {rate:.2f} calls/s")
     for task in tasks:
         task.cancel()
--- a/bench/crash_loops.py
+++ b/bench/crash_loops.py
@@ -17,61 +17,65 @@
 from shallotworks.jobs import JobState, TaskName
 
 SEEDS = (1, 2)
-CRASHING_PARTS = (0.0, 0.1)
-WORKERS = 20
-JOBS = 200
-TURN_S = 10.0
-AFTER_S = 25.0
-TASKS_A_JOB = 6
+CRASHING_JOB_RATIOS = (0.0, 0.1)
+WORKER_COUNT = 20
+JOB_COUNT = 200
+SUBMIT_PERIOD_S = 10.0
+WIND_DOWN_S = 25.0
+TASKS_PER_JOB = 6
 TASK_MILLICORES = 3_500
-IN_TIME_S = (1.8, 4.0, 10.0)
+LATENCY_LIMITS_S = (1.8, 4.0, 10.0)
 POLL_S = 0.1
 
 
-class _Turn:
+class _BurstRun:
     """One turn, and when each job was done.
 
     Args:
         seed: Draws it.
-        crashing_part: Part of the jobs whose first task crashes its workers.
+        crashing_job_ratio: Part of the jobs whose first task crashes its workers.
     """
 
-    def __init__(self, *, seed: int, crashing_part: float) -> None:
+    def __init__(self, *, seed: int, crashing_job_ratio: float) -> None:
         self.simulation = SchedulingSimulation(seed=seed, workers=0, fleet=ReturningWorkers)
-        for number in range(WORKERS):
+        for number in range(WORKER_COUNT):
             worker = view(f"w{number}", service=SERVICE, cpu_millicores=64_000, memory_mb=256_000)
             self.simulation.fleet.add(worker)
-        drawn = random.Random(seed).sample(range(JOBS), int(JOBS * crashing_part))
-        self.culprits = {_job_id(number) for number in drawn}
-        self.handed_in_s: dict[str, float] = {}
+        crashing_numbers = random.Random(seed).sample(
+            range(JOB_COUNT), int(JOB_COUNT * crashing_job_ratio)
+        )
+        self.crashing_jobs = {_job_id(number) for number in crashing_numbers}
+        self.submitted_s: dict[str, float] = {}
         self.ended: dict[str, tuple[float, JobState]] = {}
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Hand all jobs in and wait for their ends."""
         for instance in self.simulation.instances:
             instance.start()
         await asyncio.sleep(1.0)
-        watching = asyncio.create_task(self._watch())
-        await asyncio.gather(*map(self._hand_in, range(JOBS)))
-        await asyncio.sleep(AFTER_S)
-        watching.cancel()
+        polling = asyncio.create_task(self._poll_states())
+        await asyncio.gather(*map(self._submit, range(JOB_COUNT)))
+        await asyncio.sleep(WIND_DOWN_S)
+        polling.cancel()
         for instance in self.simulation.instances:
             await instance.kill()
 
-    async def _hand_in(self, number: int) -> None:
-        await asyncio.sleep(self.simulation.rng.uniform(0, TURN_S))
+    async def _submit(self, number: int) -> None:
+        await asyncio.sleep(self.simulation.rng.uniform(0, SUBMIT_PERIOD_S))
         job_id, fleet = _job_id(number), self.simulation.fleet
         fleet.cpu_millicores[job_id] = TASK_MILLICORES
-        if job_id in self.culprits:
+        if job_id in self.crashing_jobs:
             fleet.crashing.add(TaskName(job_id, 0, 0, 0))
-        self.handed_in_s[job_id] = asyncio.get_running_loop().time()
-        tasks = step(TASKS_A_JOB, cpu_millicores=TASK_MILLICORES, memory_mb=1_000, estimated_s=0.8)
+        self.submitted_s[job_id] = asyncio.get_running_loop().time()
+        tasks = step(
+            TASKS_PER_JOB, cpu_millicores=TASK_MILLICORES, memory_mb=1_000, estimated_s=0.8
+        )
         await self.simulation.submit(job_id, tasks)
 
-    async def _watch(self) -> None:
+    async def _poll_states(self) -> None:
         while True:
             now_s = asyncio.get_running_loop().time()
-            for job_id in self.handed_in_s.keys() - self.ended.keys():
+            for job_id in self.submitted_s.keys() - self.ended.keys():
                 state = self.simulation.state(job_id)
                 if state is not None and state.is_final:
                     self.ended[job_id] = (now_s, state)
@@ -79,22 +83,22 @@
 
     def row(self) -> str:
         """Return what became of the jobs, as a row."""
-        sound = [job_id for job_id in self.handed_in_s if job_id not in self.culprits]
-        took_s = [
-            self.ended[job_id][0] - self.handed_in_s[job_id]
-            for job_id in sound
+        healthy_jobs = [job_id for job_id in self.submitted_s if job_id not in self.crashing_jobs]
+        latencies_s = [
+            self.ended[job_id][0] - self.submitted_s[job_id]
+            for job_id in healthy_jobs
             if job_id in self.ended and self.ended[job_id][1] is JobState.COMPLETED
         ]
-        in_time = [sum(one < limit_s for one in took_s) for limit_s in IN_TIME_S]
-        failed = sum(self._is_failed(job_id) for job_id in sound)
-        culprits = sum(self._is_failed(job_id) for job_id in self.culprits)
+        in_time = [sum(one < limit_s for one in latencies_s) for limit_s in LATENCY_LIMITS_S]
+        failed = sum(self._is_failed(job_id) for job_id in healthy_jobs)
+        failed_crashing_jobs = sum(self._is_failed(job_id) for job_id in self.crashing_jobs)
         figures = (
-            len(sound),
+            len(healthy_jobs),
             *in_time,
             failed,
-            len(sound) - len(took_s) - failed,
-            len(self.culprits),
-            culprits,
+            len(healthy_jobs) - len(latencies_s) - failed,
+            len(self.crashing_jobs),
+            failed_crashing_jobs,
             self.simulation.fleet.crashes.total(),
         )
         return "".join(f"{figure:>9}" for figure in figures)
@@ -109,10 +113,10 @@
 
 def main() -> None:
     """Print a row for each seed and part of crashing jobs."""
-    limits = "".join(f"{f'<{limit_s} s':>9}" for limit_s in IN_TIME_S)
+    limits = "".join(f"{f'<{limit_s} s':>9}" for limit_s in LATENCY_LIMITS_S)
     print(f"seed    sound{limits}   failed     open culprits   failed  crashes")
-    for crashing_part in CRASHING_PARTS:
+    for crashing_job_ratio in CRASHING_JOB_RATIOS:
         for seed in SEEDS:
-            turn = _Turn(seed=seed, crashing_part=crashing_part)
-            run_scenario(turn.play())
-            print(f"{seed:>4}{turn.row()}", flush=True)
+            burst = _BurstRun(seed=seed, crashing_job_ratio=crashing_job_ratio)
+            run_scenario(burst.run())
+            print(f"{seed:>4}{burst.row()}", flush=True)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -14,20 +14,20 @@
 
 from shallotworks.scheduling import EndKind, StartOrder
 
-WORKERS = (40, 280, 1_100)
+WORKER_COUNTS = (40, 280, 1_100)
 WAITING_TASKS = 5_000
-TASKS_A_JOB = 8
+TASKS_PER_JOB = 8
 ROUNDS = 200
-ENDS_A_ROUND = 20
-RACK = 8
-CORES_A_TASK = (4_000, 7_000, 9_000, 14_000)
+ENDS_PER_ROUND = 20
+WORKERS_PER_RACK = 8
+TASK_MILLICORES = (4_000, 7_000, 9_000, 14_000)
 
 
 def main() -> None:
     """Print a row for each size of a pool."""
     print("workers  median ms  p99 ms  longest ms  starts a round")
-    for workers in WORKERS:
-        spent_s, starts = _play(workers)
+    for workers in WORKER_COUNTS:
+        spent_s, starts = _run_rounds(workers)
         spent_s.sort()
         print(
             f"{workers:7} {statistics.median(spent_s) * 1e3:10.2f} "
@@ -37,9 +37,9 @@
         )
 
 
-def _play(workers: int) -> tuple[list[float], int]:
+def _run_rounds(workers: int) -> tuple[list[float], int]:
     rng = random.Random(workers)
-    harness = _full(workers, rng)
+    harness = _make_full_harness(workers, rng)
     spent_s: list[float] = []
     started = 0
     for _ in range(ROUNDS):
@@ -48,44 +48,49 @@
         began_s = time.process_time()
         decisions = harness.decide()
         spent_s.append(time.process_time() - began_s)
-        started += sum(isinstance(one, StartOrder) for one in decisions)
+        started += sum(isinstance(decision, StartOrder) for decision in decisions)
     return spent_s, started
 
 
-def _full(workers: int, rng: random.Random) -> SchedulingHarness:
+def _make_full_harness(workers: int, rng: random.Random) -> SchedulingHarness:
     """Return a board whose workers are full, with thousands of tasks that wait."""
     harness = SchedulingHarness(
         *(
-            view(f"w{n:04}", cpu_millicores=64_000, memory_mb=131_072, rack=f"r{n // RACK}")
+            view(
+                f"w{n:04}",
+                cpu_millicores=64_000,
+                memory_mb=131_072,
+                rack=f"r{n // WORKERS_PER_RACK}",
+            )
             for n in range(workers)
         )
     )
     number = 0
     while True:
-        _hand_in(harness, number, rng)
+        _add_job(harness, number, rng)
         number += 1
         while harness.start_orders():
             pass
         if any(True for _ in harness.scheduler_state.open_steps()):
             break
-    for _ in range(WAITING_TASKS // TASKS_A_JOB):
-        _hand_in(harness, number, rng)
+    for _ in range(WAITING_TASKS // TASKS_PER_JOB):
+        _add_job(harness, number, rng)
         number += 1
     return harness
 
 
-def _hand_in(harness: SchedulingHarness, number: int, rng: random.Random) -> None:
-    wanted = step(
-        TASKS_A_JOB,
-        cpu_millicores=rng.choice(CORES_A_TASK),
+def _add_job(harness: SchedulingHarness, number: int, rng: random.Random) -> None:
+    job_step = step(
+        TASKS_PER_JOB,
+        cpu_millicores=rng.choice(TASK_MILLICORES),
         memory_mb=rng.randrange(4_000, 30_000),
         estimated_s=rng.uniform(0.5, 2.0),
     )
-    harness.add_job(job(f"{number:016x}", wanted, accepted_s=WALL_S + number / 1_000))
+    harness.add_job(job(f"{number:016x}", job_step, accepted_s=WALL_S + number / 1_000))
 
 
 def _end_some(harness: SchedulingHarness, rng: random.Random) -> None:
     busy = [worker for worker in harness.scheduler_state.workers.values() if worker.runs]
-    for worker in rng.sample(busy, min(ENDS_A_ROUND, len(busy))):
+    for worker in rng.sample(busy, min(ENDS_PER_ROUND, len(busy))):
         run = rng.choice(list(worker.runs.values()))
         harness.report(worker.worker_id, ended=((run.name, run.run_id, EndKind.DONE),), sent_s=-1.0)
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -17,7 +17,12 @@
     run_on_virtual_clock,
 )
 
-from bench._dispatch_baselines import EveryRetry, FirstCome, LeastInFlight, RandomChoice
+from bench._dispatch_baselines import (
+    FirstComeFirstServed,
+    LeastInFlight,
+    RandomChoice,
+    UnlimitedRetry,
+)
 from bench._dispatch_load import Entry, FakeTarget, Load, Tally, offer
 from shallotworks.fleet import FleetState, Service
 from shallotworks.metrics import Metrics
@@ -35,17 +40,17 @@
 SLOTS = 8
 ENTRIES = 2
 CAPACITY = WORKERS * SLOTS
-INTERACTIVE_S = 0.05
+INTERACTIVE_WORK_S = 0.05
 INTERACTIVE_WITHIN_S = 1.0
-LONG_RUNNING_S = 1.0
+LONG_RUNNING_WORK_S = 1.0
 LONG_RUNNING_WITHIN_S = 600.0
-INTERACTIVE_PART = 0.3
-WARM_S = 10.0
+INTERACTIVE_LOAD = 0.3
+WARM_UP_S = 10.0
 END_S = 40.0
-BEFORE_PROBES_S = 2.4
-GOODPUT_WARM_S = 3.0
+PROBES_START_S = 2.4
+GOODPUT_WARM_UP_S = 3.0
 GOODPUT_END_S = 9.0
-NEVER = 1_000_000_000
+UNLIMITED = 1_000_000_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -64,8 +69,8 @@
 OURS = Setup(name="shallotworks")
 FIRST_COME = Setup(name="first come first served", first_come=True)
 RANDOM = Setup(name="random choice", selector=RandomChoice)
-LEAST = Setup(name="least in flight", selector=lambda _rng: LeastInFlight())
-NO_EJECTION_LIMITS = DispatchLimits(failures_to_eject=NEVER, refusals_to_eject=NEVER)
+LEAST_IN_FLIGHT = Setup(name="least in flight", selector=lambda _rng: LeastInFlight())
+NO_EJECTION_LIMITS = DispatchLimits(failures_to_eject=UNLIMITED, refusals_to_eject=UNLIMITED)
 NO_EJECTION = Setup(name="no ejection", limits=NO_EJECTION_LIMITS)
 NO_BUDGET = Setup(name="no retry budget", budget=False)
 NEITHER = Setup(name="no ejection, no retry budget", limits=NO_EJECTION_LIMITS, budget=False)
@@ -83,24 +88,26 @@
     def _entry(self, setup: Setup, seed: int, rank: int) -> Entry:
         rng = random.Random(f"{setup.name}{seed}-{rank}")
         members = {name: entry.instance for name, entry in self.targets.items()}
-        retry = EveryRetry()
+        retry = UnlimitedRetry()
         if setup.budget:
             retry = BudgetedRetryPolicy(limits=RetryLimits(), metrics=Metrics(), rng=rng)
         if setup.first_come:
-            dispatcher = FirstCome(members=members, entry_count=lambda: setup.entries, rng=rng)
+            dispatcher = FirstComeFirstServed(
+                members=members, live_entries=lambda: setup.entries, rng=rng
+            )
             return Entry(dispatcher=dispatcher, retry=retry)
-        made = make_harness(
-            make_fleet(members),
+        harness = make_harness(
+            fleet(members),
             limits=setup.limits,
             seed=seed * 100 + rank,
             selector=setup.selector(rng) if setup.selector else None,
             entries=setup.divided_by or setup.entries,
             rank=rank,
         )
-        return Entry(dispatcher=made.dispatcher, retry=retry)
+        return Entry(dispatcher=harness.dispatcher, retry=retry)
 
     async def offer(
-        self, *loads: Load, from_s: float = WARM_S, until_s: float = END_S
+        self, *loads: Load, from_s: float = WARM_UP_S, until_s: float = END_S
     ) -> list[Tally]:
         """Offer several streams at once; returns what became of each."""
         return await asyncio.gather(
@@ -122,8 +129,8 @@
     """Return interactive load that would fill a part of all slots."""
     return Load(
         request_class=RequestClass.INTERACTIVE,
-        per_s=part * CAPACITY / INTERACTIVE_S,
-        mean_work_s=INTERACTIVE_S,
+        per_s=part * CAPACITY / INTERACTIVE_WORK_S,
+        mean_work_s=INTERACTIVE_WORK_S,
         within_s=INTERACTIVE_WITHIN_S,
     )
 
@@ -132,8 +139,8 @@
     """Return long-running load that would fill a part of all slots."""
     return Load(
         request_class=RequestClass.LONG_RUNNING,
-        per_s=part * CAPACITY / LONG_RUNNING_S,
-        mean_work_s=LONG_RUNNING_S,
+        per_s=part * CAPACITY / LONG_RUNNING_WORK_S,
+        mean_work_s=LONG_RUNNING_WORK_S,
         within_s=LONG_RUNNING_WITHIN_S,
     )
 
@@ -146,19 +153,19 @@
 
 def classes() -> None:
     """Interactive latency and long-running throughput, long-running offered 3 times over."""
-    print(f"\nclasses: interactive fills {INTERACTIVE_PART} of the slots, long-running offers 3.0")
+    print(f"\nclasses: interactive fills {INTERACTIVE_LOAD} of the slots, long-running offers 3.0")
     print(f"{'':30}{'p50 ms':>9}{'p99 ms':>9}{'refused':>9}{'long part of rest':>19}")
     for setup in (OURS, FIRST_COME):
         for offered in (0.0, 3.0):
 
             async def measure(seed: int, setup: Setup = setup, offered: float = offered) -> list:
                 simulation = PoolSimulation(setup, seed)
-                loads = [interactive(INTERACTIVE_PART)]
+                loads = [interactive(INTERACTIVE_LOAD)]
                 if offered:
                     loads.append(long_running(offered))
                 tallies = await simulation.offer(*loads)
                 first = tallies[0]
-                rest = CAPACITY * (END_S - WARM_S) - first.work_s
+                rest = CAPACITY * (END_S - WARM_UP_S) - first.work_s
                 used = tallies[1].work_s / rest if offered else 0.0
                 refused = (first.refused + first.late + first.failed) / first.offered
                 return [first.quantile_ms(0.5), first.quantile_ms(0.99), refused, used]
@@ -180,10 +187,10 @@
             async def measure(seed: int, setup: Setup = setup, part: float = part) -> list:
                 simulation = PoolSimulation(setup, seed)
                 (tally,) = await simulation.offer(
-                    interactive(part), from_s=GOODPUT_WARM_S, until_s=GOODPUT_END_S
+                    interactive(part), from_s=GOODPUT_WARM_UP_S, until_s=GOODPUT_END_S
                 )
-                per_s = tally.answered / (GOODPUT_END_S - GOODPUT_WARM_S)
-                return [per_s * INTERACTIVE_S / CAPACITY, tally.quantile_ms(0.99)]
+                per_s = tally.answered / (GOODPUT_END_S - GOODPUT_WARM_UP_S)
+                return [per_s * INTERACTIVE_WORK_S / CAPACITY, tally.quantile_ms(0.99)]
 
             row = medians(measure)
             figures.append(row[0])
@@ -205,7 +212,7 @@
                 for target in failing:
                     target.fails = True
 
-            asyncio.get_running_loop().call_at(WARM_S, fail)
+            asyncio.get_running_loop().call_at(WARM_UP_S, fail)
             (tally,) = await simulation.offer(interactive(0.5))
             failed = (tally.failed + tally.refused + tally.late) / tally.offered
             return [tally.attempts / tally.offered, failed, tally.quantile_ms(0.99)]
@@ -223,17 +230,17 @@
 
             async def measure(seed: int, setup: Setup = setup, fault: str = fault) -> list:
                 simulation = PoolSimulation(setup, seed)
-                bad = simulation.targets["w0"]
-                asyncio.get_running_loop().call_at(WARM_S, setattr, bad, fault, True)
+                faulty = simulation.targets["w0"]
+                asyncio.get_running_loop().call_at(WARM_UP_S, setattr, faulty, fault, True)
                 seen = {}
 
-                def look() -> None:
-                    seen["last"] = bad.last_attempt_s - WARM_S
+                def record_last_attempt() -> None:
+                    seen["last"] = faulty.last_attempt_s - WARM_UP_S
 
-                asyncio.get_running_loop().call_at(WARM_S + BEFORE_PROBES_S, look)
+                asyncio.get_running_loop().call_at(WARM_UP_S + PROBES_START_S, record_last_attempt)
                 (tally,) = await simulation.offer(interactive(0.5))
                 failed = (tally.failed + tally.refused + tally.late) / tally.offered
-                return [seen["last"], bad.attempts_while_bad, failed]
+                return [seen["last"], faulty.attempts_while_faulty, failed]
 
             row = medians(measure)
             name = f"{setup.name}, {fault}"
@@ -245,10 +252,10 @@
     print("\nchoice: load 0.7, slots not divided among the entries, so that targets must refuse")
     print(f"{'':34}{'entries':>8}{'refused attempts':>18}{'p99 ms':>9}")
     for entries in (2, 6):
-        for setup in (OURS, LEAST, RANDOM):
-            wide = replace(setup, entries=entries, divided_by=1)
+        for setup in (OURS, LEAST_IN_FLIGHT, RANDOM):
+            undivided = replace(setup, entries=entries, divided_by=1)
 
-            async def measure(seed: int, setup: Setup = wide) -> list:
+            async def measure(seed: int, setup: Setup = undivided) -> list:
                 simulation = PoolSimulation(setup, seed)
                 (tally,) = await simulation.offer(interactive(0.7), until_s=20.0)
                 refusals = sum(target.refusals for target in simulation.targets.values())
@@ -274,10 +281,12 @@
                 simulation = PoolSimulation(setup, seed)
                 load = replace(interactive(part), entry=entry)
                 (tally,) = await simulation.offer(
-                    load, from_s=GOODPUT_WARM_S, until_s=GOODPUT_END_S
+                    load, from_s=GOODPUT_WARM_UP_S, until_s=GOODPUT_END_S
                 )
                 refusals = sum(target.refusals for target in simulation.targets.values())
-                offered_s = part * CAPACITY / INTERACTIVE_S * (GOODPUT_END_S - GOODPUT_WARM_S)
+                offered_s = (
+                    part * CAPACITY / INTERACTIVE_WORK_S * (GOODPUT_END_S - GOODPUT_WARM_UP_S)
+                )
                 good = tally.answered / offered_s
                 return [good, refusals / max(1, tally.attempts), tally.quantile_ms(0.99)]
 
@@ -289,7 +298,10 @@
 def cost() -> None:
     """Real time of one acquire and release, at today's size and at the target's."""
     print("\ncost: real time per acquire and release, one process")
-    for name, state in (("today, 40 workers", today()), ("1,100 workers, 305 pools", target())):
+    for name, state in (
+        ("today, 40 workers", small_fleet()),
+        ("1,100 workers, 305 pools", target()),
+    ):
         row = [asyncio.run(_cost(state, seed)) for seed in SEEDS]
         print(f"{name:34}{sorted(row)[len(row) // 2] * 1e6:9.1f} us")
     for waiting in (1_000, 10_000):
@@ -299,7 +311,7 @@
 
 
 async def _cost(state: FleetState, seed: int) -> float:
-    made = make_harness(state, seed=seed)
+    harness = make_harness(state, seed=seed)
     rng = random.Random(seed)
     services = list(state.services)
     deadline_s = asyncio.get_running_loop().time() + 1000
@@ -307,31 +319,31 @@
         make_request(f"r{number}", rng.choice(services), deadline_s=deadline_s)
         for number in range(20_000)
     ]
-    await made.dispatcher.acquire(requests[0], tried=frozenset())
+    await harness.dispatcher.acquire(requests[0], tried=frozenset())
     started_s = time.perf_counter()
     for request in requests[1:]:
-        grant = (await made.dispatcher.acquire(request, tried=frozenset())).unwrap()
-        made.dispatcher.release(grant, AttemptOutcome.ANSWERED, duration_s=0.01)
+        grant = (await harness.dispatcher.acquire(request, tried=frozenset())).unwrap()
+        harness.dispatcher.release(grant, AttemptOutcome.ANSWERED, duration_s=0.01)
     return (time.perf_counter() - started_s) / (len(requests) - 1)
 
 
 async def _cost_of_waiting(waiting: int) -> tuple[float, float]:
-    made = make_harness(make_fleet(make_instances(1)), limits=DispatchLimits(waiting_min=NEVER))
+    harness = make_harness(fleet(instances(1)), limits=DispatchLimits(waiting_min=UNLIMITED))
     for _ in range(8):
-        await made.grant(within_s=1000)
-    requests = [made.request(within_s=1000) for _ in range(waiting)]
+        await harness.grant(within_s=1000)
+    requests = [harness.request(within_s=1000) for _ in range(waiting)]
     started_s = time.perf_counter()
-    tasks = [made.ask(request) for request in requests]
+    tasks = [harness.ask(request) for request in requests]
     await asyncio.sleep(0)
     entered_s = time.perf_counter()
     for request in requests:
-        made.dispatcher.cancel(request.request_id)
+        harness.dispatcher.cancel(request.request_id)
     cancelled_s = time.perf_counter()
     await asyncio.gather(*tasks)
     return (entered_s - started_s) / waiting, (cancelled_s - entered_s) / waiting
 
 
-def today() -> FleetState:
+def small_fleet() -> FleetState:
     """Return five services on eight workers each."""
     return _many(pools=5, workers=40)
 
--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -19,10 +19,10 @@
 from shallotworks.timeline import Event, EventKind, TimelinePage
 
 DATA_CENTRES = ("bergen", "forde", "floro", "odda")
-CHANGES = 60
-PAUSE_S = 0.2
-LOSSES = 6
-LOST_S = 3.0
+CHANGE_COUNT = 60
+CHANGE_PAUSE_S = 0.2
+OUTAGE_COUNT = 6
+OUTAGE_S = 3.0
 SETTLE_S = 2.0
 SEED = 3
 
@@ -33,16 +33,16 @@
         rng = random.Random(SEED)
         print(f"{len(system.entries)} entry instances in {len(DATA_CENTRES)} data centres")
         first = _revision(system)
-        for number in range(CHANGES):
+        for number in range(CHANGE_COUNT):
             _change(system, rng, f"quiet-{number}")
-            time.sleep(PAUSE_S)
+            time.sleep(CHANGE_PAUSE_S)
         time.sleep(SETTLE_S)
         _print("without faults", _delays_s(system, first + 1))
         first = _revision(system)
-        for number in range(LOSSES):
+        for number in range(OUTAGE_COUNT):
             _change(system, rng, f"lost-{number}")
             system.platform.set_faults(StoreFaults(down=True))
-            time.sleep(LOST_S)
+            time.sleep(OUTAGE_S)
             system.platform.set_faults(StoreFaults())
             time.sleep(SETTLE_S)
         _print("store lost after each acceptance", _delays_s(system, first + 1))
@@ -55,7 +55,7 @@
                 operator.apply([PutPool(pool=Pool(name=name))])
                 return
             except RuntimeError:
-                time.sleep(PAUSE_S)
+                time.sleep(CHANGE_PAUSE_S)
 
 
 def _revision(system: System) -> int:
@@ -74,14 +74,14 @@
         for event in events
         if event.kind is EventKind.CHANGE_ACCEPTED
     }
-    held: dict[int, list[float]] = {}
+    in_force_at_s: dict[int, list[float]] = {}
     for event in events:
         if event.kind is EventKind.REVISION_IN_FORCE:
-            held.setdefault(_revision_of(event), []).append(event.at_s)
+            in_force_at_s.setdefault(_revision_of(event), []).append(event.at_s)
     return sorted(
-        max(held[revision]) - at_s
+        max(in_force_at_s[revision]) - at_s
         for revision, at_s in proposed.items()
-        if revision >= first and len(held.get(revision, ())) == len(system.entries)
+        if revision >= first and len(in_force_at_s.get(revision, ())) == len(system.entries)
     )
 
 
@@ -89,12 +89,12 @@
     return int(event.detail.split()[1])
 
 
-def _print(what: str, delays_s: list[float]) -> None:
+def _print(label: str, delays_s: list[float]) -> None:
     if not delays_s:
-        print(f"{what}: no change was seen at all instances")
+        print(f"{label}: no change was seen at all instances")
         return
     p99 = delays_s[min(len(delays_s) - 1, int(0.99 * len(delays_s)))]
     print(
-        f"{what}: {len(delays_s)} changes, p50 {delays_s[len(delays_s) // 2] * 1000:.0f} ms,"
+        f"{label}: {len(delays_s)} changes, p50 {delays_s[len(delays_s) // 2] * 1000:.0f} ms,"
         f" p99 {p99 * 1000:.0f} ms, longest {delays_s[-1] * 1000:.0f} ms"
     )
--- a/bench/jobs.py
+++ b/bench/jobs.py
@@ -21,8 +21,8 @@
 from shallotworks.platform._ingress import Ingress
 from shallotworks.standins import FaultInjectingStore, RecordStore
 
-CALLERS = 16
-JOBS = 1_600
+CALLER_COUNT = 16
+JOB_COUNT = 1_600
 JOB = {"spec": "x", "steps": [{"count": 6, "cpu": 500, "memMb": 10, "estimatedMs": 900}]}
 HEADERS = {"Host": "bench.example"}
 CONFIGURATION = {
@@ -30,22 +30,22 @@
     "routes": [{"name": "q", "host": "bench.example", "prefix": "/q/", "service": "s"}],
     "services": [{"name": "s"}],
 }
-TASKS = 2_000
-WORKERS = 40
+TASK_COUNT = 2_000
+WORKER_COUNT = 40
 IDLE_S = 5.0
 
 
 def main() -> None:
     """Print rates, latencies, processor time and memory."""
-    asyncio.run(_accept_jobs())
-    asyncio.run(_give_orders())
+    asyncio.run(_measure_acceptance())
+    asyncio.run(_measure_orders())
     for workers in (40, 172):
-        asyncio.run(_idle(workers))
+        asyncio.run(_measure_idle(workers))
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     print(f"memory at its peak, callers, store and workers included: {peak_mb:.0f} MB")
 
 
-async def _accept_jobs() -> None:
+async def _measure_acceptance() -> None:
     store = FaultInjectingStore(store=RecordStore(rng=random.Random(1)))
     configuration = decode_configuration(CONFIGURATION)
     ingress = Ingress(
@@ -61,9 +61,9 @@
     address = _free_address()
     await ingress.listen(address)
     durations: list[float] = []
-    numbers = iter(range(JOBS))
+    numbers = iter(range(JOB_COUNT))
 
-    async def call_on() -> None:
+    async def submit_jobs() -> None:
         client = HttpClient(address=address)
         for number in numbers:
             began_s = time.monotonic()
@@ -75,38 +75,42 @@
         await client.close()
 
     began_s, began_cpu_s = time.monotonic(), time.process_time()
-    await asyncio.gather(*(call_on() for _ in range(CALLERS)))
-    took_s, cpu_s = time.monotonic() - began_s, time.process_time() - began_cpu_s
+    await asyncio.gather(*(submit_jobs() for _ in range(CALLER_COUNT)))
+    elapsed_s, cpu_s = time.monotonic() - began_s, time.process_time() - began_cpu_s
     durations.sort()
     print(
-        f"jobs accepted: {JOBS / took_s:.0f} a second, p50 {durations[JOBS // 2] * 1000:.1f} ms, "
-        f"p99 {durations[int(JOBS * 0.99)] * 1000:.1f} ms, {cpu_s / JOBS * 1e6:.0f} us of "
+        f"jobs accepted: {JOB_COUNT / elapsed_s:.0f} a second, "
+        f"p50 {durations[JOB_COUNT // 2] * 1000:.1f} ms, "
+        f"p99 {durations[int(JOB_COUNT * 0.99)] * 1000:.1f} ms, "
+        f"{cpu_s / JOB_COUNT * 1e6:.0f} us of "
         "processor time each with its caller"
     )
     await ingress.close()
 
 
-async def _give_orders() -> None:
+async def _measure_orders() -> None:
     simulation = SchedulingSimulation(seed=1, workers=0, instances=1)
-    for number in range(WORKERS):
+    for number in range(WORKER_COUNT):
         simulation.fleet.add(view(f"w{number}", service=SERVICE, cpu_millicores=64_000))
     simulation.instances[0].start()
     await asyncio.sleep(1.0)
     began_s, began_cpu_s = time.monotonic(), time.process_time()
-    jobs = TASKS // 8
+    jobs = TASK_COUNT // 8
     await asyncio.gather(*(simulation.submit(f"{number:016x}", step(8)) for number in range(jobs)))
-    while simulation.fleet.started < TASKS or len(simulation.fleet.noted) < TASKS:
+    while simulation.fleet.started < TASK_COUNT or len(simulation.fleet.noted) < TASK_COUNT:
         await asyncio.sleep(0.02)
-    took_s, cpu_s = time.monotonic() - began_s, time.process_time() - began_cpu_s
+    elapsed_s, cpu_s = time.monotonic() - began_s, time.process_time() - began_cpu_s
     print(
-        f"orders: {TASKS} tasks of {jobs} jobs started, ended and acknowledged in {took_s:.2f} s, "
-        f"{TASKS / took_s:.0f} starts a second; {cpu_s / TASKS * 1e6:.0f} us of processor time a "
+        f"orders: {TASK_COUNT} tasks of {jobs} jobs started, ended and acknowledged in "
+        f"{elapsed_s:.2f} s, "
+        f"{TASK_COUNT / elapsed_s:.0f} starts a second; "
+        f"{cpu_s / TASK_COUNT * 1e6:.0f} us of processor time a "
         "task with its worker and store"
     )
     await simulation.instances[0].kill()
 
 
-async def _idle(workers: int) -> None:
+async def _measure_idle(workers: int) -> None:
     simulation = SchedulingSimulation(seed=1, workers=workers, instances=1)
     simulation.instances[0].start()
     await asyncio.sleep(2.0)
--- a/bench/listener.py
+++ b/bench/listener.py
@@ -19,18 +19,18 @@
 from bench._load import LoadResult
 from bench._processes import load, serving
 
-CALLERS = 24
-SECONDS = 4.0
+CALLER_COUNT = 24
+ROUND_S = 4.0
 ROUNDS = 3
 NETSTAT = Path("/proc/net/netstat")
-BACKLOGS = (5, 512)
+BACKLOG_SIZES = (5, 512)
 KEEP_ALIVE_LIMITS = (10, 1_000)
 
 
 def main() -> None:
     """Print one row for each variant: medians over the rounds."""
     print("backlog  kept alive   per s   p50 ms   p99 ms  longest ms  drops  SYNs again")
-    for backlog, kept in itertools.product(BACKLOGS, KEEP_ALIVE_LIMITS):
+    for backlog, kept in itertools.product(BACKLOG_SIZES, KEEP_ALIVE_LIMITS):
         rounds = [_round(backlog, kept) for _ in range(ROUNDS)]
         results = [result for result, _, _ in rounds]
         print(
@@ -46,7 +46,7 @@
 def _round(backlog: int, kept: int) -> tuple[LoadResult, int, int]:
     with serving("bench.listener", "--backlog", str(backlog), "--kept", str(kept)) as port:
         before = _kernel_counts()
-        result = load(port=port, callers=CALLERS, seconds=SECONDS)
+        result = load(port=port, callers=CALLER_COUNT, seconds=ROUND_S)
         after = _kernel_counts()
     return result, after[0] - before[0], after[1] - before[1]
 
--- a/bench/observing.py
+++ b/bench/observing.py
@@ -14,11 +14,11 @@
 from shallotworks.timeline import EventFilter, EventKind, Subject, Timeline
 
 ROUNDS = 5
-EVENTS = 20_000
-OBSERVATIONS = 100_000
-LATENCIES = 610
+EVENT_COUNT = 20_000
+OBSERVATION_COUNT = 100_000
+LATENCY_COUNT = 610
 """Two classes for each of 305 pools' services."""
-TICK_S = 0.001
+TICK_INTERVAL_S = 0.001
 
 
 def main() -> None:
@@ -28,8 +28,8 @@
     _print("reading a full time line, ms", _page_ms)
     _print("counting, us", _count_us)
     _print("observing a duration, us", _observe_us)
-    _print(f"copying {LATENCIES} latencies on the loop, ms", _freeze_ms)
-    _print(f"summarising {LATENCIES} latencies off the loop, ms", _summarise_ms)
+    _print(f"copying {LATENCY_COUNT} latencies on the loop, ms", _freeze_ms)
+    _print(f"summarising {LATENCY_COUNT} latencies off the loop, ms", _summarise_ms)
     _print("longest delay of an idle loop, ms", lambda: _loop_delay_ms(lambda: time.sleep(0.15)))
     frozen = _filled_metrics().freeze()
     _print(
@@ -44,11 +44,11 @@
 
 
 def _timeline() -> Timeline:
-    return Timeline(process="bergen-entry-1", wall_clock_s=time.time, capacity=EVENTS)
+    return Timeline(process="bergen-entry-1", wall_clock_s=time.time, capacity=EVENT_COUNT)
 
 
 def _fill(timeline: Timeline) -> None:
-    for attempt in range(EVENTS):
+    for attempt in range(EVENT_COUNT):
         subject = Subject(
             request=secrets.token_hex(12), instance="bergen-w01", service="fault-traces"
         )
@@ -63,16 +63,16 @@
     _fill(timeline)
     used_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return used_bytes / EVENTS
+    return used_bytes / EVENT_COUNT
 
 
 def _record_us() -> float:
     timeline = _timeline()
     subject = Subject(request="r")
     began_s = time.perf_counter()
-    for _ in range(EVENTS):
+    for _ in range(EVENT_COUNT):
         timeline.record(EventKind.SENT, subject=subject)
-    return (time.perf_counter() - began_s) / EVENTS * 1e6
+    return (time.perf_counter() - began_s) / EVENT_COUNT * 1e6
 
 
 def _page_ms() -> float:
@@ -86,24 +86,24 @@
 def _count_us() -> float:
     metrics = Metrics()
     began_s = time.perf_counter()
-    for _ in range(OBSERVATIONS):
+    for _ in range(OBSERVATION_COUNT):
         metrics.count("requests.refused.over-quota")
-    return (time.perf_counter() - began_s) / OBSERVATIONS * 1e6
+    return (time.perf_counter() - began_s) / OBSERVATION_COUNT * 1e6
 
 
 def _observe_us() -> float:
     metrics = Metrics()
     began_s = time.perf_counter()
-    for place in range(OBSERVATIONS):
-        metrics.observe_s("latency.interactive.trace", 0.001 * (place % 997))
-    return (time.perf_counter() - began_s) / OBSERVATIONS * 1e6
+    for index in range(OBSERVATION_COUNT):
+        metrics.observe_s("latency.interactive.trace", 0.001 * (index % 997))
+    return (time.perf_counter() - began_s) / OBSERVATION_COUNT * 1e6
 
 
 def _filled_metrics() -> Metrics:
     metrics = Metrics()
-    for number in range(LATENCIES):
-        for place in range(50):
-            metrics.observe_s(f"latency.interactive.service-{number}", 0.001 * (place + 1))
+    for number in range(LATENCY_COUNT):
+        for index in range(50):
+            metrics.observe_s(f"latency.interactive.service-{number}", 0.001 * (index + 1))
     return metrics
 
 
@@ -132,8 +132,8 @@
     thread.start()
     longest_s = 0.0
     while thread.is_alive():
-        due_s = loop.time() + TICK_S
-        await asyncio.sleep(TICK_S)
+        due_s = loop.time() + TICK_INTERVAL_S
+        await asyncio.sleep(TICK_INTERVAL_S)
         longest_s = max(longest_s, loop.time() - due_s)
     thread.join()
     return longest_s
--- a/bench/operators_api.py
+++ b/bench/operators_api.py
@@ -16,10 +16,10 @@
 from shallotworks.settings import OperatorsSettings
 from shallotworks.timeline import Timeline
 
-CALLS = 200
-INSTANCES = 1_100
-POOLS = 305
-DATA_CENTRES = 22
+CALLS_PER_PATH = 200
+INSTANCE_COUNT = 1_100
+POOL_COUNT = 305
+DATA_CENTRE_COUNT = 22
 TOKEN = "measured"
 PATHS = ("/v1/status", "/v1/pools", "/v1/instances", "/v1/instances?pool=pool-7", "/v1/other")
 
@@ -53,7 +53,7 @@
     http = urllib3.PoolManager(headers={"Authorization": f"Bearer {TOKEN}"})
     for path in PATHS:
         times_ms = []
-        for _ in range(CALLS):
+        for _ in range(CALLS_PER_PATH):
             began_s = time.perf_counter()
             answer = http.request("GET", f"http://127.0.0.1:{port}{path}")
             times_ms.append((time.perf_counter() - began_s) * 1e3)
@@ -67,24 +67,24 @@
         revision=1,
         data_centres={
             f"dc-{number}": DataCentre(name=f"dc-{number}", region="r")
-            for number in range(DATA_CENTRES)
+            for number in range(DATA_CENTRE_COUNT)
         },
-        pools={f"pool-{number}": Pool(name=f"pool-{number}") for number in range(POOLS)},
+        pools={f"pool-{number}": Pool(name=f"pool-{number}") for number in range(POOL_COUNT)},
         services={
             f"service-{number}": Service(
                 name=f"service-{number}", pool=f"pool-{number}", share=1.0, max_unavailable=1
             )
-            for number in range(POOLS)
+            for number in range(POOL_COUNT)
         },
         instances={
             f"worker-{number}": Instance(
                 name=f"worker-{number}",
-                data_centre=f"dc-{number % DATA_CENTRES}",
+                data_centre=f"dc-{number % DATA_CENTRE_COUNT}",
                 rack=f"rack-{number % 4}",
-                pool=f"pool-{number % POOLS}",
+                pool=f"pool-{number % POOL_COUNT}",
                 address=f"10.0.{number // 250}.{number % 250}:9000",
                 slots=8,
             )
-            for number in range(INSTANCES)
+            for number in range(INSTANCE_COUNT)
         },
     )
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -60,14 +60,14 @@
 TARGET_INSTANCES = 1_100
 TARGET_POOLS = 305
 TARGET_CENTRES = 22
-EVERYTHING = Maintain(selection=NotMaintainedSince(before_s=1.0))
-FJELLSENDING = PlannerWeights(buffer=0.7, roll_out=0.2, moves=0.1)
-TIJERA = PlannerWeights(buffer=0.1, roll_out=0.8, moves=0.1, window_s=8 * 3600)
+MAINTAIN_ALL = Maintain(selection=NotMaintainedSince(before_s=1.0))
+FJELLSENDING_WEIGHTS = PlannerWeights(buffer=0.7, roll_out=0.2, moves=0.1)
+TIJERA_WEIGHTS = PlannerWeights(buffer=0.1, roll_out=0.8, moves=0.1, window_s=8 * 3600)
 SMALL_CASES = 20
 SMALL_INSTANCES = 6
-KILLS = 40
-EQUAL = 1e-9
-TICK_S = 0.001
+KILL_COUNT = 40
+GAP_TOLERANCE = 1e-9
+TICK_INTERVAL_S = 0.001
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -138,11 +138,11 @@
 
 
 def _cases() -> Iterator[Case]:
-    yield Case(name="Fjellsending today", state=fjellsending(), weights=FJELLSENDING)
-    yield Case(name="Tijera de Plata today", state=tijera(), weights=TIJERA)
+    yield Case(name="Fjellsending today", state=fjellsending(), weights=FJELLSENDING_WEIGHTS)
+    yield Case(name="Tijera de Plata today", state=tijera(), weights=TIJERA_WEIGHTS)
     target = _target_fleet()
-    yield Case(name="target, buffer first", state=target, weights=FJELLSENDING)
-    yield Case(name="target, roll-out first", state=target, weights=TIJERA)
+    yield Case(name="target, buffer first", state=target, weights=FJELLSENDING_WEIGHTS)
+    yield Case(name="target, roll-out first", state=target, weights=TIJERA_WEIGHTS)
 
 
 def _target_fleet() -> FleetState:
@@ -164,10 +164,10 @@
     for _ in range(ROUNDS):
         gc.collect()
         started_s = time.perf_counter()
-        plan = planner.plan(case.state, EVERYTHING, author="bench").unwrap()
+        plan = planner.plan(case.state, MAINTAIN_ALL, author="bench").unwrap()
         times_s.append(time.perf_counter() - started_s)
     tracemalloc.start()
-    planner.plan(case.state, EVERYTHING, author="bench").unwrap()
+    planner.plan(case.state, MAINTAIN_ALL, author="bench").unwrap()
     _, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(
@@ -175,15 +175,17 @@
         f" planning s {statistics.median(times_s):.3f} ({min(times_s):.3f} to {max(times_s):.3f}),"
         f" peak MB {peak_bytes / 1e6:.1f}, stored KB {len(plan.encode()) / 1e3:.0f}"
     )
-    for way in plan.alternatives:
-        _print_way(way)
+    for alternative in plan.alternatives:
+        _print_alternative(alternative)
 
 
-def _print_way(way: Alternative) -> None:
+def _print_alternative(alternative: Alternative) -> None:
     print(
-        f"  {way.strategy.value:<30} cost {way.cost:8.2f}  slots {way.measures.buffer_slots:5d}"
-        f"  roll-out s {way.measures.roll_out_s:8.0f}  moves {way.measures.moves:7.1f}"
-        f"  waves {way.measures.waves:5d}  {way.verdict}"
+        f"  {alternative.strategy.value:<30} cost {alternative.cost:8.2f}"
+        f"  slots {alternative.measures.buffer_slots:5d}"
+        f"  roll-out s {alternative.measures.roll_out_s:8.0f}"
+        f"  moves {alternative.measures.moves:7.1f}"
+        f"  waves {alternative.measures.waves:5d}  {alternative.verdict}"
     )
 
 
@@ -205,7 +207,7 @@
 
 def _print_loop_delay() -> None:
     """Tell how long planning on a thread holds up the event loop, which takes all decisions."""
-    planner = Planner(weights=FJELLSENDING, model=DisruptionModel())
+    planner = Planner(weights=FJELLSENDING_WEIGHTS, model=DisruptionModel())
     state = _target_fleet()
     delays_s = [asyncio.run(_loop_delay_s(planner, state)) for _ in range(ROUNDS)]
     idle_s = [asyncio.run(_loop_delay_s(None, state)) for _ in range(ROUNDS)]
@@ -220,24 +222,27 @@
         if planner is None:
             time.sleep(1.0)
         else:
-            planner.plan(state, EVERYTHING, author="bench").unwrap()
+            planner.plan(state, MAINTAIN_ALL, author="bench").unwrap()
 
     planning = asyncio.ensure_future(asyncio.to_thread(work))
     longest_s = 0.0
     while not planning.done():
         started_s = time.perf_counter()
-        await asyncio.sleep(TICK_S)
-        longest_s = max(longest_s, time.perf_counter() - started_s - TICK_S)
+        await asyncio.sleep(TICK_INTERVAL_S)
+        longest_s = max(longest_s, time.perf_counter() - started_s - TICK_INTERVAL_S)
     return longest_s
 
 
 def _print_distance() -> None:
     """Compare with exhaustive search over all ordered partitions of small cases into waves."""
     rng = random.Random(SEED)
-    for name, weights in (("buffer first", FJELLSENDING), ("roll-out first", TIJERA)):
+    for name, weights in (
+        ("buffer first", FJELLSENDING_WEIGHTS),
+        ("roll-out first", TIJERA_WEIGHTS),
+    ):
         for keeps_one, rule in ((False, "budgets alone"), (True, "and one left per data centre")):
-            gaps = [_gap(rng, weights, keeps_one=keeps_one) for _ in range(SMALL_CASES)]
-            exact = sum(gap < EQUAL for gap in gaps)
+            gaps = [_relative_gap(rng, weights, keeps_one=keeps_one) for _ in range(SMALL_CASES)]
+            exact = sum(gap < GAP_TOLERANCE for gap in gaps)
             print(
                 f"distance from optimum, {name}, {rule}: {SMALL_CASES} fleets of"
                 f" {SMALL_INSTANCES} instances, exhaustive search: {exact} at the optimum,"
@@ -245,30 +250,32 @@
             )
 
 
-def _gap(rng: random.Random, weights: PlannerWeights, *, keeps_one: bool) -> float:
+def _relative_gap(rng: random.Random, weights: PlannerWeights, *, keeps_one: bool) -> float:
     sizes = [1, 1, 1]
     while sum(sizes) < SMALL_INSTANCES:
         sizes[rng.randrange(3)] += 1
     pools = {f"p{number}": size for number, size in enumerate(sizes)}
-    state = make_fleet(centres=("x", "y"), pools=pools, budget=rng.randint(1, 2), per_rack=2)
-    plan = Planner(weights=weights, model=DisruptionModel()).plan(state, EVERYTHING, author="bench")
+    state = fleet(centres=("x", "y"), pools=pools, budget=rng.randint(1, 2), per_rack=2)
+    plan = Planner(weights=weights, model=DisruptionModel()).plan(
+        state, MAINTAIN_ALL, author="bench"
+    )
     chosen = plan.unwrap().measures
-    every = list(_all_measures(state, keeps_one=keeps_one))
+    all_measures = list(_all_measures(state, keeps_one=keeps_one))
     best = Measures(
-        buffer_slots=min(found.buffer_slots for found in every),
-        roll_out_s=min(found.roll_out_s for found in every),
-        moves=min(found.moves for found in every),
-        waves=min(found.waves for found in every),
+        buffer_slots=min(measures.buffer_slots for measures in all_measures),
+        roll_out_s=min(measures.roll_out_s for measures in all_measures),
+        moves=min(measures.moves for measures in all_measures),
+        waves=min(measures.waves for measures in all_measures),
     )
-    least = min(weighted_cost(found, best=best, weights=weights) for found in every)
+    least = min(weighted_cost(measures, best=best, weights=weights) for measures in all_measures)
     return weighted_cost(chosen, best=best, weights=weights) / least - 1
 
 
 def _all_measures(state: FleetState, *, keeps_one: bool) -> Iterator[Measures]:
     supply = index_supply(state)
-    actions = actions_of(EVERYTHING)
+    actions = actions_of(MAINTAIN_ALL)
     for waves in _ordered_partitions(list(state.instances.values())):
-        if all(_within(wave, state, keeps_one=keeps_one) for wave in waves):
+        if all(_is_within_budgets(wave, state, keeps_one=keeps_one) for wave in waves):
             yield measure(waves, actions=actions, supply=supply, model=DisruptionModel())
 
 
@@ -283,7 +290,7 @@
                 yield [list(first), *others]
 
 
-def _within(wave: list[Instance], state: FleetState, *, keeps_one: bool) -> bool:
+def _is_within_budgets(wave: list[Instance], state: FleetState, *, keeps_one: bool) -> bool:
     pools = Counter(entry.pool for entry in wave)
     if any(taken > state.disruption_budget(pool) for pool, taken in pools.items()):
         return False
@@ -296,8 +303,8 @@
 
 def _print_store_calls() -> None:
     for name, state, weights in (
-        ("Fjellsending", fjellsending(), FJELLSENDING),
-        ("Tijera de Plata", tijera(), TIJERA),
+        ("Fjellsending", fjellsending(), FJELLSENDING_WEIGHTS),
+        ("Tijera de Plata", tijera(), TIJERA_WEIGHTS),
     ):
         run(functools.partial(_store_calls, name, state, weights))
 
@@ -307,23 +314,23 @@
         state, weights=weights, policy=ConductorPolicy(), reboot_s=300.0
     )
     harness.start_conductor()
-    plan = await _confirmed(harness, EVERYTHING)
+    plan = await _confirmed(harness, MAINTAIN_ALL)
     calls_before = sum(harness.store.calls.values())
     writes_before = len(harness.config.history)
     started_s = asyncio.get_running_loop().time()
-    await harness.wait_until_ended(plan.digest)
-    took_s = asyncio.get_running_loop().time() - started_s
+    await harness.until_ended(plan.digest)
+    elapsed_s = asyncio.get_running_loop().time() - started_s
     writes = len(harness.config.history) - writes_before
-    made = [change for change, _ in harness.config.history[writes_before:]]
-    conditions = sum(isinstance(change, SetCondition) for change in made)
-    progress = sum(isinstance(change, AdvancePlan) for change in made)
+    changes = [change for change, _ in harness.config.history[writes_before:]]
+    conditions = sum(isinstance(change, SetCondition) for change in changes)
+    progress = sum(isinstance(change, AdvancePlan) for change in changes)
     lease_calls = sum(harness.store.calls.values()) - calls_before
     waves = len(plan.waves)
     print(
-        f"{name}: {waves} waves in {took_s:.0f} s (planned {plan.measures.roll_out_s:.0f});"
+        f"{name}: {waves} waves in {elapsed_s:.0f} s (planned {plan.measures.roll_out_s:.0f});"
         f" changes per wave {writes / waves:.1f} ({conditions / waves:.1f} conditions,"
         f" {progress / waves:.1f} progress), lease and plan calls per wave"
-        f" {lease_calls / waves:.1f}, per minute {lease_calls / took_s * 60:.1f}"
+        f" {lease_calls / waves:.1f}, per minute {lease_calls / elapsed_s * 60:.1f}"
     )
     await harness.stop()
 
@@ -331,10 +338,11 @@
 def _print_takeover() -> None:
     for ttl_s in (3.0, 4.0, 10.0):
         pauses_s: list[float] = []
-        for kill in range(KILLS):
+        for kill in range(KILL_COUNT):
             run(functools.partial(_takeover, kill, ttl_s, pauses_s))
         print(
-            f"pause of a wave when its conductor is killed, lease of {ttl_s:.0f} s, {KILLS} kills,"
+            f"pause of a wave when its conductor is killed, lease of {ttl_s:.0f} s,"
+            f" {KILL_COUNT} kills,"
             f" 3 candidates: median s {statistics.median(pauses_s):.1f},"
             f" longest {max(pauses_s):.1f}"
         )
--- a/bench/platform_client.py
+++ b/bench/platform_client.py
@@ -15,13 +15,13 @@
 from shallotworks.metrics import Metrics
 from shallotworks.timeline import Timeline
 
-CALLS = 1_000
+CALL_COUNT = 1_000
 ROUNDS = 3
-CLIENTS = 66
+CLIENT_COUNT = 66
 CALLERS_PER_CLIENT = 3
 OUTAGE_S = 20.0
-RETURN_S = 8.0
-WINDOW_S = 0.25
+RECOVERY_WINDOW_S = 8.0
+PEAK_WINDOW_S = 0.25
 
 
 def main() -> None:
@@ -37,7 +37,7 @@
 def _measure_bare(address: str) -> None:
     pool = urllib3.HTTPConnectionPool(address)
     times_ms = []
-    for _ in range(CALLS):
+    for _ in range(CALL_COUNT):
         started_s = time.perf_counter()
         pool.request("GET", "/kv/v1/key?key=a")
         times_ms.append((time.perf_counter() - started_s) * 1e3)
@@ -49,21 +49,21 @@
     store = _client(address, PlatformLimits(rate_per_s=10_000, burst=10_000))
     times_ms = []
     used_s = time.thread_time()
-    for _ in range(CALLS):
+    for _ in range(CALL_COUNT):
         started_s = time.perf_counter()
         (await store.get("a")).unwrap()
         times_ms.append((time.perf_counter() - started_s) * 1e3)
-    used_us = (time.thread_time() - used_s) / CALLS * 1e6
+    used_us = (time.thread_time() - used_s) / CALL_COUNT * 1e6
     store.close()
     print(f"a read by the client: {_quantiles(times_ms)}, {used_us:.0f} us of the loop's thread")
 
 
 async def _measure_outage(address: str) -> None:
     """Let many instances, each with some callers that never rest, live through an outage."""
-    clients = [_client(address, PlatformLimits()) for _ in range(CLIENTS)]
-    back_s: dict[int, float] = {}
+    clients = [_client(address, PlatformLimits()) for _ in range(CLIENT_COUNT)]
+    first_success_s: dict[int, float] = {}
     tasks = [
-        asyncio.create_task(_insist(number, client, back_s))
+        asyncio.create_task(_call_repeatedly(number, client, first_success_s))
         for number, client in enumerate(clients)
         for _ in range(CALLERS_PER_CLIENT)
     ]
@@ -74,16 +74,19 @@
     await asyncio.sleep(OUTAGE_S / 2)
     after = await asyncio.to_thread(_calls, address)
     rate = (after - before) / (OUTAGE_S / 2)
-    print(f"{CLIENTS} instances, store down: {rate:.0f} calls/s in all, {rate / CLIENTS:.2f} each")
-    back_s.clear()
+    print(
+        f"{CLIENT_COUNT} instances, store down: {rate:.0f} calls/s in all, "
+        f"{rate / CLIENT_COUNT:.2f} each"
+    )
+    first_success_s.clear()
     await asyncio.to_thread(_set_down, address, False)
     returned_s = time.perf_counter()
-    peak = await _peak(address)
-    waits_s = sorted(at_s - returned_s for at_s in back_s.values())
+    peak = await _peak_rate(address)
+    waits_s = sorted(at_s - returned_s for at_s in first_success_s.values())
     print(
         f"back: instances notice after p50 {statistics.median(waits_s):.1f} s,"
-        f" the last after {waits_s[-1]:.1f} s ({len(waits_s)} of {CLIENTS});"
-        f" peak {peak:.0f} calls/s over {WINDOW_S} s"
+        f" the last after {waits_s[-1]:.1f} s ({len(waits_s)} of {CLIENT_COUNT});"
+        f" peak {peak:.0f} calls/s over {PEAK_WINDOW_S} s"
     )
     for task in tasks:
         task.cancel()
@@ -92,21 +95,23 @@
         client.close()
 
 
-async def _insist(number: int, client: HttpKeyValueStore, back_s: dict[int, float]) -> None:
+async def _call_repeatedly(
+    number: int, client: HttpKeyValueStore, first_success_s: dict[int, float]
+) -> None:
     while True:
         outcome = await client.get("a")
         if isinstance(outcome, Success):
-            back_s.setdefault(number, time.perf_counter())
+            first_success_s.setdefault(number, time.perf_counter())
             await asyncio.sleep(1)
         else:
             await asyncio.sleep(max(0.05, outcome.failure().retry_after_s or 0))
 
 
-async def _peak(address: str) -> float:
-    peak, ends_s = 0.0, time.perf_counter() + RETURN_S
+async def _peak_rate(address: str) -> float:
+    peak, ends_s = 0.0, time.perf_counter() + RECOVERY_WINDOW_S
     before, before_s = await asyncio.to_thread(_calls, address), time.perf_counter()
     while time.perf_counter() < ends_s:
-        await asyncio.sleep(WINDOW_S)
+        await asyncio.sleep(PEAK_WINDOW_S)
         calls, now_s = await asyncio.to_thread(_calls, address), time.perf_counter()
         peak = max(peak, (calls - before) / (now_s - before_s))
         before, before_s = calls, now_s
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -9,11 +9,11 @@
 from bench._load import LoadResult
 from bench._processes import Process, load, process, serving
 
-CALLERS = 24
-SECONDS = 5.0
+CALLER_COUNT = 24
+ROUND_S = 5.0
 ROUNDS = 5
-GOAL_THROUGHPUT = 0.75
-GOAL_P99 = 1.3
+GOAL_THROUGHPUT_RATIO = 0.75
+GOAL_P99_RATIO = 1.3
 IDLE_S = 3.0
 
 
@@ -34,8 +34,8 @@
 def main() -> None:
     """Print medians over the rounds, ratios, the time to serving and the memory when idle."""
     with process("bench._bare", "target") as target, serving("bench._entry", "platform") as store:
-        bare_of = ("bench._bare", "relay", "--target-port", str(target.port))
-        ours_of = (
+        bare_arguments = ("bench._bare", "relay", "--target-port", str(target.port))
+        entry_arguments = (
             "bench._entry",
             "serve",
             "--platform-port",
@@ -43,10 +43,10 @@
             "--target-port",
             str(target.port),
         )
-        with process(*bare_of) as bare, process(*ours_of) as ours:
+        with process(*bare_arguments) as bare, process(*entry_arguments) as ours:
             results = _rounds({"target alone": target, "bare relay": bare, "entry instance": ours})
         started_s = time.monotonic()
-        with process(*ours_of) as idle:
+        with process(*entry_arguments) as idle:
             to_serving_s = time.monotonic() - started_s
             time.sleep(IDLE_S)
             idle_bytes = idle.resident_bytes()
@@ -59,14 +59,14 @@
     for _ in range(ROUNDS):
         for name, measured in processes.items():
             before_s = measured.processor_s()
-            result = load(port=measured.port, callers=CALLERS, seconds=SECONDS)
+            result = load(port=measured.port, callers=CALLER_COUNT, seconds=ROUND_S)
             used_s = measured.processor_s() - before_s
             rounds[name].append(Round(load=result, processor_ms=used_s / result.requests * 1000))
     return rounds
 
 
 def _print(results: dict[str, list[Round]]) -> None:
-    print(f"{CALLERS} callers, medians of {ROUNDS} rounds of {SECONDS:g} s")
+    print(f"{CALLER_COUNT} callers, medians of {ROUNDS} rounds of {ROUND_S:g} s")
     print("what              per s   p50 ms   p99 ms  longest ms  errors  processor ms each")
     for name, rounds in results.items():
         print(
@@ -79,8 +79,8 @@
     throughput = _median(ours, "per_s") / _median(bare, "per_s")
     p99 = _median(ours, "p99_ms") / _median(bare, "p99_ms")
     print(
-        f"throughput {throughput:.2f} of the bare relay (goal {GOAL_THROUGHPUT}),"
-        f" p99 {p99:.2f} times (goal {GOAL_P99})"
+        f"throughput {throughput:.2f} of the bare relay (goal {GOAL_THROUGHPUT_RATIO}),"
+        f" p99 {p99:.2f} times (goal {GOAL_P99_RATIO})"
     )
 
 
--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -24,14 +24,14 @@
     urgency,
 )
 
-Order = Callable[[TrackedStep, float], tuple[float, ...]]
+SortKey = Callable[[TrackedStep, float], tuple[float, ...]]
 
 SEEDS = range(1, 9)
-WORKERS = 8
+WORKER_COUNT = 8
 WORKER_MILLICORES = 32_000
-TURN_S = 5.0
-PAUSE_S = 10.0
-JOBS_A_SECOND = 30.0
+ARRIVAL_PERIOD_S = 5.0
+WIND_DOWN_S = 10.0
+JOBS_PER_S = 30.0
 TICK_S = 0.05
 POLICY = QueuePolicy(queue="q", service="s", most_attempts=2, stretch=1.6, target_latency_s=0.6)
 
@@ -59,7 +59,7 @@
     return (1, entry.tracked_job.work_core_s)
 
 
-POLICIES: dict[str, Order] = {
+POLICIES: dict[str, SortKey] = {
     "first come first served": first_come,
     "deadline only": deadline_only,
     "smallest first": smallest_first,
@@ -72,20 +72,20 @@
     """Print the share of jobs within their objective, by policy."""
     print(f"{'order':26} in objective  worst seed  of the largest fifth")
     for name, order in POLICIES.items():
-        plays = [_play(seed, order) for seed in SEEDS]
-        shares = [all_part for all_part, _ in plays]
-        largest = statistics.median(large for _, large in plays)
+        results = [_simulate(seed, order) for seed in SEEDS]
+        shares = [all_part for all_part, _ in results]
+        largest = statistics.median(large for _, large in results)
         print(f"{name:26} {statistics.median(shares):12.3f} {min(shares):11.3f} {largest:11.3f}")
 
 
-def _play(seed: int, order: Order) -> tuple[float, float]:
+def _simulate(seed: int, order: SortKey) -> tuple[float, float]:
     rng = random.Random(seed)
     arrivals = _arrivals(rng)
     scheduler_state = SchedulerState(
         service="s", token=1, log=StructuredLog(process="bench", write=len)
     )
     decision_engine = DecisionEngine(scheduler_state=scheduler_state, order=order)
-    for number in range(WORKERS):
+    for number in range(WORKER_COUNT):
         view = WorkerView(
             worker_id=f"w{number}",
             service="s",
@@ -100,11 +100,11 @@
     running: list[tuple[float, StartOrder]] = []
     ended_s: dict[str, float] = {}
     now_s = 0.0
-    while now_s < TURN_S + PAUSE_S:
+    while now_s < ARRIVAL_PERIOD_S + WIND_DOWN_S:
         while arrivals and arrivals[0].accepted_s <= now_s:
-            _accept(scheduler_state, arrivals.pop(0), now_s)
+            _add_job(scheduler_state, arrivals.pop(0), now_s)
         running = _end_some(scheduler_state, running, now_s)
-        _note_completed(scheduler_state, ended_s, now_s)
+        _record_completed(scheduler_state, ended_s, now_s)
         for decision in decision_engine.decide(now_s=now_s, wall_s=now_s):
             if isinstance(decision, StartOrder):
                 length_s = decision.run.step.estimated_s * rng.uniform(0.8, 1.2)
@@ -116,8 +116,8 @@
 def _arrivals(rng: random.Random) -> list[Job]:
     jobs: list[Job] = []
     at_s = 0.0
-    while at_s < TURN_S:
-        at_s += rng.expovariate(JOBS_A_SECOND)
+    while at_s < ARRIVAL_PERIOD_S:
+        at_s += rng.expovariate(JOBS_PER_S)
         steps = tuple(
             Step(
                 count=max(1, min(24, int(rng.lognormvariate(1.6, 0.6)))),
@@ -134,7 +134,7 @@
     return jobs
 
 
-def _accept(scheduler_state: SchedulerState, job: Job, now_s: float) -> None:
+def _add_job(scheduler_state: SchedulerState, job: Job, now_s: float) -> None:
     scheduler_state.add_job(
         job, JobProgress(queue="q"), revision=1, is_inherited=False, wall_s=now_s
     )
@@ -157,7 +157,7 @@
     return [row for row in running if row[0] > now_s]
 
 
-def _note_completed(
+def _record_completed(
     scheduler_state: SchedulerState, ended_s: dict[str, float], now_s: float
 ) -> None:
     for job_id, entry in scheduler_state.tracked_jobs.items():
@@ -167,9 +167,9 @@
 
 def _shares(scheduler_state: SchedulerState, ended_s: dict[str, float]) -> tuple[float, float]:
     entries = sorted(scheduler_state.tracked_jobs.values(), key=lambda entry: entry.work_core_s)
-    within = [
+    met_objective = [
         ended_s.get(entry.job.job_id, 1e9) <= entry.job.accepted_s + entry.job.objective_s()
         for entry in entries
     ]
-    largest = within[-len(within) // 5 :]
-    return sum(within) / len(within), sum(largest) / len(largest)
+    largest = met_objective[-len(met_objective) // 5 :]
+    return sum(met_objective) / len(met_objective), sum(largest) / len(largest)
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -18,17 +18,19 @@
 from shallotworks.jobs import TaskName
 
 SEEDS = range(1, 101)
-JOB_EVERY_S = 0.1
-WATCHED_S = 15.0
+JOB_INTERVAL_S = 0.1
+OBSERVATION_S = 15.0
 
 
-async def _hand_in_on(simulation: SchedulingSimulation) -> None:
+async def _submit_jobs(simulation: SchedulingSimulation) -> None:
     number = 0
     while True:
         number += 1
-        work = asyncio.create_task(simulation.submit(f"{number:016x}", step(1, estimated_s=0.5)))
-        work.add_done_callback(lambda done: done.cancelled() or done.exception())
-        await asyncio.sleep(JOB_EVERY_S)
+        submission = asyncio.create_task(
+            simulation.submit(f"{number:016x}", step(1, estimated_s=0.5))
+        )
+        submission.add_done_callback(lambda done: done.cancelled() or done.exception())
+        await asyncio.sleep(JOB_INTERVAL_S)
 
 
 async def _measure(seed: int, *, is_planned: bool) -> tuple[float, float]:
@@ -37,7 +39,7 @@
     for instance in simulation.instances:
         instance.start()
     await asyncio.sleep(1.0)
-    callers = asyncio.create_task(_hand_in_on(simulation))
+    callers = asyncio.create_task(_submit_jobs(simulation))
     await asyncio.sleep(random.Random(seed).uniform(3.0, 5.0))
     scheduler = simulation.scheduler()
     assert scheduler is not None
@@ -47,22 +49,26 @@
     ended = asyncio.create_task(
         scheduler.elector.stop() if is_planned else simulation.replace(scheduler)
     )
-    firsts = [float("inf"), float("inf")]
-    while loop.time() - at_s < WATCHED_S and float("inf") in firsts:
+    first_starts_s = [float("inf"), float("inf")]
+    while loop.time() - at_s < OBSERVATION_S and float("inf") in first_starts_s:
         await asyncio.sleep(0.01)
-        _note(simulation.fleet.begun - begun, before, firsts, loop.time() - at_s)
+        _record_first_starts(
+            simulation.fleet.begun - begun, before, first_starts_s, loop.time() - at_s
+        )
     callers.cancel()
     await asyncio.gather(callers, ended, return_exceptions=True)
     await asyncio.sleep(1.0)
     for instance in simulation.instances:
         await instance.kill()
-    return firsts[0], firsts[1]
+    return first_starts_s[0], first_starts_s[1]
 
 
-def _note(started: set[TaskName], before: set[str], firsts: list[float], after_s: float) -> None:
+def _record_first_starts(
+    started: set[TaskName], before: set[str], first_starts_s: list[float], after_s: float
+) -> None:
     for name in started:
         kind = 0 if name.job_id in before else 1
-        firsts[kind] = min(firsts[kind], after_s)
+        first_starts_s[kind] = min(first_starts_s[kind], after_s)
 
 
 def main() -> None:
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -28,12 +28,12 @@
     WorkerView,
 )
 
-WORKERS = (50, 100)
-ASKED_A_SECOND = (400, 800, 1600)
-TURN_S = 5.0
-TASKS_A_JOB = 8
+WORKER_COUNTS = (50, 100)
+REQUESTED_STARTS_PER_S = (400, 800, 1600)
+LOAD_PERIOD_S = 5.0
+TASKS_PER_JOB = 8
 TASK_S = 1.0
-ANSWER_S = 0.003
+ANSWER_LATENCY_S = 0.003
 
 
 class LightWorker:
@@ -79,12 +79,12 @@
         self, worker: WorkerView, order: StartOrder, *, token: int, lease_until_ms: int
     ) -> OrderOutcome:
         """Start a run."""
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(ANSWER_LATENCY_S)
         now_s = time.monotonic()
-        one = self.workers[worker.worker_id]
+        light_worker = self.workers[worker.worker_id]
         self.started += 1
-        one.running[(order.run.name, order.run.run_id)] = (now_s, order)
-        heapq.heappush(one.ends, (now_s + TASK_S, order.run.run_id, order))
+        light_worker.running[(order.run.name, order.run.run_id)] = (now_s, order)
+        heapq.heappush(light_worker.ends, (now_s + TASK_S, order.run.run_id, order))
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=int(now_s * 1000))
 
     async def stop(self, worker: WorkerView, order: StopOrder, *, token: int) -> OrderOutcome:
@@ -106,37 +106,39 @@
         timeout_s: float,
     ) -> OrderOutcome:
         """Tell what runs and what has ended, as soon as something has."""
-        one = self.workers[worker.worker_id]
-        while one.ended and one.ended[0].number <= acknowledged:
-            one.ended.popleft()
-        one.end_due_runs(time.monotonic())
-        if not one.ended and wait_s > 0:
-            next_s = one.ends[0][0] - time.monotonic() if one.ends else wait_s
+        light_worker = self.workers[worker.worker_id]
+        while light_worker.ended and light_worker.ended[0].number <= acknowledged:
+            light_worker.ended.popleft()
+        light_worker.end_due_runs(time.monotonic())
+        if not light_worker.ended and wait_s > 0:
+            next_s = light_worker.ends[0][0] - time.monotonic() if light_worker.ends else wait_s
             await asyncio.sleep(max(0.0, min(wait_s, next_s)))
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(ANSWER_LATENCY_S)
         now_s = time.monotonic()
-        one.end_due_runs(now_s)
+        light_worker.end_due_runs(now_s)
         rows = tuple(
             RunningTask(
                 name=order.run.name,
                 run_id=order.run.run_id,
                 percent=int((now_s - began_s) / TASK_S * 100),
             )
-            for began_s, order in one.running.values()
+            for began_s, order in light_worker.running.values()
+        )
+        report = WorkerReport(
+            clock_ms=int(now_s * 1000), running=rows, ended=tuple(light_worker.ended)
         )
-        report = WorkerReport(clock_ms=int(now_s * 1000), running=rows, ended=tuple(one.ended))
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=report.clock_ms, report=report)
 
 
 def main() -> None:
     """Print a row for each size and load."""
     print("workers  asked/s  started/s  us of processor a task  longest turn of the loop ms")
-    for workers in WORKERS:
-        for asked in ASKED_A_SECOND:
-            asyncio.run(_play(workers, asked))
+    for workers in WORKER_COUNTS:
+        for requested_per_s in REQUESTED_STARTS_PER_S:
+            asyncio.run(_run_load(workers, requested_per_s))
 
 
-async def _play(workers: int, asked: int) -> None:
+async def _run_load(workers: int, requested_per_s: int) -> None:
     simulation = SchedulingSimulation(seed=1, workers=0, instances=1)
     fleet = LightWorkers(workers=workers)
     instance: Instance = simulation.instances[0]
@@ -146,19 +148,20 @@
     await asyncio.sleep(1.0)
     began_s, began_cpu_s = time.monotonic(), time.process_time()
     before = fleet.started
-    given, longest_s, last_s = 0, 0.0, began_s
+    submitted_count, longest_s, last_s = 0, 0.0, began_s
     submitted: list[asyncio.Task[None]] = []
-    while (now_s := time.monotonic()) - began_s < TURN_S:
+    while (now_s := time.monotonic()) - began_s < LOAD_PERIOD_S:
         longest_s, last_s = max(longest_s, now_s - last_s), now_s
-        while given < (now_s - began_s) * asked / TASKS_A_JOB:
-            job = step(TASKS_A_JOB, cpu_millicores=7_000, memory_mb=9_000, estimated_s=TASK_S)
-            submitted.append(asyncio.create_task(simulation.submit(f"{given:016x}", job)))
-            given += 1
+        while submitted_count < (now_s - began_s) * requested_per_s / TASKS_PER_JOB:
+            job = step(TASKS_PER_JOB, cpu_millicores=7_000, memory_mb=9_000, estimated_s=TASK_S)
+            submitted.append(asyncio.create_task(simulation.submit(f"{submitted_count:016x}", job)))
+            submitted_count += 1
         await asyncio.sleep(0.005)
     started = fleet.started - before
     cpu_us = (time.process_time() - began_cpu_s) / max(1, started) * 1e6
     print(
-        f"{workers:7} {asked:8} {started / TURN_S:10.0f} {cpu_us:23.0f} {longest_s * 1000:28.0f}",
+        f"{workers:7} {requested_per_s:8} {started / LOAD_PERIOD_S:10.0f} {cpu_us:23.0f} "
+        f"{longest_s * 1000:28.0f}",
         flush=True,
     )
     for task in submitted:
--- a/tests/test_bottlenecks.py
+++ b/tests/test_bottlenecks.py
@@ -79,9 +79,9 @@
         self, _: str, lines: tuple[str, ...], state: dict[str, int], expected: str
     ) -> None:
         """A row tells apart what its tasks wait for, the most certain cause first."""
-        begun = line(0.1, "a", "term-begun", service="s", token=5)
-        told = line(0.2, "a", "pool-state", service="s", token=5, **(STATE | state))
-        (row,) = DayLog(events=read_events([begun, told, *lines])).rows("s")
+        epoch_line = line(0.1, "a", "term-begun", service="s", token=5)
+        state_line = line(0.2, "a", "pool-state", service="s", token=5, **(STATE | state))
+        (row,) = DayLog(events=read_events([epoch_line, state_line, *lines])).rows("s")
         self.assertEqual(expected, row[-1])
 
     def test_where_a_jobs_time_went(self) -> None:
