--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements kept with the code; every figure in `docs/` names the one that gave it."""
+"""Measurements; every figure in `docs/` names the measurement that it comes from."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one measurement by name, or lists them: ``python -m bench NAME``."""
+"""Command line that runs measurements by name: ``python -m bench [NAME ...]``."""
 
 import importlib
 import pkgutil
@@ -8,14 +8,18 @@
 
 
 def main() -> int:
-    """Run the measurements named on the command line; all of them where none is named."""
+    """Run the measurements named on the command line, or all if none is named.
+
+    Returns:
+        The exit status: 2 if a name is unknown.
+    """
     names = sorted(
         entry.name for entry in pkgutil.iter_modules(bench.__path__) if entry.name[0] != "_"
     )
     wanted = sys.argv[1:] or names
     unknown = [name for name in wanted if name not in names]
     if unknown:
-        print(f"no measurement {unknown[0]}; there are: {', '.join(names)}", file=sys.stderr)
+        print(f"unknown measurement {unknown[0]}; known are: {', '.join(names)}", file=sys.stderr)
         return 2
     for name in wanted:
         print(f"== {name}", flush=True)
--- a/bench/_bare.py
+++ b/bench/_bare.py
@@ -1,7 +1,7 @@
-"""What `bench.relay` compares with: a target that answers at once, and the barest relay to it.
+"""Baselines of `bench.relay`: a target that answers immediately, and a minimal relay to it.
 
-Run as ``python -m bench._bare target|relay``; prints its port, then serves until standard input
-ends. The barest relay is cheroot and urllib3 and nothing else: no admission, no choice, no checks.
+``python -m bench._bare target|relay`` prints its port, then serves until standard input ends. The
+minimal relay is cheroot and urllib3 only, without admission, target selection or checks.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def target(environ: dict[str, Any], start_response: Callable[..., Any]) -> Iterable[bytes]:
-    """Answer at once with an empty body, repeating the request's id and attempt."""
+    """Answer immediately with an empty body, and return the request's id and attempt."""
     start_response(
         "200 OK",
         [
@@ -32,7 +32,7 @@
 
 
 def bare_relay(port: int) -> Callable[..., Iterable[bytes]]:
-    """Return an application that passes each request on to one port."""
+    """Return a WSGI application that forwards each request to one local port."""
     pool = urllib3.HTTPConnectionPool("127.0.0.1", port, maxsize=THREADS, retries=False)
 
     def application(environ: dict[str, Any], start_response: Callable[..., Any]) -> Iterable[bytes]:
@@ -44,7 +44,12 @@
 
 
 def serve(application: Callable[..., Any], *, defaults: bool) -> None:
-    """Serve on a free port until standard input ends."""
+    """Print the free port that the application is served on; serve until standard input ends.
+
+    Args:
+        application: The WSGI application.
+        defaults: Whether to keep cheroot's own limits on backlog and kept-alive connections.
+    """
     backlog = 5 if defaults else 512
     server = wsgi.Server(
         ("127.0.0.1", 0), application, numthreads=THREADS, request_queue_size=backlog
--- a/bench/_capacity_instance.py
+++ b/bench/_capacity_instance.py
@@ -1,4 +1,4 @@
-"""What one whole entry instance costs before it has a peer or a request."""
+"""Processor time, memory and threads of one entry instance without peers and requests."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
 WARM_UP_S = 5.0
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 USER_TICKS_INDEX = 11
-"""Index of the user's ticks in ``/proc/PID/stat`` after the command's name; the system's follow."""
+"""Index of the user time in ``/proc/PID/stat``, counted after the command name.
+
+The system time is the next field.
+"""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceCost:
-    """What one idle entry instance costs, its process whole.
+    """Resources that the process of one idle entry instance uses.
 
     Args:
-        window_s: Time measured.
-        core_part: Processor time by elapsed time.
+        window_s: Length of the measurement.
+        core_part: Processor time divided by elapsed time.
         memory_bytes: Resident memory at the end.
         threads: Threads at the end.
     """
@@ -35,7 +38,7 @@
 
 
 def instance_cost(window_s: float) -> InstanceCost:
-    """Start one entry instance beside the platform's stand-in and watch it do nothing."""
+    """Start one entry instance with the platform stand-in, and measure it while idle."""
     with (
         process("bench._entry", "platform") as (_, platform_port),
         process("bench._entry", "serve", f"--platform-port={platform_port}") as (pid, _),
--- a/bench/_capacity_peers.py
+++ b/bench/_capacity_peers.py
@@ -1,4 +1,4 @@
-"""What one process costs by the number of its peers, and how long a change takes to reach all."""
+"""Cost of one process by the number of its peers, and the time a change takes to reach a fleet."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetCost:
-    """How a whole fleet did, all of its nodes on one event loop.
+    """Measurements of a whole fleet with all of its nodes on one event loop.
 
     Args:
-        nodes: Entry instances.
-        data_centres: Data centres.
-        linked_after_s: From the start to the last connection.
-        watchers: Instances that watched the store.
-        store_calls_per_s: Calls to the store while nothing changed.
-        idle_core_part: Processor time of one node while nothing changed.
-        idle_bytes_per_s: Frames of one node, sent and received, while nothing changed.
-        bytes_per_change: Frames of one node for one change, sent and received.
+        nodes: Number of entry instances.
+        data_centres: Number of data centres.
+        linked_after_s: Time from the start to the last connection.
+        watchers: Number of instances that watch the store.
+        store_calls_per_s: Calls to the store while nothing changes.
+        idle_core_part: Processor time of one node, divided by elapsed time, while nothing changes.
+        idle_bytes_per_s: Bytes of frames that one node sends and receives while nothing changes.
+        bytes_per_change: Bytes of frames that one node sends and receives for one change.
         core_s_per_change: Processor time of one node for one change.
-        last_p50_s: From a change's acceptance to its being held by the last node, median.
-        last_p99_s: The same, worst but one in a hundred.
+        last_p50_s: Median time from the acceptance of a change until the last node holds it.
+        last_p99_s: 99th percentile of the same time.
     """
 
     nodes: int
@@ -57,12 +57,12 @@
 
 
 async def cost_by_mesh_peers(peers: int) -> Cost:
-    """Measure a process with so many peers in its own data centre and none elsewhere."""
+    """Measure a process with peers in its own data centre only."""
     return await _run_probe(["here"] * peers, links=peers)
 
 
 async def cost_by_data_centres(data_centres: int) -> Cost:
-    """Measure a relay alone in its data centre, connected to one relay in each other."""
+    """Measure the only process of a data centre, connected to one relay in each other one."""
     return await _run_probe([f"dc{index}" for index in range(data_centres)], links=data_centres)
 
 
@@ -91,7 +91,7 @@
 
 
 async def fleet_cost(*, data_centres: int, per_data_centre: int) -> FleetCost:
-    """Run a whole fleet on this loop and pass changes through it."""
+    """Run a whole fleet on this event loop, and propose changes to it."""
     store = MemoryStore()
     nodes = _fleet(data_centres, per_data_centre, store)
     started_s = time.monotonic()
@@ -128,7 +128,11 @@
 
 
 async def _wait_settled(nodes: list[Node], *, link_ends: int) -> float:
-    """Wait for the connections to be those wanted for a while; returns since when they are."""
+    """Wait until the number of connections has been the expected one for ``STABLE_S``.
+
+    Returns:
+        Monotonic time since which the number has been the expected one.
+    """
     async with asyncio.timeout(SETTLE_TIMEOUT_S):
         since_s = time.monotonic()
         while time.monotonic() - since_s < STABLE_S:
--- a/bench/_capacity_state.py
+++ b/bench/_capacity_state.py
@@ -1,4 +1,4 @@
-"""What the configuration costs in memory and time by the size of the fleet."""
+"""Memory and time that the configuration takes, by the size of the fleet."""
 
 from __future__ import annotations
 
@@ -53,20 +53,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StateCost:
-    """What a fleet of one size costs.
+    """Costs of the state of a fleet of one size.
 
     Args:
-        instances: Worker instances.
-        pools: Pools, each with one service.
-        memory_bytes: Memory of its state, read from a snapshot.
-        snapshot_bytes: Size of its snapshot.
-        encode_s: To encode a snapshot.
-        decode_s: To read one.
-        apply_s: To apply one cordon.
-        entry_s: To encode and read one entry.
-        plan_s: To plan the maintenance of one data centre.
-        plan_all_s: To plan the maintenance of all instances.
-        dispatch_s: To admit one request, choose its target and take its outcome.
+        instances: Number of worker instances.
+        pools: Number of pools, each with one service.
+        memory_bytes: Memory of the state after it was decoded from a snapshot.
+        snapshot_bytes: Size of the encoded snapshot.
+        encode_s: Time to encode a snapshot.
+        decode_s: Time to decode a snapshot.
+        apply_s: Time to apply one cordon.
+        entry_s: Time to encode and decode one log entry.
+        plan_s: Time to plan the maintenance of one data centre.
+        plan_all_s: Time to plan the maintenance of all instances.
+        dispatch_s: Time to admit one request, select its target and record its outcome.
     """
 
     instances: int
@@ -84,12 +84,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WindowCost:
-    """What the window of the last entries costs.
+    """Costs of the window of the newest log entries.
 
     Args:
-        entries: Entries kept.
-        memory_bytes: Memory of them all.
-        entry_bytes: Size of one, encoded.
+        entries: Number of entries in the window.
+        memory_bytes: Memory of the whole window.
+        entry_bytes: Mean size of an encoded entry.
     """
 
     entries: int
@@ -98,7 +98,7 @@
 
 
 def timeline_bytes(events: int) -> int:
-    """Return the memory of a time line that is full."""
+    """Return the memory of a full time line with that many events."""
 
     def build() -> Timeline:
         timeline = Timeline(process="bench", wall_clock_s=time.time, capacity=events)
@@ -111,7 +111,7 @@
 
 
 def fleet_of(instances: int) -> FleetState:
-    """Return a fleet in the proportions of the target."""
+    """Return a fleet of that many instances, with pools and teams in the target's proportions."""
     pools = [f"pool-{number}" for number in range(round(instances / INSTANCES_PER_POOL))]
     data_centres = [f"dc{number}" for number in range(-(-instances // INSTANCES_PER_DATA_CENTRE))]
     teams = [f"team-{number}" for number in range(round(instances / INSTANCES_PER_TEAM))]
@@ -144,7 +144,7 @@
 
 
 def state_cost(instances: int) -> StateCost:
-    """Measure a fleet of one size."""
+    """Measure the costs of a fleet of that many instances."""
     state = fleet_of(instances)
     Snapshot.decode(Snapshot(state=FleetState(), last_change_id="c").encode())
     encoded = Snapshot(state=state, last_change_id="c").encode()
@@ -174,7 +174,7 @@
 
 
 def window_cost(entries: int) -> WindowCost:
-    """Measure a window of so many entries, as they were read from peers."""
+    """Measure a window of that many entries, decoded as entries from peers are."""
     encoded = [
         _entry(
             number + 1,
@@ -202,9 +202,9 @@
 
 
 def _memory_of(build: Callable[[], object]) -> int:
-    """Return the memory of what is built, the first time that its strings are read.
+    """Return the memory of a new object whose strings are decoded for the first time.
 
-    The reader keeps short strings for the next time, which would hide their share.
+    The decoder caches short strings, so a second decoding would not count their memory.
     """
     tracemalloc.start()
     built = build()
@@ -215,7 +215,7 @@
 
 
 def _min_time_s(function: Callable[[], object], *, rounds: int = ROUNDS) -> float:
-    """Return the least time of some rounds, the one that other processes disturbed least."""
+    """Return the shortest time of several rounds, the one least disturbed by other processes."""
     best_s = float("inf")
     for _ in range(rounds):
         started_s = time.perf_counter()
--- a/bench/_dispatch_baselines.py
+++ b/bench/_dispatch_baselines.py
@@ -1,4 +1,4 @@
-"""What dispatch is measured against: the plain ways of doing each part of it."""
+"""Simple baselines for target selection, retries and admission in `bench.dispatch`."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class RandomChoice:
-    """Takes any target with a free slot."""
+    """Selects a random target with a free slot."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -30,7 +30,7 @@
 
 
 class LeastInFlight:
-    """Takes the target with the fewest grants of this process, the first by name among equals."""
+    """Selects the target with the fewest grants of this process; ties go to the first name."""
 
     def choose(self, free_targets: Sequence, *, tried: frozenset[str]) -> object:
         untried = (entry for entry in free_targets if entry.instance.name not in tried)
@@ -38,7 +38,7 @@
 
 
 class UnlimitedRetry:
-    """Retries every failed attempt at once, up to a number of attempts."""
+    """Retries each failed attempt immediately, up to ``MAX_ATTEMPTS``, without a budget."""
 
     def count_first_attempt(self, request: Request) -> None:
         pass
@@ -56,7 +56,7 @@
 
 
 class FirstComeFirstServed:
-    """One queue in order of arrival, any class, any service, without bound."""
+    """An unbounded queue in order of arrival, shared by all classes and services."""
 
     def __init__(
         self, *, members: dict[str, Instance], entry_count: Callable[[], int], rng: random.Random
--- a/bench/_dispatch_load.py
+++ b/bench/_dispatch_load.py
@@ -1,4 +1,4 @@
-"""Fake targets and callers on the loop's clock, to measure dispatch under load and faults."""
+"""Fake targets and callers on a virtual clock, to measure dispatch under load and faults."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class FakeTarget:
-    """A target with slots, which answers after the request's own time, or fails."""
+    """A target with slots that answers after the request's work time, fails, or stays silent."""
 
     instance: Instance
     fails: bool = False
@@ -54,7 +54,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Load:
-    """A stream of requests, Poisson in time, log-normal in work."""
+    """A stream of requests with Poisson arrivals and log-normal work times.
+
+    Args:
+        request_class: Class of the requests.
+        per_s: Mean arrival rate.
+        mean_work_s: Mean work time of a request.
+        within_s: Time from arrival to deadline.
+        service: Service that is requested.
+        entry: Index of the entry instance that gets all requests; ``None`` for a random one each.
+    """
 
     request_class: RequestClass
     per_s: float
@@ -66,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Tally:
-    """What became of one stream after the warm-up."""
+    """Outcomes of the requests of one stream after the warm-up."""
 
     offered: int = 0
     attempts: int = 0
@@ -86,19 +95,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Window:
-    """The time in which work is counted, whenever its request arrived."""
+    """The period in which work and answers count, regardless of the arrival of the request."""
 
     tally: Tally
     from_s: float
     until_s: float
 
     def add_work(self, started_s: float, ended_s: float) -> None:
-        """Count the part of one attempt's time that lies inside."""
+        """Add the part of an attempt's duration that lies in the period."""
         inside_s = min(ended_s, self.until_s) - max(started_s, self.from_s)
         self.tally.work_s += max(0.0, inside_s)
 
     def add_answer(self, at_s: float) -> None:
-        """Count an answer in time by when it came, so that a queue at either end does not count."""
+        """Count an answer before its deadline if it came in the period.
+
+        Requests that are queued at the start or the end of the period then don't distort the count.
+        """
         self.tally.answered += int(self.from_s <= at_s <= self.until_s)
 
 
@@ -119,7 +131,7 @@
     from_s: float,
     until_s: float,
 ) -> Tally:
-    """Offer one stream until a time; count what arrives from ``from_s`` on."""
+    """Offer one stream until ``until_s``; count the requests that arrive from ``from_s`` on."""
     tally = Tally()
     loop = asyncio.get_running_loop()
     running: set[asyncio.Task] = set()
--- a/bench/_entry.py
+++ b/bench/_entry.py
@@ -1,7 +1,7 @@
-"""Processes for `bench.relay`: the platform stand-in, and one entry instance before one target.
+"""Processes for `bench.relay`: the platform stand-in, and one entry instance with one target.
 
-``python -m bench._entry platform`` and ``python -m bench._entry serve ...`` print a port, then run
-until standard input ends.
+``python -m bench._entry platform`` and ``python -m bench._entry serve ...`` print their port, then
+run until standard input ends.
 """
 
 from __future__ import annotations
--- a/bench/_fit.py
+++ b/bench/_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Linear least-squares fits of measured points."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Line:
-    """A line through points by least squares.
+    """A least-squares line through points.
 
     Args:
         intercept: Value at 0.
-        slope: Growth per unit.
-        residual: Largest distance of a point from the line, as a part of the largest value.
+        slope: Increase per unit.
+        residual: Largest absolute residual divided by the largest absolute value.
     """
 
     intercept: float
@@ -23,12 +23,12 @@
     residual: float
 
     def at(self, x: float) -> float:
-        """Return the line's value."""
+        """Return the value of the line at ``x``."""
         return self.intercept + self.slope * x
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Line:
-    """Return the line of least squares through at least two points."""
+    """Return the least-squares line through two or more points with different ``x``."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
--- a/bench/_load.py
+++ b/bench/_load.py
@@ -1,4 +1,4 @@
-"""A bounded closed-loop load: threads that each send one request after the other."""
+"""A closed-loop load generator: each thread sends one request after the other."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadResult:
-    """What one run of the load has seen.
+    """Result of one run of the load.
 
     Args:
-        requests: Answers received.
-        errors: Requests without a 200.
-        per_s: Answers a second.
-        p50_ms: Median time of an answer.
-        p99_ms: 99th percentile.
-        longest_ms: The longest.
+        requests: Number of answers with status 200.
+        errors: Number of requests without such an answer.
+        per_s: Answers per second.
+        p50_ms: Median latency.
+        p99_ms: 99th percentile of the latency.
+        longest_ms: Largest latency.
     """
 
     requests: int
@@ -34,7 +34,10 @@
 
 
 def run_load(*, port: int, callers: int, seconds: float) -> LoadResult:
-    """Send requests from so many threads for so long; raw sockets, to cost little themselves."""
+    """Send requests to a local port for a time, with one thread per caller.
+
+    The callers use raw sockets to keep their own cost low.
+    """
     request = (
         b"GET /empty HTTP/1.1\r\nHost: bench\r\nShallot-Service: bench\r\n"
         b"Shallot-Request-Id: x\r\nShallot-Attempt: 1\r\n\r\n"
@@ -84,7 +87,7 @@
 
 
 def _read_answer(connection: socket.socket) -> tuple[bool, bool]:
-    """Read one answer; returns whether it was a whole 200 and whether the connection stays."""
+    """Read one answer; return whether it is a complete 200, and whether the connection persists."""
     data = b""
     while b"\r\n\r\n" not in data:
         chunk = connection.recv(65536)
--- a/bench/_peer_nodes.py
+++ b/bench/_peer_nodes.py
@@ -1,6 +1,6 @@
-"""Processes of the peers' network over real TCP, with what their connections carry counted.
+"""Nodes of the peer network over real TCP that count the traffic of their connections.
 
-``python -m bench._peer_nodes JSON`` runs one of them alone and prints what it has cost.
+``python -m bench._peer_nodes JSON`` runs one node in a process of its own and prints its cost.
 """
 
 from __future__ import annotations
@@ -29,20 +29,20 @@
 
 KEYS = FleetKeys(keys=(b"the key of the measured fleet",))
 SEGMENT_HEADER_BYTES = 52
-"""IPv4 header of 20 bytes and TCP header of 32 with time stamps."""
+"""An IPv4 header of 20 bytes and a TCP header of 32 bytes with timestamps."""
 TCP_INFO_BYTES = 192
 SEGMENTS_OFFSET = 136
-"""Offset of the segments sent and received in Linux's ``struct tcp_info``."""
+"""Offset of the counts of sent and received segments in Linux's ``struct tcp_info``."""
 LINK_TIMEOUT_S = 60.0
 RECORDS_SETTLE_S = 13.0
-"""Four heartbeat intervals between data centres, in which the records of a new relay go round."""
+"""Four heartbeat intervals between data centres, which spread the records of a new relay."""
 
 
 _PORTS = iter(range(10_000 + os.getpid() % 40 * 500, 32_000))
 
 
 class CountingTransport(TcpTransport):
-    """TCP that remembers its sockets, so that their segments can be counted."""
+    """A TCP transport that keeps its streams in order to count their segments."""
 
     __slots__ = ("_streams",)
 
@@ -64,7 +64,7 @@
         return await super().listen(address, register_stream)
 
     def segments(self) -> int:
-        """Return the segments sent and received on the connections open now."""
+        """Return the number of segments sent and received on the open connections."""
         return sum(_segments(stream) for stream in self._streams)
 
 
@@ -78,7 +78,7 @@
 
 
 class Node:
-    """One process of the fleet: a replica over a store, and its network of peers."""
+    """One node of the fleet: a replica of the configuration with its peer network."""
 
     def __init__(
         self,
@@ -124,13 +124,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProbeOrder:
-    """What one measured process does.
+    """Parameters of the measured process.
 
     Args:
-        data_centre: Where it stands.
-        seeds: Whom it dials.
-        links: Connections to wait for.
-        window_s: Time to measure.
+        data_centre: Its data centre.
+        seeds: Addresses that it connects to.
+        links: Number of connections to wait for.
+        window_s: Length of the measurement.
     """
 
     data_centre: str
@@ -141,14 +141,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """What one process has cost while it was measured.
+    """Resources that one process used during the measurement.
 
     Args:
-        core_part: Processor time by elapsed time.
-        payload_bytes_per_s: Sent and received, frames only.
-        wire_bytes_per_s: The same with the headers of all segments, pure acknowledgements too.
+        core_part: Processor time divided by elapsed time.
+        payload_bytes_per_s: Bytes of frames sent and received.
+        wire_bytes_per_s: The same plus the headers of all segments, also of pure acknowledgements.
         memory_bytes: Resident memory at the end.
-        links: Connections at the end.
+        links: Number of connections at the end.
     """
 
     core_part: float
@@ -159,10 +159,13 @@
 
 
 def free_address() -> str:
-    """Return an address on this machine that nobody listens at.
+    """Return a loopback address without a listener.
 
-    Below the ports that the system gives to outgoing connections, since nodes that have started
-    already would else take the ports of those that have not.
+    The ports are below the ephemeral range; otherwise outgoing connections of nodes that have
+    started could occupy the ports of nodes that have not.
+
+    Raises:
+        OSError: No port is free.
     """
     for port in _PORTS:
         with socket.socket() as probe, contextlib.suppress(OSError):
@@ -172,7 +175,7 @@
 
 
 async def wait_linked(nodes: list[Node], links: Callable[[Node], int]) -> float:
-    """Wait until each node has its connections; returns how long that took."""
+    """Wait until each node has at least ``links(node)`` connections; return the seconds waited."""
     started_s = time.monotonic()
     async with asyncio.timeout(LINK_TIMEOUT_S):
         while any(node.peers.status().links < links(node) for node in nodes):
@@ -181,7 +184,7 @@
 
 
 async def measure(node: Node, *, window_s: float) -> Cost:
-    """Measure this process, which runs only this node."""
+    """Measure the current process, which must run no other node."""
     before, segments = node.peers.status(), node.transport.segments()
     started_s, used_s = time.monotonic(), time.process_time()
     await asyncio.sleep(window_s)
--- a/bench/_platform.py
+++ b/bench/_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in as a process of its own; prints its port and ends with its input."""
+"""Runs the platform stand-in as a process: prints its port, and ends with its standard input."""
 
 from __future__ import annotations
 
--- a/bench/_processes.py
+++ b/bench/_processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes that a measurement needs; each ends when its input is closed."""
+"""Starts and ends the processes of a measurement; each ends when its standard input is closed."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
     Args:
         pid: Its process id.
-        port: The port that it serves.
+        port: The port that it listens on.
     """
 
     pid: int
     port: int
 
     def processor_s(self) -> float:
-        """Return the processor time that it has used so far, of all its threads."""
+        """Return the user and system time that all its threads have used so far."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
     def resident_bytes(self) -> int:
-        """Return what the kernel says is resident of it."""
+        """Return its resident memory, or 0 if the kernel doesn't report it."""
         for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) * 1024
@@ -46,7 +46,7 @@
 
 @contextlib.contextmanager
 def process(*arguments: str) -> Iterator[Process]:
-    """Run ``python -m ARGUMENTS``, which prints its port first, until the block ends."""
+    """Run ``python -m ARGUMENTS``, which must print its port first, until the block ends."""
     with subprocess.Popen(
         [sys.executable, "-m", *arguments],
         stdin=subprocess.PIPE,
@@ -64,13 +64,13 @@
 
 @contextlib.contextmanager
 def serving(*arguments: str) -> Iterator[int]:
-    """Run ``python -m ARGUMENTS`` and give the port that it prints first."""
+    """Run ``python -m ARGUMENTS`` until the block ends; yield the port that it prints first."""
     with process(*arguments) as started:
         yield started.port
 
 
 def load(*, port: int, callers: int, seconds: float) -> LoadResult:
-    """Drive one load from a process of its own, so that it shares no interpreter."""
+    """Run the load generator in a separate process, so that it shares no interpreter lock."""
     arguments = [sys.executable, "-m", "bench._load", str(port), str(callers), str(seconds)]
     completed = subprocess.run(arguments, check=True, capture_output=True, text=True)
     return LoadResult(**json.loads(completed.stdout))
--- a/bench/bottlenecks.py
+++ b/bench/bottlenecks.py
@@ -1,8 +1,9 @@
-"""What binds in a played day, told from the logs of all its processes.
+"""Finds the bottlenecks of a simulated day in the logs of all its processes.
 
-Reads what a play printed with the logs of all processes, and prints for each service, second by
-second, its machines and its waiting work, beside what was asked for, ordered and on its way; then
-where the time of its jobs went, summed up over the day. ``python -m bench.bottlenecks FILE``.
+``python -m bench.bottlenecks FILE`` reads the output of a simulated day, which contains these logs.
+For each service and second it prints the machines, the waiting work, and the machines that were
+requested, ordered and about to arrive; then for each service how long its jobs waited and which of
+their runs didn't succeed.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 __all__ = ["DayLog", "Event", "print_day", "read_events"]
 
 MACHINE_ARRIVAL_S = 2.2
-"""A machine that was ordered is listed as a worker after about this long."""
+"""Approximate time from the order of a machine until it is listed as a worker."""
 STATE_FIELDS = (
     "workers",
     "with_lasting",
@@ -50,7 +51,7 @@
 )
 SCHEDULER_LEASE_PREFIX = "shallotworks/duty/scheduler/"
 MIN_COUNTED_WAIT_S = 0.5
-"""A job whose first task started later than this after its acceptance counts as one that waited."""
+"""A job counts as one that waited if its first task started later than this after acceptance."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -58,10 +59,10 @@
     """One line of a process's log.
 
     Args:
-        at_s: Since the start of traffic.
-        process: Who wrote it.
-        name: Which kind of event.
-        fields: All that it says.
+        at_s: Time since the start of traffic.
+        process: Name of the process that logged it.
+        name: Name of the event.
+        fields: All fields of the line, including the name.
     """
 
     at_s: float
@@ -71,7 +72,7 @@
 
 
 def read_events(lines: Iterable[str]) -> Iterator[Event]:
-    """Yield the events of a play's output; lines that hold none are passed over."""
+    """Yield the events in the output of a simulated day; skip lines without a valid event."""
     for line in lines:
         head, brace, body = line.partition("{")
         words = head.split()
@@ -92,10 +93,10 @@
     """Times of one job, in seconds since the start of traffic.
 
     Args:
-        service: Whose scheduler ran it.
-        accepted_s: When it was first accepted.
-        started_s: When its first task was started.
-        unsuccessful_ends: Ends of runs other than done.
+        service: Service whose scheduler started it; empty if unknown.
+        accepted_s: Time of its first acceptance.
+        started_s: Time of the first start of a task.
+        unsuccessful_ends: Number of runs that ended other than done, by the kind of end.
     """
 
     service: str = ""
@@ -105,10 +106,10 @@
 
 
 class DayLog:
-    """Gathers the events of a day.
+    """Collects the events of a simulated day.
 
     Args:
-        events: The events, in order of time.
+        events: The events in order of time.
     """
 
     __slots__ = (
@@ -126,15 +127,15 @@
         self._services: dict[int, str] = {}
         self._states: dict[tuple[str, int], Event] = {}
         self.demands: dict[tuple[str, int], tuple[int, int]] = {}
-        """The most machines that a service lacked and offered in a second."""
+        """The largest numbers of machines that a service lacked and offered, by second."""
         self.moves: list[tuple[float, str, str]] = []
-        """Time, from which pool, to which."""
+        """Time, old pool and new pool of each move of a machine."""
         self.epochs: dict[str, list[tuple[float, str]]] = defaultdict(list)
         self.jobs: dict[str, JobTimes] = defaultdict(JobTimes)
         self._lease_suspensions: dict[str, list[tuple[float, bool]]] = defaultdict(list)
-        """For each duty's key when it began to rest, and when it no longer did."""
+        """For each lease key the times at which it was suspended (true) or no longer so (false)."""
         self._saturated: dict[str, list[tuple[float, bool]]] = defaultdict(list)
-        """For each process when it had no processor left, and when it had again."""
+        """For each process the times at which it was saturated (true) or relieved (false)."""
         readers = {
             "pool-state": self._read_state,
             "need-told": self._read_demand,
@@ -156,7 +157,7 @@
 
     @property
     def services(self) -> list[str]:
-        """All services that a scheduler spoke of."""
+        """All services for which a scheduler logged the state of its pool."""
         return sorted({service for service, _ in self._states})
 
     def _read_state(self, event: Event) -> None:
@@ -199,7 +200,7 @@
         self._saturated[event.process].append((event.at_s, event.name == "process-saturated"))
 
     def rows(self, service: str) -> Iterator[tuple[object, ...]]:
-        """Yield a row for each second of a service; see `HEADINGS`."""
+        """Yield a row for each second of a service, with the columns of `HEADINGS`."""
         seconds = sorted(second for name, second in self._states if name == service)
         accepted = Counter(
             int(job.accepted_s // 1)
@@ -229,10 +230,11 @@
             )
 
     def _bottleneck(self, service: str, second: int) -> str:
-        """Return what kept a service's tasks waiting in a second; empty where nothing did.
+        """Return what kept a service's tasks waiting in a second; empty if nothing did.
 
-        A scheduler that may not act lacks the store, one that may not touch earlier jobs waits for
-        recovery, one whose process is saturated lacks dispatch, whatever it says of its machines.
+        The causes take precedence in this order, whatever demand for machines was logged: "store"
+        if the lease of the scheduler is suspended, "recovery" if it can't yet act on tasks of
+        earlier jobs, "dispatch" if its process is saturated.
         """
         if _last_state(self._lease_suspensions[SCHEDULER_LEASE_PREFIX + service], second + 1):
             return "store"
@@ -248,7 +250,7 @@
         return before[-1] if before else ""
 
     def machine_seconds(self, service: str) -> dict[str, int]:
-        """Return the seconds of its machines, idle ones and ones with lasting tasks."""
+        """Return a service's machine-seconds: all, idle ones, and ones with lasting tasks."""
         states = [event.fields for (name, _), event in self._states.items() if name == service]
         return {
             name: sum(state[name] for state in states)
@@ -257,12 +259,12 @@
 
 
 def _last_state(changes: list[tuple[float, bool]], at_s: float) -> bool:
-    """Return the last state before a moment."""
+    """Return the last state before a time; false if there is none."""
     return next((state for began_s, state in reversed(changes) if began_s < at_s), False)
 
 
 def print_day(log: DayLog, out: TextIO) -> None:
-    """Print a day's tables: each service's seconds, then its jobs."""
+    """Print the tables of a day: the seconds of each service, then its jobs."""
     for service in log.services:
         _print_service(log, service, out)
     _print_jobs(log, out)
@@ -278,7 +280,7 @@
 
 
 def _print_jobs(log: DayLog, out: TextIO) -> None:
-    print("\njobs by service: accepted, waited, runs that did not end well", file=out)
+    print("\njobs by service: accepted, waited, runs that did not end with done", file=out)
     by_service: dict[str, list[JobTimes]] = defaultdict(list)
     for job in log.jobs.values():
         if job.accepted_s is not None:
@@ -301,9 +303,9 @@
 
 
 def main(paths: Sequence[str] = ()) -> None:
-    """Print the tables of each file; without any, what to name."""
+    """Print the tables of each file, or the usage if there is none."""
     if not paths:
-        print("name the output of a played day: python -m bench.bottlenecks FILE")
+        print("usage: python -m bench.bottlenecks FILE, the output of a simulated day")
     for path in paths:
         with Path(path).open(encoding="utf-8", errors="replace") as lines:
             log = DayLog(events=read_events(lines))
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,6 +1,6 @@
-"""Slopes for docs/CAPACITY.md: cost by peers, by data centres and by the size of the fleet.
+"""Slopes for docs/CAPACITY.md: cost by the number of peers and data centres and by fleet size.
 
-Writes every figure to ``bench/results/capacity.json``. Takes about ten minutes.
+Writes all figures to ``bench/results/capacity.json``. Takes about ten minutes.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 def main() -> None:
-    """Measure everything, print rows and lines, and keep them."""
+    """Measure everything; print and store the rows and the fitted lines."""
     results: dict[str, Any] = {}
     measure_state(results)
     measure_peers(results)
@@ -61,7 +61,7 @@
 
 
 def measure_state(results: dict[str, Any]) -> None:
-    """Measure what the fleet's size costs a process."""
+    """Measure the cost of the configuration in one process by fleet size."""
     _add_results(
         results, "state", "instances", [asdict(state_cost(size)) for size in INSTANCE_COUNTS]
     )
@@ -73,7 +73,7 @@
 
 
 def measure_peers(results: dict[str, Any]) -> None:
-    """Measure what a process and its peers cost."""
+    """Measure the cost of one process by its peers, and of whole fleets."""
     instance = asdict(instance_cost(INSTANCE_WINDOW_S))
     results["instance"] = instance
     print("-- one idle entry instance, whole\n  ", _line(instance))
@@ -91,12 +91,12 @@
 
 
 def write(results: dict[str, Any]) -> None:
-    """Keep all figures."""
+    """Write all figures to the results file."""
     RESULTS.write_text(json.dumps(results, indent=1) + "\n", encoding="utf-8")
 
 
 def _peer_row(size: int, cost: Cost) -> _Row:
-    """Return one row; bytes by peer too, since a heartbeat grows with the members it marks."""
+    """Return one row, also with bytes per peer: a heartbeat grows with the members it lists."""
     bytes_per_peer = cost.wire_bytes_per_s / size
     return {"peers": size, **asdict(cost), "wire_bytes_per_s_and_peer": bytes_per_peer}
 
--- a/bench/config.py
+++ b/bench/config.py
@@ -1,7 +1,7 @@
-"""What the configuration costs: applying, snapshots, loading, proposing, following.
+"""Cost of the configuration: applying changes, snapshots, loading, proposing and watching.
 
-The store is the platform's stand-in over HTTP, in a process of its own; its own time is part of
-each figure that goes through it.
+The store is the platform stand-in, which runs in a process of its own and is called over HTTP.
+Figures that involve the store include its time.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 def fleet_of(instances: int) -> FleetState:
-    """Return a fleet of that many instances, its other records in the target's proportions."""
+    """Return a fleet of that many instances, with its other records in the target's proportions."""
     rng = random.Random(instances)
     pools = round(instances / INSTANCES_PER_POOL)
     pool_names = [f"pool-{number:04d}" for number in range(pools)]
@@ -231,7 +231,7 @@
     revision = (await newcomer.load()).unwrap()
     elapsed_ms = (time.perf_counter() - started_s) * 1e3
     print(
-        f"newcomer loads revision {revision}: {elapsed_ms:.0f} ms, {_calls(address) - before} calls"
+        f"process loads revision {revision}: {elapsed_ms:.0f} ms, {_calls(address) - before} calls"
     )
 
 
@@ -287,7 +287,7 @@
     before, started_s = _calls(address), time.perf_counter()
     await asyncio.sleep(20)
     rate = (_calls(address) - before) / (time.perf_counter() - started_s) / WATCHER_COUNT
-    print(f"a quiet watcher: {rate:.2f} calls/s")
+    print(f"an idle watcher: {rate:.2f} calls/s")
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/bench/crash_loops.py
+++ b/bench/crash_loops.py
@@ -1,7 +1,8 @@
-"""What callers get while some tasks crash their workers: a turn on the stand-ins, on their clock.
+"""Outcomes of jobs while tasks of other jobs crash their workers, simulated on a virtual clock.
 
-A queue of 200 jobs in ten seconds on 20 workers; the first task of a part of the jobs crashes each
-worker that starts it, 10 ms after the start, and another incarnation is back after 3.3 s.
+200 jobs are submitted to one queue within ten seconds, for 20 workers. The first task of a fraction
+of the jobs crashes each worker that starts it, 10 ms after the start; a new incarnation of the
+worker is listed after 3.3 s.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 
 
 class _BurstRun:
-    """One turn, and when each job was done.
+    """One burst of jobs, and the times at which they ended.
 
     Args:
-        seed: Draws it.
-        crashing_job_ratio: Part of the jobs whose first task crashes its workers.
+        seed: Seed of all random sources.
+        crashing_job_ratio: Fraction of the jobs whose first task crashes its workers.
     """
 
     def __init__(self, *, seed: int, crashing_job_ratio: float) -> None:
@@ -49,7 +50,7 @@
         self.ended: dict[str, tuple[float, JobState]] = {}
 
     async def run(self) -> None:
-        """Hand all jobs in and wait for their ends."""
+        """Submit all jobs, and wait ``WIND_DOWN_S`` for them to end."""
         for instance in self.simulation.instances:
             instance.start()
         await asyncio.sleep(1.0)
@@ -82,7 +83,7 @@
             await asyncio.sleep(POLL_S)
 
     def row(self) -> str:
-        """Return what became of the jobs, as a row."""
+        """Return the outcomes of the jobs as a row of the table."""
         healthy_jobs = [job_id for job_id in self.submitted_s if job_id not in self.crashing_jobs]
         latencies_s = [
             self.ended[job_id][0] - self.submitted_s[job_id]
@@ -112,9 +113,9 @@
 
 
 def main() -> None:
-    """Print a row for each seed and part of crashing jobs."""
+    """Print a row for each ratio of crashing jobs and each seed."""
     limits = "".join(f"{f'<{limit_s} s':>9}" for limit_s in LATENCY_LIMITS_S)
-    print(f"seed    sound{limits}   failed     open culprits   failed  crashes")
+    print(f"seed  healthy{limits}   failed     open crashing   failed  crashes")
     for crashing_job_ratio in CRASHING_JOB_RATIOS:
         for seed in SEEDS:
             burst = _BurstRun(seed=seed, crashing_job_ratio=crashing_job_ratio)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,7 @@
-"""How long one decision takes, by the size of the pool, with thousands of tasks that wait.
+"""Duration of one scheduling decision by the size of the pool, with thousands of waiting tasks.
 
-Each round some tasks end on drawn workers, and what came free is decided on. No network and no
-store; the time is the processor's.
+In each round some tasks end on random workers, and the scheduler decides how to use the freed
+capacity. There is no network and no store; the figures are processor time.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def main() -> None:
-    """Print a row for each size of a pool."""
+    """Print a row for each pool size."""
     print("workers  median ms  p99 ms  longest ms  starts a round")
     for workers in WORKER_COUNTS:
         spent_s, starts = _run_rounds(workers)
@@ -53,7 +53,7 @@
 
 
 def _make_full_harness(workers: int, rng: random.Random) -> SchedulingHarness:
-    """Return a board whose workers are full, with thousands of tasks that wait."""
+    """Return a harness with full workers and thousands of waiting tasks."""
     harness = SchedulingHarness(
         *(
             view(
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -1,6 +1,6 @@
-"""Measures dispatch beside the plain ways of doing it: ``python -m bench dispatch``.
+"""Compares dispatch with simple baselines: ``python -m bench dispatch``.
 
-Times are those of the loop's clock, which jumps, except the cost per call at the end.
+Times are simulated on a virtual clock, except for the cost per call at the end.
 """
 
 import asyncio
@@ -55,7 +55,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Setup:
-    """One way to dispatch."""
+    """One variant of dispatch.
+
+    Args:
+        name: Label in the tables.
+        first_come: Whether to use the baseline that serves in order of arrival.
+        selector: Makes the target selector; ``None`` for the default.
+        limits: Limits of the dispatcher.
+        budget: Whether retries have a budget.
+        entries: Number of entry instances.
+        divided_by: Number of entry instances that the slots are divided among; 0 for ``entries``.
+    """
 
     name: str
     first_come: bool = False
@@ -77,7 +87,7 @@
 
 
 class PoolSimulation:
-    """The targets of one pool and the entry instances in front of them, for one seed."""
+    """The targets of one pool and their entry instances, for one seed."""
 
     def __init__(self, setup: Setup, seed: int, *, slots: int = SLOTS) -> None:
         self.rng = random.Random(seed)
@@ -109,7 +119,7 @@
     async def offer(
         self, *loads: Load, from_s: float = WARM_UP_S, until_s: float = END_S
     ) -> list[Tally]:
-        """Offer several streams at once; returns what became of each."""
+        """Offer several streams concurrently; return the tally of each."""
         return await asyncio.gather(
             *(
                 offer(
@@ -126,7 +136,7 @@
 
 
 def interactive(part: float) -> Load:
-    """Return interactive load that would fill a part of all slots."""
+    """Return an interactive load that needs ``part`` times the slots of all targets."""
     return Load(
         request_class=RequestClass.INTERACTIVE,
         per_s=part * CAPACITY / INTERACTIVE_WORK_S,
@@ -136,7 +146,7 @@
 
 
 def long_running(part: float) -> Load:
-    """Return long-running load that would fill a part of all slots."""
+    """Return a long-running load that needs ``part`` times the slots of all targets."""
     return Load(
         request_class=RequestClass.LONG_RUNNING,
         per_s=part * CAPACITY / LONG_RUNNING_WORK_S,
@@ -152,7 +162,7 @@
 
 
 def classes() -> None:
-    """Interactive latency and long-running throughput, long-running offered 3 times over."""
+    """Print interactive latency and long-running throughput at 3 times the capacity offered."""
     print(f"\nclasses: interactive fills {INTERACTIVE_LOAD} of the slots, long-running offers 3.0")
     print(f"{'':30}{'p50 ms':>9}{'p99 ms':>9}{'refused':>9}{'long part of rest':>19}")
     for setup in (OURS, FIRST_COME):
@@ -176,7 +186,7 @@
 
 
 def goodput() -> None:
-    """Answers in time per second at 1 to 5 times the capacity."""
+    """Print the rate of answers within the deadline at 0.8 to 5 times the capacity."""
     print("\ngoodput: interactive only, answers within the deadline, part of the capacity")
     parts = (0.8, 1.0, 2.0, 5.0)
     print(f"{'':30}" + "".join(f"{part:>9}" for part in parts) + f"{'p99 at 5':>12}")
@@ -199,8 +209,8 @@
 
 
 def retries() -> None:
-    """Attempts per request and failed requests while a third of the targets fail at once."""
-    print("\nretries: a third of the targets fail at once, load 0.5, after 10 s")
+    """Print attempts per request and failed requests while a third of the targets fail quickly."""
+    print("\nretries: a third of the targets fail quickly, load 0.5, after 10 s")
     print(f"{'':34}{'attempts/request':>17}{'failed':>9}{'p99 ms':>9}")
     for setup in (OURS, NO_EJECTION, NO_BUDGET, NEITHER):
 
@@ -222,8 +232,8 @@
 
 
 def ejection() -> None:
-    """Time from a target's fault to its last attempt that was no probe, and what it cost."""
-    print("\nejection: one target of 8 turns bad after 10 s, load 0.5")
+    """Print the time from a target's fault to its last attempt before probes, and failures."""
+    print("\nejection: one target of 8 becomes faulty after 10 s, load 0.5")
     print(f"{'':34}{'last attempt before probes':>26}{'attempts, 30 s':>15}{'failed':>9}")
     for fault in ("fails", "silent"):
         for setup in (OURS, NO_EJECTION):
@@ -248,7 +258,7 @@
 
 
 def herding() -> None:
-    """How unevenly processes that see only their own load fill the targets."""
+    """Print how many attempts targets refuse when each process knows only its own load."""
     print("\nchoice: load 0.7, slots not divided among the entries, so that targets must refuse")
     print(f"{'':34}{'entries':>8}{'refused attempts':>18}{'p99 ms':>9}")
     for entries in (2, 6):
@@ -266,7 +276,7 @@
 
 
 def division() -> None:
-    """Slots divided among the entries beforehand, or left to the targets to refuse."""
+    """Compare slots divided among the entry instances with limits that only targets enforce."""
     print("\ndivision: interactive load, evenly over 2 entries or all at one")
     print(
         f"{'':34}{'load':>6}{'at':>6}{'answered in time':>18}{'refused attempts':>18}{'p99 ms':>9}"
@@ -296,10 +306,10 @@
 
 
 def cost() -> None:
-    """Real time of one acquire and release, at today's size and at the target's."""
+    """Print the real time of one acquire and release, for a small fleet and the target size."""
     print("\ncost: real time per acquire and release, one process")
     for name, state in (
-        ("today, 40 workers", small_fleet()),
+        ("40 workers, 5 pools", small_fleet()),
         ("1,100 workers, 305 pools", target()),
     ):
         row = [asyncio.run(_cost(state, seed)) for seed in SEEDS]
@@ -344,12 +354,12 @@
 
 
 def small_fleet() -> FleetState:
-    """Return five services on eight workers each."""
+    """Return a fleet of five services with eight workers each."""
     return _many(pools=5, workers=40)
 
 
 def target() -> FleetState:
-    """Return the fleet at the target's size."""
+    """Return a fleet of the target size."""
     return _many(pools=305, workers=1100)
 
 
--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -1,10 +1,10 @@
-"""From an operator's change to in force at the last instance, on real processes.
+"""Time from an operator's change until it is in force at the last instance, on real processes.
 
-Eight entry instances in four data centres, which is Fjellsending's size of today. The times come
-from the time lines of all processes, whose wall clocks are one here; they start when the instance
-asked begins to propose the change, since its peers often hold it before the acceptance is read
-back. Goals: under 1 s without faults, under 8 s with the store lost in
-between.
+There are eight entry instances in four data centres, which is the size of Fjellsending. The times
+come from the time lines of all processes, which share a wall clock here. They start when the
+instance that got the change begins to propose it, because its peers often hold the change before
+the proposer has read back its acceptance. Goals: under 1 s without faults, under 8 s with the store
+lost in between.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def main() -> None:
-    """Print quantiles without faults and with the store lost right after each acceptance."""
+    """Print quantiles without faults, and with the store down right after each acceptance."""
     with running_system(DATA_CENTRES) as system:
         rng = random.Random(SEED)
         print(f"{len(system.entries)} entry instances in {len(DATA_CENTRES)} data centres")
@@ -64,7 +64,10 @@
 
 
 def _delays_s(system: System, first: int) -> list[float]:
-    """Return, for each revision, the time from its proposal to the last instance that holds it."""
+    """Return for each revision the time from its proposal until the last instance holds it.
+
+    Revisions before ``first``, and those that some instance never held, are left out.
+    """
     events: list[Event] = []
     for entry in system.entries:
         with system.operator(entry) as operator:
--- a/bench/jobs.py
+++ b/bench/jobs.py
@@ -1,6 +1,6 @@
-"""Jobs accepted by one instance over HTTP, and orders given by one scheduler: rates and costs.
+"""Rates and costs of jobs that one instance accepts over HTTP and of orders from one scheduler.
 
-The store and the workers are the stand-ins in memory; the store answers in 4 ms, as the users'.
+The store and the workers are in-memory stand-ins; the store answers in 4 ms, as the users' does.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     for workers in (40, 172):
         asyncio.run(_measure_idle(workers))
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    print(f"memory at its peak, callers, store and workers included: {peak_mb:.0f} MB")
+    print(f"peak memory, including callers, store and workers: {peak_mb:.0f} MB")
 
 
 async def _measure_acceptance() -> None:
--- a/bench/listener.py
+++ b/bench/listener.py
@@ -1,7 +1,7 @@
-"""Where the tail of one second comes from: cheroot's backlog, its keep-alive limit, or both.
+"""Finds the cause of latencies of one second: cheroot's backlog, its keep-alive limit, or both.
 
-Each variant serves the same load; beside the times stand the kernel's own counts of connections
-that were dropped because the backlog was full, and of SYNs sent again.
+Each variant serves the same load. Besides latencies, the table has the kernel's counts of
+connections dropped because of a full backlog, and of retransmitted SYNs.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def main() -> None:
-    """Print one row for each variant: medians over the rounds."""
+    """Print a row of medians over the rounds for each variant."""
     print("backlog  kept alive   per s   p50 ms   p99 ms  longest ms  drops  SYNs again")
     for backlog, kept in itertools.product(BACKLOG_SIZES, KEEP_ALIVE_LIMITS):
         rounds = [_round(backlog, kept) for _ in range(ROUNDS)]
@@ -52,7 +52,7 @@
 
 
 def _kernel_counts() -> tuple[int, int]:
-    """Return the kernel's counts of listen drops and of SYNs sent again."""
+    """Return the kernel's counts of listen drops and of retransmitted SYNs."""
     lines = [line.split() for line in NETSTAT.read_text().splitlines()]
     names = dict(zip(lines[0], lines[1], strict=True))
     return int(names["ListenDrops"]), int(names["TCPSynRetrans"])
--- a/bench/observing.py
+++ b/bench/observing.py
@@ -1,4 +1,4 @@
-"""What time line and metrics cost at the target size, and what reading them does to the loop."""
+"""Cost of the time line and the metrics at the target size, and loop delay from reading them."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 EVENT_COUNT = 20_000
 OBSERVATION_COUNT = 100_000
 LATENCY_COUNT = 610
-"""Two classes for each of 305 pools' services."""
+"""Two request classes for the service of each of 305 pools."""
 TICK_INTERVAL_S = 0.001
 
 
 def main() -> None:
-    """Print one line for each figure, the median of some rounds."""
+    """Print a line for each figure, with the median over the rounds."""
     _print("event of the time line, bytes", _event_bytes)
     _print("recording an event, us", _record_us)
     _print("reading a full time line, ms", _page_ms)
@@ -122,7 +122,7 @@
 
 
 def _loop_delay_ms(work: Callable[[], object]) -> float:
-    """Return the longest delay of a loop that ticks while a thread does some work."""
+    """Return the longest delay of a periodic timer on the event loop while a thread works."""
     return asyncio.run(_ticking(work)) * 1e3
 
 
--- a/bench/operators_api.py
+++ b/bench/operators_api.py
@@ -1,4 +1,4 @@
-"""What a call of the operators' API takes, at the target size, client and server in one process."""
+"""Latency of the operators' API at the target size, with client and server in one process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def main() -> None:
-    """Print one line for each path."""
+    """Print a row for each path."""
     loop = LoopThread()
     backend = FakeBackend()
     backend.state = _fleet()
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -1,8 +1,7 @@
-"""What plans cost and what planning, conducting and taking over cost, for both users and at target.
+"""Costs of plans, of planning, conducting and takeover, for both users and at the target size.
 
-Planning time and memory are this machine's; everything that a wave does runs on a clock that jumps
-to the next timer, over fakes of the targets and of the configuration log, with the store stand-in
-in memory and the real leases.
+Planning time and memory are real. Waves run on a virtual clock, which jumps to the next timer, with
+fakes of the targets and of the configuration log, the in-memory store stand-in and real leases.
 """
 
 from __future__ import annotations
@@ -72,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Case:
-    """One fleet planned for with one user's weights."""
+    """A fleet, planned with the weights of one user."""
 
     name: str
     state: FleetState
@@ -80,7 +79,7 @@
 
 
 class ProcessStore:
-    """The store as one process reaches it, until that process is killed."""
+    """One process's access to the store, which fails once the process is killed."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
@@ -94,7 +93,7 @@
 
 
 class LeasedConductorHarness(ConductorHarness):
-    """A world whose duties are the product's own leases in the store stand-in."""
+    """A conductor harness whose plan leases are real leases in the store stand-in."""
 
     def __init__(self, state: FleetState, *, ttl_s: float = 4.0, seed: int = SEED, **rest: Any):
         super().__init__(state, **rest)
@@ -104,7 +103,7 @@
         self._rng = random.Random(seed)
 
     def plan_lease_of(self, digest: str, name: str) -> StorePlanLease:
-        """Return the lease of one process on a plan, over its own connection to the store."""
+        """Return the lease of a plan for one process, with its own access to the store."""
         self.stores[name] = ProcessStore(self.store)
         self.candidates[name] = LeaseCandidate(
             store=self.stores[name],
@@ -120,14 +119,14 @@
         )
 
     async def crash(self, task: asyncio.Task[None], name: str) -> None:
-        """End a conductor whose last words no longer reach the store."""
+        """Kill a conductor: cut its access to the store, then cancel its task."""
         self.stores[name].killed = True
         task.cancel()
         await asyncio.wait((task,))
 
 
 def main() -> None:
-    """Print one block for each matter."""
+    """Print a block for each kind of measurement."""
     for case in _cases():
         _print_planning(case)
     _print_apply()
@@ -138,15 +137,15 @@
 
 
 def _cases() -> Iterator[Case]:
-    yield Case(name="Fjellsending today", state=fjellsending(), weights=FJELLSENDING_WEIGHTS)
-    yield Case(name="Tijera de Plata today", state=tijera(), weights=TIJERA_WEIGHTS)
+    yield Case(name="Fjellsending", state=fjellsending(), weights=FJELLSENDING_WEIGHTS)
+    yield Case(name="Tijera de Plata", state=tijera(), weights=TIJERA_WEIGHTS)
     target = _target_fleet()
     yield Case(name="target, buffer first", state=target, weights=FJELLSENDING_WEIGHTS)
     yield Case(name="target, roll-out first", state=target, weights=TIJERA_WEIGHTS)
 
 
 def _target_fleet() -> FleetState:
-    """Return 1,100 instances in 305 pools of one to ten over 22 data centres, budgets of one."""
+    """Return 1,100 instances in 22 data centres and 305 pools of 1 to 10, with budgets of one."""
     rng = random.Random(SEED)
     sizes = [1] * TARGET_POOLS
     while sum(sizes) < TARGET_INSTANCES:
@@ -190,7 +189,7 @@
 
 
 def _print_apply() -> None:
-    """Tell what one change costs every process: a wave's cordon over all pools, and the basis."""
+    """Print the time of two steps that each process does: a wave's cordon, and a plan's basis."""
     state = _target_fleet()
     names = tuple(next(state.instances_of(pool)).name for pool in state.pools)
     cordon = SetCondition(names=names, condition=Condition.CORDONED)
@@ -206,7 +205,7 @@
 
 
 def _print_loop_delay() -> None:
-    """Tell how long planning on a thread holds up the event loop, which takes all decisions."""
+    """Print how long planning on a thread delays the event loop, which makes all decisions."""
     planner = Planner(weights=FJELLSENDING_WEIGHTS, model=DisruptionModel())
     state = _target_fleet()
     delays_s = [asyncio.run(_loop_delay_s(planner, state)) for _ in range(ROUNDS)]
@@ -234,7 +233,7 @@
 
 
 def _print_distance() -> None:
-    """Compare with exhaustive search over all ordered partitions of small cases into waves."""
+    """Compare the planner with exhaustive search over all ordered partitions into waves."""
     rng = random.Random(SEED)
     for name, weights in (
         ("buffer first", FJELLSENDING_WEIGHTS),
--- a/bench/platform_client.py
+++ b/bench/platform_client.py
@@ -1,4 +1,4 @@
-"""What a call to the platform costs, and what an outage of it costs the platform."""
+"""Cost of a call to the platform, and the load on the platform during and after an outage."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 async def _measure_outage(address: str) -> None:
-    """Let many instances, each with some callers that never rest, live through an outage."""
+    """Measure an outage with many instances, each with callers that retry continuously."""
     clients = [_client(address, PlatformLimits()) for _ in range(CLIENT_COUNT)]
     first_success_s: dict[int, float] = {}
     tasks = [
@@ -84,7 +84,7 @@
     peak = await _peak_rate(address)
     waits_s = sorted(at_s - returned_s for at_s in first_success_s.values())
     print(
-        f"back: instances notice after p50 {statistics.median(waits_s):.1f} s,"
+        f"store up again: instances succeed after p50 {statistics.median(waits_s):.1f} s,"
         f" the last after {waits_s[-1]:.1f} s ({len(waits_s)} of {CLIENT_COUNT});"
         f" peak {peak:.0f} calls/s over {PEAK_WINDOW_S} s"
     )
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""One entry instance against the bare relay and the target alone, the same load in the same run."""
+"""Compares an entry instance with a minimal relay and the target alone, under the same load."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     """One round of load on one process.
 
     Args:
-        load: What the callers saw.
-        processor_ms: Processor time of the process for each request, which says more than times do
-            where the machine is shared.
+        load: Result that the callers measured.
+        processor_ms: Processor time of the process per request; more reliable than latencies on a
+            shared machine.
     """
 
     load: LoadResult
@@ -32,7 +32,7 @@
 
 
 def main() -> None:
-    """Print medians over the rounds, ratios, the time to serving and the memory when idle."""
+    """Print medians over the rounds, ratios to the goals, the start time and the idle memory."""
     with process("bench._bare", "target") as target, serving("bench._entry", "platform") as store:
         bare_arguments = ("bench._bare", "relay", "--target-port", str(target.port))
         entry_arguments = (
--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -1,7 +1,7 @@
-"""What the order of work buys when a queue asks for more than its pool holds, against baselines.
+"""Compares the order in which an overloaded scheduler starts tasks with simple baselines.
 
-Workers and a queue's turn on simulated time: jobs arrive for five seconds at more than the pool can
-work off, then none do; the same arrivals for each policy. No network, no processor time of the day.
+On simulated time, jobs arrive for five seconds at a higher rate than the pool can process, then
+none do. Each policy gets the same arrivals. There is no network, and no real time is measured.
 """
 
 from __future__ import annotations
@@ -37,23 +37,23 @@
 
 
 def first_come(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
-    """Order by acceptance alone."""
+    """Order by time of acceptance."""
     return (entry.tracked_job.job.accepted_s,)
 
 
 def deadline_only(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
-    """Order by objective, also what can't meet it any more."""
+    """Order by the end of the objective, including jobs that can no longer meet it."""
     return (entry.objective_ends_s,)
 
 
 def smallest_first(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
-    """Order by work alone."""
+    """Order by the total work of the job."""
     return (entry.tracked_job.work_core_s,)
 
 
 def least_slack(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
-    """Order what can meet its objective by the latest moment to begin, the rest by work."""
-    latest_s = entry.objective_ends_s - entry.critical_path_s
+    """Order jobs that can meet their objective by the latest start time, the rest by work."""
+    latest_s = entry.objective_ends_s - entry.chain_s
     if wall_s <= latest_s:
         return (0, latest_s)
     return (1, entry.tracked_job.work_core_s)
@@ -69,7 +69,7 @@
 
 
 def main() -> None:
-    """Print the share of jobs within their objective, by policy."""
+    """Print the fraction of jobs that met their objective, by policy."""
     print(f"{'order':26} in objective  worst seed  of the largest fifth")
     for name, order in POLICIES.items():
         results = [_simulate(seed, order) for seed in SEEDS]
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -1,8 +1,8 @@
-"""How long a service stands still when its scheduler dies, or is stopped on purpose.
+"""Time that a service starts no tasks after its scheduler is killed or stopped by an operator.
 
-Instances, workers and a store on simulated time; jobs keep coming. The scheduler is killed, or
-stopped as by an operator, at a drawn moment; measured is the time until its successor first starts
-a task of a job from before, and of one that came since.
+Instances, workers and the store run on simulated time while jobs keep arriving. The scheduler is
+killed or stopped at a random time. The figures are the times until its successor first starts a
+task of a job accepted before that, and of a job accepted after it.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
 
 
 def main() -> None:
-    """Print the times, median and worst over seeds."""
+    """Print the median and the longest time over the seeds."""
     for is_planned in (False, True):
         rows = [run_scenario(_measure(seed, is_planned=is_planned)) for seed in SEEDS]
         for kind, label in enumerate(("a job from before", "a job since")):
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -1,8 +1,8 @@
-"""What a scheduler's process carries in a queue's turn: starts, their lateness, processor time.
+"""Load that one scheduler process sustains: start rate, processor time and event loop delay.
 
-A term on the loop's own clock, over workers that answer at once and end their tasks in time; the
-store answers in memory. The workers and the store are as light as they can be, so that nearly all
-processor time is the scheduler's own; calls over the network come on top of it (`bench jobs`).
+The scheduler runs in real time with workers that answer within milliseconds and end their tasks in
+time, and with an in-memory store. Workers and store are minimal, so that nearly all processor time
+is the scheduler's; calls over the network are not included (see `bench jobs`).
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class LightWorker:
-    """A worker that runs what it is told to, for `TASK_S`."""
+    """A minimal worker that accepts every start and runs each task for ``TASK_S``."""
 
     def __init__(self) -> None:
         self.running: dict[tuple[object, int], tuple[float, StartOrder]] = {}
@@ -46,7 +46,7 @@
         self.count = 0
 
     def end_due_runs(self, now_s: float) -> None:
-        """End the runs that are done."""
+        """End the runs whose time is over."""
         while self.ends and self.ends[0][0] <= now_s:
             _, _, order = heapq.heappop(self.ends)
             run = order.run
@@ -57,7 +57,7 @@
 
 
 class LightWorkers:
-    """Implements `WorkerOrders` and `WorkerDirectory`."""
+    """All workers; implements `WorkerOrders` and `WorkerDirectory`."""
 
     def __init__(self, *, workers: int) -> None:
         self.views = {
@@ -88,11 +88,11 @@
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=int(now_s * 1000))
 
     async def stop(self, worker: WorkerView, order: StopOrder, *, token: int) -> OrderOutcome:
-        """Stop nothing."""
+        """Accept the order without effect."""
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=1)
 
     async def pace(self, worker: WorkerView, order: PaceOrder, *, token: int) -> OrderOutcome:
-        """Pace nothing."""
+        """Accept the order without effect; the pace of a task is fixed."""
         return OrderOutcome(status=OrderStatus.OBEYED, clock_ms=1)
 
     async def poll(
@@ -105,7 +105,7 @@
         wait_s: float,
         timeout_s: float,
     ) -> OrderOutcome:
-        """Tell what runs and what has ended, as soon as something has."""
+        """Report running and ended tasks once a task has ended or ``wait_s`` is over."""
         light_worker = self.workers[worker.worker_id]
         while light_worker.ended and light_worker.ended[0].number <= acknowledged:
             light_worker.ended.popleft()
@@ -131,8 +131,8 @@
 
 
 def main() -> None:
-    """Print a row for each size and load."""
-    print("workers  asked/s  started/s  us of processor a task  longest turn of the loop ms")
+    """Print a row for each number of workers and rate of starts."""
+    print("workers  asked/s  started/s  us of processor a task   longest loop iteration, ms")
     for workers in WORKER_COUNTS:
         for requested_per_s in REQUESTED_STARTS_PER_S:
             asyncio.run(_run_load(workers, requested_per_s))
--- a/tests/test_bottlenecks.py
+++ b/tests/test_bottlenecks.py
@@ -1,4 +1,4 @@
-"""Tests of `bench.bottlenecks`: what binds in a played day, told from its logs."""
+"""Tests of `bench.bottlenecks`, which finds the bottlenecks of a simulated day in its logs."""
 
 import io
 import json
@@ -9,7 +9,7 @@
 
 
 def line(at_s: float, process: str, event: str, **fields: object) -> str:
-    """Return a line of a play's output."""
+    """Return one line of the output of a simulated day."""
     return f"{at_s:9.4f} {process} " + json.dumps({"event": event, **fields})
 
 
@@ -40,8 +40,8 @@
 
 
 class DayTests(unittest.TestCase):
-    def test_a_second_of_a_service(self) -> None:
-        """Its pool, the jobs that came, what it lacked most, what was ordered, and who held it."""
+    def test_row_of_a_second(self) -> None:
+        """A row has the pool, accepted jobs, largest demand, moves and lease holder of a second."""
         log = DayLog(events=read_events(LINES))
         self.assertEqual(["s"], log.services)
         (row,) = log.rows("s")
@@ -50,7 +50,7 @@
 
     @parameterized.expand(
         [
-            ("nothing", (), {}, ""),
+            ("no cause", (), {}, ""),
             (
                 "machines",
                 (line(0.3, "a", "need-told", service="s", lacking=1, free=0),),
@@ -59,33 +59,33 @@
             ),
             ("dispatch", (line(0.3, "a", "process-saturated"),), {}, "dispatch"),
             (
-                "not any more",
+                "relieved process",
                 (line(0.3, "a", "process-saturated"), line(0.4, "a", "process-relieved")),
                 {},
                 "",
             ),
-            ("another process", (line(0.3, "b", "process-saturated"),), {}, ""),
+            ("another saturated process", (line(0.3, "b", "process-saturated"),), {}, ""),
             ("recovery", (), {"tasks_recovering": 3}, "recovery"),
             ("store", (line(0.3, "a", "duty-rests", key=KEY),), {"tasks_recovering": 3}, "store"),
             (
-                "store again",
+                "resumed lease",
                 (line(0.3, "a", "duty-rests", key=KEY), line(0.4, "a", "duty-resumed", key=KEY)),
                 {},
                 "",
             ),
         ]
     )
-    def test_what_binds(
+    def test_bottleneck_of_a_second(
         self, _: str, lines: tuple[str, ...], state: dict[str, int], expected: str
     ) -> None:
-        """A row tells apart what its tasks wait for, the most certain cause first."""
+        """Of several causes for waiting tasks, the one that takes precedence is reported."""
         epoch_line = line(0.1, "a", "term-begun", service="s", token=5)
         state_line = line(0.2, "a", "pool-state", service="s", token=5, **(STATE | state))
         (row,) = DayLog(events=read_events([epoch_line, state_line, *lines])).rows("s")
         self.assertEqual(expected, row[-1])
 
-    def test_where_a_jobs_time_went(self) -> None:
-        """It waited 1.6 s for its first start, and a run of it failed."""
+    def test_summary_of_jobs(self) -> None:
+        """The summary has a job's wait of 1.6 s for its first start, and its failed run."""
         out = io.StringIO()
         print_day(DayLog(events=read_events(LINES)), out)
         self.assertIn("s: 1 jobs, 1 waited 2 s, longest 1.6 s, {'failed': 1}", out.getvalue())
