--- a/bench/_capacity_peers.py
+++ b/bench/_capacity_peers.py
@@ -69,8 +69,8 @@
 async def _run_probe(data_centre_names: list[str], *, links: int) -> Cost:
     addresses = [free_address() for _ in data_centre_names]
     nodes = [
-        Node(name=f"n{index}", address=address, data_centre=place, seeds=tuple(addresses))
-        for index, (place, address) in enumerate(zip(data_centre_names, addresses, strict=True))
+        Node(name=f"n{index}", address=address, data_centre=centre, seeds=tuple(addresses))
+        for index, (centre, address) in enumerate(zip(data_centre_names, addresses, strict=True))
     ]
     for node in nodes:
         await node.peers.start()
@@ -93,7 +93,7 @@
 async def fleet_cost(*, data_centres: int, per_data_centre: int) -> FleetCost:
     """Run a whole fleet on this event loop, and propose changes to it."""
     store = MemoryStore()
-    nodes = _fleet(data_centres, per_data_centre, store)
+    nodes = _make_nodes(data_centres, per_data_centre, store)
     started_s = time.monotonic()
     for node in nodes:
         await node.peers.start()
@@ -142,20 +142,20 @@
     return since_s
 
 
-def _fleet(data_centres: int, per_data_centre: int, store: MemoryStore) -> list[Node]:
+def _make_nodes(data_centres: int, per_data_centre: int, store: MemoryStore) -> list[Node]:
     data_centre_names = [f"dc{number:02}" for number in range(data_centres)]
     addresses = {
-        place: [free_address() for _ in range(per_data_centre)] for place in data_centre_names
+        centre: [free_address() for _ in range(per_data_centre)] for centre in data_centre_names
     }
     nodes = []
-    for number, place in enumerate(data_centre_names):
+    for number, centre in enumerate(data_centre_names):
         next_seeds = [
             addresses[data_centre_names[(number + step) % data_centres]][0] for step in (1, 2)
         ]
-        seeds = tuple(addresses[place] + next_seeds)
-        for index, address in enumerate(addresses[place]):
-            name = f"{place}-{index:02}"
-            node = Node(name=name, address=address, data_centre=place, seeds=seeds, store=store)
+        seeds = tuple(addresses[centre] + next_seeds)
+        for index, address in enumerate(addresses[centre]):
+            name = f"{centre}-{index:02}"
+            node = Node(name=name, address=address, data_centre=centre, seeds=seeds, store=store)
             nodes.append(node)
     return nodes
 
--- a/bench/_capacity_state.py
+++ b/bench/_capacity_state.py
@@ -41,7 +41,7 @@
 )
 from shallotworks.timeline import EventKind, Subject, Timeline
 
-__all__ = ["StateCost", "WindowCost", "fleet_of", "state_cost", "timeline_bytes", "window_cost"]
+__all__ = ["StateCost", "WindowCost", "make_fleet", "state_cost", "timeline_bytes", "window_cost"]
 
 INSTANCES_PER_POOL = 1_100 / 305
 INSTANCES_PER_TEAM = 1_100 / 78
@@ -110,7 +110,7 @@
     return _memory_of(build)
 
 
-def fleet_of(instances: int) -> FleetState:
+def make_fleet(instances: int) -> FleetState:
     """Return a fleet of that many instances, with pools and teams in the target's proportions."""
     pools = [f"pool-{number}" for number in range(round(instances / INSTANCES_PER_POOL))]
     data_centres = [f"dc{number}" for number in range(-(-instances // INSTANCES_PER_DATA_CENTRE))]
@@ -145,12 +145,12 @@
 
 def state_cost(instances: int) -> StateCost:
     """Measure the costs of a fleet of that many instances."""
-    state = fleet_of(instances)
+    state = make_fleet(instances)
     Snapshot.decode(Snapshot(state=FleetState(), last_change_id="c").encode())
     encoded = Snapshot(state=state, last_change_id="c").encode()
     first = next(iter(state.instances))
     cordon = SetCondition(names=(first,), condition=Condition.CORDONED)
-    entry = _entry(2, cordon)
+    entry = _make_entry(2, cordon)
     planner = Planner(weights=PlannerWeights(), model=DisruptionModel())
     maintain_data_centre = Maintain(selection=InDataCentre(data_centre="dc0"))
     maintain_all = Maintain(selection=NotMaintainedSince(before_s=1.0))
@@ -176,7 +176,7 @@
 def window_cost(entries: int) -> WindowCost:
     """Measure a window of that many entries, decoded as entries from peers are."""
     encoded = [
-        _entry(
+        _make_entry(
             number + 1,
             SetCondition(names=(f"worker-{entries}-{number:05}",), condition=Condition.CORDONED),
         ).encode()
@@ -196,7 +196,7 @@
     )
 
 
-def _entry(revision: int, change: Any) -> Entry:
+def _make_entry(revision: int, change: Any) -> Entry:
     change_id = f"{revision:024x}"
     return Entry(revision=revision, change_id=change_id, author="kari", at_s=1.5, change=change)
 
--- a/bench/config.py
+++ b/bench/config.py
@@ -60,7 +60,7 @@
         asyncio.run(_measure_log(address))
 
 
-def fleet_of(instances: int) -> FleetState:
+def make_fleet(instances: int) -> FleetState:
     """Return a fleet of that many instances, with its other records in the target's proportions."""
     rng = random.Random(instances)
     pools = round(instances / INSTANCES_PER_POOL)
@@ -120,7 +120,7 @@
     print("instances  pools  apply us: condition  health  service  move   JSON kB  packed kB")
     print("                  encode ms  pack ms  decode ms  memory kB")
     for instances in SIZES:
-        state = fleet_of(instances)
+        state = make_fleet(instances)
         snapshot = Snapshot(state=state, last_change_id="0" * 24)
         encoded = snapshot.encode()
         packed = zlib.compress(encoded, 6)
@@ -131,9 +131,9 @@
             f"  {len(encoded) / 1e3:8.0f}  {len(packed) / 1e3:9.0f}"
         )
         print(
-            f"                  {_ms(snapshot.encode):9.1f}"
-            f"  {_ms(lambda data=encoded: zlib.compress(data, 6)):7.1f}"
-            f"  {_ms(lambda data=encoded: Snapshot.decode(data)):9.1f}"
+            f"                  {_median_ms(snapshot.encode):9.1f}"
+            f"  {_median_ms(lambda data=encoded: zlib.compress(data, 6)):7.1f}"
+            f"  {_median_ms(lambda data=encoded: Snapshot.decode(data)):9.1f}"
             f"  {_memory_kb(encoded):9.0f}",
             flush=True,
         )
@@ -161,7 +161,7 @@
     return (time.perf_counter() - started_s) / APPLY_COUNT * 1e6
 
 
-def _ms(function: Callable[[], object]) -> float:
+def _median_ms(function: Callable[[], object]) -> float:
     times_s = []
     for _ in range(7):
         started_s = time.perf_counter()
@@ -215,7 +215,7 @@
 
 
 async def _publish(author: ConfigStore, store: HttpKeyValueStore) -> None:
-    author.install_snapshot(Snapshot(state=fleet_of(TARGET_INSTANCES), last_change_id="0" * 24))
+    author.install_snapshot(Snapshot(state=make_fleet(TARGET_INSTANCES), last_change_id="0" * 24))
     compactor = Compactor(store=store, metrics=Metrics())
     started_s = time.perf_counter()
     (await compactor.compact(author.snapshot())).unwrap()
@@ -225,10 +225,10 @@
     (await author.load()).unwrap()
 
 
-async def _measure_load(newcomer: ConfigStore, address: str) -> None:
+async def _measure_load(new_replica: ConfigStore, address: str) -> None:
     before = _calls(address)
     started_s = time.perf_counter()
-    revision = (await newcomer.load()).unwrap()
+    revision = (await new_replica.load()).unwrap()
     elapsed_ms = (time.perf_counter() - started_s) * 1e3
     print(
         f"process loads revision {revision}: {elapsed_ms:.0f} ms, {_calls(address) - before} calls"
@@ -243,7 +243,7 @@
         (await author.propose(_toggle(number), author="bench")).unwrap()
         times_ms.append((time.perf_counter() - started_s) * 1e3)
     calls = (_calls(address) - before) / PROPOSAL_COUNT
-    print(f"propose, alone: {_quantiles(times_ms)}, {calls:.2f} calls a change")
+    print(f"propose, alone: {_format_quantiles(times_ms)}, {calls:.2f} calls a change")
 
 
 async def _measure_race(racers: list[ConfigStore], address: str) -> None:
@@ -262,7 +262,8 @@
     await asyncio.gather(*(propose_some(racer, n) for n, racer in enumerate(racers)))
     calls = (_calls(address) - before) / len(times_ms)
     print(
-        f"propose, {RACING_PROPOSERS} at once: {_quantiles(times_ms)}, {calls:.2f} calls a change"
+        f"propose, {RACING_PROPOSERS} at once: {_format_quantiles(times_ms)},"
+        f" {calls:.2f} calls a change"
     )
 
 
@@ -281,7 +282,8 @@
         times_ms.append((time.perf_counter() - started_s) * 1e3)
     calls = (_calls(address) - before) / len(times_ms)
     print(
-        f"accepted to in force at the last of {WATCHER_COUNT} watchers: {_quantiles(times_ms)},"
+        f"accepted to in force at the last of {WATCHER_COUNT} watchers:"
+        f" {_format_quantiles(times_ms)},"
         f" {calls:.2f} calls a change"
     )
     before, started_s = _calls(address), time.perf_counter()
@@ -302,7 +304,7 @@
     return sum(answer.json()["calls"].values())
 
 
-def _quantiles(times_ms: list[float]) -> str:
+def _format_quantiles(times_ms: list[float]) -> str:
     ordered = sorted(times_ms)
     return (
         f"p50 {statistics.median(ordered):.1f} ms, p99 {ordered[int(len(ordered) * 0.99)]:.1f} ms"
--- a/bench/crash_loops.py
+++ b/bench/crash_loops.py
@@ -90,12 +90,14 @@
             for job_id in healthy_jobs
             if job_id in self.ended and self.ended[job_id][1] is JobState.COMPLETED
         ]
-        in_time = [sum(one < limit_s for one in latencies_s) for limit_s in LATENCY_LIMITS_S]
+        counts_within_limits = [
+            sum(one < limit_s for one in latencies_s) for limit_s in LATENCY_LIMITS_S
+        ]
         failed = sum(self._is_failed(job_id) for job_id in healthy_jobs)
         failed_crashing_jobs = sum(self._is_failed(job_id) for job_id in self.crashing_jobs)
         figures = (
             len(healthy_jobs),
-            *in_time,
+            *counts_within_limits,
             failed,
             len(healthy_jobs) - len(latencies_s) - failed,
             len(self.crashing_jobs),
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -76,14 +76,16 @@
     divided_by: int = 0
 
 
-OURS = Setup(name="shallotworks")
+SHALLOTWORKS = Setup(name="shallotworks")
 FIRST_COME = Setup(name="first come first served", first_come=True)
 RANDOM = Setup(name="random choice", selector=RandomChoice)
 LEAST_IN_FLIGHT = Setup(name="least in flight", selector=lambda _rng: LeastInFlight())
 NO_EJECTION_LIMITS = DispatchLimits(failures_to_eject=UNLIMITED, refusals_to_eject=UNLIMITED)
 NO_EJECTION = Setup(name="no ejection", limits=NO_EJECTION_LIMITS)
 NO_BUDGET = Setup(name="no retry budget", budget=False)
-NEITHER = Setup(name="no ejection, no retry budget", limits=NO_EJECTION_LIMITS, budget=False)
+NO_EJECTION_NO_BUDGET = Setup(
+    name="no ejection, no retry budget", limits=NO_EJECTION_LIMITS, budget=False
+)
 
 
 class PoolSimulation:
@@ -165,7 +167,7 @@
     """Print interactive latency and long-running throughput at 3 times the capacity offered."""
     print(f"\nclasses: interactive fills {INTERACTIVE_LOAD} of the slots, long-running offers 3.0")
     print(f"{'':30}{'p50 ms':>9}{'p99 ms':>9}{'refused':>9}{'long part of rest':>19}")
-    for setup in (OURS, FIRST_COME):
+    for setup in (SHALLOTWORKS, FIRST_COME):
         for offered in (0.0, 3.0):
 
             async def measure(seed: int, setup: Setup = setup, offered: float = offered) -> list:
@@ -190,7 +192,7 @@
     print("\ngoodput: interactive only, answers within the deadline, part of the capacity")
     parts = (0.8, 1.0, 2.0, 5.0)
     print(f"{'':30}" + "".join(f"{part:>9}" for part in parts) + f"{'p99 at 5':>12}")
-    for setup in (OURS, FIRST_COME):
+    for setup in (SHALLOTWORKS, FIRST_COME):
         figures, p99 = [], 0.0
         for part in parts:
 
@@ -212,7 +214,7 @@
     """Print attempts per request and failed requests while a third of the targets fail quickly."""
     print("\nretries: a third of the targets fail quickly, load 0.5, after 10 s")
     print(f"{'':34}{'attempts/request':>17}{'failed':>9}{'p99 ms':>9}")
-    for setup in (OURS, NO_EJECTION, NO_BUDGET, NEITHER):
+    for setup in (SHALLOTWORKS, NO_EJECTION, NO_BUDGET, NO_EJECTION_NO_BUDGET):
 
         async def measure(seed: int, setup: Setup = setup) -> list:
             simulation = PoolSimulation(setup, seed)
@@ -236,7 +238,7 @@
     print("\nejection: one target of 8 becomes faulty after 10 s, load 0.5")
     print(f"{'':34}{'last attempt before probes':>26}{'attempts, 30 s':>15}{'failed':>9}")
     for fault in ("fails", "silent"):
-        for setup in (OURS, NO_EJECTION):
+        for setup in (SHALLOTWORKS, NO_EJECTION):
 
             async def measure(seed: int, setup: Setup = setup, fault: str = fault) -> list:
                 simulation = PoolSimulation(setup, seed)
@@ -262,7 +264,7 @@
     print("\nchoice: load 0.7, slots not divided among the entries, so that targets must refuse")
     print(f"{'':34}{'entries':>8}{'refused attempts':>18}{'p99 ms':>9}")
     for entries in (2, 6):
-        for setup in (OURS, LEAST_IN_FLIGHT, RANDOM):
+        for setup in (SHALLOTWORKS, LEAST_IN_FLIGHT, RANDOM):
             undivided = replace(setup, entries=entries, divided_by=1)
 
             async def measure(seed: int, setup: Setup = undivided) -> list:
@@ -283,7 +285,7 @@
     )
     for name, divided_by in (("divided", ENTRIES), ("limits at the target", 1)):
         for part, entry in ((0.6, None), (0.6, 0), (2.0, None)):
-            setup = replace(OURS, divided_by=divided_by)
+            setup = replace(SHALLOTWORKS, divided_by=divided_by)
 
             async def measure(
                 seed: int, setup: Setup = setup, part: float = part, entry: int | None = entry
@@ -310,17 +312,17 @@
     print("\ncost: real time per acquire and release, one process")
     for name, state in (
         ("40 workers, 5 pools", small_fleet()),
-        ("1,100 workers, 305 pools", target()),
+        ("1,100 workers, 305 pools", target_fleet()),
     ):
-        row = [asyncio.run(_cost(state, seed)) for seed in SEEDS]
+        row = [asyncio.run(_acquire_cost_s(state, seed)) for seed in SEEDS]
         print(f"{name:34}{sorted(row)[len(row) // 2] * 1e6:9.1f} us")
     for waiting in (1_000, 10_000):
-        rows = [asyncio.run(_cost_of_waiting(waiting)) for _ in SEEDS]
+        rows = [asyncio.run(_queue_costs_s(waiting)) for _ in SEEDS]
         enter, cancel = (sorted(column)[len(rows) // 2] * 1e6 for column in zip(*rows, strict=True))
         print(f"{waiting:6} waiting: {enter:.1f} us to enter the queue, {cancel:.1f} us to cancel")
 
 
-async def _cost(state: FleetState, seed: int) -> float:
+async def _acquire_cost_s(state: FleetState, seed: int) -> float:
     harness = make_harness(state, seed=seed)
     rng = random.Random(seed)
     services = list(state.services)
@@ -337,7 +339,7 @@
     return (time.perf_counter() - started_s) / (len(requests) - 1)
 
 
-async def _cost_of_waiting(waiting: int) -> tuple[float, float]:
+async def _queue_costs_s(waiting: int) -> tuple[float, float]:
     harness = make_harness(fleet(instances(1)), limits=DispatchLimits(waiting_min=UNLIMITED))
     for _ in range(8):
         await harness.grant(within_s=1000)
@@ -355,15 +357,15 @@
 
 def small_fleet() -> FleetState:
     """Return a fleet of five services with eight workers each."""
-    return _many(pools=5, workers=40)
+    return _make_fleet(pools=5, workers=40)
 
 
-def target() -> FleetState:
+def target_fleet() -> FleetState:
     """Return a fleet of the target size."""
-    return _many(pools=305, workers=1100)
+    return _make_fleet(pools=305, workers=1100)
 
 
-def _many(*, pools: int, workers: int) -> FleetState:
+def _make_fleet(*, pools: int, workers: int) -> FleetState:
     members = {}
     for number in range(workers):
         members.update(make_instances(1, pool=f"p{number % pools}", prefix=f"w{number}-"))
--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -34,13 +34,13 @@
         print(f"{len(system.entries)} entry instances in {len(DATA_CENTRES)} data centres")
         first = _revision(system)
         for number in range(CHANGE_COUNT):
-            _change(system, rng, f"quiet-{number}")
+            _propose_change(system, rng, f"quiet-{number}")
             time.sleep(CHANGE_PAUSE_S)
         time.sleep(SETTLE_S)
         _print("without faults", _delays_s(system, first + 1))
         first = _revision(system)
         for number in range(OUTAGE_COUNT):
-            _change(system, rng, f"lost-{number}")
+            _propose_change(system, rng, f"lost-{number}")
             system.platform.set_faults(StoreFaults(down=True))
             time.sleep(OUTAGE_S)
             system.platform.set_faults(StoreFaults())
@@ -48,7 +48,7 @@
         _print("store lost after each acceptance", _delays_s(system, first + 1))
 
 
-def _change(system: System, rng: random.Random, name: str) -> None:
+def _propose_change(system: System, rng: random.Random, name: str) -> None:
     with system.operator(rng.choice(system.entries)) as operator:
         while True:
             try:
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -313,7 +313,7 @@
         state, weights=weights, policy=ConductorPolicy(), reboot_s=300.0
     )
     harness.start_conductor()
-    plan = await _confirmed(harness, MAINTAIN_ALL)
+    plan = await _propose_and_confirm(harness, MAINTAIN_ALL)
     calls_before = sum(harness.store.calls.values())
     writes_before = len(harness.config.history)
     started_s = asyncio.get_running_loop().time()
@@ -352,7 +352,7 @@
         fjellsending(), policy=ConductorPolicy(), ttl_s=ttl_s, seed=kill
     )
     tasks = [harness.start_conductor() for _ in range(3)]
-    plan = await _confirmed(harness, Maintain(selection=InPool(pool="archive")))
+    plan = await _propose_and_confirm(harness, Maintain(selection=InPool(pool="archive")))
     await asyncio.sleep(20.0 + kill * 1.7)
     holder = next(name for name, held in harness.candidates.items() if held.is_held())
     token = max(_tokens(harness))
@@ -370,7 +370,7 @@
     return {change.fencing_token for change in changes if isinstance(change, AdvancePlan)}
 
 
-async def _confirmed(harness: ConductorHarness, intent: Intent) -> Plan:
+async def _propose_and_confirm(harness: ConductorHarness, intent: Intent) -> Plan:
     plan = (await harness.plan_registry.propose(intent, author="bench")).unwrap()
     (await harness.plan_registry.confirm(plan.digest, operator="bench")).unwrap()
     return plan
--- a/bench/platform_client.py
+++ b/bench/platform_client.py
@@ -42,7 +42,7 @@
         pool.request("GET", "/kv/v1/key?key=a")
         times_ms.append((time.perf_counter() - started_s) * 1e3)
     pool.close()
-    print(f"a read by urllib3 alone: {_quantiles(times_ms)}")
+    print(f"a read by urllib3 alone: {_format_quantiles(times_ms)}")
 
 
 async def _measure_client(address: str) -> None:
@@ -55,7 +55,10 @@
         times_ms.append((time.perf_counter() - started_s) * 1e3)
     used_us = (time.thread_time() - used_s) / CALL_COUNT * 1e6
     store.close()
-    print(f"a read by the client: {_quantiles(times_ms)}, {used_us:.0f} us of the loop's thread")
+    print(
+        f"a read by the client: {_format_quantiles(times_ms)},"
+        f" {used_us:.0f} us of the loop's thread"
+    )
 
 
 async def _measure_outage(address: str) -> None:
@@ -138,7 +141,7 @@
     return sum(answer.json()["calls"].values())
 
 
-def _quantiles(times_ms: list[float]) -> str:
+def _format_quantiles(times_ms: list[float]) -> str:
     ordered = sorted(times_ms)
     return (
         f"p50 {statistics.median(ordered):.2f} ms, p99 {ordered[int(len(ordered) * 0.99)]:.2f} ms"
--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -64,7 +64,7 @@
     "deadline only": deadline_only,
     "smallest first": smallest_first,
     "least slack": least_slack,
-    "urgency (kept)": urgency,
+    "urgency (in use)": urgency,
 }
 
 
@@ -110,7 +110,7 @@
                 length_s = decision.run.step.estimated_s * rng.uniform(0.8, 1.2)
                 running.append((now_s + length_s, decision))
         now_s += TICK_S
-    return _shares(scheduler_state, ended_s)
+    return _met_ratios(scheduler_state, ended_s)
 
 
 def _arrivals(rng: random.Random) -> list[Job]:
@@ -165,7 +165,7 @@
             ended_s.setdefault(job_id, now_s)
 
 
-def _shares(scheduler_state: SchedulerState, ended_s: dict[str, float]) -> tuple[float, float]:
+def _met_ratios(scheduler_state: SchedulerState, ended_s: dict[str, float]) -> tuple[float, float]:
     entries = sorted(scheduler_state.tracked_jobs.values(), key=lambda entry: entry.work_core_s)
     met_objective = [
         ended_s.get(entry.job.job_id, 1e9) <= entry.job.accepted_s + entry.job.objective_s()
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -147,7 +147,7 @@
     instance.start()
     await asyncio.sleep(1.0)
     began_s, began_cpu_s = time.monotonic(), time.process_time()
-    before = fleet.started
+    started_before = fleet.started
     submitted_count, longest_s, last_s = 0, 0.0, began_s
     submitted: list[asyncio.Task[None]] = []
     while (now_s := time.monotonic()) - began_s < LOAD_PERIOD_S:
@@ -157,7 +157,7 @@
             submitted.append(asyncio.create_task(simulation.submit(f"{submitted_count:016x}", job)))
             submitted_count += 1
         await asyncio.sleep(0.005)
-    started = fleet.started - before
+    started = fleet.started - started_before
     cpu_us = (time.process_time() - began_cpu_s) / max(1, started) * 1e6
     print(
         f"{workers:7} {requested_per_s:8} {started / LOAD_PERIOD_S:10.0f} {cpu_us:23.0f} "
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -28,27 +28,28 @@
 ) -> None:
     """Run the soak and print the violations; exits with 1 where there were any."""
     first, _, last = seeds.partition("-")
-    drawn = list(range(int(first), int(last or first) + 1)) if seeds != "none" else []
-    drawn += [seed for seed in REGRESSION_SEEDS if kept and seed not in drawn]
-    drawn += [random.SystemRandom().randrange(1_000, 2**31) for _ in range(fresh)]
+    selected = list(range(int(first), int(last or first) + 1)) if seeds != "none" else []
+    selected += [seed for seed in REGRESSION_SEEDS if kept and seed not in selected]
+    selected += [random.SystemRandom().randrange(1_000, 2**31) for _ in range(fresh)]
     root = pathlib.Path(folder or tempfile.mkdtemp(prefix="soak-"))
-    plans = [RunPlan(seed=seed, fault_period_s=trouble_s, entries=entries) for seed in drawn]
+    plans = [RunPlan(seed=seed, fault_period_s=trouble_s, entries=entries) for seed in selected]
     typer.echo(f"{len(plans)} runs, {jobs} at a time; logs in {root}")
     results = asyncio.run(_run_all(plans, root, jobs))
-    broken = [one for one in results if one.violations]
-    settled = sorted(one.settled_s for one in results)
+    failed = [result for result in results if result.violations]
+    settled = sorted(result.settled_s for result in results)
     typer.echo(
-        f"{len(results)} runs, {sum(one.accepted for one in results)} jobs, "
-        f"{sum(one.starts for one in results)} starts; settled in {settled[len(settled) // 2]} s "
-        f"(median), {settled[-1]} s (longest); {len(broken)} with violations"
+        f"{len(results)} runs, {sum(result.accepted for result in results)} jobs, "
+        f"{sum(result.starts for result in results)} starts; "
+        f"settled in {settled[len(settled) // 2]} s "
+        f"(median), {settled[-1]} s (longest); {len(failed)} with violations"
     )
-    raise typer.Exit(1 if broken else 0)
+    raise typer.Exit(1 if failed else 0)
 
 
 async def _run_all(plans: list[RunPlan], root: pathlib.Path, jobs: int) -> list[RunResult]:
     limit = asyncio.Semaphore(jobs)
 
-    async def one(plan: RunPlan) -> RunResult:
+    async def run_limited(plan: RunPlan) -> RunResult:
         async with limit:
             folder = root / f"seed-{plan.seed}"
             folder.mkdir(parents=True, exist_ok=True)
@@ -56,7 +57,7 @@
             _print_result(result)
             return result
 
-    return await asyncio.gather(*(one(plan) for plan in plans))
+    return await asyncio.gather(*(run_limited(plan) for plan in plans))
 
 
 def _print_result(result: RunResult) -> None:
--- a/soak/_fault_scenarios.py
+++ b/soak/_fault_scenarios.py
@@ -28,8 +28,8 @@
         if key.startswith("shallotworks/duty/")
     }
     names = sorted(testbed.entries)
-    busy = [name for name in names if name in holders]
-    chosen = testbed.rng.choice(busy if busy and testbed.rng.random() < 0.7 else names)
+    holding = [name for name in names if name in holders]
+    chosen = testbed.rng.choice(holding if holding and testbed.rng.random() < 0.7 else names)
     return testbed.entries[chosen]
 
 
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -176,10 +176,12 @@
         machines, max_at_once = self.waves.get(wave, (frozenset(), 0))
         if name not in machines:
             return False
-        down = self._in_maintenance.setdefault(wave, set())
-        if len(down) >= max_at_once:
-            self.violations.append(f"wave {wave}: {name} goes down while {len(down)} are down")
-        down.add(name)
+        in_maintenance = self._in_maintenance.setdefault(wave, set())
+        if len(in_maintenance) >= max_at_once:
+            self.violations.append(
+                f"wave {wave}: {name} goes down while {len(in_maintenance)} are down"
+            )
+        in_maintenance.add(name)
         self.maintained.setdefault(wave, set()).add(name)
         return True
 
