--- a/bench/_dispatch_baselines.py
+++ b/bench/_dispatch_baselines.py
@@ -62,7 +62,7 @@
         self, *, members: dict[str, Instance], entry_count: Callable[[], int], rng: random.Random
     ) -> None:
         self._targets = {name: _TargetSlots(instance=entry) for name, entry in members.items()}
-        self._entries = live_entries
+        self._entries = entry_count
         self._rng = rng
         self._queue: deque[tuple[Request, asyncio.Future]] = deque()
         self._next = 0
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -105,11 +105,11 @@
             retry = BudgetedRetryPolicy(limits=RetryLimits(), metrics=Metrics(), rng=rng)
         if setup.first_come:
             dispatcher = FirstComeFirstServed(
-                members=members, live_entries=lambda: setup.entries, rng=rng
+                members=members, entry_count=lambda: setup.entries, rng=rng
             )
             return Entry(dispatcher=dispatcher, retry=retry)
         harness = make_harness(
-            fleet(members),
+            make_fleet(members),
             limits=setup.limits,
             seed=seed * 100 + rank,
             selector=setup.selector(rng) if setup.selector else None,
@@ -340,7 +340,9 @@
 
 
 async def _queue_costs_s(waiting: int) -> tuple[float, float]:
-    harness = make_harness(fleet(instances(1)), limits=DispatchLimits(waiting_min=UNLIMITED))
+    harness = make_harness(
+        make_fleet(make_instances(1)), limits=DispatchLimits(waiting_min=UNLIMITED)
+    )
     for _ in range(8):
         await harness.grant(within_s=1000)
     requests = [harness.request(within_s=1000) for _ in range(waiting)]
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -254,7 +254,7 @@
     while sum(sizes) < SMALL_INSTANCES:
         sizes[rng.randrange(3)] += 1
     pools = {f"p{number}": size for number, size in enumerate(sizes)}
-    state = fleet(centres=("x", "y"), pools=pools, budget=rng.randint(1, 2), per_rack=2)
+    state = make_fleet(centres=("x", "y"), pools=pools, budget=rng.randint(1, 2), per_rack=2)
     plan = Planner(weights=weights, model=DisruptionModel()).plan(
         state, MAINTAIN_ALL, author="bench"
     )
@@ -317,7 +317,7 @@
     calls_before = sum(harness.store.calls.values())
     writes_before = len(harness.config.history)
     started_s = asyncio.get_running_loop().time()
-    await harness.until_ended(plan.digest)
+    await harness.wait_until_ended(plan.digest)
     elapsed_s = asyncio.get_running_loop().time() - started_s
     writes = len(harness.config.history) - writes_before
     changes = [change for change, _ in harness.config.history[writes_before:]]
--- a/bench/scheduling.py
+++ b/bench/scheduling.py
@@ -53,7 +53,7 @@
 
 def least_slack(entry: TrackedStep, wall_s: float) -> tuple[float, ...]:
     """Order jobs that can meet their objective by the latest start time, the rest by work."""
-    latest_s = entry.objective_ends_s - entry.chain_s
+    latest_s = entry.objective_ends_s - entry.critical_path_s
     if wall_s <= latest_s:
         return (0, latest_s)
     return (1, entry.tracked_job.work_core_s)
