--- a/src/shallotworks/metrics/_load_monitor.py
+++ b/src/shallotworks/metrics/_load_monitor.py
@@ -33,12 +33,12 @@
         metrics: Receives the lateness of the event loop and the processor time used.
         log: Receives one line for each change.
         processor_clock: Returns the processor time used so far, in seconds.
-        duties: Returns the names of the roles for which the process currently holds the lease.
+        held_leases: Returns the names of the leases that the process currently holds.
     """
 
     __slots__ = (
         "_cores",
-        "_duties",
+        "_held_leases",
         "_is_saturated",
         "_lateness_samples_s",
         "_log",
@@ -54,13 +54,13 @@
         metrics: Metrics,
         log: StructuredLog,
         processor_clock: Callable[[], float],
-        duties: Callable[[], list[str]],
+        held_leases: Callable[[], list[str]],
     ) -> None:
         self._cores = cores
         self._metrics = metrics
         self._log = log
         self._processor_clock = processor_clock
-        self._duties = duties
+        self._held_leases = held_leases
         self._is_saturated = False
         self._lateness_samples_s: list[float] = []
         self._use_samples: list[float] = []
@@ -98,5 +98,5 @@
             used_part=round(use, 2),
             late_s=round(late_s, 3),
             cores=round(self._cores, 2),
-            duties=self._duties(),
+            duties=self._held_leases(),
         )
--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -141,7 +141,7 @@
             metrics=self._metrics,
             log=self._log,
             processor_clock=time.process_time,
-            duties=self._elector.held_services,
+            held_leases=self._elector.held_services,
         )
         self._stop = asyncio.Event()
         self._watcher_tasks: list[asyncio.Task[None]] = []
--- a/tests/test_load_monitor.py
+++ b/tests/test_load_monitor.py
@@ -45,7 +45,7 @@
                 metrics=Metrics(),
                 log=log,
                 processor_clock=lambda: used_s,
-                duties=lambda: ["scheduler/a"],
+                held_leases=lambda: ["scheduler/a"],
             )
             task = asyncio.create_task(monitor.run())
             await asyncio.sleep(0.05)
