--- a/src/shallotworks/cli/_observe_commands.py
+++ b/src/shallotworks/cli/_observe_commands.py
@@ -137,15 +137,17 @@
     client = open_client(address=address, token_file=token_file)
     if isinstance(client, Err):
         return client
-    asked_at_s = _wall_clock_s()
+    requested_at_s = _wall_clock_s()
     page = client.unwrap().get("/timeline", TimelinePage, query)
-    answered_at_s = _wall_clock_s()
+    responded_at_s = _wall_clock_s()
     client.unwrap().close()
     return page.map(
         lambda found: _FetchedPage(
             page=found,
             clock_offset_s=estimate_clock_offset_s(
-                asked_at_s=asked_at_s, answered_at_s=answered_at_s, remote_now_s=found.now_s
+                requested_at_s=requested_at_s,
+                responded_at_s=responded_at_s,
+                remote_now_s=found.now_s,
             ),
         )
     )
--- a/src/shallotworks/timeline/_merge.py
+++ b/src/shallotworks/timeline/_merge.py
@@ -38,22 +38,22 @@
 
 
 def estimate_clock_offset_s(
-    *, asked_at_s: float, answered_at_s: float, remote_now_s: float
+    *, requested_at_s: float, responded_at_s: float, remote_now_s: float
 ) -> float:
     """Return the offset to add to a remote process's times to match the local clock.
 
     Args:
-        asked_at_s: Local wall clock when the request was sent.
-        answered_at_s: Local wall clock when the response arrived.
+        requested_at_s: Local wall clock when the request was sent.
+        responded_at_s: Local wall clock when the response arrived.
         remote_now_s: Remote wall clock when the response was made.
 
     Returns:
         The offset; 0 if the remote time lies between the two local times, because network delay
         can't be distinguished from a clock offset in that case.
     """
-    if asked_at_s <= remote_now_s <= answered_at_s:
+    if requested_at_s <= remote_now_s <= responded_at_s:
         return 0.0
-    return (asked_at_s + answered_at_s) / 2 - remote_now_s
+    return (requested_at_s + responded_at_s) / 2 - remote_now_s
 
 
 def _in_own_order(events: Iterable[Event], *, offset_s: float) -> Iterable[Event]:
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -70,14 +70,18 @@
 
     def test_offset_corrects_wrong_clock(self) -> None:
         """Events of a process whose clock is 5 s ahead are shown in the reader's time."""
-        offset_s = estimate_clock_offset_s(asked_at_s=100, answered_at_s=100.2, remote_now_s=105.1)
+        offset_s = estimate_clock_offset_s(
+            requested_at_s=100, responded_at_s=100.2, remote_now_s=105.1
+        )
         self.assertAlmostEqual(offset_s, -5.0)
         merged = merge([_event("a", 0, 104.0), _event("b", 0, 100.0)], clock_offsets_s={"a": -5})
         self.assertEqual([event.process for event in merged], ["a", "b"])
 
     def test_network_delay_is_not_an_offset(self) -> None:
         """A remote time between request and response gives an offset of 0."""
-        offset_s = estimate_clock_offset_s(asked_at_s=100, answered_at_s=102, remote_now_s=101.9)
+        offset_s = estimate_clock_offset_s(
+            requested_at_s=100, responded_at_s=102, remote_now_s=101.9
+        )
         self.assertEqual(offset_s, 0.0)
 
     @given(
