--- a/src/shallotworks/standins/_http_listener.py
+++ b/src/shallotworks/standins/_http_listener.py
@@ -8,13 +8,13 @@
 
 from aiohttp import web
 
-__all__ = ["HttpListener", "answer_json", "drop_connection"]
+__all__ = ["HttpListener", "json_response", "drop_connection"]
 
 SHUTDOWN_TIMEOUT_S = 0.1
 """Time for requests in flight to finish when the listener stops."""
 
 
-def answer_json(body: dict[str, Any], status: int = 200) -> web.Response:
+def json_response(body: dict[str, Any], status: int = 200) -> web.Response:
     """Return a response with a JSON body."""
     return web.Response(
         status=status, body=json.dumps(body).encode(), content_type="application/json"
--- a/src/shallotworks/standins/_machines_http.py
+++ b/src/shallotworks/standins/_machines_http.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from ._http_listener import HttpListener, answer_json
+from ._http_listener import HttpListener, json_response
 
 __all__ = ["MachineOrder", "ListedMachine", "MachinesServer"]
 
@@ -74,7 +74,7 @@
         if self.is_down:
             return web.Response(status=503)
         if request.path == "/v1/machines":
-            return answer_json(
+            return json_response(
                 {"machines": [_encode_machine(listed) for listed in self._machines.values()]}
             )
         body = await request.json()
@@ -82,7 +82,7 @@
         if machine is None:
             return web.Response(status=400)
         if machine.state != "up":
-            return answer_json({"reason": "busy"}, status=409)
+            return json_response({"reason": "busy"}, status=409)
         order = MachineOrder(
             machine=machine,
             holder=request.headers.get("Shallotworks-Duty-Holder", ""),
@@ -91,8 +91,8 @@
             wave=body.get("wave", 0),
         )
         if not self._execute_order(order):
-            return answer_json({"reason": "wave"}, status=409)
-        return answer_json({})
+            return json_response({"reason": "wave"}, status=409)
+        return json_response({})
 
 
 def _encode_machine(machine: ListedMachine) -> dict[str, Any]:
--- a/src/shallotworks/standins/_store_http.py
+++ b/src/shallotworks/standins/_store_http.py
@@ -13,7 +13,7 @@
 from shallotworks.errors import ErrorKind, Failure
 from shallotworks.store import Commit, Condition, Conflicted, Deletion, Item, Write
 
-from ._http_listener import HttpListener, answer_json, drop_connection
+from ._http_listener import HttpListener, drop_connection, json_response
 from ._record_store import FaultInjectingStore
 
 __all__ = ["StoreServer"]
@@ -64,7 +64,7 @@
         if request.path == "/v1/kv-range":
             page = await self.view.read_page(query["prefix"], after=query.get("after", ""))
             return page.map(
-                lambda found_page: answer_json(
+                lambda found_page: json_response(
                     {
                         "items": [_encode_item(item) for item in found_page.items],
                         "hasMore": found_page.has_more,
@@ -86,14 +86,14 @@
             ttl_ms = (await request.json())["ttlMs"]
             granted = await self.view.grant_lease(ttl_s=ttl_ms / 1000)
             return granted.map(
-                lambda lease_number: answer_json({"lease": lease_number, "ttlMs": ttl_ms})
+                lambda lease_number: json_response({"lease": lease_number, "ttlMs": ttl_ms})
             )
         lease_number = int(request.path.rsplit("/", 1)[1])
         if request.method == "DELETE":
             ended = await self.view.revoke_lease(lease_number)
-            return ended.map(lambda _: answer_json({}))
+            return ended.map(lambda _: json_response({}))
         renewed = await self.view.renew_lease(lease_number)
-        return renewed.map(lambda _: answer_json({"ttlMs": 1}))
+        return renewed.map(lambda _: json_response({"ttlMs": 1}))
 
     async def _answer_watch(self, request: web.BaseRequest) -> Result[web.StreamResponse, Failure]:
         query = request.query
@@ -108,12 +108,12 @@
         if changes.is_history_lost:
             return Success(web.Response(status=410))
         encoded_events = [_encode_event(event) for event in changes.events]
-        return Success(answer_json({"events": encoded_events, "atRev": changes.revision}))
+        return Success(json_response({"events": encoded_events, "atRev": changes.revision}))
 
     def _answer_item(self, item: Item | None) -> web.StreamResponse:
         if item is None:
             return web.Response(status=404)
-        return answer_json(_encode_item(item) | {"atRev": self.store.revision})
+        return json_response(_encode_item(item) | {"atRev": self.store.revision})
 
 
 def _decode_commit(body: dict[str, list[Any]]) -> Commit:
@@ -131,8 +131,10 @@
 
 def _encode_commit_outcome(outcome: Any) -> web.StreamResponse:
     if isinstance(outcome, Conflicted):
-        return answer_json({"items": [_encode_item(item) for item in outcome.current]}, status=412)
-    return answer_json({"revision": outcome.revision})
+        return json_response(
+            {"items": [_encode_item(item) for item in outcome.current]}, status=412
+        )
+    return json_response({"revision": outcome.revision})
 
 
 def _encode_event(event: Item | Deletion) -> dict[str, object]:
--- a/src/shallotworks/standins/_worker_http.py
+++ b/src/shallotworks/standins/_worker_http.py
@@ -19,7 +19,7 @@
 )
 
 from ._fault_injecting_orders import FaultInjectingOrders
-from ._http_listener import HttpListener, answer_json, drop_connection
+from ._http_listener import HttpListener, drop_connection, json_response
 
 __all__ = ["WorkerServer"]
 
@@ -55,11 +55,11 @@
         body = await request.json()
         outcome = await self._execute_order(request.path, body)
         if outcome.status is OrderStatus.OBEYED:
-            return answer_json(_encode_report(outcome))
+            return json_response(_encode_report(outcome))
         reason = _REASON_BY_STATUS.get(outcome.status)
         if reason is None:
             return drop_connection(request)
-        return answer_json({"clockMs": outcome.clock_ms, "reason": reason}, status=409)
+        return json_response({"clockMs": outcome.clock_ms, "reason": reason}, status=409)
 
     async def _execute_order(self, path: str, body: dict[str, Any]) -> OrderOutcome:
         token = body["fencingToken"]
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -31,7 +31,7 @@
 from shallotworks.platform._workers import WorkerRegistry, _decode_outcome
 from shallotworks.scheduling import MachineState, OrderStatus, SchedulerState
 from shallotworks.standins import FaultInjectingStore, RecordStore
-from shallotworks.standins._http_listener import HttpListener, answer_json
+from shallotworks.standins._http_listener import HttpListener, json_response
 from shallotworks.store import Item, PrefixWatcher
 from tests.scheduling_fakes import quiet_log, step
 from tests.scheduling_simulation import SERVICE, SchedulingSimulation
@@ -375,14 +375,14 @@
 
     async def handle(self, request: Any) -> Any:
         if request.path == "/v1/kv-range":
-            return answer_json({"items": self.items, "hasMore": False, "atRev": 10})
+            return json_response({"items": self.items, "hasMore": False, "atRev": 10})
         if self.sent_events < len(self.events):
             self.sent_events += 1
-            return answer_json(
+            return json_response(
                 {"events": [self.events[self.sent_events - 1]], "atRev": 10 + self.sent_events}
             )
         await asyncio.sleep(0.02)
-        return answer_json({"events": [], "atRev": 10 + self.sent_events})
+        return json_response({"events": [], "atRev": 10 + self.sent_events})
 
 
 def row(worker_id: str, value: object, revision: int) -> dict[str, Any]:
@@ -469,7 +469,7 @@
         """Guards against an unexpected error that ends the watcher."""
 
         async def handle(_request: Any) -> Any:
-            answer = answer_json({})
+            answer = json_response({})
             answer.body = b"[" * NESTING_LEVELS
             return answer
 
