--- a/soak/_fault_scenarios.py
+++ b/soak/_fault_scenarios.py
@@ -144,8 +144,8 @@
         RecordFaults(is_down=True),
         RecordFaults(is_silent=True),
         RecordFaults(delay_s=testbed.rng.uniform(0.1, 0.35)),
-        RecordFaults(lost_part=0.3),
-        RecordFaults(late_part=0.3, late_s=testbed.rng.uniform(1, 6)),
+        RecordFaults(lost_ratio=0.3),
+        RecordFaults(late_ratio=0.3, late_delay_s=testbed.rng.uniform(1, 6)),
     )
     faults = testbed.rng.choice(draws)
     instance = ALL_INSTANCES if len(chosen) > 1 else chosen[0].process.name
@@ -187,7 +187,7 @@
     """Delay some orders to workers, and lose the answers of some."""
     fault = testbed.fault_log.begin("orders-late", ALL_INSTANCES)
     testbed.fleet.orders.faults = OrderFaults(
-        late_part=0.1, lost_part=0.1, late_s=testbed.rng.uniform(1, 8)
+        late_ratio=0.1, lost_ratio=0.1, late_delay_s=testbed.rng.uniform(1, 8)
     )
     await asyncio.sleep(testbed.rng.uniform(2.0, 5.0))
     testbed.fleet.orders.faults = OrderFaults()
--- a/src/shallotworks/standins/_fault_injecting_orders.py
+++ b/src/shallotworks/standins/_fault_injecting_orders.py
@@ -27,18 +27,18 @@
     """Network faults between one instance and the workers.
 
     Args:
-        late_part: Ratio of the start orders that are not answered and are executed ``late_s``
-            later.
-        late_s: Delay of these start orders.
-        lost_part: Ratio of the other start orders and of the stop orders that are executed but
+        late_ratio: Ratio of the start orders that are not answered and are executed
+            ``late_delay_s`` later.
+        late_delay_s: Delay of these start orders.
+        lost_ratio: Ratio of the other start orders and of the stop orders that are executed but
             not answered.
-        cut: Ids of the workers that this instance can't reach.
+        unreachable_worker_ids: Ids of the workers that this instance can't reach.
     """
 
-    late_part: float = 0.0
-    late_s: float = 3.0
-    lost_part: float = 0.0
-    cut: set[str] = field(default_factory=set)
+    late_ratio: float = 0.0
+    late_delay_s: float = 3.0
+    lost_ratio: float = 0.0
+    unreachable_worker_ids: set[str] = field(default_factory=set)
 
 
 class FaultInjectingOrders:
@@ -80,7 +80,7 @@
         ):
             await reached.wait_for_end(wait_ends_at_s - loop.time())
             outcome = reached.poll(token, acknowledged, None)
-        if not reached.is_alive or worker.worker_id in self.faults.cut:
+        if not reached.is_alive or worker.worker_id in self.faults.unreachable_worker_ids:
             return await self._answer_for_absent_worker(worker, times_out_at_s)
         return outcome
 
@@ -91,7 +91,7 @@
         reached = await self._reach_worker(worker)
         if isinstance(reached, OrderOutcome):
             return reached
-        if self._fleet.rng.random() < self.faults.late_part:
+        if self._fleet.rng.random() < self.faults.late_ratio:
             task = asyncio.create_task(
                 self._start_after_delay(reached, order, token, lease_until_ms)
             )
@@ -99,7 +99,7 @@
             task.add_done_callback(self._delayed_starts.discard)
             return await self._lose_answer()
         outcome = reached.start(order, token, lease_until_ms)
-        if self._fleet.rng.random() < self.faults.lost_part:
+        if self._fleet.rng.random() < self.faults.lost_ratio:
             return await self._lose_answer()
         return outcome
 
@@ -109,7 +109,7 @@
         if isinstance(reached, OrderOutcome):
             return reached
         outcome = reached.stop(order, token)
-        if self._fleet.rng.random() < self.faults.lost_part:
+        if self._fleet.rng.random() < self.faults.lost_ratio:
             return await self._lose_answer()
         return outcome
 
@@ -132,7 +132,7 @@
         is_absent = worker.worker_id in self._fleet.absences
         if reached is None or not reached.is_alive or is_absent:
             return await self._answer_for_absent_worker(worker, times_out_at_s)
-        if worker.worker_id in self.faults.cut:
+        if worker.worker_id in self.faults.unreachable_worker_ids:
             return await self._lose_answer(times_out_at_s)
         return reached
 
@@ -140,7 +140,7 @@
         self, worker: WorkerView, times_out_at_s: float | None = None
     ) -> OrderOutcome:
         absence = self._fleet.absences.get(worker.worker_id)
-        if absence is not None and worker.worker_id not in self.faults.cut:
+        if absence is not None and worker.worker_id not in self.faults.unreachable_worker_ids:
             return OrderOutcome(status=absence)
         return await self._lose_answer(times_out_at_s)
 
@@ -154,6 +154,6 @@
     async def _start_after_delay(
         self, worker: TaskWorker, order: StartOrder, token: int, lease_until_ms: int
     ) -> None:
-        await asyncio.sleep(self.faults.late_s)
+        await asyncio.sleep(self.faults.late_delay_s)
         if worker.is_alive:
             worker.start(order, token, lease_until_ms, is_late=True)
--- a/src/shallotworks/standins/_record_store.py
+++ b/src/shallotworks/standins/_record_store.py
@@ -38,18 +38,19 @@
     Args:
         is_down: Every call fails without any effect.
         is_silent: Every call times out without any effect.
-        lost_part: Ratio of the commits, other than the late ones, that are applied but not
+        lost_ratio: Ratio of the commits, other than the late ones, that are applied but not
             answered.
-        late_part: Ratio of the commits that are not answered and are applied ``late_s`` later.
-        late_s: Delay of these commits.
+        late_ratio: Ratio of the commits that are not answered and are applied ``late_delay_s``
+            later.
+        late_delay_s: Delay of these commits.
         delay_s: Latency that is added to every call.
     """
 
     is_down: bool = False
     is_silent: bool = False
-    lost_part: float = 0.0
-    late_part: float = 0.0
-    late_s: float = 2.0
+    lost_ratio: float = 0.0
+    late_ratio: float = 0.0
+    late_delay_s: float = 2.0
     delay_s: float = 0.0
 
 
@@ -279,14 +280,14 @@
         failure = await self._simulate_call()
         if failure:
             return Err(failure)
-        if self.store.rng.random() < self.faults.late_part:
+        if self.store.rng.random() < self.faults.late_ratio:
             task = asyncio.create_task(self._commit_after_delay(commit))
             self._delayed_commits.add(task)
             task.add_done_callback(self._delayed_commits.discard)
             await asyncio.sleep(self._timeout_s)
             return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="the store did not answer"))
         outcome = self.store.apply_commit(commit)
-        if self.store.rng.random() < self.faults.lost_part:
+        if self.store.rng.random() < self.faults.lost_ratio:
             await asyncio.sleep(self._timeout_s)
             return Err(Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="the answer was lost"))
         if outcome is None:
@@ -316,7 +317,7 @@
         return Success(None)
 
     async def _commit_after_delay(self, commit: Commit) -> None:
-        await asyncio.sleep(self.faults.late_s)
+        await asyncio.sleep(self.faults.late_delay_s)
         self.store.apply_commit(commit)
 
     async def _simulate_call(self, no_answer_s: float | None = None) -> Failure | None:
--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -146,7 +146,7 @@
     ) -> None:
         super().__init__(name=name, store=store, fleet=fleet)
         self.store.faults = faults
-        self.orders.faults = OrderFaults(cut=isolated)
+        self.orders.faults = OrderFaults(unreachable_worker_ids=isolated)
         self.elector._log = log
         self._log = log
         self._registry = WorkerRegistry(log=quiet_log())
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -87,7 +87,7 @@
     async def kill(self) -> None:
         """End the instance at once, without releasing or reporting anything."""
         self.store.faults.is_down = True
-        self.orders.faults.cut = set(self._fleet.workers)
+        self.orders.faults.unreachable_worker_ids = set(self._fleet.workers)
         for task in (*self._tasks, *self.elector._bid_tasks.values()):
             task.cancel()
         await asyncio.gather(
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -123,9 +123,9 @@
             )
             await record.read()
             one, two = ActiveWorker(address="a:1"), ActiveWorker(address="b:1")
-            store_view.faults.late_part = 1.0
+            store_view.faults.late_ratio = 1.0
             self.assertFalse(await record.update(lambda: {"one": one}))
-            store_view.faults.late_part = 0.0
+            store_view.faults.late_ratio = 0.0
             self.assertTrue(await record.update(lambda: {"one": one, "two": two}))
             await asyncio.sleep(4.0)
             item = store.items[active_workers_key(SERVICE)]
@@ -144,9 +144,9 @@
             record = ActiveWorkersRecord(
                 service=SERVICE, lease=lease, store=store_view, log=quiet_log()
             )
-            store_view.faults.lost_part = 1.0
+            store_view.faults.lost_ratio = 1.0
             self.assertFalse(await record.update(lambda: {"one": ActiveWorker(address="a:1")}))
-            store_view.faults.lost_part = 0.0
+            store_view.faults.lost_ratio = 0.0
             self.assertFalse(record.is_recorded("one"))
             both = {"one": ActiveWorker(address="a:1"), "two": ActiveWorker(address="b:1")}
             self.assertTrue(await record.update(lambda: both))
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -262,14 +262,19 @@
         self._tasks += [asyncio.create_task(watcher.run()), asyncio.create_task(controller.run())]
         await asyncio.sleep(CONTROLLER_START_DELAY_S + 0.1)
 
-    async def start_scheduler(self, *, cut: set[str] | None = None) -> SchedulerHandle:
+    async def start_scheduler(
+        self, *, unreachable_worker_ids: set[str] | None = None
+    ) -> SchedulerHandle:
         """Start a scheduler of the service.
 
         Args:
-            cut: Workers that the scheduler can't reach.
+            unreachable_worker_ids: Workers that the scheduler can't reach.
         """
         store = FaultInjectingStore(store=self.store)
-        orders = FaultInjectingOrders(fleet=self.fleet, faults=OrderFaults(cut=cut or set()))
+        orders = FaultInjectingOrders(
+            fleet=self.fleet,
+            faults=OrderFaults(unreachable_worker_ids=unreachable_worker_ids or set()),
+        )
         marker_key = JobKeys(service=SERVICE).marker_key
         lease = await acquire(
             store, key=f"shallotworks/duty/scheduler/{SERVICE}", marker_key=marker_key
@@ -380,7 +385,7 @@
             busy_worker_ids = sorted({run.worker_id for run in _runs(first)})
             await harness.kill(first)
             harness.publish_shortfall(2)
-            await harness.start_scheduler(cut=set(busy_worker_ids[:2]))
+            await harness.start_scheduler(unreachable_worker_ids=set(busy_worker_ids[:2]))
             await asyncio.sleep(2.0)
             await harness.close()
             return harness.ended_by_machine_orders
@@ -482,10 +487,10 @@
             first = await harness.start_scheduler()
             await harness.submit()
             await asyncio.sleep(0.2)
-            first.store.faults.late_s = 2.5
-            first.store.faults.late_part = 1.0
+            first.store.faults.late_delay_s = 2.5
+            first.store.faults.late_ratio = 1.0
             await asyncio.sleep(0.6)
-            first.store.faults.late_part = 0.0
+            first.store.faults.late_ratio = 0.0
             await asyncio.sleep(0.8)
             harness.drain(min(run.worker_id for run in _runs(first)))
             await harness.start_controller()
@@ -508,9 +513,9 @@
             first = await harness.start_scheduler()
             await harness.submit()
             await asyncio.sleep(0.2)
-            first.store.faults.lost_part = 1.0
+            first.store.faults.lost_ratio = 1.0
             await asyncio.sleep(0.6)
-            first.store.faults.lost_part = 0.0
+            first.store.faults.lost_ratio = 0.0
             harness.drain(min(run.worker_id for run in _runs(first)))
             await harness.start_controller()
             await asyncio.sleep(1.0)
--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -56,8 +56,13 @@
         [
             ("well", {}, JobRequestStatus.ACCEPTED, True),
             ("down", {"is_down": True}, JobRequestStatus.REFUSED, False),
-            ("each answer lost", {"lost_part": 1.0}, JobRequestStatus.UNKNOWN, True),
-            ("each done late", {"late_part": 1.0, "late_s": 5.0}, JobRequestStatus.UNKNOWN, True),
+            ("each answer lost", {"lost_ratio": 1.0}, JobRequestStatus.UNKNOWN, True),
+            (
+                "each done late",
+                {"late_ratio": 1.0, "late_delay_s": 5.0},
+                JobRequestStatus.UNKNOWN,
+                True,
+            ),
         ]
     )
     def test_the_answer_to_a_submission(
@@ -80,7 +85,7 @@
         """
 
         async def scenario() -> None:
-            harness = SubmissionHarness(late_part=1.0, late_s=4.0)
+            harness = SubmissionHarness(late_ratio=1.0, late_delay_s=4.0)
             asyncio.get_running_loop().call_later(
                 0.5, lambda: setattr(harness.view.faults, "is_down", True)
             )
@@ -94,9 +99,9 @@
         """The second attempt finds the records of the first, so that the job is accepted."""
 
         async def scenario() -> None:
-            harness = SubmissionHarness(lost_part=1.0)
+            harness = SubmissionHarness(lost_ratio=1.0)
             asyncio.get_running_loop().call_later(
-                0.5, lambda: setattr(harness.view.faults, "lost_part", 0.0)
+                0.5, lambda: setattr(harness.view.faults, "lost_ratio", 0.0)
             )
             self.assertIs(JobRequestStatus.ACCEPTED, await harness.submit())
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -77,9 +77,9 @@
 
         async def scenario() -> None:
             store, store_client, record = await _make_record()
-            store_client.faults.late_part = 1.0
+            store_client.faults.late_ratio = 1.0
             self.assertFalse(await record.update(lambda: {"one": WORKER_ONE}))
-            store_client.faults.late_part = 0.0
+            store_client.faults.late_ratio = 0.0
             self.assertTrue(await record.update(lambda: {"one": WORKER_ONE, "two": WORKER_TWO}))
             self.assertTrue(record.is_recorded("two"))
             await asyncio.sleep(LATE_WRITE_S)
@@ -102,11 +102,11 @@
             await asyncio.sleep(2.0)
             scheduler = simulation.scheduler()
             assert scheduler is not None
-            scheduler.store.faults.late_part = 1.0
-            scheduler.store.faults.late_s = LATE_WRITE_S
+            scheduler.store.faults.late_ratio = 1.0
+            scheduler.store.faults.late_delay_s = LATE_WRITE_S
             simulation.fleet.unlisted.add("w1")
             await asyncio.sleep(0.5)
-            scheduler.store.faults.late_part = 0.0
+            scheduler.store.faults.late_ratio = 0.0
             simulation.fleet.unlisted.clear()
             await asyncio.sleep(2.0)
             # The only task fits on no worker but the one that is listed again.
@@ -184,10 +184,10 @@
             simulation.fleet.lasting.add(JOB_ID)
             await simulation.submit(JOB_ID, step(1, is_lasting=True))
             await asyncio.sleep(1.0)
-            faults.late_part = 1.0
+            faults.late_ratio = 1.0
             offer = PoolDemand(token=token, free=("w0",))
             self.assertFalse(await service_scheduler._publish_demand(offer))
-            faults.late_part = 0.0
+            faults.late_ratio = 0.0
             self.assertTrue(await service_scheduler._publish_demand(PoolDemand(token=token)))
             await asyncio.sleep(LATE_WRITE_S)
             stored = PoolDemand.decode(simulation.store.items[pool_demand_key(SERVICE)].value)
@@ -268,9 +268,9 @@
             faults = lease._store.faults
             controller = machine_harness.controller
             assert controller is not None
-            faults.lost_part = 1.0
+            faults.lost_ratio = 1.0
             await controller._ledger.publish(frozenset({"w"}), {})
-            faults.lost_part = 0.0
+            faults.lost_ratio = 0.0
             await controller._ledger.publish(frozenset(), {})
             stored = MachineControllerRecord.decode(
                 machine_harness.store.items[machine_controller_key()].value
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -124,7 +124,7 @@
         async def scenario() -> None:
             simulation, _ = make_simulation(seed)
             for instance in simulation.instances:
-                instance.orders.faults.lost_part = lost
+                instance.orders.faults.lost_ratio = lost
             await run_with_faults(simulation, crash_busy_workers(simulation))
             self.assertEqual([], simulation.violations())
 
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -54,11 +54,11 @@
     scheduler.store.faults.is_down = True
     for other in simulation.instances:
         if other is not scheduler:
-            other.orders.faults.cut = {"w0", "w1"}
+            other.orders.faults.unreachable_worker_ids = {"w0", "w1"}
     await asyncio.sleep(6)
     scheduler.store.faults.is_down = False
     for other in simulation.instances:
-        other.orders.faults.cut = set()
+        other.orders.faults.unreachable_worker_ids = set()
 
 
 async def store_down(simulation: SchedulingSimulation) -> None:
@@ -74,19 +74,19 @@
 
 async def lost_and_late_commits(simulation: SchedulingSimulation) -> None:
     for instance in simulation.instances:
-        instance.store.faults.lost_part = 0.1
-        instance.store.faults.late_part = 0.1
+        instance.store.faults.lost_ratio = 0.1
+        instance.store.faults.late_ratio = 0.1
     await asyncio.sleep(8)
     for instance in simulation.instances:
-        instance.store.faults.lost_part = 0.0
-        instance.store.faults.late_part = 0.0
+        instance.store.faults.lost_ratio = 0.0
+        instance.store.faults.late_ratio = 0.0
 
 
 async def late_orders(simulation: SchedulingSimulation) -> None:
     for instance in simulation.instances:
-        instance.orders.faults.late_part = 0.1
-        instance.orders.faults.lost_part = 0.1
-        instance.orders.faults.late_s = simulation.rng.uniform(1, 8)
+        instance.orders.faults.late_ratio = 0.1
+        instance.orders.faults.lost_ratio = 0.1
+        instance.orders.faults.late_delay_s = simulation.rng.uniform(1, 8)
     await crashed_schedulers(simulation)
 
 
@@ -106,10 +106,10 @@
     await asyncio.sleep(simulation.rng.uniform(2, 4))
     simulation.fleet.workers["w0"].crash()
     for instance in simulation.instances:
-        instance.orders.faults.cut = {"w1"}
+        instance.orders.faults.unreachable_worker_ids = {"w1"}
     await asyncio.sleep(5.5)
     for instance in simulation.instances:
-        instance.orders.faults.cut = set()
+        instance.orders.faults.unreachable_worker_ids = set()
 
 
 FAULT_SCENARIOS: tuple[FaultScenario, ...] = (
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -463,7 +463,7 @@
             scheduler = simulation.scheduler()
             assert scheduler is not None
             for instance in simulation.instances:
-                instance.orders.faults.cut = {"w0"}
+                instance.orders.faults.unreachable_worker_ids = {"w0"}
             simulation.instances.remove(scheduler)
             await scheduler.kill()
             await asyncio.sleep(20.0)
