--- a/bench/jobs.py
+++ b/bench/jobs.py
@@ -97,7 +97,10 @@
     began_s, began_cpu_s = time.monotonic(), time.process_time()
     jobs = TASK_COUNT // 8
     await asyncio.gather(*(simulation.submit(f"{number:016x}", step(8)) for number in range(jobs)))
-    while simulation.fleet.started < TASK_COUNT or len(simulation.fleet.noted) < TASK_COUNT:
+    while (
+        simulation.fleet.started < TASK_COUNT
+        or len(simulation.fleet.acknowledged_tasks) < TASK_COUNT
+    ):
         await asyncio.sleep(0.02)
     elapsed_s, cpu_s = time.monotonic() - began_s, time.process_time() - began_cpu_s
     print(
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -44,7 +44,7 @@
     scheduler = simulation.scheduler()
     assert scheduler is not None
     before = set(simulation.accepted)
-    begun = set(simulation.fleet.begun)
+    begun = set(simulation.fleet.started_tasks)
     at_s = loop.time()
     ended = asyncio.create_task(
         scheduler.elector.stop() if is_planned else simulation.replace(scheduler)
@@ -53,7 +53,7 @@
     while loop.time() - at_s < OBSERVATION_S and float("inf") in first_starts_s:
         await asyncio.sleep(0.01)
         _record_first_starts(
-            simulation.fleet.begun - begun, before, first_starts_s, loop.time() - at_s
+            simulation.fleet.started_tasks - begun, before, first_starts_s, loop.time() - at_s
         )
     callers.cancel()
     await asyncio.gather(callers, ended, return_exceptions=True)
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -113,7 +113,7 @@
         if status != 200:
             return None
         state = str(body.get("state"))
-        if state == "completed" and not all(task in self._fleet.done for task in job.tasks):
+        if state == "completed" and not all(task in self._fleet.done_tasks for task in job.tasks):
             self._fault_log.record_violation(
                 f"{job.job_id} is reported as completed by {name} while tasks of it are not done"
             )
@@ -259,4 +259,4 @@
         for task in job.tasks:
             fleet.cpu_millicores[task] = CPU_MILLICORES[task.step]
             if task.step == 1:
-                fleet.after[task] = first
+                fleet.task_dependencies[task] = first
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -175,7 +175,7 @@
 async def _check_end(testbed: Testbed) -> None:
     assert testbed.callers is not None
     record_violation = testbed.fault_log.record_violation
-    begun = {name.job_id for name in testbed.fleet.workers.begun}
+    begun = {name.job_id for name in testbed.fleet.workers.started_tasks}
     for job in testbed.callers.jobs.values():
         if not job.accepted_s:
             is_refused = bool(job.submit_statuses) and all(
--- a/src/shallotworks/standins/_fault_injecting_orders.py
+++ b/src/shallotworks/standins/_fault_injecting_orders.py
@@ -67,7 +67,7 @@
         """Poll a worker, which answers as soon as a run has ended or when ``wait_s`` has passed.
 
         A worker that can't be reached is `UNANSWERED` after ``timeout_s``, or has the status that
-        `TaskWorkers.absences` gives.
+        `TaskWorkers.outcomes_when_absent` gives.
         """
         loop = asyncio.get_running_loop()
         wait_ends_at_s, times_out_at_s = loop.time() + wait_s, loop.time() + timeout_s
@@ -129,7 +129,7 @@
         """
         await asyncio.sleep(CALL_LATENCY_S)
         reached = self._fleet.workers.get(worker.worker_id)
-        is_absent = worker.worker_id in self._fleet.absences
+        is_absent = worker.worker_id in self._fleet.outcomes_when_absent
         if reached is None or not reached.is_alive or is_absent:
             return await self._answer_for_absent_worker(worker, times_out_at_s)
         if worker.worker_id in self.faults.unreachable_worker_ids:
@@ -139,7 +139,7 @@
     async def _answer_for_absent_worker(
         self, worker: WorkerView, times_out_at_s: float | None = None
     ) -> OrderOutcome:
-        absence = self._fleet.absences.get(worker.worker_id)
+        absence = self._fleet.outcomes_when_absent.get(worker.worker_id)
         if absence is not None and worker.worker_id not in self.faults.unreachable_worker_ids:
             return OrderOutcome(status=absence)
         return await self._lose_answer(times_out_at_s)
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -266,21 +266,21 @@
         self.rng = rng
         self.workers: dict[str, TaskWorker] = {}
         self.unlisted: set[str] = set()
-        self.changes = 0
+        self.view_change_count = 0
         """Counter that tests increment when they change a worker's view."""
         self.violations: list[str] = []
         self.started = 0
         self.work_s: dict[str, float] = {}
         self.cpu_millicores: dict[str | TaskName, int] = {}
         """CPU demand by task name, or by job id if all tasks of the job have the same demand."""
-        self.after: dict[TaskName, tuple[TaskName, ...]] = {}
+        self.task_dependencies: dict[TaskName, tuple[TaskName, ...]] = {}
         self.lasting: set[str] = set()
         self.failing: set[TaskName] = set()
         self.cancelled: dict[str, float] = {}
-        self.done: set[TaskName] = set()
-        self.noted: set[TaskName] = set()
-        self.begun: set[TaskName] = set()
-        self.absences: dict[str, OrderStatus] = {}
+        self.done_tasks: set[TaskName] = set()
+        self.acknowledged_tasks: set[TaskName] = set()
+        self.started_tasks: set[TaskName] = set()
+        self.outcomes_when_absent: dict[str, OrderStatus] = {}
         """Outcome of orders to absent workers by worker id; no answer if there is no entry."""
         self.most_attempts = 0
         """Acknowledged failures of a task after which it may not start again; 0 for no limit."""
@@ -303,7 +303,7 @@
         """Differs after each change of the list, which tests may change at any time."""
         return hash(
             (
-                self.changes,
+                self.view_change_count,
                 tuple(self.unlisted),
                 tuple(one.is_alive for one in self.workers.values()),
             )
@@ -342,16 +342,16 @@
         has failed, or more than 3 s after its job was cancelled.
         """
         self.started += 1
-        self.begun.add(name)
+        self.started_tasks.add(name)
         now_s = asyncio.get_running_loop().time()
         for other in self.workers.values():
             if other.is_alive:
                 other.end_due_runs()
             if other.is_alive and name in other.names():
                 self.violations.append(f"{now_s:.3f} {name} runs twice at once")
-        if name in self.noted:
+        if name in self.acknowledged_tasks:
             self.violations.append(f"{now_s:.3f} {name} starts after its end was acknowledged")
-        if any(earlier not in self.done for earlier in self.after.get(name, ())):
+        if any(earlier not in self.done_tasks for earlier in self.task_dependencies.get(name, ())):
             self.violations.append(f"{now_s:.3f} {name} starts before its dependencies")
         if self.most_attempts and self._acknowledged_failures[name] >= self.most_attempts:
             self.violations.append(f"{now_s:.3f} {name} starts after its last attempt has failed")
@@ -370,11 +370,11 @@
     def note_end(self, end: EndedTask) -> None:
         """Record the end of a run."""
         if end.kind is EndKind.DONE:
-            self.done.add(end.name)
+            self.done_tasks.add(end.name)
 
     def note_acknowledged(self, end: EndedTask) -> None:
         """Record that an end was acknowledged."""
         if end.kind is EndKind.DONE:
-            self.noted.add(end.name)
+            self.acknowledged_tasks.add(end.name)
         elif end.kind is EndKind.FAILED:
             self._acknowledged_failures[end.name] += 1
--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -571,7 +571,7 @@
             await asyncio.sleep(DRAIN_S + self.rng.uniform(0, 0.5))
             self._record_event("leaves", worker_id)
             worker.crash()
-            self.fleet.absences[worker_id] = absence
+            self.fleet.outcomes_when_absent[worker_id] = absence
         await self._is_store_up.wait()
         self._unregister(worker_id)
 
@@ -582,7 +582,7 @@
             await asyncio.sleep(REPLACEMENT_DELAY_S)
             await self._is_store_up.wait()
             self.add_worker(address=self.fleet.workers[worker_id].view.address)
-            self.fleet.absences[worker_id] = OrderStatus.GONE
+            self.fleet.outcomes_when_absent[worker_id] = OrderStatus.GONE
 
     def fail_task(self, worker_id: str) -> None:
         """Make a task of a worker fail by itself."""
@@ -635,7 +635,7 @@
             worker = self.fleet.workers[worker_id]
             self.fleet.take_away(worker)
             self._taken_away_s[worker_id] = _now_s()
-            self.fleet.absences[worker_id] = OrderStatus.UNSENT
+            self.fleet.outcomes_when_absent[worker_id] = OrderStatus.UNSENT
             self._publish_controller_record()
             await asyncio.sleep(REPLACEMENT_DELAY_S)
             await self._is_store_up.wait()
--- a/tests/returning_workers.py
+++ b/tests/returning_workers.py
@@ -32,11 +32,11 @@
         """Crash a worker and schedule the start of its next incarnation."""
         super().crash(worker)
         if not self.is_silent:
-            self.absences[worker.view.worker_id] = OrderStatus.UNSENT
+            self.outcomes_when_absent[worker.view.worker_id] = OrderStatus.UNSENT
             worker.wake()
         asyncio.get_running_loop().call_later(RESTART_DELAY_S, self._restart, worker)
         self.crashed.set()
 
     def _restart(self, worker: TaskWorker) -> None:
-        self.absences[worker.view.worker_id] = OrderStatus.GONE
+        self.outcomes_when_absent[worker.view.worker_id] = OrderStatus.GONE
         self.add(replace(worker.view, worker_id=f"{worker.view.worker_id}+"))
--- a/tests/scheduling_simulation.py
+++ b/tests/scheduling_simulation.py
@@ -165,7 +165,7 @@
         submitted_job = Job(job_id=job_id, policy=policy(service=SERVICE), spec="x", steps=steps)
         for number, later in enumerate(steps):
             for index in range(later.count):
-                self.fleet.after[TaskName(job_id, 0, number, index)] = tuple(
+                self.fleet.task_dependencies[TaskName(job_id, 0, number, index)] = tuple(
                     TaskName(job_id, 0, before, other)
                     for before in later.after
                     for other in range(steps[before].count)
@@ -228,7 +228,9 @@
                 for number, job_step in enumerate(submitted_job.steps)
                 for index in range(job_step.count)
             ]
-            if state is JobState.COMPLETED and not all(name in self.fleet.done for name in names):
+            if state is JobState.COMPLETED and not all(
+                name in self.fleet.done_tasks for name in names
+            ):
                 violations_found.append(f"job {job_id} is completed with tasks that are not done")
             if state is JobState.CANCELLED and job_id not in self.fleet.cancelled:
                 violations_found.append(f"job {job_id} is cancelled without a request")
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -95,13 +95,13 @@
             crashed.crash()
             # A drained worker is removed early, since it may leave while there is no scheduler.
             drained.view = view(drained.view.worker_id, service=SERVICE, is_draining=True)
-            simulation.fleet.changes += 1
+            simulation.fleet.view_change_count += 1
             await asyncio.sleep(2.5)
             self.assertEqual(
                 {busy.view.worker_id, kept.view.worker_id}, _recorded_workers(simulation)
             )
             drained.view = view(drained.view.worker_id, service=SERVICE)
-            simulation.fleet.changes += 1
+            simulation.fleet.view_change_count += 1
             await asyncio.sleep(0.5)
             self.assertIn(drained.view.worker_id, _recorded_workers(simulation))
             await _kill_instances(simulation)
@@ -233,7 +233,7 @@
             whole_worker = step(1, cpu_millicores=4000)
             await asyncio.gather(*(simulation.submit(one, whole_worker) for one in job_ids))
             scheduler_state = scheduler.service_schedulers[-1].scheduler_state
-            while len(simulation.fleet.done) < 2 or not scheduler_state.unstored_jobs():
+            while len(simulation.fleet.done_tasks) < 2 or not scheduler_state.unstored_jobs():
                 await asyncio.sleep(0.001)
             # The store is so slow that the lease would be released before an unawaited commit ends.
             scheduler.store.faults.delay_s = 0.05
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -140,7 +140,7 @@
                     return await start(worker, order, **times)
                 refused.append(worker.worker_id)
                 one.fleet.workers[worker.worker_id].crash()
-                one.fleet.absences[worker.worker_id] = OrderStatus.GONE
+                one.fleet.outcomes_when_absent[worker.worker_id] = OrderStatus.GONE
                 one.fleet.add(replace(worker, worker_id=f"{worker.worker_id}+"))
                 # Meanwhile a poll shows that the worker has ended.
                 await asyncio.sleep(0.1)
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -318,7 +318,7 @@
             (idle,) = simulation.offered()
             lost = used_worker(simulation)
             simulation.crash_worker(lost)
-            simulation.fleet.absences[lost] = OrderStatus.GONE
+            simulation.fleet.outcomes_when_absent[lost] = OrderStatus.GONE
             # Only the idle worker has room for the lost worker's task, so that its offer is
             # withdrawn. The task starts there 3 s later; the controller, which reads the offers
             # just before its order, must not remove the worker when the store is back.
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -111,13 +111,13 @@
             await asyncio.sleep(2.0)
             # The only task fits on no worker but the one that is listed again.
             simulation.fleet.workers["w0"].view = view("w0", service=SERVICE, cpu_millicores=100)
-            simulation.fleet.changes += 1
+            simulation.fleet.view_change_count += 1
             await asyncio.sleep(0.5)
             await simulation.submit(JOB_ID, step(1, is_lasting=True))
             await asyncio.sleep(LATE_WRITE_S)
             self.assertIn(TASK_NAME, simulation.fleet.workers["w1"].names())
             simulation.fleet.workers["w0"].view = view("w0", service=SERVICE)
-            simulation.fleet.changes += 1
+            simulation.fleet.view_change_count += 1
             await simulation.replace(scheduler)
             await asyncio.sleep(10.0)
             self.assertEqual([], simulation.fleet.violations)
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -74,7 +74,7 @@
     for number in range(WORKER_COUNT):
         leaving = fleet.workers[f"w{number}"]
         leaving.view = replace(leaving.view, is_draining=True)
-        fleet.changes += 1
+        fleet.view_change_count += 1
         fleet.add(view(f"new{number}", service=SERVICE))
         await asyncio.sleep(0.8)
         asyncio.get_running_loop().call_later(DRAIN_PERIOD_S - 0.8, leaving.crash)
@@ -143,13 +143,13 @@
             dead = next(iter(fleet.workers.values()))
             fleet.stale_worker_ids.add(dead.view.worker_id)
             dead.crash()
-            fleet.absences[dead.view.worker_id] = OrderStatus.GONE
+            fleet.outcomes_when_absent[dead.view.worker_id] = OrderStatus.GONE
             polls = [0]
             for instance in simulation.instances:
                 count_polls(instance.orders, dead.view.worker_id, polls)
             for _ in range(10):
                 await asyncio.sleep(0.5)
-                fleet.changes += 1
+                fleet.view_change_count += 1
             self.assertLessEqual(polls[0], 1)
             for instance in simulation.instances:
                 await instance.kill()
