--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -230,7 +230,7 @@
             rack=machine.rack,
         )
         # Every second worker refuses no start for lack of capacity.
-        self.workers.add(view).is_guarded = self._last_worker_number % 2 == 0
+        self.workers.add(view).refuses_overload = self._last_worker_number % 2 == 0
         # The old worker's connections end with it; the new one is served at the same address.
         if machine.server is not None:
             await machine.server.listener.stop()
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -68,7 +68,7 @@
         self._clock_offset_s = fleet.rng.uniform(100, 1000)
         self._former_capacities: list[tuple[float, int]] = []
         """Former capacities in millicores, each with the loop time at which it was replaced."""
-        self.is_guarded = True
+        self.refuses_overload = True
         """Whether the worker refuses a start that exceeds its capacity."""
 
     @property
@@ -82,7 +82,7 @@
         self.view = replace(self.view, cpu_millicores=cpu_millicores)
 
     def _is_over_capacity(self, used_millicores: int) -> bool:
-        if self.is_guarded:
+        if self.refuses_overload:
             return used_millicores > self.view.cpu_millicores
         since_s = self._now_s() - CAPACITY_REDUCTION_GRACE_S
         earlier = [
@@ -107,7 +107,7 @@
         self.is_alive = False
         self._runs.clear()
 
-    def wake(self) -> None:
+    def wake_polls(self) -> None:
         """Wake the polls that wait for the end of a run, so that they check the worker's state."""
         self._wake_waiters()
 
@@ -191,8 +191,8 @@
             order: The run to start.
             token: Fencing token of the sender.
             lease_until_ms: End of the lease, by this worker's clock.
-            is_late: Whether the order was delayed. A delayed start that exceeds the capacity of an
-                unguarded worker is not recorded as a violation.
+            is_late: Whether the order was delayed. A delayed start that exceeds the capacity of a
+                worker that accepts overload is not recorded as a violation.
         """
         self.end_due_runs()
         run = order.run
@@ -208,7 +208,7 @@
             return self._refuse(OrderStatus.STALE_RUN)
         used_millicores = sum(self._fleet.cpu_millicores_of(name) for name, _ in self._runs)
         if self._is_over_capacity(used_millicores + self._fleet.cpu_millicores_of(run.name)):
-            if self.is_guarded:
+            if self.refuses_overload:
                 return self._refuse(OrderStatus.NO_ROOM)
             if not is_late:
                 self._fleet.note_overfilled(self, run.name)
@@ -359,7 +359,7 @@
             self.violations.append(f"{now_s:.3f} {name} starts after its job was cancelled")
 
     def note_overfilled(self, worker: TaskWorker, name: TaskName) -> None:
-        """Record as a violation that a start overloads an unguarded worker."""
+        """Record as a violation that a start overloads a worker that accepts overload."""
         now_s = asyncio.get_running_loop().time()
         size = worker.view.cpu_millicores
         self.violations.append(f"{now_s:.3f} {name} overloads a worker of {size} millicores")
--- a/tests/returning_workers.py
+++ b/tests/returning_workers.py
@@ -33,7 +33,7 @@
         super().crash(worker)
         if not self.is_silent:
             self.outcomes_when_absent[worker.view.worker_id] = OrderStatus.UNSENT
-            worker.wake()
+            worker.wake_polls()
         asyncio.get_running_loop().call_later(RESTART_DELAY_S, self._restart, worker)
         self.crashed.set()
 
