--- a/src/shallotworks/standins/_memory_instances.py
+++ b/src/shallotworks/standins/_memory_instances.py
@@ -20,12 +20,12 @@
         lag_s: Time until a change is visible to reads.
     """
 
-    __slots__ = ("_history", "down", "lag_s", "reads")
+    __slots__ = ("_history", "is_down", "lag_s", "read_count")
 
     def __init__(self, *, lag_s: float = 0.0) -> None:
         self.lag_s = lag_s
-        self.down = False
-        self.reads = 0
+        self.is_down = False
+        self.read_count = 0
         self._history: list[tuple[float, tuple[ListedInstance, ...]]] = []
 
     def replace_all(self, instances: tuple[ListedInstance, ...]) -> None:
@@ -34,9 +34,9 @@
 
     async def read(self) -> Result[tuple[ListedInstance, ...], Failure]:
         """Read the list as it was ``lag_s`` ago."""
-        self.reads += 1
+        self.read_count += 1
         await asyncio.sleep(0)
-        if self.down:
+        if self.is_down:
             return Err(Failure(kind=ErrorKind.STORE_UNAVAILABLE, reason="the list is down"))
         visible_until_s = asyncio.get_running_loop().time() - self.lag_s
         while len(self._history) > 1 and self._history[1][0] <= visible_until_s:
--- a/src/shallotworks/standins/_platform.py
+++ b/src/shallotworks/standins/_platform.py
@@ -138,7 +138,7 @@
     def set_faults(self, faults: StoreFaults) -> None:
         """Replace the active faults; ``down`` applies to the list of instances, too."""
         self._call_on_loop(lambda: self._store.set_faults(faults))
-        self._instances.down = faults.down
+        self._instances.is_down = faults.down
 
     def wipe(self) -> None:
         """Remove every key and lease."""
--- a/src/shallotworks/standins/_platform_routes.py
+++ b/src/shallotworks/standins/_platform_routes.py
@@ -176,7 +176,7 @@
     async def _set_faults(self, call: HttpCall) -> HttpAnswer:
         faults = _FAULTS_ADAPTER.validate_json(call.body)
         self.store.set_faults(faults)
-        self.instances.down = faults.down
+        self.instances.is_down = faults.down
         return HttpAnswer()
 
     async def _restore_store(self, call: HttpCall) -> HttpAnswer:
@@ -192,7 +192,7 @@
         return HttpAnswer()
 
     async def _read_state(self, _call: HttpCall) -> HttpAnswer:
-        state = {"calls": dict(self.store.calls), "list_reads": self.instances.reads}
+        state = {"calls": dict(self.store.calls), "list_reads": self.instances.read_count}
         state["faults"] = asdict(self.store.faults)
         return HttpAnswer(body=json.dumps(state).encode())
 
