--- a/src/shallotworks/standins/_store_http.py
+++ b/src/shallotworks/standins/_store_http.py
@@ -19,7 +19,7 @@
 __all__ = ["StoreServer"]
 
 LOST_ANSWER_DELAY_S = 3.0
-"""Delay of an answer that `StoreServer.lose_answers` withholds; longer than any caller waits."""
+"""Delay of an answer while `StoreServer.withholds_answers` is set, longer than any caller waits."""
 
 
 class StoreServer:
@@ -35,14 +35,14 @@
         self.store = view.store
         self.status = 0
         """HTTP status that is answered to every call without any effect; 0 for normal operation."""
-        self.lose_answers = False
+        self.withholds_answers = False
         self.listener = HttpListener(handle=self._handle, host=host)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if self.status:
             return web.Response(status=self.status)
         outcome = await self._answer(request)
-        if self.lose_answers:
+        if self.withholds_answers:
             await asyncio.sleep(LOST_ANSWER_DELAY_S)
         if isinstance(outcome, Success):
             answer: web.StreamResponse = outcome.unwrap()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -125,14 +125,14 @@
         """Guards against reporting a commit without an answer as certainly not applied."""
 
         async def scenario(server: StoreServer, store: PlatformStore) -> None:
-            server.lose_answers = True
+            server.withholds_answers = True
             self.assertIs(
                 ErrorKind.OUTCOME_UNKNOWN, (await store.commit(PUT_COMMIT)).failure().kind
             )
             self.assertIn("a/1", server.store.items)
             self.assertIs(ErrorKind.STORE_UNAVAILABLE, (await store.get("a/1")).failure().kind)
             self.assertTrue(store.is_unavailable)
-            server.lose_answers = False
+            server.withholds_answers = False
             self.assertIsInstance(await store.get("a/1"), Success)
             self.assertFalse(store.is_unavailable)
 
