--- a/src/shallotworks/demo/_report.py
+++ b/src/shallotworks/demo/_report.py
@@ -86,7 +86,7 @@
         ("lost (must be 0)", f"{report.violations.lost}"),
         ("doubled (must be 0)", f"{report.violations.doubled}"),
         ("aborted in flight (must be 0)", f"{report.violations.cut_off}"),
-        ("run although answered as not run (must be 0)", f"{report.violations.untrue}"),
+        ("run although answered as not run (must be 0)", f"{report.violations.falsely_refused}"),
         ("outcome unknown (must be 0 here)", f"{report.violations.unknown}"),
         ("incomplete or to the wrong caller (must be 0)", f"{report.violations.foreign}"),
         ("started at a worker after it was drained (must be 0)", f"{report.late_work}"),
--- a/src/shallotworks/standins/_violations.py
+++ b/src/shallotworks/standins/_violations.py
@@ -23,7 +23,7 @@
         doubled: Runs of a non-idempotent request after its first run.
         cut_off: Requests in flight that a reboot or crash of a worker aborted.
         foreign: Answers that were incomplete or not to the caller's own request.
-        untrue: Requests that ran although their caller was answered that they did not.
+        falsely_refused: Requests that ran although their caller was answered that they did not.
         unknown: Requests with an unknown outcome: answered as such, or without a complete answer.
     """
 
@@ -31,7 +31,7 @@
     doubled: int
     cut_off: int
     foreign: int
-    untrue: int
+    falsely_refused: int
     unknown: int
 
 
@@ -56,6 +56,6 @@
         doubled=doubled + keys_at_several,
         cut_off=cut_off,
         foreign=ledger.foreign,
-        untrue=len(runs.keys() & ledger.refused_runs),
+        falsely_refused=len(runs.keys() & ledger.refused_runs),
         unknown=ledger.unknown.total(),
     )
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -52,7 +52,7 @@
         self.assertEqual(violations.doubled, 0)
         self.assertEqual(violations.cut_off, 0)
         self.assertEqual(violations.foreign, 0)
-        self.assertEqual(violations.untrue, 0)
+        self.assertEqual(violations.falsely_refused, 0)
         # If an answer was lost on the way, its caller must have received an unknown outcome.
         self.assertLessEqual(violations.lost, violations.unknown)
         if not unknown_allowed:
