--- a/tests/entry.py
+++ b/tests/entry.py
@@ -35,7 +35,7 @@
 OVERDUE_S = 1.0
 
 
-def state_of(
+def fleet_state_of(
     workers: Sequence[WorkerStandIn],
     *,
     services: Sequence[str],
--- a/tests/history_run.py
+++ b/tests/history_run.py
@@ -22,7 +22,7 @@
     WorkerRun,
     WorkerStandIn,
 )
-from tests.entry import ATTEMPT_TIMEOUT_S, DEADLINE_S, InProcessEntry, state_of
+from tests.entry import ATTEMPT_TIMEOUT_S, DEADLINE_S, InProcessEntry, fleet_state_of
 from tests.fakes import LoopThread
 from tests.history import AnswerKind, Operation
 
@@ -83,7 +83,7 @@
     def __enter__(self) -> ConcurrentRun:
         for worker in self.workers:
             worker.start()
-        state = state_of(self.workers, services=("traces", "orders"))
+        state = fleet_state_of(self.workers, services=("traces", "orders"))
         self.entries = [
             InProcessEntry(
                 name=f"entry-{number}",
--- a/tests/test_callers_sessions.py
+++ b/tests/test_callers_sessions.py
@@ -16,7 +16,7 @@
     WorkerFaults,
     WorkerStandIn,
 )
-from tests.entry import BODY_LIMIT_BYTES, InProcessEntry, state_of
+from tests.entry import BODY_LIMIT_BYTES, InProcessEntry, fleet_state_of
 from tests.fakes import LoopThread
 from tests.golden_files import assert_golden
 
@@ -52,7 +52,7 @@
         self.entry = InProcessEntry(
             name="entry-1",
             loop_thread=self.loop_thread,
-            state=state_of([self.worker], services=services, quotas={team: 1}),
+            state=fleet_state_of([self.worker], services=services, quotas={team: 1}),
             store=self.store,
             limits=DispatchLimits(team_waiting_per_slot=0),
             attempt_timeout_s=SESSION_DEADLINE_S,
