--- a/src/shallotworks/cli/_process_commands.py
+++ b/src/shallotworks/cli/_process_commands.py
@@ -90,7 +90,7 @@
 
 def _print_problems(invalid: SettingsProblems) -> None:
     count = len(invalid.problems)
-    head = f"{invalid.kind.value}: {invalid.path} has {count} fault{'s' if count > 1 else ''}"
+    head = f"{invalid.kind.value}: {invalid.path} has {count} problem{'s' if count > 1 else ''}"
     print(one_line(head), file=sys.stderr)
     for problem in invalid.problems:
         print(f"  {one_line(str(problem))}", file=sys.stderr)
