--- a/src/shallotworks/platform/_daemon.py
+++ b/src/shallotworks/platform/_daemon.py
@@ -42,10 +42,11 @@
 MACHINE_CONTROLLER_KEY = "keeper"
 METRICS_PORT = 9464
 MAX_WORKER_LIST_AGE_S = 2.5
-"""Time in which the watch on the workers' entries answers twice; workers write them more often."""
+"""The list of workers counts as current for this long after an answer of its watch. The time allows
+for two answers: workers write their entries more often."""
 SHUTDOWN_SERVE_S = 2.6
 """Callers are served for this long after the signal to stop: the platform checks readiness once a
-second and sends new connections until two answers are missing."""
+second and sends new connections until two checks have failed."""
 MIN_SCHEDULER_CORES = 1.0
 """A scheduler with fewer cores lacks processor time while it decides on its queue."""
 MIN_SCHEDULER_LINK_MBPS = 50.0
@@ -319,7 +320,10 @@
 
 
 def _marker_key_of(lease_key: str) -> str:
-    """Return the marker key of a lease, among the records its holder changes; see `HeldLease`."""
+    """Return the marker key of a lease; see `HeldLease`.
+
+    The key lies among the records that the lease's holder changes.
+    """
     if lease_key == MACHINE_CONTROLLER_KEY:
         return f"{MACHINES_PREFIX}!{lease_key}"
     return JobKeys(service=lease_key.removeprefix(SCHEDULER_KEY_PREFIX)).marker_key
--- a/src/shallotworks/platform/_http.py
+++ b/src/shallotworks/platform/_http.py
@@ -1,7 +1,8 @@
 """HTTP client for the platform's services and for workers.
 
-It replaces urllib3, which other parts of the product use: a poll waits a second at the worker, so
-that 172 workers would occupy 172 threads, whereas on the event loop each poll takes a future.
+It is used instead of urllib3, with which other parts of the product make their calls: a poll waits
+a second at the worker, so that 172 workers would occupy 172 threads, whereas on the event loop each
+poll takes only a future.
 `httptools` parses the answers.
 """
 
@@ -72,7 +73,7 @@
     def __init__(self, *, address: str) -> None:
         self._address = address
         self._generation = 0
-        """Rises with each call that timed out; those of earlier generations are not reused."""
+        """Rises with each call that times out; connections of earlier generations aren't reused."""
         self._idle: list[Connection] = []
         """The most recently used connection is the last."""
         self._connections: set[Connection] = set()
--- a/src/shallotworks/platform/_store.py
+++ b/src/shallotworks/platform/_store.py
@@ -180,7 +180,7 @@
         return _decode_answer(answer, lambda body: None)
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Failure]:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         answer = await self._call("DELETE", f"/v1/kv-lease-end/{lease_id}", "end-lease")
         return _decode_answer(answer, lambda body: None)
 
--- a/src/shallotworks/platform/_worker_entries.py
+++ b/src/shallotworks/platform/_worker_entries.py
@@ -21,8 +21,8 @@
 MAX_CPU_MILLICORES = 10_000_000
 MAX_MEMORY_MB = 100_000_000
 MAX_GPUS = 10_000
-"""Largest plausible capacity of a worker, equal to the largest demand of a task: a worker that
-claims more would attract all tasks."""
+"""The three limits bound the capacity of a worker and equal the largest demand of a task: a worker
+that claims more would attract all tasks."""
 READY = "ready"
 DRAINING = "draining"
 
@@ -50,11 +50,11 @@
 class EntryProblem:
     """Why an entry was rejected.
 
-    It contains none of the entry's values, so that two entries with the same fault but other bytes
-    have equal problems.
+    It contains none of the entry's values, so that the same problem in entries with other bytes
+    compares equal and is logged once.
 
     Args:
-        kind: Kind of the fault.
+        kind: Kind of the problem.
         field: The invalid field, the parts of an object after a dot; empty for the whole entry.
     """
 
@@ -134,7 +134,7 @@
 
 _FieldReader = Callable[[Any, str], Any]
 """Takes a field's value and name, and returns the value. Raises `TypeError` for another type, and
-`_InvalidEntryError`, which contains the name, for any other fault."""
+`_InvalidEntryError`, which contains the name, for any other problem."""
 
 
 def _read_fields(
--- a/src/shallotworks/platform/_workers.py
+++ b/src/shallotworks/platform/_workers.py
@@ -265,7 +265,7 @@
     def _reject(self, worker_id: str, problem: EntryProblem, revision: int) -> None:
         earlier = self._workers.pop(worker_id, None)
         self.version += earlier is not None
-        # Entries are rewritten every second or two: the same fault is logged only once.
+        # Entries are rewritten every second or two, so the same problem is logged only once.
         if self._problems.get(worker_id) == problem:
             return
         self._problems[worker_id] = problem
--- a/src/shallotworks/protocol/_codec.py
+++ b/src/shallotworks/protocol/_codec.py
@@ -30,7 +30,8 @@
 
 WORD_BYTES = 8
 MAX_UNPACKED_WORDS_PER_WORD = 4
-"""Words that a packed frame may unpack to and that may be read, per word of the frame's bound."""
+"""A message may unpack to this many words for each word of its frame's size limit, and reading it
+may traverse no more than that."""
 MAX_NESTING_DEPTH = 8
 
 _SCHEMA: Any = capnp.load(
--- a/src/shallotworks/standins/_machines_http.py
+++ b/src/shallotworks/standins/_machines_http.py
@@ -1,4 +1,7 @@
-"""The platform's HTTP service that lists machines, moves them and takes them down for upkeep."""
+"""The platform's HTTP service that lists machines, moves them and takes them down for maintenance.
+
+The protocol calls maintenance "upkeep".
+"""
 
 from __future__ import annotations
 
@@ -32,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MachineOrder:
-    """An order to move a machine that is up, or to take it down for upkeep.
+    """An order to move a machine that is up, or to take it down for maintenance.
 
     Args:
         machine: The machine.
         holder: Lease holder that sent the order.
         token: Fencing token of the holder.
-        pool: Service that the machine moves to; empty for upkeep.
-        wave: Number of the wave that the upkeep belongs to; 0 for a move.
+        pool: Service that the machine moves to; empty for maintenance.
+        wave: Number of the maintenance wave; 0 for a move.
     """
 
     machine: ListedMachine
@@ -55,7 +58,7 @@
     Args:
         machines: All machines by name; the owner changes them in place.
         execute_order: Executes an order; returns whether it was accepted.
-        host: Address to listen on; the port is any free listed.
+        host: Address to listen on; the port is any free one.
     """
 
     def __init__(
--- a/src/shallotworks/standins/_store_http.py
+++ b/src/shallotworks/standins/_store_http.py
@@ -27,7 +27,7 @@
 
     Args:
         view: The caller's access to the store.
-        host: Address to listen on; the port is any free found_page.
+        host: Address to listen on; the port is any free one.
     """
 
     def __init__(self, *, view: FaultInjectingStore, host: str = "127.0.0.1") -> None:
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -192,7 +192,7 @@
             token: Fencing token of the sender.
             lease_until_ms: End of the lease, by this worker's clock.
             is_late: Whether the order was delayed. A delayed start that exceeds the capacity of a
-                worker that accepts overload is not recorded as a violation.
+                worker that does not refuse overload is not recorded as a violation.
         """
         self.end_due_runs()
         run = order.run
@@ -267,21 +267,23 @@
         self.workers: dict[str, TaskWorker] = {}
         self.unlisted: set[str] = set()
         self.view_change_count = 0
-        """Counter that tests increment when they change a worker's view."""
+        """Tests increment it when they change a worker's view, so that `version` differs."""
         self.violations: list[str] = []
         self.started = 0
         self.work_s: dict[str, float] = {}
         self.cpu_millicores: dict[str | TaskName, int] = {}
         """CPU demand by task name, or by job id if all tasks of the job have the same demand."""
         self.task_dependencies: dict[TaskName, tuple[TaskName, ...]] = {}
+        """Tasks that must be done before a task starts, by that task."""
         self.lasting: set[str] = set()
         self.failing: set[TaskName] = set()
         self.cancelled: dict[str, float] = {}
+        """Loop time at which each cancelled job was cancelled, by job id."""
         self.done_tasks: set[TaskName] = set()
         self.acknowledged_tasks: set[TaskName] = set()
         self.started_tasks: set[TaskName] = set()
         self.outcomes_when_absent: dict[str, OrderStatus] = {}
-        """Outcome of orders to absent workers by worker id; no answer if there is no entry."""
+        """Outcome of orders to absent workers, by worker id; the others never answer."""
         self.most_attempts = 0
         """Acknowledged failures of a task after which it may not start again; 0 for no limit."""
         self._acknowledged_failures: Counter[TaskName] = Counter()
@@ -359,7 +361,7 @@
             self.violations.append(f"{now_s:.3f} {name} starts after its job was cancelled")
 
     def note_overfilled(self, worker: TaskWorker, name: TaskName) -> None:
-        """Record as a violation that a start overloads a worker that accepts overload."""
+        """Record that a start exceeds the capacity of a worker that does not refuse overload."""
         now_s = asyncio.get_running_loop().time()
         size = worker.view.cpu_millicores
         self.violations.append(f"{now_s:.3f} {name} overloads a worker of {size} millicores")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -263,7 +263,7 @@
 
 
 class LostResponseTests(unittest.TestCase):
-    """Guards against a change that is reported as not made although it may have been accepted.
+    """Guards against reporting a change as not made although it may have been accepted.
 
     The operator would repeat it and make it twice. Only a failed connection means not made.
     """
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -296,7 +296,7 @@
         self.assertEqual(2, len(listed))
 
     def test_repeated_fault_is_logged_once(self) -> None:
-        """Guards against a log that grows with each rewrite of an entry with the same fault."""
+        """Guards against a log that grows with each rewrite of an entry with the same problem."""
         harness = RegistryHarness()
         version = harness.registry.version
         for number in range(1000):
@@ -307,7 +307,7 @@
         self.assertEqual(2, len(harness.lines("worker-unreadable")))
 
     def test_fault_after_a_deletion_is_logged_again(self) -> None:
-        """Guards against logging the deletion of an unlisted worker, or omitting a new fault."""
+        """Guards against logging the deletion of an unlisted worker, or omitting a new problem."""
         harness = RegistryHarness()
         harness.write("i-2", b"x")
         version = harness.registry.version
--- a/tests/test_http_store.py
+++ b/tests/test_http_store.py
@@ -206,7 +206,7 @@
     def test_circuit_breaker_limits_calls_to_a_store_that_is_down(self) -> None:
         """While many callers retry on a store that is down, three calls fail, then one per pause.
 
-        The first success closes the breaker, and the time line shows both ends of the outage.
+        The first success closes the breaker, and the timeline shows both ends of the outage.
         """
 
         async def main(store: KeyValueStore) -> None:
--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -81,7 +81,7 @@
     def test_no_refusal_after_a_try_with_unknown_outcome(self) -> None:
         """A caller whose job is refused submits it elsewhere, but the refused job runs too.
 
-        The first commit is carried out late and unanswered, and the store refuses the second.
+        The first commit is applied late and not answered, and the store refuses the second.
         """
 
         async def scenario() -> None:
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -162,7 +162,7 @@
         ]
     )
     def test_order_outcomes(self, status: int, reason: str, expected: OrderStatus) -> None:
-        """Guards against misreading whether a worker carried out an order."""
+        """Guards against misreading whether a worker executed an order."""
         answer = HttpAnswer(status=status, body={"clockMs": 5, "reason": reason})
         self.assertIs(expected, _decode_outcome(answer, is_poll=False).status)
 
