--- a/src/shallotworks/platform/_worker_entries.py
+++ b/src/shallotworks/platform/_worker_entries.py
@@ -184,12 +184,12 @@
 
 
 def _integer_up_to(limit: int) -> _FieldReader:
-    def values(value: Any, field: str) -> int:
+    def read_integer(value: Any, field: str) -> int:
         if not 0 <= json_integer(value) <= limit:
             raise _InvalidEntryError(EntryProblemKind.OUT_OF_RANGE, field)
         return int(value)
 
-    return values
+    return read_integer
 
 
 def _read_capacity(value: Any, field: str) -> dict[str, Any]:
--- a/src/shallotworks/standins/_callers.py
+++ b/src/shallotworks/standins/_callers.py
@@ -123,8 +123,8 @@
             key = secrets.token_hex(8) if kind is _Kind.ORDER else ""
             body = f"{kind.value} {next(self._request_numbers)}".encode()
             known = self._send_request(kind, body, key, self._choose_port(rng))
-            is_answer_lost = rng.random() < REPEATED_ORDER_RATIO
-            if key and (is_answer_lost or (self._repeat_unknown and not known)):
+            is_repeated = rng.random() < REPEATED_ORDER_RATIO
+            if key and (is_repeated or (self._repeat_unknown and not known)):
                 self._send_request(kind, body, key, self._choose_port(rng))
             self._stop.wait(REQUEST_INTERVAL_S)
 
--- a/src/shallotworks/standins/_task_workers.py
+++ b/src/shallotworks/standins/_task_workers.py
@@ -307,7 +307,7 @@
             (
                 self.view_change_count,
                 tuple(self.unlisted),
-                tuple(one.is_alive for one in self.workers.values()),
+                tuple(worker.is_alive for worker in self.workers.values()),
             )
         )
 
