--- a/tests/peer_fakes.py
+++ b/tests/peer_fakes.py
@@ -282,7 +282,7 @@
         await asyncio.gather(*(node.peers.stop() for node in self.nodes.values()), *self._stopping)
 
     def kill(self, name: str) -> PeerNode:
-        """Crash a node: its connections become silent without a goodbye, and its port is closed."""
+        """Crash a node: its connections become silent without notice, and its port is closed."""
         node = self.nodes.pop(name)
         self.network.lose_connections(node.address)
         self._stopping.append(asyncio.ensure_future(node.peers.stop()))
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -204,9 +204,9 @@
 
 class LargeFleetTests(unittest.TestCase):
     def test_a_burst_on_a_large_fleet_gets_its_machines_within_two_rounds(self) -> None:
-        """Guards against a late first few seconds of a burst because machines come 16 at a time.
+        """Guards against late jobs at the start of a burst, as machines are ordered 16 at a time.
 
-        120 machines are lacking, 190 of 400 are idle or off; each store call takes 0.1 s.
+        A queue lacks 120 machines; 190 of 400 are idle or off, and each store call takes 0.1 s.
         """
 
         async def scenario() -> None:
@@ -262,7 +262,7 @@
     def test_a_wave_waits_for_a_temporarily_unlisted_machine(self) -> None:
         """Guards against a wave reported as completed although some machines were not maintained.
 
-        A rack without power is not listed for 8 s; its machines were taken for removed ones.
+        A rack without power is not listed for 8 s, and its machines were treated as removed.
         """
 
         async def scenario() -> None:
@@ -303,7 +303,7 @@
     def test_a_worker_crash_does_not_count_as_maintenance(self) -> None:
         """Guards against a wave reported as completed although a machine was not maintained.
 
-        It refused the order, held a slot, and its crashed worker was replaced as in maintenance.
+        The machine refused its order; its worker crashed, and the new one looked like maintenance.
         """
 
         async def scenario() -> None:
@@ -313,6 +313,7 @@
             await machine_harness.start()
             for round_number in range(60):
                 machine_harness.publish_demand("antenna", free=True)
+                # The refused order holds a slot, so the new worker could pass for maintenance.
                 if round_number == 30:
                     machine_harness.platform.crash("m0")
                 await asyncio.sleep(0.2)
@@ -331,7 +332,7 @@
     def test_a_repeated_order_does_not_report_the_new_worker_as_removed(self) -> None:
         """Guards against a task that runs twice, since its worker was wrongly reported as removed.
 
-        After unlisted maintenance, the repeated order is obeyed without effect on the new worker.
+        No list shows the maintenance, so the order is repeated, which has no effect on the machine.
         """
 
         async def scenario() -> None:
@@ -342,6 +343,7 @@
             for _ in range(25):
                 machine_harness.publish_demand("antenna", free=True)
                 await asyncio.sleep(0.2)
+            # The order was carried out without an answer, and ended before a list showed it.
             machine_harness.platform.crash("m0")
             machine_harness.platform.orders.append(("upkeep", "m0", 0.0))
             machine_harness.platform.busy = set()
@@ -440,7 +442,7 @@
     ) -> None:
         """Guards against callers of a burst that wait while a wave takes their machines down.
 
-        Four machines, two at a time, take 8 s; the wave yields if it has 30 s, but not with 8 s.
+        Maintenance of four machines, two at a time, takes 8 s; a wave of 30 s yields, one of 8 not.
         """
 
         async def scenario() -> None:
@@ -473,7 +475,7 @@
     def test_a_lost_answer_does_not_free_the_slot(self) -> None:
         """Guards against more machines down than the wave allows, after a lost answer.
 
-        The order was carried out; its slot stays taken until another worker is on the machine.
+        The order was carried out; the slot stays taken until another worker runs on the machine.
         """
 
         async def scenario() -> None:
@@ -529,7 +531,7 @@
     def test_machines_ordered_long_ago_are_pruned_from_the_record(self) -> None:
         """Guards against a 3 s wait for machines after a change of the controller.
 
-        They were ordered in the previous burst, and the idle controller still named them.
+        The machines were ordered in the previous burst, and the idle controller still named them.
         """
 
         async def scenario() -> None:
@@ -680,7 +682,7 @@
     def test_recalls_cover_all_machines_that_a_burst_lacks(self) -> None:
         """Guards against a burst that fails while the previous queue processes late jobs.
 
-        A pool of one borrowed four machines; the next queue lacks three times its own.
+        A pool of one machine borrowed four, all busy; the next queue lacks three times its own.
         """
 
         async def scenario() -> None:
@@ -704,7 +706,7 @@
     def test_the_next_burst_borrows_idle_machines_directly(self) -> None:
         """Guards against a burst that waits 1.5 s longer because idle machines were just returned.
 
-        It begins 1 s after the previous one ends; machines return only if no queue lacks them.
+        The burst begins 1 s after the last one; machines return only if no queue lacks them.
         """
 
         async def scenario() -> None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -260,7 +260,7 @@
         return raised.exception.failure.kind
 
     def test_slow_coroutine(self) -> None:
-        """A read that times out may be retried; the outcome of a change that does is unknown."""
+        """A read that times out may be retried; a change that times out has an unknown outcome."""
         self.assertIs(self.error_kind_of(self.bridge.read), ErrorKind.DEADLINE_EXCEEDED)
         self.assertIs(self.error_kind_of(self.bridge.write), ErrorKind.OUTCOME_UNKNOWN)
 
--- a/tests/test_outage_recovery.py
+++ b/tests/test_outage_recovery.py
@@ -90,7 +90,7 @@
     ) -> None:
         """All lasting tasks lapsed in an outage of the store of 5 s, as no lease was extended.
 
-        A store that pauses leases also keeps the key of a scheduler that gave up for 2 s more.
+        If the store pauses leases, the key of a scheduler that gave up remains for 2 s longer.
         """
 
         async def scenario() -> None:
@@ -132,7 +132,7 @@
     def test_the_deletion_of_an_earlier_key_does_not_end_the_next_epoch(self) -> None:
         """After an outage every scheduler gave up within half a second of its start.
 
-        Its delayed watch reported the deletion of the key whose lease it held before the outage.
+        A delayed watch reported the deletion of the key that the scheduler held before the outage.
         """
 
         async def scenario() -> None:
@@ -207,7 +207,7 @@
     def test_a_pool_with_tasks_to_recover_does_not_offer_its_workers(self) -> None:
         """Lasting tasks waited for 3 s after the recovery, although workers were idle.
 
-        No lasting task is placed on a withdrawn worker while an order may still remove it.
+        The workers had been offered, and an order may still remove one shortly afterwards.
         """
         harness = SchedulingHarness(view("a"), view("b"))
         harness.scheduler_state.pending_recovery["c"] = harness.now_s + 5.0
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -93,7 +93,7 @@
 
     @with_fleet(a=3)
     async def test_a_silent_member_is_suspected_before_it_is_removed(self, fleet: Fleet) -> None:
-        """A member whose machine loses power stays open and silent; it soon loses its roles.
+        """A member without power keeps its connections open and silent; it soon loses its roles.
 
         A pause of a few seconds, however, must not remove it.
         """
@@ -108,7 +108,7 @@
 
     @with_fleet(a=3)
     async def test_a_broken_link_between_two_members_suspects_neither(self, fleet: Fleet) -> None:
-        """A third member that reaches both vouches for them when the path between two is lost.
+        """A third member that reaches both reports them alive when the path between them is lost.
 
         If each removed the other, they would select different watchers and relays.
         """
@@ -294,7 +294,7 @@
     async def test_a_partitioned_data_centre_catches_up(self, fleet: Fleet) -> None:
         """A data centre is partitioned from all others and the platform for two minutes.
 
-        It reports the age of its configuration and holds the newest one 4.5 s after the healing.
+        It reports the age of its configuration and holds the newest one 4.5 s after the partition.
         """
         fleet.accept_change_at("a0")
         await asyncio.sleep(4)
--- a/tests/test_plans_machine.py
+++ b/tests/test_plans_machine.py
@@ -200,7 +200,7 @@
         self.start_conductor()
 
     def return_leftover_cordons(self) -> None:
-        """Return cordons of ended drains, which otherwise block the budget of other plans."""
+        """Reactivate instances that ended drains left cordoned; they block other plans' budgets."""
         state = self.state()
         left = tuple(
             name
@@ -238,11 +238,12 @@
                 digest = change.digest if isinstance(change, AdvancePlan) else change.plan
                 if not digest:
                     author = self.harness.config.history[-1][1]
-                    self.expect(author == "clear-faults", f"acts without a plan: {change}")
+                    self.expect(author == "clear-faults", f"change without a plan: {change}")
                     return
-                self.expect(digest in self.confirmed, f"acts unconfirmed: {change}")
+                self.expect(digest in self.confirmed, f"change of an unconfirmed plan: {change}")
                 self.expect(
-                    change.fencing_token >= self.tokens.get(digest, 0), f"old token: {change}"
+                    change.fencing_token >= self.tokens.get(digest, 0),
+                    f"change with a stale fencing token: {change}",
                 )
                 self.tokens[digest] = change.fencing_token
         if isinstance(change, SetCondition) and change.condition is Condition.CORDONED:
@@ -250,16 +251,20 @@
                 out = after.unavailable_in(pool)
                 more = out > before.unavailable_in(pool)
                 self.expect(
-                    not more or out <= after.disruption_budget(pool), f"overspent: {change}"
+                    not more or out <= after.disruption_budget(pool),
+                    f"change exceeds the disruption budget: {change}",
                 )
         for record in after.plans.values():
             if not record.state.is_open:
                 self.ended.setdefault(record.digest, record.state)
         for name, entry in after.instances.items():
             moved = entry.pool != before.instances[name].pool
-            self.expect(not moved or isinstance(change, MoveInstance), f"moved: {change}")
+            self.expect(
+                not moved or isinstance(change, MoveInstance),
+                f"instance moved by another kind of change: {change}",
+            )
             grew = entry.maintained_at_s >= before.instances[name].maintained_at_s
-            self.expect(grew, f"maintenance forgotten: {name}")
+            self.expect(grew, f"maintenance time was set back: {name}")
 
     def watch_reboots(self) -> None:
         """Check that each reboot is confirmed, cordoned by its plan and without work in flight."""
@@ -272,9 +277,12 @@
             result = await real_reboot(instance, reboot_id=reboot_id, fencing_token=fencing_token)
             if len(targets.reboots) > before:
                 held_by = self.state().instances[instance.name].held_by
-                self.expect(reboot_id in self.confirmed, "rebooted unconfirmed")
-                self.expect(held_by == reboot_id, f"rebooted {instance.name} uncordoned")
-                self.expect(busy == 0, f"rebooted {instance.name} with work in flight")
+                self.expect(reboot_id in self.confirmed, "reboot of an unconfirmed plan")
+                self.expect(
+                    held_by == reboot_id,
+                    f"reboot of {instance.name}, which the plan has not cordoned",
+                )
+                self.expect(busy == 0, f"reboot of {instance.name} with work in flight")
             return result
 
         targets.reboot = checked  # type: ignore[method-assign]
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -158,8 +158,9 @@
     def test_slow_page_is_read(self) -> None:
         """Guards against a scheduler on a slow link that never reads its jobs.
 
-        It abandoned each page at a fixed timeout though bytes kept arriving, and read it again.
+        The client abandoned each page at a fixed timeout while bytes arrived, and read it again.
         """
+        # A page of 1 MB takes 1.8 s on a link of 5 Mbit/s, and the timeout was 0.8 s.
         page = json.dumps({"items": [], "hasMore": False, "atRev": 7, "padding": "x" * 1200})
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -66,7 +66,7 @@
     """Bursts in which a queue's demand rises at once to several times its pool's capacity."""
 
     def test_a_burst_is_requested_in_full_soon_after_its_start(self) -> None:
-        """Guards against a late first second of a burst, which delays all jobs behind it.
+        """Guards against late jobs in a burst's first second, which delay all jobs behind them.
 
         3 core-seconds every 0.1 s need 30 cores; nearly all are requested after 0.4 s, not 1 s.
         """
@@ -182,7 +182,7 @@
         self.assertFalse(harness.sizer.withdraw(harness.now_s, wall_s=WALL_S))
 
     def test_work_in_time_withdraws_offers_of_yielding_workers(self) -> None:
-        """Guards against late callers of a queue whose machines were freed for another burst."""
+        """Guards against late jobs of a queue whose own machines were freed for another burst."""
         harness = SizingHarness(*"abcdefgh")
         harness.add_job(job("late", step(4 * 20), accepted_s=WALL_S - 60.0))
         harness.sizer.restrict_late_work(5)
@@ -218,7 +218,7 @@
     def test_a_due_worker_is_offered_once_no_lasting_task_is_left(self) -> None:
         """Guards against maintenance that ends a lasting task or waits forever for tasks that end.
 
-        A due worker gets no task; it is offered without lasting tasks, after the drain grace.
+        A due worker gets no task; it is offered after the drain grace if no lasting task is left.
         """
         harness = SizingHarness("a")
         harness.add_job(job("s", step(1, is_lasting=True)))
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -81,7 +81,7 @@
 
 
 async def crash_busy_workers(simulation: SchedulingSimulation) -> None:
-    """Crash workers that run tasks at drawn moments, and add a new worker for each."""
+    """Crash busy workers at random moments, and add a new worker for each."""
     for number in range(WORKER_COUNT // 2):
         await asyncio.sleep(simulation.rng.uniform(0.5, 1.5))
         busy = [one for one in simulation.fleet.workers.values() if one.is_alive and one.names()]
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -45,7 +45,7 @@
         run_on_virtual_clock(scenario)
 
     def test_retries_stay_within_the_budget_when_every_attempt_fails(self) -> None:
-        """Unbounded retries of failing requests would overload the targets that still work."""
+        """Guards against retries of failing requests that overload the targets which still work."""
 
         async def scenario() -> None:
             retries = make_policy()
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -217,7 +217,7 @@
                 if order.run.name.job_id == "archive":
                     return
                 running[order.run.name] = order.run
-        self.fail("the archive waits though each worker could hold it")
+        self.fail("the lasting task waits although each worker could run it")
 
     def test_other_workers_accept_tasks_meanwhile(self) -> None:
         """Guards against holding room for a lasting task on more than one worker."""
--- a/tests/test_scheduling_history.py
+++ b/tests/test_scheduling_history.py
@@ -147,7 +147,7 @@
 class FaultScenarioTests(unittest.TestCase):
     @parameterized.expand([(one.__name__, one) for one in FAULT_SCENARIOS])
     def test_invariants_hold_through_each_fault(self, _name: str, fault: FaultScenario) -> None:
-        """An invariant was violated during a fault, for one of a fixed set of seeds."""
+        """The invariants hold through each fault, for a fixed set of seeds."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 simulation = run_simulation(seed, fault)
--- a/tests/test_scheduling_orders.py
+++ b/tests/test_scheduling_orders.py
@@ -14,7 +14,7 @@
 
 class SilentWorkerTests(unittest.TestCase):
     def test_tasks_of_a_worker_that_died_silently_run_again(self) -> None:
-        """A job never ended after its worker lost power, since unanswered polls extended its lease.
+        """A job never ended after its worker lost power, as unanswered polls may extend its lease.
 
         The task must run elsewhere once the last lease that was certainly granted has expired.
         """
--- a/tests/test_scheduling_takeover.py
+++ b/tests/test_scheduling_takeover.py
@@ -16,6 +16,7 @@
         harness = SchedulingHarness(view("a"), view("b"))
         harness.add_job(job("j", step(1), step(1, after=(0,))), is_inherited=True)
         first, second = TaskName("j", 0, 0, 0), TaskName("j", 0, 1, 0)
+        # The predecessor was killed before it stored the first step's end, which only b reports.
         harness.report("a", running=(RunningTask(name=second, run_id=5),))
         harness.report("b", ended=((first, 4, EndKind.DONE),))
         self.assertEqual([], harness.decide())
@@ -42,7 +43,7 @@
     def test_earlier_jobs_wait_for_workers_that_have_not_answered(self) -> None:
         """A task ran twice at once, with one run on a worker that the successor could not reach.
 
-        Only jobs of the earlier epoch wait for its answer or the certain expiry of its lease.
+        Only jobs of the earlier epoch wait until this worker answers or its lease surely expired.
         """
         harness = SchedulingHarness(view("a"))
         harness.scheduler_state.pending_recovery["c"] = harness.now_s + 10
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -55,7 +55,7 @@
         self.assertEqual(["k"], [one.run.name.job_id for one in harness.start_orders()][:1])
 
     def test_a_reserved_start_is_cancelled_when_capacity_shrinks(self) -> None:
-        """Guards against sending a suspect's start after the reserved worker's capacity shrank."""
+        """Guards against starting a suspected task on a reserved worker whose capacity shrank."""
         harness = SchedulingHarness(view("a"), view("b", cpu_millicores=0))
         row = LostRun(run_id=1, worker_id="c", blame=Blame.SHARED, is_certain=True)
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (row,)})
--- a/tests/test_store_following.py
+++ b/tests/test_store_following.py
@@ -70,7 +70,7 @@
     def test_changes_during_an_outage_are_reported_soon_after_it(self) -> None:
         """Guards against leases that nobody takes over for 2 s after a store outage.
 
-        A watch sent just before the store recovers waited up to 1 s at the store, then timed out.
+        A watch sent just before the recovery had to time out first; it may wait 1 s at the store.
         """
 
         async def scenario() -> None:
@@ -199,7 +199,7 @@
     ) -> None:
         """Guards against two active schedulers after one was cut off from the store.
 
-        A holder may act through a short outage, only for the grace period its successor expects.
+        A holder may act in an outage, but only for the grace period that its successor expects.
         """
 
         async def scenario() -> None:
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -207,7 +207,7 @@
     def test_conflicting_plans_of_two_operators(self) -> None:
         """Two operators in two data centres confirm plans over one instance at the same moment.
 
-        Both would drain and release it; the refusal names the confirming operator or a new plan.
+        One is refused, as both would drain it; the reason names the other operator or a new plan.
         """
         first, second = self.operator_at(self.entries[0]), self.operator_at(self.entries[2])
         rack_drain: Intent = Drain(selection=InRack(data_centre=DATA_CENTRES[0], rack="r1"))
--- a/tests/test_waiting_reasons.py
+++ b/tests/test_waiting_reasons.py
@@ -195,7 +195,7 @@
         self.assertIs(WaitReason.GANG, reason_of(harness))
 
     def test_the_reason_is_that_of_the_worker_that_came_closest(self) -> None:
-        """Guards against hiding behind full workers that an idle worker is cordoned."""
+        """Guards against the reason "no room" for a task that a cordoned idle worker could run."""
         # A lasting task waits though an idle worker is cordoned for removal. Most workers are full,
         # and the reason "no room" would make an engineer look for machines.
         rows: tuple[tuple[tuple[Callable[[Worker], None], ...], WaitReason], ...] = (
@@ -289,7 +289,7 @@
         self.assertEqual(1, summary.lasting)
 
     def test_the_longest_wait(self) -> None:
-        """Guards against naming another task than the longest wait, of equals a lasting one."""
+        """Guards against not naming the longest-waiting task, or not a lasting one among equals."""
         rows = (
             ("the first seen", ("ends", "lasts"), 1.0, "ends"),
             ("of equals the lasting one", ("ends", "lasts"), 0.0, "lasts"),
