--- a/bench/_bare.py
+++ b/bench/_bare.py
@@ -19,7 +19,7 @@
 
 
 def target(environ: dict[str, Any], start_response: Callable[..., Any]) -> Iterable[bytes]:
-    """Answer immediately with an empty body, and return the request's id and attempt."""
+    """Answer immediately with an empty body; the headers repeat the request's id and attempt."""
     start_response(
         "200 OK",
         [
--- a/bench/jobs.py
+++ b/bench/jobs.py
@@ -1,6 +1,6 @@
 """Rates and costs of jobs that one instance accepts over HTTP and of orders from one scheduler.
 
-The store and the workers are in-memory stand-ins; the store answers in 4 ms, as the users' does.
+The store and the workers are in-memory stand-ins; the store answers in 4 ms, as the users' store.
 """
 
 from __future__ import annotations
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -173,7 +173,7 @@
         if not await self._submit(job, body, max_attempts):
             return
         if self._rng.random() < 0.1:
-            # Submits the job again after it was accepted, at an instance drawn anew.
+            # Submits the accepted job again, at an instance that is drawn again.
             await asyncio.sleep(self._rng.uniform(0, 2.0))
             await self._submit(job, body, 1)
         if not job.is_lasting and self._rng.random() < 0.12:
--- a/tests/cli_sessions.py
+++ b/tests/cli_sessions.py
@@ -25,7 +25,7 @@
 
 
 def run_command(command: str | Sequence[str], environment: Mapping[str, str]) -> CommandResult:
-    """Run one command with these variables; other variables of shallotworks are removed."""
+    """Run one command with these variables; all others of shallotworks are unset."""
     arguments = shlex.split(command) if isinstance(command, str) else command
     output = io.TextIOWrapper(io.BytesIO(), encoding="utf-8", write_through=True)
     errors = io.StringIO()
--- a/tests/system.py
+++ b/tests/system.py
@@ -191,7 +191,7 @@
             self.wait_revision(entry, len(changes))
 
     def stop(self) -> None:
-        """Stop all processes; a worker ends an injected silence, so that held requests finish."""
+        """Stop all processes; a stopped worker ends its silence, so that held requests finish."""
         for entry in self.entries:
             entry.stop()
         for worker in self.workers:
--- a/tests/test_replaced_workers.py
+++ b/tests/test_replaced_workers.py
@@ -104,7 +104,7 @@
 class ReplacedWorkersTests(unittest.TestCase):
     @parameterized.expand([(seed,) for seed in SEEDS])
     def test_each_task_is_done_once_while_workers_are_replaced(self, seed: int) -> None:
-        """A task ran twice while the workers of its service were drained and replaced in turn."""
+        """A task ran twice while its service's workers were drained and replaced one by one."""
 
         async def scenario() -> None:
             simulation, fleet = make_simulation(seed)
--- a/tests/test_shrunk_capacity.py
+++ b/tests/test_shrunk_capacity.py
@@ -26,7 +26,7 @@
     def test_no_start_exceeds_the_remaining_capacity(
         self, _name: str, capacity: dict[str, object]
     ) -> None:
-        """Guards against overfilling a worker that refuses nothing after its capacity shrank."""
+        """Guards against overfilling a shrunk worker, which may refuse no start by itself."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         self.assertEqual(1, len(harness.start_orders()))
