--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -294,7 +294,7 @@
     async def test_a_partitioned_data_centre_catches_up(self, fleet: Fleet) -> None:
         """A data centre is partitioned from all others and the platform for two minutes.
 
-        It reports the age of its configuration and holds the newest one 4.5 s after the partition.
+        It reports the age of its configuration and holds the newest one within 4.5 s afterwards.
         """
         fleet.accept_change_at("a0")
         await asyncio.sleep(4)
--- a/tests/test_plan_sessions.py
+++ b/tests/test_plan_sessions.py
@@ -88,7 +88,7 @@
         run(scenario)
 
     def test_an_evening_at_tijera_de_plata(self) -> None:
-        """Wide waves in a short window, a stale plan, its fresh proposal, and a cancelled plan."""
+        """Wide waves in a short window, a stale plan, a cancelled fresh one, an unknown rack."""
 
         async def scenario() -> None:
             weights = PlannerWeights(buffer=0.1, roll_out=0.8, moves=0.1, window_s=8 * 3600)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -143,7 +143,7 @@
         self.assertIs(failure.kind, ErrorKind.BUDGET_SPENT)
 
     def test_a_short_window_offers_the_waves_that_fit(self) -> None:
-        """Half of the waves fit into half of the time; the oldest maintenance goes first."""
+        """A window that is too short is refused; a plan for the instances that fit is offered."""
         weights = replace(SHORT_WINDOW_WEIGHTS, window_s=700.0)
         planner = Planner(weights=weights, model=DisruptionModel())
         failure = planner.plan(tijera(), MAINTAIN_ALL, author="kari").failure()
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -28,7 +28,7 @@
         self.assertEqual(self.create("a"), 409)
 
     def test_waiting_watches_leave_threads_for_writes(self) -> None:
-        """Guards against watches that block writes, or that a write does not end."""
+        """A watch over the limit is refused, and a write is served and ends the waiting watch."""
         answers = []
 
         def watch() -> None:
