--- a/tests/held_leases.py
+++ b/tests/held_leases.py
@@ -1,4 +1,4 @@
-"""Acquires leased keys for tests."""
+"""Functions with which tests acquire the lease of a key."""
 
 import asyncio
 
--- a/tests/history_run.py
+++ b/tests/history_run.py
@@ -115,7 +115,10 @@
         self._loop_thread.stop()
 
     def run(self, schedule: Sequence[FaultPhase]) -> None:
-        """Send requests while the faults change, then end the faults and wait until all is idle."""
+        """Send requests while the faults change, and wait until all is idle after the faults.
+
+        Some keys are sent again after the faults have ended.
+        """
         callers = [threading.Thread(target=self._run_caller, args=(n,)) for n in range(CALLERS)]
         for thread in callers:
             thread.start()
@@ -160,7 +163,8 @@
     def _send_keyed_request(self, caller: int, rng: random.Random, body: bytes, key: str) -> None:
         """Send a request with a key, and at random further ones with the same key.
 
-        A duplicate goes out at the same time; a repeat or a request with another body afterwards.
+        A duplicate goes to the other instance at the same time. A repeat, or a request with another
+        body, goes to a random instance afterwards.
         """
         duplicate = threading.Thread(target=self._send, args=(caller, 1, body, key))
         if rng.random() < 0.3:
--- a/tests/lasting_task_simulation.py
+++ b/tests/lasting_task_simulation.py
@@ -1,4 +1,4 @@
-"""Simulates lasting tasks on the stand-ins through faults, and checks the rules throughout.
+"""Simulates lasting tasks on the stand-ins under faults, and checks invariants throughout.
 
 Instances, service schedulers, leader electors, their watchers and the list of workers are the
 product's own; the store, the workers and the machine controller are stand-ins. Workers register in
@@ -57,8 +57,8 @@
 
 RESTART_DEADLINE_S = 10.0
 """A lasting task with room for it runs again within this time after the last fault. Source: the
-users' rules: instances are in touch 3 s after a fault, the 4 s before a task is missed must be
-calm, and it may be missed for 3 s."""
+users' rules: instances are connected again 3 s after a fault, a task counts as missed only after
+4 s without a fault, and it may be missed for 3 s."""
 MISSED_AFTER_S = 3.0
 """A task counts as missed after this time; one that was stopped to be moved is back sooner.
 Source: the users' rules."""
@@ -66,8 +66,8 @@
 """A task that has not served for this long counts as unavailable.
 Source: the platform's settings."""
 MAX_TASK_LEASE_S = 6.0
-"""The longest lease of what runs on a worker: a run that lapses later than this after the last
-fault lapses without a fault."""
+"""The longest lease of a run. If a run lapses later than this after the last fault, the fault is
+not the cause."""
 CANCEL_DEADLINE_S = 8.0
 """Without faults a cancelled task stops within this time: 3 s until the cancellation is known,
 and 5 s for a stop."""
@@ -84,9 +84,9 @@
 LEASE_EXPIRY_WAIT_S = 7.0
 """Leases that nobody extends have run out this long after a fault."""
 CONTROLLER_ROUND_S = 0.02
-"""Pause between two reads of the offers. The machine controller runs rounds a tenth as often;
-the simulation reads more often, since an offer that must not be made must not be seen whenever a
-round begins."""
+"""Pause between two reads of the offers. The machine controller reads them a tenth as often.
+The simulation reads more often, since a round of the controller may begin at any time and must not
+find a wrong offer then."""
 EVACUATION_TIMEOUT_S = 20.0
 """The machine controller gives up a worker that is not offered within this time."""
 LENDING_TIMEOUT_S = 2.0
@@ -131,7 +131,7 @@
         faults: Faults of the store that all instances meet.
         fleet: The workers.
         isolated: Workers that no instance can reach.
-        log: Receives its decisions.
+        log: Log of its decisions.
     """
 
     def __init__(
@@ -211,7 +211,7 @@
     """Workers that also check each step's disruption budget.
 
     Args:
-        rng: Draws durations and faults.
+        rng: Random generator for durations and faults.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -280,7 +280,7 @@
 
 
 class LastingTaskSimulation:
-    """A store, workers, instances and lasting jobs, whose rules are checked throughout.
+    """A store, workers, instances and lasting jobs, whose invariants are checked throughout.
 
     Args:
         seed: Seed of the random generator.
--- a/tests/test_active_workers_record.py
+++ b/tests/test_active_workers_record.py
@@ -204,7 +204,8 @@
             harness.add_job(job(JOB_ID, step(1)))
             (order,) = harness.start_orders()
             self.assertEqual("ended", order.run.worker_id)
-            # The end arrives just after another one was stored, and waits for the next commit.
+            # The end arrives just after another one was stored, and waits for the next commit. A
+            # record without the worker would let the successor start the task again at once.
             harness.report("ended", ended=((NAME, order.run.run_id, EndKind.DONE),))
             await workers.hand_over()
             self.assertEqual({"ended"}, set(record.active_workers))
@@ -272,8 +273,9 @@
                 phase=RunPhase.STARTING,
                 since_s=loop.time(),
             )
-            # The run of an earlier epoch. The first scheduler never reached the worker and recorded
-            # the time left; the second is lost before it can record that it reached the worker.
+            # An earlier epoch started this run. The first scheduler never reached the worker and
+            # recorded how long its leases might last; the second one reached the worker, and is
+            # lost before it can record that.
             worker.start(StartOrder(run=run, spec="x"), 8, worker.clock_ms + 3000)
             lease = await acquire(FaultInjectingStore(store=RecordStore(rng=random.Random(1))))
             order_dispatcher = OrderDispatcher(
@@ -322,7 +324,7 @@
     def test_successive_schedulers_wait_once(self) -> None:
         """A lasting task does not run for as long as instances are stopped one after another.
 
-        Each successor waited for the same lost worker from the start.
+        Each successor started its wait for the same lost worker from the beginning.
         """
 
         async def scenario() -> None:
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -88,7 +88,7 @@
         return serving
 
     def check_order(self, names: set[TaskName], how: str) -> None:
-        """Check serving tasks that one order ends, all at the same moment."""
+        """Check the serving tasks that one order ends at the same moment."""
         serving = self.serving_tasks()
         for name in sorted(names):
             not_serving = [other for other in self._names if other not in serving and other != name]
@@ -358,6 +358,8 @@
             harness.request_wave(*("m" + worker for worker in sorted(busy_worker_ids)))
             while not harness.controller_records.controller.due:
                 await asyncio.sleep(0.005)
+            # The successor withdrew its offer when the polls were answered, but the controller had
+            # ordered the maintenance by then.
             await harness.kill(first)
             await asyncio.sleep(wait_s)
             await harness.start_scheduler()
@@ -408,7 +410,8 @@
             await harness.submit()
             await asyncio.sleep(2.0)
             # No machine controller runs here, since its orders have tests of their own. Schedulers
-            # iterate over the due workers in the order of a set, which is the same for both here.
+            # iterate over the due workers in the order of a set, which differs between processes
+            # but is the same for both schedulers here.
             due = sorted({run.worker_id for run in _runs(first)})
             last = list(frozenset(due))[-1]
             harness.publish_due_workers(last)
@@ -441,6 +444,7 @@
             harness = TakeoverHarness("w0", "w1", "w2", count=2, may_miss=1, cpu_millicores=3000)
             first = await harness.start_scheduler()
             await harness.start_controller()
+            # The order to move the idle worker is in flight while the scheduler is replaced.
             harness.order_delay_s = 0.7
             harness.publish_shortfall(1)
             await asyncio.sleep(0.25)
@@ -467,6 +471,8 @@
             await harness.submit()
             await harness.start_controller()
             first.cut_from_store()
+            # The task of the drained worker is started on an offered one 3 s later. The next
+            # scheduler of the service begins late, so the controller still reads the offer.
             harness.drain(min(run.worker_id for run in _runs(first)))
             await asyncio.sleep(3.75)
             harness.publish_shortfall(2)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -265,7 +265,7 @@
 class LostResponseTests(unittest.TestCase):
     """Guards against reporting a change as not made although it may have been accepted.
 
-    The operator would repeat it and make it twice. Only a failed connection means not made.
+    The operator would then make it twice. Only a failed connection shows that it was not made.
     """
 
     def client(self, serve: Callable[[socket.socket], object]) -> OperatorsClient:
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -30,7 +30,7 @@
     def test_another_conductor_continues_the_plan(self, _name: str, at_s: float) -> None:
         """When the conducting process crashes, another one acquires the lease within 10 s.
 
-        It continues the plan from the state: the wave must not stop, no target reboots twice.
+        It continues from the stored state, so that no wave stops and no target reboots twice.
         """
 
         async def scenario() -> None:
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -175,7 +175,7 @@
     def test_a_lost_answer_is_resolved(self) -> None:
         """A write whose answer is lost is found by its change id and counts once.
 
-        Proposed again it would take a second revision; reported as refused it would be in force.
+        A second proposal would take another revision, and a reported refusal would be false.
         """
 
         async def main() -> None:
@@ -212,7 +212,7 @@
     def test_unknown_outcome_is_resolved_after_a_snapshot(self) -> None:
         """A written change is not written again after a snapshot has passed its revision.
 
-        A peer's snapshot has the change but not its entry, so that only the stored log can tell.
+        A peer's snapshot has the change but not its entry, so that only the stored log shows it.
         """
 
         async def main() -> None:
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -147,7 +147,7 @@
         self.assertEqual([], blames_of(harness))
 
     def test_a_crash_that_is_detected_late_is_blamed_on_the_run_on_probation(self) -> None:
-        """Guards against never blaming a lasting task because the connections close late."""
+        """Guards against never blaming a lasting task whose crashes close connections late."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1, is_lasting=True)))
         confirm(harness, *harness.start_orders())
@@ -285,7 +285,7 @@
         self.assertEqual(NAME, order.run.name)
 
     def test_the_reservation_of_an_unresponsive_worker_is_cancelled_at_once(self) -> None:
-        """Guards against a lasting task down for 10 s, reserving idle workers that had left."""
+        """Guards against a lasting task that waits 10 s for reserved workers which have left."""
         self.suspect(step(1, is_lasting=True))
         self.harness.now_s += 1.0
         self.harness.decide()
@@ -294,7 +294,7 @@
             for one in self.harness.scheduler_state.workers.values()
             if one.isolated_run is not None
         ]
-        # A failed poll has this effect.
+        # A failed poll pauses the worker in this way.
         kept.pause_until_s = self.harness.now_s + 0.5
         self.harness.now_s += 0.1
         (order,) = self.harness.start_orders()
@@ -394,7 +394,7 @@
         crashes: int,
         is_given_up: bool,
     ) -> None:
-        """Guards against dropping a start of a dead scheduler, or taking it for the only cause."""
+        """Guards against forgetting a start that a dead scheduler sent, or blaming it alone."""
         row = LostRun(run_id=5, worker_id="a" if is_alive else "z", blame=SOLE, is_certain=False)
         progress = JobProgress(queue="sweeps", lost={(0, 0, 0): (*lost(*earlier), row)})
         self.harness.add_job(job("j", step(1)), progress=progress, is_inherited=True)
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -49,7 +49,7 @@
 class GrowthTests(unittest.TestCase):
     @parameterized.expand([(2.0,), (2.5,), (3.0,)])
     def test_growth_is_extrapolated_until_machines_arrive(self, at_s: float) -> None:
-        """Guards against late jobs at the start of a burst, when machines match past demand."""
+        """Guards against late jobs at the start of a burst, when machines fit past demand."""
         # Demand grows for five seconds to sixty jobs a second. The forecast in the first seconds
         # must be nearer to the demand two seconds later than to the present demand.
         rate = Rate(base=1.0, rise=12.0, for_s=5.0)
@@ -71,7 +71,7 @@
         self.assertGreater(forecast_cores, 0.9 * rate(8.0) * CORE_S_PER_JOB)
 
     def test_no_arrivals(self) -> None:
-        """Guards against a demand without jobs."""
+        """Guards against a forecast of demand where no jobs arrive."""
         self.assertEqual(0.0, forecast_demand_cores([], wall_s=5.0, limits=LIMITS))
 
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -59,6 +59,7 @@
         """
 
         async def scenario() -> None:
+            # The load balancer's connections all end at this one of the two entry instances.
             harness = make_harness(make_fleet(make_instances(1)), entries=2, rank=0)
             tasks = [harness.start(within_s=1000) for _ in range(64)]
             await run_ready_tasks()
@@ -145,6 +146,8 @@
         """Long-running work must not starve under a flood of interactive requests."""
 
         async def scenario() -> None:
+            # Interactive requests may fill all slots for a whole evening. Without a minimum,
+            # nightly work would start too late to end before the morning.
             limits = DispatchLimits(long_running_min_part=0.25, waiting_min=10_000)
             harness = make_harness(make_fleet(make_instances(1)), limits=limits)
             flood = [harness.start(within_s=1000) for _ in range(200)]
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -46,6 +46,7 @@
         async def scenario() -> None:
             harness = make_harness(make_fleet(make_instances(8)))
             busy = [await harness.grant() for _ in range(40)]
+            # For example, a worker that lost its disk answers with an error within a millisecond.
             seen = await attempts(harness, 200, {"w3"}, outcome)  # type: ignore[arg-type]
             self.assertEqual(seen["w3"], 3)
             self.assertEqual(harness.metrics.counters()["targets.ejected"], 1)
@@ -139,6 +140,7 @@
         """
 
         async def scenario() -> None:
+            # The local targets work, so this process is not the cause of the remote time-outs.
             members = make_instances(2, slots=2)
             far = make_instances(6, slots=2, data_centre="there", prefix="far")
             harness = make_harness(make_fleet(members | far))
@@ -168,6 +170,7 @@
 
         async def scenario() -> None:
             harness = make_harness(make_fleet(make_instances(2)))
+            # A target refuses while entry instances of another data centre use all its slots.
             refused = AttemptOutcome.REFUSED
             seen = await attempts(harness, 50, {"w0"}, refused)
             self.assertEqual(seen["w0"], 1)
@@ -232,6 +235,8 @@
         """Processes that don't see each other's load must not all choose the same idle target."""
 
         async def scenario() -> None:
+            # If all processes broke ties in the same way, one target would get all requests while
+            # the others idle.
             seen: Counter[str] = Counter()
             for seed in range(60):
                 harness = make_harness(make_fleet(make_instances(8)), seed=seed)
--- a/tests/test_fleet_plans.py
+++ b/tests/test_fleet_plans.py
@@ -102,7 +102,7 @@
     ) -> None:
         """A script puts an outdated description of an instance that a plan moved and maintains.
 
-        Reverted, it would be in two operators' pools at once or take work during its reboot.
+        If this reverted the plan, the instance would be in two pools or get work during its reboot.
         """
         down = SetHealth(names=("archive-0",), healthy=False)
         activate = SetCondition(
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -275,7 +275,10 @@
         self.assertEqual([], harness.lines("worker-unreadable"))
 
     def test_duplicate_address_removes_no_worker(self) -> None:
-        """Guards against choosing between two entries with one address: only the worker can."""
+        """Guards against unlisting a worker because another entry has the same address.
+
+        Only the worker at that address can tell which of the two entries is right.
+        """
         harness = RegistryHarness()
         harness.write("i-2", changed(address="10.0.0.2:1"))
         self.assertEqual({"i-1", "i-2", "i-3"}, harness.ids)
@@ -283,7 +286,7 @@
 
 class EntryChangeTests(unittest.TestCase):
     def test_entry_becomes_invalid_and_valid_again(self) -> None:
-        """Guards against using a worker with an earlier entry than its last valid one."""
+        """Guards against using a worker while its entry is invalid, or later with old values."""
         harness = RegistryHarness()
         harness.write("i-2", changed())
         harness.write("i-2", changed(state="paused"))
@@ -299,6 +302,7 @@
         """Guards against a log that grows with each rewrite of an entry with the same problem."""
         harness = RegistryHarness()
         version = harness.registry.version
+        # The bytes differ in each write, as when a worker rewrites its entry, but not the fault.
         for number in range(1000):
             harness.write("i-2", changed(state=f"state-{number}", seqNo=number))
         self.assertEqual(1, len(harness.lines("worker-unreadable")))
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -100,7 +100,7 @@
         ]
     )
     def test_reads_answers(self, _: str, sent: bytes, status: int, body: dict[str, object]) -> None:
-        """Guards against misreading an answer by how its end is marked."""
+        """Guards against misreading an answer, whichever way the end of its body is marked."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -196,6 +196,7 @@
             first, second = shared.process("e1"), shared.process("e2")
             claim = (await first.claim(make_order())).unwrap()
             await claim_other_key(second)
+            # The answer to the deletion is lost, and reads are stale after a failover.
             shared.store.set_faults(StoreFaults(stale=True, lost_answers=1))
             await first.release_claim(claim)
             self.assertTrue(may_run(await second.claim(make_order())))
@@ -276,7 +277,7 @@
         run_on_virtual_clock(scenario)
 
     def test_store_is_down_when_the_run_ends(self) -> None:
-        """An answer not stored yet is returned by the process that has it, later by any."""
+        """An answer that is not stored yet is returned by its process; once stored, by any."""
 
         async def scenario() -> None:
             shared = SharedStore()
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -47,7 +47,7 @@
         ]
     )
     def test_an_invalid_job_is_reported(self, _name: str, job_under_test: Job) -> None:
-        """Each problem yields a sentence."""
+        """Each problem of an invalid job is reported as one sentence."""
         self.assertNotEqual([], list(job_problems(job_under_test)))
 
     def test_a_valid_job_has_no_problem(self) -> None:
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -84,7 +84,7 @@
 
 
 def together(first: FaultScenario, second: FaultScenario, *, after_s: float) -> FaultScenario:
-    """Return a fault that runs both, the second one ``after_s`` seconds later."""
+    """Return a fault that causes two others, the second one ``after_s`` seconds later."""
 
     async def both(simulation: LastingTaskSimulation) -> None:
         async def later() -> None:
@@ -288,7 +288,7 @@
     def test_one_epoch_begins(self, _name: str, is_silent: bool) -> None:
         """An epoch ends 0.1 s after it began, and the next one has to recover all state again.
 
-        The elector takes a late report of the deletion of its earlier key for its new one.
+        The elector takes a late report that its earlier key was deleted as one about its new key.
         """
         for for_s in OUTAGES_S:
             for case, before in (("all workers stay", None), ("a worker left", a_worker_leaves)):
@@ -341,7 +341,7 @@
             await asyncio.sleep(2.5)
             await a_worker_leaves(simulation)
             await asyncio.sleep(7.5)
-            # That epoch ends without a handover, and tasks lapse again.
+            # The new epoch ends without a handover in the second outage; tasks lapse again.
             await simulation.store_outage(10.1, is_silent=True)
 
         self.assert_recovered(run_fault_scenario(fault))
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -135,6 +135,7 @@
         async def scenario() -> None:
             _, store_client, record = await _make_record()
             store_client.faults.delay_s = 0.2
+            # The worker's entry says that it is draining; the scheduler has not read that yet.
             removal = asyncio.create_task(record.update(lambda: {"one": WORKER_ONE}))
             await asyncio.sleep(0.1)
             self.assertFalse(record.is_recorded("two"))
@@ -217,6 +218,7 @@
             lease = await machine_harness.start()
             machine_harness.publish_demand("antenna", free=True)
             await asyncio.sleep(5.0)
+            # Unlike a new controller, a resumed one gave orders in its first round.
             await self._suspend_controller(machine_harness, lease)
             # The pool that lacks machines writes its demand first.
             machine_harness.publish_demand("radar", lacking=1)
@@ -293,7 +295,8 @@
         harness.worker("a").lease_ends_s = harness.now_s + 5.0
         order.run.enter(order.run.phase.RUNNING, harness.now_s)
         harness.add(view("b"))
-        # `OrderDispatcher` clears the flag when a worker answers that an order came too late.
+        # `OrderDispatcher` clears the flag when a worker answers that an order came too late. The
+        # leases of a worker without the flag did not expire, so that its task counted as running.
         harness.worker("a").is_fenced = False
         harness.scheduler_state.mark_unlisted("a")
         harness.now_s += RESTART_LIMIT_S
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -62,7 +62,7 @@
     def test_slow_sender(self) -> None:
         """A client that sends a byte every 50 ms stays below the socket's timeout at each wait.
 
-        It must not occupy the thread until its request is complete; the deadline covers all reads.
+        The thread must not wait for its whole request, since the deadline covers all reads.
         """
         slow_connection = self.connect()
         started_s = time.monotonic()
--- a/tests/test_loop_call_queue.py
+++ b/tests/test_loop_call_queue.py
@@ -46,6 +46,8 @@
             return "slot"
 
         self.call_queue.call(begin, timeout_s=WAIT_S, on_unclaimed=self.unclaimed.append)
+        # The loop used to look for deferred work only if work was in flight before a call, not
+        # after the call.
         self.call_queue.defer(lambda: self.deferred_calls.append("released"))
         ends_at_s = time.monotonic() + WAIT_S
         while not self.deferred_calls and time.monotonic() < ends_at_s:
