--- a/tests/test_callers_sessions.py
+++ b/tests/test_callers_sessions.py
@@ -135,7 +135,7 @@
 
 class GoldenSessionTests(unittest.TestCase):
     def test_fjellsending_crew_session(self) -> None:
-        """Guards against unintended changes to any kind of response that a caller can get."""
+        """Guards against unintended changes to the responses to a crew and to its retries."""
         session = CallersSession(self, services=("traces", "parts"), team="crews")
         trace = {"Shallot-Service": "traces", "Shallot-Team": "crews"}
         parts = {"Shallot-Service": "parts", "Shallot-Team": "crews"}
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -227,7 +227,7 @@
     ) -> None:
         """After the reboot a target never answers, or another machine answers under its name.
 
-        It would fail requests or get work of a wrong size, so it stays cordoned; others continue.
+        It might fail requests or be too small for them. It stays cordoned, and others continue.
         """
 
         async def scenario() -> None:
@@ -302,7 +302,7 @@
     def test_a_cancelled_move_is_reverted(self) -> None:
         """A move is cancelled while an instance is in the new pool and still cordoned.
 
-        It must not remain in that pool: it is moved back and returned.
+        The instance must not remain in that pool: it is moved back and returned.
         """
 
         async def scenario() -> None:
--- a/tests/test_config_history_reading.py
+++ b/tests/test_config_history_reading.py
@@ -77,7 +77,7 @@
         ]
     )
     def test_refused(self, _name: str, revision: int, then: Change | None, kind: str) -> None:
-        """A revert is refused if the record changed again, or no change reverts it."""
+        """A revert is refused if the record changed again, nothing reverts it, or it is missing."""
 
         async def main() -> None:
             config = make_process(MemoryStore(), "e1")
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -115,7 +115,7 @@
         self.assertEqual([[SHARED], [SHARED]], blames_of(harness))
 
     def test_an_unanswered_start_is_on_probation(self) -> None:
-        """Guards against missing the start during which the worker died."""
+        """Guards against blaming no run if the worker dies before it answers the start."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         (order,) = harness.start_orders()
@@ -174,7 +174,7 @@
     def test_a_planned_departure_blames_no_run(
         self, _name: str, is_planned: bool, is_draining: bool
     ) -> None:
-        """Guards against suspecting a task because its machine was moved."""
+        """Guards against suspecting a task because its machine was moved or drained."""
         harness = SchedulingHarness(view("a"))
         harness.add_job(job("j", step(1)))
         harness.start_orders()
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -49,7 +49,7 @@
 class GrowthTests(unittest.TestCase):
     @parameterized.expand([(2.0,), (2.5,), (3.0,)])
     def test_growth_is_extrapolated_until_machines_arrive(self, at_s: float) -> None:
-        """Guards against late jobs at the start of a burst, when machines fit past demand."""
+        """Guards against late jobs in a burst because machines are ordered for past demand."""
         # Demand grows for five seconds to sixty jobs a second. The forecast in the first seconds
         # must be nearer to the demand two seconds later than to the present demand.
         rate = Rate(base=1.0, rise=12.0, for_s=5.0)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -201,7 +201,7 @@
     def test_retry_waits_for_an_untried_target(self) -> None:
         """A retry that took the free target it already tried would fail again.
 
-        It waits for another target, and other requests don't wait behind it.
+        The retry waits for another target, and other requests don't wait behind it.
         """
 
         async def scenario() -> None:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -17,7 +17,7 @@
 
     @parameterized.expand([(kind.value, kind) for kind in ErrorKind])
     def test_unsafe_kinds_never_advise_a_plain_retry(self, _name: str, kind: ErrorKind) -> None:
-        """Guards against advice to retry a request that may have run without its key."""
+        """Guards against advising a retry without the key for a request that may have run."""
         attributes = attributes_of(kind)
         if attributes.ran is not Ran.NO:
             self.assertIsNot(attributes.advice, Advice.LATER)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -267,7 +267,7 @@
         ]
     )
     def test_valid_variants(self, _name: str, value: bytes, is_draining: bool) -> None:
-        """Guards against rejecting entries that the platform's page allows."""
+        """Guards against rejecting entries that the platform's documentation allows."""
         harness = RegistryHarness()
         harness.write("i-2", value)
         self.assertIn("i-2", harness.ids)
@@ -416,7 +416,7 @@
 
     @parameterized.expand(INVALID_VALUES)
     def test_invalid_value_affects_no_other_key(self, _name: str, value: object) -> None:
-        """Guards against losing other keys, in a page and in changes of a value's validity."""
+        """Guards against losing other keys of a page, or a change between valid and invalid."""
         valid = encoded(changed())
         store = RawStore(
             items=[row("i-1", valid, 1), row("i-2", value, 2), row("i-3", valid, 3)],
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -142,7 +142,7 @@
         self.assertGreaterEqual(len(run.operations), CALLERS)
 
     def test_nothing_fails(self) -> None:
-        """Without faults every request is answered, except a repeat while its key is running."""
+        """Without faults, requests without a key succeed, and only repeats of a key are refused."""
         run = ConcurrentRun(seed=1, attempt_timeout_s=10.0, deadline_s=10.0)
         self.check(run, [QUIET] * 2)
         without_key = {entry.answer for entry in run.operations if not entry.key}
--- a/tests/test_idempotency_history.py
+++ b/tests/test_idempotency_history.py
@@ -158,7 +158,7 @@
     def test_any_history(self, steps: list[tuple]) -> None:
         """A key has one holder at a time, runs at most once, and repeats get its answer.
 
-        Processes are replaced while the store is down, slow, stale or loses answers.
+        Callers hang up, processes crash, and the store is down, slow, stale or loses answers.
         """
 
         async def scenario() -> None:
--- a/tests/test_instance_list_watcher.py
+++ b/tests/test_instance_list_watcher.py
@@ -93,7 +93,7 @@
         expected: list[tuple[str, bool]],
         leaving: set[str],
     ) -> None:
-        """Only changes of instances in the watcher's own data centre reach the configuration."""
+        """Only changes of the own data centre are proposed; the dispatcher gets all that leave."""
         config = _FakeConfig(healthy)
         dispatcher = _FakeDispatcher()
         watcher = InstanceListWatcher(
--- a/tests/test_job_request_handler.py
+++ b/tests/test_job_request_handler.py
@@ -124,7 +124,7 @@
 
 class StateTests(unittest.TestCase):
     def test_no_such_job_only_if_the_store_confirms_it(self) -> None:
-        """An accepted job is never reported as unknown, not even while the store is down."""
+        """An accepted job is never reported as missing, not even while the store is down."""
 
         async def scenario() -> None:
             harness = SubmissionHarness()
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -47,7 +47,7 @@
         ]
     )
     def test_an_invalid_job_is_reported(self, _name: str, job_under_test: Job) -> None:
-        """Each problem of an invalid job is reported as one sentence."""
+        """Each kind of invalid job is reported with at least one problem."""
         self.assertNotEqual([], list(job_problems(job_under_test)))
 
     def test_a_valid_job_has_no_problem(self) -> None:
@@ -107,7 +107,7 @@
 
 class RecordTests(unittest.TestCase):
     def test_a_job_is_unchanged_by_encoding(self) -> None:
-        """All fields of a job are stored."""
+        """A decoded job equals the encoded one, so that no field is lost."""
         job_under_test = job(
             "j",
             step(2, label="a", near_rack="r1", most_per_worker=1, is_gang=True, may_miss=1),
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -259,7 +259,7 @@
     def test_tasks_run_again(self, _name: str, are_paused: bool, is_silent: bool) -> None:
         """Tasks do not run after an outage of the store, although workers are idle.
 
-        The next epoch waits for a worker that left, or takes an old key's deletion for its own.
+        The next epoch waits for a worker that left, or ends on a late report of an old deletion.
         """
         for for_s in OUTAGES_S:
             fault = outage(for_s, is_silent=is_silent, are_leases_paused=are_paused)
--- a/tests/test_lease_candidate.py
+++ b/tests/test_lease_candidate.py
@@ -55,7 +55,7 @@
         run(main)
 
     def test_ranked_candidates_poll_as_often_as_a_few(self) -> None:
-        """22 candidates ranked by their pauses poll no more often than five unranked ones."""
+        """22 candidates whose pauses grow with their rank poll no more often than five alike."""
 
         async def main() -> None:
             store = MemoryStore()
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -52,7 +52,7 @@
         [("at_once", b""), ("in_the_header", REQUEST[:20]), ("in_the_body", REQUEST[:-2])]
     )
     def test_sender_that_stops_sending(self, _name: str, sent: bytes) -> None:
-        """A client that stops sending must not occupy the only thread for the 10 s of the socket.
+        """A client that stops sending must not hold the thread for the socket's timeout of 10 s.
 
         The thread is free for the next request after the deadline of the first one.
         """
