--- a/tests/history.py
+++ b/tests/history.py
@@ -142,7 +142,7 @@
 def _unreported_runs(
     operations: Sequence[Operation], runs: Sequence[WorkerRun]
 ) -> Iterator[Violation]:
-    """Find runs whose callers were told that nothing ran, or whose requests are unknown."""
+    """Find runs whose callers got an answer that nothing ran, or whose requests are unknown."""
     by_id = {operation.request_id: operation for operation in operations}
     # A caller that received no answer has no request id; its key links the run to it.
     unanswered_keys = {
--- a/tests/test_budget_at_takeover.py
+++ b/tests/test_budget_at_takeover.py
@@ -374,7 +374,7 @@
     def test_a_worker_that_the_successor_cannot_reach_is_not_lent(self) -> None:
         """Two of three serving tasks were ended when a successor offered unreachable workers.
 
-        It knew of no runs on them, so they counted as idle and were moved to another service.
+        The successor knew of no runs on them, so they counted as idle and were moved away.
         """
 
         async def scenario() -> list[str]:
--- a/tests/test_conductor_failures.py
+++ b/tests/test_conductor_failures.py
@@ -30,7 +30,7 @@
     def test_another_conductor_continues_the_plan(self, _name: str, at_s: float) -> None:
         """When the conducting process crashes, another one acquires the lease within 10 s.
 
-        It continues from the stored state, so that no wave stops and no target reboots twice.
+        The other one continues from the stored state: no wave stops, no target reboots twice.
         """
 
         async def scenario() -> None:
@@ -227,7 +227,7 @@
     ) -> None:
         """After the reboot a target never answers, or another machine answers under its name.
 
-        It might fail requests or be too small for them. It stays cordoned, and others continue.
+        The target might fail requests or be too small for them, so it stays cordoned.
         """
 
         async def scenario() -> None:
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -40,7 +40,7 @@
     def test_target_that_fails_fast_is_ejected(self, _name: str, outcome: object) -> None:
         """A target that fails at once always has free slots and would attract most requests.
 
-        It is ejected after three of them.
+        The target is ejected after three requests.
         """
 
         async def scenario() -> None:
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -153,7 +153,7 @@
     def test_closed_connection_is_not_reused(self) -> None:
         """Guards against sending an order over a connection that the worker closed after an answer.
 
-        Such an order counted as possibly executed.
+        The unanswered order then counted as possibly carried out.
         """
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_lasting_recovery.py
+++ b/tests/test_lasting_recovery.py
@@ -276,7 +276,7 @@
     def test_worker_registrations_that_were_lost(self) -> None:
         """Tasks do not run after an outage in which the registrations of all workers ran out.
 
-        They come back one by one within 2 s, so that a new epoch sees no worker at first.
+        Workers register again one by one within 2 s, so that a new epoch sees none at first.
         """
         for for_s in (OUTAGES_S[0], OUTAGES_S[-1]):
             fault = outage(for_s, is_silent=False, are_leases_paused=False, are_entries_lost=True)
--- a/tests/test_lease_candidate.py
+++ b/tests/test_lease_candidate.py
@@ -117,7 +117,7 @@
     def test_store_down_for_longer_than_the_lease(self) -> None:
         """A holder stops acting before its lease expires while the store is down for a minute.
 
-        It can't renew the lease, and acquires a new one when the store is back.
+        The holder can't renew the lease, and acquires a new one when the store is back.
         """
 
         async def main() -> None:
