--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -61,7 +61,7 @@
 
 
 def _print_result(result: RunResult) -> None:
-    state = "FAILED" if result.violations else "passed"
+    state = "BROKEN" if result.violations else "kept"
     typer.echo(
         f"seed {result.seed}: {state}, {result.accepted} jobs, {result.starts} starts, "
         f"settled in {result.settled_s} s"
