--- a/src/shallotworks/store/_prefix_watcher.py
+++ b/src/shallotworks/store/_prefix_watcher.py
@@ -27,7 +27,7 @@
 """An answer with at least this many events is followed by the next watch at once, because more
 events may be waiting."""
 FIRST_BACKOFF_S = 0.05
-HIGHEST_BACKOFF_S = 0.4
+MAX_BACKOFF_S = 0.4
 """Longest pause between attempts while the store fails: it limits each watcher to 2.5 calls a
 second."""
 
@@ -57,7 +57,8 @@
         prefix: The keys' prefix.
         listener: Receives the changes.
         log: Receives lost and regained contact with the store, and errors of the listener.
-        on_answer: Called after each answer of the store, when the copy is as new as the answer.
+        on_answer: Called after each complete read and each watch answer, once the listener has
+            received their changes; not after a failure or an answer that reports lost history.
         pause_s: Pause between a change and the next watch, so that changes in quick succession
             arrive in one answer; each call is paid for.
     """
@@ -110,7 +111,7 @@
                 continue
             self._log_contact_change(outcome.failure())
             await asyncio.sleep(backoff_s)
-            backoff_s = min(HIGHEST_BACKOFF_S, backoff_s * 2)
+            backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
 
     async def _read_all(self) -> Result[int | None, Failure]:
         seen: set[str] = set()
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -236,7 +236,8 @@
 
         async def scenario() -> None:
             # If all processes broke ties in the same way, one target would get all requests while
-            # the others idle.
+            # the others idle. With six processes that don't see each other's load, that target
+            # would then have 6 requests.
             seen: Counter[str] = Counter()
             for seed in range(60):
                 harness = make_harness(make_fleet(make_instances(8)), seed=seed)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -73,7 +73,10 @@
         ]
     )
     def test_call_without_the_token_is_refused(self, _name: str, headers: dict[str, str]) -> None:
-        """Guards against calls without the exact token that take effect or reveal known paths."""
+        """Without the exact token, even an unknown path is answered with 401 and nothing is done.
+
+        Otherwise such a call could take effect or reveal which paths exist.
+        """
         for method, path in (("GET", "/v1/status"), ("GET", "/other"), ("POST", "/v1/changes")):
             body = POOL if method == "POST" else None
             response = self.call(method, path, body=body, headers={**headers, "Operator": "kari"})
